--- a/src/cli/query.ts
+++ b/src/cli/query.ts
@@ -1,6 +1,6 @@
 /** `barrowlb why` and `barrowlb status`: what a controller answers, for people. */
 import * as v from 'valibot';
-import type { Overview } from '../coordination/overview.js';
+import type { Overview } from '../protocol/overview.js';
 import { jobPath, paths } from '../protocol/routes.js';
 import { parseAddress } from '../transport/address.js';
 import { HttpClient, type Response } from '../transport/httpClient.js';
--- a/src/coordination/cancelPreparations.ts
+++ b/src/coordination/cancelPreparations.ts
@@ -4,7 +4,7 @@
  * on answering its workers, and would keep cancelled tasks alive for longer than they may be (safety, C1).
  */
 import { DRIFT, type Clock } from '../base/clock.js';
-import type { PreparedChunk } from '../protocol/peer.js';
+import type { PreparedChunk } from '../protocol/peerMessages.js';
 import type { Settings } from '../protocol/settings.js';
 import { keys, type JobRecord, type OwnerRecord } from '../storage/records.js';
 import type { Replica } from '../storage/replica.js';
--- a/src/coordination/controller.ts
+++ b/src/coordination/controller.ts
@@ -2,7 +2,7 @@
 import { sleep, type Clock } from '../base/clock.js';
 import { describe, log } from '../base/log.js';
 import type { Random } from '../base/random.js';
-import type { Gossip } from '../protocol/peer.js';
+import type { Gossip } from '../protocol/peerMessages.js';
 import type { Settings, Tuning } from '../protocol/settings.js';
 import { parseTypes, paths as cloudPaths, type MachineType } from '../protocol/cloud.js';
 import type { Change } from '../protocol/state.js';
--- a/src/coordination/gateway.ts
+++ b/src/coordination/gateway.ts
@@ -1,8 +1,9 @@
 /** Routes requests, whether they come from users, workers or peers. */
 import { paths, helloPath, rolloutPath } from '../protocol/routes.js';
-import { decodeRequest, encodeAnswer, type PeerAnswer, type Relay } from '../protocol/peer.js';
+import { decodeRequest, encodeAnswer } from '../protocol/peerCodec.js';
+import type { PeerAnswer, Relay } from '../protocol/peerMessages.js';
 import { log } from '../base/log.js';
-import { decodeSpec } from '../protocol/peer.js';
+import { decodeSpec } from '../protocol/peerCodec.js';
 import type { HttpMessage } from '../transport/httpParser.js';
 import type { Reply } from '../transport/httpServer.js';
 import type { Controller } from './controller.js';
--- a/src/coordination/gossiper.ts
+++ b/src/coordination/gossiper.ts
@@ -1,6 +1,6 @@
 /** Tells the peers at a steady pace what this node owns, lacks and can spare. */
 import type { Clock } from '../base/clock.js';
-import type { Gossip } from '../protocol/peer.js';
+import type { Gossip } from '../protocol/peerMessages.js';
 import type { Settings, Tuning } from '../protocol/settings.js';
 import type { StateClient } from '../storage/stateClient.js';
 import type { OwnedPart } from './ownedPart.js';
--- a/src/coordination/needs.ts
+++ b/src/coordination/needs.ts
@@ -1,7 +1,7 @@
 /** What should be rented for a part, and which of its machines may be returned: pure. */
 import type { MachineType } from '../protocol/cloud.js';
 import { rankName, type JobSpec } from '../protocol/job.js';
-import type { Demand } from '../protocol/peer.js';
+import type { Demand } from '../protocol/peerMessages.js';
 import type { Chunk } from './chunk.js';
 import { Arrivals } from './estimate.js';
 import type { Machine } from './machine.js';
--- a/src/coordination/overview.ts
+++ b/src/coordination/overview.ts
@@ -1,23 +1,7 @@
 /** Parts, queues and machines of a node, for `barrowlb status`. */
+import type { Overview } from '../protocol/overview.js';
 import type { Controller } from './controller.js';
 
-export interface Overview {
-  node: string;
-  /** Whether the state service serves this node. */
-  served: boolean;
-  /** What the audit trail has counted since the start. */
-  counters?: Record<string, number>;
-  parts: {
-    part: string;
-    token: number;
-    utilisation: number;
-    openJobs: number;
-    runningTasks: number;
-    waitingTasks: number;
-    machines: { name: string; type: string; zone: string; state: string; tasks: number }[];
-  }[];
-}
-
 export function overview(node: Controller): Overview {
   const parts = [...node.ownedParts.values()].map(({ part, token, jobs }) => ({
     part: part.label,
--- a/src/coordination/peers.ts
+++ b/src/coordination/peers.ts
@@ -1,16 +1,14 @@
 /** What this node knows of the others, and its calls to them. */
 import type { Clock } from '../base/clock.js';
-import {
-  decodeAnswer,
-  encodeRequest,
-  encodeSpec,
-  type Demand,
-  type Estimate,
-  type Gossip,
-  type Relay,
-  type Relayed,
-  type PreparedChunk,
-} from '../protocol/peer.js';
+import { decodeAnswer, encodeRequest, encodeSpec } from '../protocol/peerCodec.js';
+import type {
+  Demand,
+  Estimate,
+  Gossip,
+  Relay,
+  Relayed,
+  PreparedChunk,
+} from '../protocol/peerMessages.js';
 import type { JobSpec } from '../protocol/job.js';
 import type { PeerClient } from '../transport/peerLink.js';
 
--- a/src/coordination/provisioning/renting.ts
+++ b/src/coordination/provisioning/renting.ts
@@ -1,6 +1,6 @@
 /** What to rent for work that has no room: pure. */
 import type { MachineType } from '../../protocol/cloud.js';
-import type { Demand } from '../../protocol/peer.js';
+import type { Demand } from '../../protocol/peerMessages.js';
 
 export interface RentPlan {
   part: string;
--- a/src/coordination/quotas.ts
+++ b/src/coordination/quotas.ts
@@ -3,7 +3,7 @@
  * never passes the limit. A part uses no more than its share, whatever may still run included.
  */
 import { describe, log } from '../base/log.js';
-import type { Gossip } from '../protocol/peer.js';
+import type { Gossip } from '../protocol/peerMessages.js';
 import type { Settings, Team } from '../protocol/settings.js';
 import type { Txn } from '../protocol/state.js';
 import { keys, type QuotaRecord } from '../storage/records.js';
--- a/src/coordination/sender.ts
+++ b/src/coordination/sender.ts
@@ -1,7 +1,7 @@
 /** Sends jobs on: the sender-initiated path of the paper, for new chunks and for those that wait. */
 import { describe, log } from '../base/log.js';
 import { rankName, type JobSpec } from '../protocol/job.js';
-import type { Estimate } from '../protocol/peer.js';
+import type { Estimate } from '../protocol/peerMessages.js';
 import { keys } from '../storage/records.js';
 import type { Chunk } from './chunk.js';
 import type { Controller } from './controller.js';
--- /dev/null
+++ b/src/protocol/peerCodec.ts
@@ -0,0 +1,193 @@
+/** Maps messages between controllers to their wire form and back: the one place where both sets of names meet. */
+import type { JobSpec } from './job.js';
+import type {
+  Ask,
+  Demand,
+  Estimate,
+  Gossip,
+  PeerAnswer,
+  PeerRequest,
+  PreparedChunk,
+} from './peerMessages.js';
+import {
+  decodeWireAnswer,
+  decodeWireRequest,
+  encodeWireAnswer,
+  encodeWireRequest,
+  type WireAsk,
+  type WireDemand,
+  type WireEstimate,
+  type WireGossip,
+  type WirePreparedChunk,
+} from './peerWire.js';
+import { fromStoredSpec, toStoredSpec, type StoredJobSpec } from './storedJobSpec.js';
+
+/** Encodes a request to a peer. */
+export function encodeRequest(request: PeerRequest): Buffer {
+  if ('Gossip' in request) return encodeWireRequest({ Gossip: toWireGossip(request.Gossip) });
+  if ('Ask' in request) return encodeWireRequest({ Ask: toWireAsk(request.Ask) });
+  if ('PrepareCancel' in request) {
+    const { job, at } = request.PrepareCancel;
+    return encodeWireRequest({ PrepareCancel: { job, at } });
+  }
+  const { method, target, body } = request.Relay;
+  return encodeWireRequest({ Relay: { method, target, body } });
+}
+
+/** Decodes a request of a peer; throws what Avro throws for bytes that are none. */
+export function decodeRequest(bytes: Buffer): PeerRequest {
+  const request = decodeWireRequest(bytes);
+  if ('Gossip' in request) return { Gossip: fromWireGossip(request.Gossip) };
+  if ('Ask' in request) return { Ask: fromWireAsk(request.Ask) };
+  return request;
+}
+
+/** Encodes the answer to a peer's request. */
+export function encodeAnswer(answer: PeerAnswer): Buffer {
+  if ('Estimates' in answer) {
+    return encodeWireAnswer({ Estimates: { of: answer.Estimates.of.map(toWireEstimate) } });
+  }
+  if ('PreparedChunks' in answer) {
+    const of = answer.PreparedChunks.of.map(toWirePreparedChunk);
+    return encodeWireAnswer({ PreparedChunks: { of } });
+  }
+  return encodeWireAnswer(answer);
+}
+
+/** Decodes a peer's answer; throws what Avro throws for bytes that are none. */
+export function decodeAnswer(bytes: Buffer): PeerAnswer {
+  const answer = decodeWireAnswer(bytes);
+  if ('Estimates' in answer) {
+    return { Estimates: { of: answer.Estimates.of.map(fromWireEstimate) } };
+  }
+  if ('PreparedChunks' in answer) {
+    return { PreparedChunks: { of: answer.PreparedChunks.of.map(fromWirePreparedChunk) } };
+  }
+  return answer;
+}
+
+/** A job's description as questions to peers hold it; what it depends on is done by the time that anybody is asked. */
+export const encodeSpec = (spec: JobSpec): string =>
+  JSON.stringify(toStoredSpec({ ...spec, waitsOn: [] }));
+
+/** The description that a peer's question holds. */
+export const decodeSpec = (text: string): JobSpec =>
+  fromStoredSpec({ ...(JSON.parse(text) as StoredJobSpec), waitsOn: [] });
+
+function toWireGossip(gossip: Gossip): WireGossip {
+  return {
+    from: gossip.from,
+    process: gossip.process,
+    sequence: gossip.sequence,
+    at: gossip.at,
+    need: gossip.need,
+    served: gossip.served,
+    hosts: gossip.hosts.map((host) => ({
+      part: host.part,
+      token: host.token,
+      utilisation: host.utilisation,
+      waiting: host.waiting,
+      liveRoom: host.liveRoom,
+    })),
+    demands: gossip.demands.map(toWireDemand),
+    spare: gossip.spare,
+    lost: gossip.lost,
+    used: gossip.used,
+    throttled: gossip.throttled,
+    starving: gossip.starving.map(({ team, at, rank }) => ({ team, at, rank })),
+  };
+}
+
+function fromWireGossip(gossip: WireGossip): Gossip {
+  return {
+    from: gossip.from,
+    process: gossip.process,
+    sequence: gossip.sequence,
+    at: gossip.at,
+    need: gossip.need,
+    served: gossip.served,
+    hosts: gossip.hosts.map((host) => ({
+      part: host.part,
+      token: host.token,
+      utilisation: host.utilisation,
+      waiting: host.waiting,
+      liveRoom: host.liveRoom,
+    })),
+    demands: gossip.demands.map(fromWireDemand),
+    spare: gossip.spare,
+    lost: gossip.lost,
+    used: gossip.used,
+    throttled: gossip.throttled,
+    starving: gossip.starving.map(({ team, at, rank }) => ({ team, at, rank })),
+  };
+}
+
+function toWireDemand(demand: Demand): WireDemand {
+  return {
+    part: demand.part,
+    cpus: demand.cpus,
+    gpus: demand.gpus,
+    memory: demand.memory,
+    types: demand.types,
+    zone: demand.zone,
+    spot: demand.spot,
+    rank: demand.rank,
+    service: demand.service,
+    image: demand.image,
+    imageGb: demand.imageGb,
+    count: demand.count,
+    urgent: demand.urgent,
+    pressing: demand.pressing,
+    run: demand.run,
+  };
+}
+
+function fromWireDemand(demand: WireDemand): Demand {
+  return {
+    part: demand.part,
+    cpus: demand.cpus,
+    gpus: demand.gpus,
+    memory: demand.memory,
+    types: demand.types,
+    zone: demand.zone,
+    spot: demand.spot,
+    rank: demand.rank,
+    service: demand.service,
+    image: demand.image,
+    imageGb: demand.imageGb,
+    count: demand.count,
+    urgent: demand.urgent,
+    pressing: demand.pressing,
+    run: demand.run,
+  };
+}
+
+const toWireAsk = (ask: Ask): WireAsk => ({ spec: ask.spec, zone: ask.zone, tasks: ask.tasks });
+
+const fromWireAsk = (ask: WireAsk): Ask => ({ spec: ask.spec, zone: ask.zone, tasks: ask.tasks });
+
+const toWireEstimate = (estimate: Estimate): WireEstimate => ({
+  part: estimate.part,
+  wait: estimate.wait,
+  turnaround: estimate.turnaround,
+  utilisation: estimate.utilisation,
+});
+
+const fromWireEstimate = (estimate: WireEstimate): Estimate => ({
+  part: estimate.part,
+  wait: estimate.wait,
+  turnaround: estimate.turnaround,
+  utilisation: estimate.utilisation,
+});
+
+const toWirePreparedChunk = (chunk: PreparedChunk): WirePreparedChunk => ({
+  index: chunk.index,
+  part: chunk.part,
+  token: chunk.token,
+});
+
+const fromWirePreparedChunk = (chunk: WirePreparedChunk): PreparedChunk => ({
+  index: chunk.index,
+  part: chunk.part,
+  token: chunk.token,
+});
--- a/src/protocol/peer.ts
+++ b/src/protocol/peerWire.ts
@@ -1,9 +1,11 @@
-/** What passes between our own processes, in Avro. */
+/**
+ * The wire form of the messages between controllers: Avro records whose names are those of the version in production and
+ * never change.
+ */
 import avro from 'avsc';
-import type { JobSpec } from './job.js';
 
 /** Work of one shape that a part cannot place now. */
-export interface Demand {
+export interface WireDemand {
   part: string;
   cpus: number;
   gpus: number;
@@ -16,54 +18,40 @@
   image: string;
   imageGb: number;
   count: number;
-  /** Replicas wait for it: what boots soon is worth its price. */
   urgent: boolean;
-  /** Tasks of batch work that could not be through in time otherwise: dear machines may be rented. */
   pressing: number;
-  /** Expected run time of one task, corrected. */
   run: number;
 }
 
-export interface Gossip {
+export interface WireGossip {
   from: string;
-  /** Tells one start of the sender from the next. */
   process: string;
-  /** Rises with each message of a process. */
   sequence: number;
-  /** Time of day at which it was sent: a cut may hold it back for minutes. */
   at: number;
-  /** What the sender asks of the state service, a second. */
   need: { requests: number; writes: number };
-  /** True while the sender's lease at the state service is valid by its own clock. */
   served: boolean;
   hosts: {
     part: string;
     token: number;
     utilisation: number;
     waiting: number;
-    /** Processors on ordinary machines that live services have not taken. */
     liveRoom: number;
   }[];
-  demands: Demand[];
-  /** Machines that may be returned. */
+  demands: WireDemand[];
   spare: string[];
-  /** Machines that are silent and should be ended, so that their tasks are known to be over. */
   lost: string[];
-  /** What teams' tasks take at the sender's parts. */
   used: { team: string; cpus: number; gpus: number }[];
-  /** Teams whose share of the limit is too small for what waits here. */
   throttled: string[];
-  /** The first job of each team that its limit has kept waiting for long. */
   starving: { team: string; at: number; rank: number }[];
 }
 
-export interface Ask {
+export interface WireAsk {
   spec: string;
   zone: string | null;
   tasks: number;
 }
 
-export interface Estimate {
+export interface WireEstimate {
   part: string;
   wait: number;
   turnaround: number;
@@ -71,32 +59,45 @@
 }
 
 /** A job is about to be cancelled: its tasks are ended and none is started. */
-export interface PrepareCancel {
+export interface WirePrepareCancel {
   job: string;
-  /** Time of day at which it was sent: a cut may hold it back for minutes. */
   at: number;
 }
 
 /** A chunk that runs no more, at the owner of its part. */
-export interface PreparedChunk {
+export interface WirePreparedChunk {
   index: number;
   part: string;
   token: number;
 }
 
 /** A request of a user or a worker, passed on to the node that can answer it. */
-export interface Relay {
+export interface WireRelay {
   method: string;
   target: string;
   body: string;
 }
 
-export interface Relayed {
+export interface WireRelayed {
   status: number;
   body: string;
   retryAfter: number | null;
 }
 
+/** A request on the peer link: one branch of the Avro union, by its name. */
+export type WireRequest =
+  | { Gossip: WireGossip }
+  | { Ask: WireAsk }
+  | { Relay: WireRelay }
+  | { PrepareCancel: WirePrepareCancel };
+
+/** An answer on the peer link. */
+export type WireAnswer =
+  | { Noted: Record<string, never> }
+  | { Estimates: { of: WireEstimate[] } }
+  | { Relayed: WireRelayed }
+  | { PreparedChunks: { of: WirePreparedChunk[] } };
+
 const nullable = (type: unknown): unknown => ['null', type];
 const field = (name: string, type: unknown): unknown => ({ name, type });
 const record = (name: string, fields: unknown[]): unknown => ({ type: 'record', name, fields });
@@ -213,19 +214,12 @@
   { wrapUnions: true },
 );
 
-export type PeerRequest =
-  { Gossip: Gossip } | { Ask: Ask } | { Relay: Relay } | { PrepareCancel: PrepareCancel };
-export type PeerAnswer =
-  | { Noted: Record<string, never> }
-  | { Estimates: { of: Estimate[] } }
-  | { Relayed: Relayed }
-  | { PreparedChunks: { of: PreparedChunk[] } };
-
-export const encodeRequest = (request: PeerRequest): Buffer => requestType.toBuffer(wrap(request));
-export const encodeAnswer = (answer: PeerAnswer): Buffer => answerType.toBuffer(wrap(answer));
+export const encodeWireRequest = (request: WireRequest): Buffer =>
+  requestType.toBuffer(wrap(request));
+export const encodeWireAnswer = (answer: WireAnswer): Buffer => answerType.toBuffer(wrap(answer));
 
 // Nullable fields are unions too, which `wrapUnions` wants wrapped by their branch's name.
-function wrap(value: PeerRequest | PeerAnswer): unknown {
+function wrap(value: WireRequest | WireAnswer): unknown {
   if ('Ask' in value) return { Ask: { ...value.Ask, zone: some(value.Ask.zone, 'string') } };
   if ('Relayed' in value) {
     const retryAfter = some(value.Relayed.retryAfter, 'double');
@@ -248,8 +242,8 @@
 const plain = (value: unknown): unknown =>
   value === null ? null : Object.values(value as Record<string, unknown>)[0];
 
-export function decodeRequest(body: Buffer): PeerRequest {
-  const value = requestType.fromBuffer(body) as PeerRequest;
+export function decodeWireRequest(body: Buffer): WireRequest {
+  const value = requestType.fromBuffer(body) as WireRequest;
   if ('Ask' in value) {
     const { spec, tasks, zone } = value.Ask;
     return { Ask: { spec, tasks, zone: plain(zone) as string | null } };
@@ -265,19 +259,11 @@
   return value;
 }
 
-export function decodeAnswer(body: Buffer): PeerAnswer {
-  const value = answerType.fromBuffer(body) as PeerAnswer;
+export function decodeWireAnswer(body: Buffer): WireAnswer {
+  const value = answerType.fromBuffer(body) as WireAnswer;
   if ('Relayed' in value) {
     const retryAfter = plain(value.Relayed.retryAfter) as number | null;
     return { Relayed: { ...value.Relayed, retryAfter } };
   }
   return value;
 }
-
-/** A description as questions hold it. What it waits for is over by the time that anybody is asked. */
-export const encodeSpec = (spec: JobSpec): string =>
-  JSON.stringify({ ...spec, waitsOn: undefined });
-export const decodeSpec = (text: string): JobSpec => ({
-  ...(JSON.parse(text) as Omit<JobSpec, 'waitsOn'>),
-  waitsOn: [],
-});
--- a/src/storage/compactRecords.ts
+++ b/src/storage/compactRecords.ts
@@ -1,5 +1,12 @@
 /** Layout 2 of stored records: what has its usual value is left out, and tasks are gathered by machine. */
 import type { JobSpec } from '../protocol/job.js';
+import {
+  fromStoredSpec,
+  specDefaults,
+  toStoredSpec,
+  type SpecDefaults,
+  type StoredJobSpec,
+} from '../protocol/storedJobSpec.js';
 import {
   fromRanges,
   toRanges,
@@ -9,36 +16,16 @@
   type JobRecord,
 } from './records.js';
 import { mapValues } from './mapValues.js';
+import { fromPlainBucket, fromPlainJob } from './plainRecords.js';
+import type { StoredBucketRecord, StoredJobRecord } from './storedRecords.js';
 
-type UsualSpec = Omit<
-  JobSpec,
-  'id' | 'jobClass' | 'team' | 'rank' | 'tasks' | 'cpus' | 'memory' | 'image' | 'imageGb'
->;
-
-/** What a field of a description is where layout 2 leaves it out. */
-const usualSpec = (): UsualSpec => ({
-  service: false,
-  gang: false,
-  gpus: 0,
-  types: null,
-  zone: null,
-  oneZone: false,
-  spread: false,
-  spot: false,
-  expect: 0,
-  checkpoint: 0,
-  save: 0,
-  due: null,
-  waitsOn: [],
-});
-
-type CompactSpec = Omit<JobSpec, keyof UsualSpec> & Partial<UsualSpec>;
+type CompactSpec = Omit<StoredJobSpec, keyof SpecDefaults> & Partial<SpecDefaults>;
 
 interface CompactJob {
   v: 2;
   spec?: CompactSpec;
   home: string;
-  state?: JobRecord['state'];
+  state?: StoredJobRecord['state'];
   tasks: number;
   at: number;
   size: number;
@@ -71,16 +58,14 @@
 }
 
 export function compactSpec(spec: JobSpec): CompactSpec {
-  const usual: Record<string, unknown> = { ...usualSpec() };
-  const told = Object.entries(spec).filter(([name, value]) => {
+  const usual: Record<string, unknown> = { ...specDefaults() };
+  const told = Object.entries(toStoredSpec(spec)).filter(([name, value]) => {
     if (!(name in usual)) return true;
-    return Array.isArray(value) ? name !== 'waitsOn' || value.length > 0 : value !== usual[name];
+    return Array.isArray(value) || value !== usual[name];
   });
   return Object.fromEntries(told) as unknown as CompactSpec;
 }
 
-const decodeSpec = (stored: CompactSpec): JobSpec => ({ ...usualSpec(), ...stored });
-
 export function compactJob(record: JobRecord): CompactJob {
   const { spec, home, state, tasks, at, size, zones, cut, finished, away } = record;
   return {
@@ -100,12 +85,11 @@
 
 export function decodeJob(stored: unknown): JobRecord {
   if ((stored as Partial<CompactJob>).v !== 2) {
-    const record = stored as JobRecord;
-    return record.spec === null ? record : { ...record, spec: decodeSpec(record.spec) };
+    return fromPlainJob(stored as StoredJobRecord);
   }
   const { spec, home, state, tasks, at, size, zones, cut, finished, away } = stored as CompactJob;
   return {
-    spec: spec === undefined ? null : decodeSpec(spec),
+    spec: spec === undefined ? null : fromStoredSpec(spec),
     home,
     state: state ?? 'open',
     tasks,
@@ -163,14 +147,13 @@
 
 export function decodeBucket(stored: unknown): BucketRecord {
   if ((stored as Partial<CompactBucket>).v !== 2) {
-    const { chunks } = stored as BucketRecord;
-    return { chunks: mapValues(chunks, (c) => ({ ...c, spec: decodeSpec(c.spec) })) };
+    return fromPlainBucket(stored as StoredBucketRecord);
   }
   return { chunks: mapValues((stored as CompactBucket).chunks, decodeChunk) };
 }
 
 const decodeChunk = (stored: CompactChunk): ChunkRecord => ({
-  spec: decodeSpec(stored.spec),
+  spec: fromStoredSpec(stored.spec),
   home: stored.home,
   at: stored.at,
   from: stored.from,
--- a/src/storage/recordLayout.ts
+++ b/src/storage/recordLayout.ts
@@ -5,7 +5,9 @@
  * every node can read it (safety, V2). Beyond the limit of a value records are stored in pieces, or compressed where
  * the cluster's version allows that (safety, R5).
  */
+import type { MachineType } from '../protocol/cloud.js';
 import type { JobSpec } from '../protocol/job.js';
+import { toStoredSpec } from '../protocol/storedJobSpec.js';
 import {
   compactBucket,
   compactJob,
@@ -21,7 +23,20 @@
   pieceCount,
   type KeyedValue,
 } from './pieces.js';
-import { plainBucket, plainJob } from './plainRecords.js';
+import {
+  fromStoredGroup,
+  fromStoredMachineType,
+  fromStoredNode,
+  fromStoredOwner,
+  fromStoredTokens,
+  toPlainBucket,
+  toPlainJob,
+  toStoredGroup,
+  toStoredMachineType,
+  toStoredNode,
+  toStoredOwner,
+  toStoredTokens,
+} from './plainRecords.js';
 import {
   CorruptRecordError,
   isCompressed,
@@ -33,9 +48,21 @@
   BUCKETS,
   GROUPS,
   JOBS,
+  kindOfRecord,
   type BucketRecord,
+  type GroupRecord,
   type JobRecord,
+  type NodeRecord,
+  type OwnerRecord,
+  type TokenRecord,
 } from './records.js';
+import type {
+  StoredGroupRecord,
+  StoredMachineType,
+  StoredNodeRecord,
+  StoredOwnerRecord,
+  StoredTokenRecord,
+} from './storedRecords.js';
 
 /** The layout that this version can write; a node's mark in the store names it. */
 export const LAYOUT = 2;
@@ -125,7 +152,9 @@
   specBytes(spec: JobSpec): number {
     const known = this.descriptions.get(spec);
     if (known !== undefined) return known;
-    const bytes = bytesOf(this.isCompact ? compactSpec(spec) : spec);
+    const { waitsOn } = spec;
+    const stored = this.isCompact ? compactSpec(spec) : { ...toStoredSpec(spec), waitsOn };
+    const bytes = bytesOf(stored);
     this.descriptions.set(spec, bytes);
     return bytes;
   }
@@ -139,16 +168,29 @@
     return this.encodePuts(key, value).length;
   }
 
+  /** A record as it is stored, under the field names of `storedRecords.ts`. */
   encode(key: string, value: unknown): unknown {
     if (key === BARRIER_KEY) return value;
-    if (key.startsWith(JOBS)) {
-      return this.isCompact ? compactJob(value as JobRecord) : plainJob(value as JobRecord);
-    }
-    if (key.startsWith(BUCKETS)) {
-      const bucket = value as BucketRecord;
-      return this.isCompact ? compactBucket(bucket) : plainBucket(bucket);
+    switch (kindOfRecord(key)) {
+      case 'job':
+        return this.isCompact ? compactJob(value as JobRecord) : toPlainJob(value as JobRecord);
+      case 'bucket':
+        return this.isCompact
+          ? compactBucket(value as BucketRecord)
+          : toPlainBucket(value as BucketRecord);
+      case 'group':
+        return toStoredGroup(value as GroupRecord);
+      case 'owner':
+        return toStoredOwner(value as OwnerRecord);
+      case 'node':
+        return toStoredNode(value as NodeRecord);
+      case 'tokens':
+        return toStoredTokens(value as TokenRecord);
+      case 'types':
+        return (value as MachineType[]).map(toStoredMachineType);
+      case 'other':
+        return value;
     }
-    return value;
   }
 
   /** What is put for a value; the first is under its own key. */
@@ -192,9 +234,24 @@
   decode(key: string, stored: unknown): unknown {
     if (stored === null || stored === undefined || key === BARRIER_KEY) return stored;
     if (isCompressed(stored)) return this.decodeCompressed(key, stored);
-    if (key.startsWith(JOBS)) return decodeJob(stored);
-    if (key.startsWith(BUCKETS)) return decodeBucket(stored);
-    return stored;
+    switch (kindOfRecord(key)) {
+      case 'job':
+        return decodeJob(stored);
+      case 'bucket':
+        return decodeBucket(stored);
+      case 'group':
+        return fromStoredGroup(stored as StoredGroupRecord);
+      case 'owner':
+        return fromStoredOwner(stored as StoredOwnerRecord);
+      case 'node':
+        return fromStoredNode(stored as StoredNodeRecord);
+      case 'tokens':
+        return fromStoredTokens(stored as StoredTokenRecord);
+      case 'types':
+        return (stored as StoredMachineType[]).map(fromStoredMachineType);
+      case 'other':
+        return stored;
+    }
   }
 
   private decodeCompressed(key: string, stored: CompressedValue): unknown {
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -19,6 +19,8 @@
 export const JOBS = 'b/job/';
 export const BUCKETS = 'b/run/';
 export const GROUPS = 'b/fleet/';
+export const OWNERS = 'b/own/';
+export const NODES = 'b/node/';
 export const PIECES = 'b/piece/';
 
 /** Kept in front of all buckets, for builds that know of no cluster version: they cannot read it (safety, R3). */
@@ -27,16 +29,31 @@
 export const keys = {
   token: 'b/token',
   types: 'b/types',
-  owner: (part: string): string => `b/own/${part}`,
+  owner: (part: string): string => `${OWNERS}${part}`,
   job: (id: string): string => `${JOBS}${id}`,
   run: (part: string, bucket: string): string => `${BUCKETS}${part}/${bucket}`,
   runs: (part: string): string => `${BUCKETS}${part}/`,
   group: (ask: string): string => `${GROUPS}${ask}`,
   quota: (team: string): string => `b/quota/${team}`,
-  node: (label: string): string => `b/node/${label}`,
+  node: (label: string): string => `${NODES}${label}`,
   piece: (key: string, index: number): string => `${PIECES}${key}/${index}`,
 };
 
+/** The kinds of records whose stored names differ from those that the program uses. */
+export type RecordKind =
+  'job' | 'bucket' | 'group' | 'owner' | 'node' | 'tokens' | 'types' | 'other';
+
+/** Which kind of record is stored under a key; fragments are `other`, as they are parts of a text. */
+export function kindOfRecord(key: string): RecordKind {
+  if (key.startsWith(JOBS)) return 'job';
+  if (key.startsWith(BUCKETS)) return 'bucket';
+  if (key.startsWith(GROUPS)) return 'group';
+  if (key.startsWith(OWNERS)) return 'owner';
+  if (key.startsWith(NODES)) return 'node';
+  if (key === keys.token) return 'tokens';
+  return key === keys.types ? 'types' : 'other';
+}
+
 /**
  * An owner's key goes with its lease; that another node may still answer a part's workers must outlast it.
  */
@@ -130,11 +147,17 @@
   type: string;
   zone: string;
   spot: boolean;
-  machines: Record<string, { at: number; address?: string }>;
+  machines: Record<string, GroupMachine>;
   /** How many are being asked for; absent once the cloud has answered. */
   asked?: number;
 }
 
+/** One machine of a group, without what all of the group have in common. */
+export interface GroupMachine {
+  at: number;
+  address?: string;
+}
+
 export type QuotaRecord = Record<string, { cpus: number; gpus: number }>;
 
 /** Task numbers as sorted half-open ranges. */
--- /dev/null
+++ b/src/storage/storedRecords.ts
@@ -0,0 +1,100 @@
+/**
+ * Records as they are stored, with the field names of version 0.2, which never change. The rest of the program knows them
+ * by the types of `records.ts`; `plainRecords.ts` and `compactRecords.ts` map the one to the other.
+ */
+import type { StoredJobSpec } from '../protocol/storedJobSpec.js';
+
+/** `b/token`. */
+export interface StoredTokenRecord {
+  last: number;
+  owners?: Record<string, StoredLastOwner>;
+}
+
+/** Who led a shard last, within `b/token`. */
+export interface StoredLastOwner {
+  node: string;
+  lost: Record<string, number>;
+}
+
+/** `b/own/SHARD`. */
+export interface StoredOwnerRecord {
+  node: string;
+  token: number;
+  process: string;
+}
+
+/** `b/node/LABEL`. */
+export interface StoredNodeRecord {
+  layout: number;
+}
+
+/** `b/job/ID` in record format 1. */
+export interface StoredJobRecord {
+  spec: StoredJobSpec | null;
+  home: string;
+  state: 'open' | 'done' | 'cancelled';
+  tasks: number;
+  at: number;
+  size: number;
+  zones: string[];
+  cut: number;
+  finished: number[];
+  away: number[];
+}
+
+/** One attempt within a chunk's record, in record format 1. */
+export interface StoredEntryRecord {
+  task: number;
+  attempt: number;
+  machine: string;
+  session: number;
+}
+
+/** One chunk within `b/run/SHARD/BUCKET`, in record format 1. */
+export interface StoredChunkRecord {
+  spec: StoredJobSpec;
+  home: string;
+  at: number;
+  from: number;
+  to: number;
+  zone: string | null;
+  next: number;
+  done: number[];
+  entries: StoredEntryRecord[];
+  moves: number;
+}
+
+/** `b/run/SHARD/BUCKET` in record format 1. */
+export interface StoredBucketRecord {
+  chunks: Record<string, StoredChunkRecord>;
+}
+
+/** `b/fleet/RENTAL`. */
+export interface StoredGroupRecord {
+  part: string;
+  type: string;
+  zone: string;
+  spot: boolean;
+  machines: Record<string, StoredGroupMachine>;
+  asked?: number;
+}
+
+/** One machine within `b/fleet/RENTAL`. */
+export interface StoredGroupMachine {
+  at: number;
+  address?: string;
+}
+
+/** One machine type within `b/types`. */
+export interface StoredMachineType {
+  name: string;
+  cpus: number;
+  gpus: number;
+  memory: number;
+  fetchRate: number;
+  cache: number;
+  price: number;
+  spotPrice: number;
+  boot: number;
+  zones: string[];
+}
--- a/test/cancelling.test.ts
+++ b/test/cancelling.test.ts
@@ -4,7 +4,7 @@
 import { Chunk } from '../src/coordination/chunk.js';
 import { ownPart, type OwnedPart } from '../src/coordination/ownedPart.js';
 import { CancelPreparations } from '../src/coordination/cancelPreparations.js';
-import type { PreparedChunk } from '../src/protocol/peer.js';
+import type { PreparedChunk } from '../src/protocol/peerMessages.js';
 import { keys, type JobRecord } from '../src/storage/records.js';
 import { until, type Cluster } from './support/cluster.js';
 import { emptyPart } from './support/part.js';
--- a/test/compatibility.test.ts
+++ b/test/compatibility.test.ts
@@ -13,7 +13,7 @@
   encodeAnswer,
   encodeRequest,
   encodeSpec,
-} from '../src/protocol/peer.js';
+} from '../src/protocol/peerCodec.js';
 import { NodeMarks } from '../src/storage/nodeMarks.js';
 import { LAYOUT, RecordLayout } from '../src/storage/recordLayout.js';
 import { keys, type BucketRecord, type JobRecord } from '../src/storage/records.js';
--- a/test/goldenBytes.test.ts
+++ b/test/goldenBytes.test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { encodeAnswer, encodeRequest, encodeSpec } from '../src/protocol/peer.js';
+import { encodeAnswer, encodeRequest, encodeSpec } from '../src/protocol/peerCodec.js';
 import { grantRequest, txnRequest } from '../src/protocol/state.js';
 import { helloAnswer, ordersRequest, redirectAnswer, type Order } from '../src/protocol/worker.js';
 import { deflateCodec } from '../src/storage/compression.js';
--- a/test/mixed/fixtures.ts
+++ b/test/mixed/fixtures.ts
@@ -4,24 +4,34 @@
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
-import type { JobSpec } from '../../src/protocol/job.js';
-import type { PeerAnswer, PeerRequest } from '../../src/protocol/peer.js';
-import type { ChunkRecord, EntryRecord, JobRecord } from '../../src/storage/records.js';
+import { encodeAnswer, encodeRequest } from '../../src/protocol/peerCodec.js';
+import {
+  decodeWireAnswer,
+  decodeWireRequest,
+  type WireAnswer,
+  type WireRequest,
+} from '../../src/protocol/peerWire.js';
+import type { StoredJobSpec } from '../../src/protocol/storedJobSpec.js';
+import type {
+  StoredChunkRecord,
+  StoredEntryRecord,
+  StoredJobRecord,
+} from '../../src/storage/storedRecords.js';
 import { productionAnswers, productionRequests } from '../support/messages.js';
 import { buildProduction, loadModule, productionCommit } from './productionBuild.js';
 
 /** What is used of the version in production. */
 interface ProductionPeer {
-  encodeRequest(request: PeerRequest): Buffer;
-  encodeAnswer(answer: PeerAnswer): Buffer;
+  encodeRequest(request: WireRequest): Buffer;
+  encodeAnswer(answer: WireAnswer): Buffer;
 }
 interface ProductionChunk {
   Chunk: {
-    load(index: number, record: ChunkRecord, now: number): { record(): ChunkRecord };
+    load(index: number, record: StoredChunkRecord, now: number): { record(): StoredChunkRecord };
   };
 }
 interface ProductionJob {
-  parseJob(body: string): { job: JobSpec };
+  parseJob(body: string): { job: StoredJobSpec };
 }
 
 const body = {
@@ -31,7 +41,7 @@
   ...{ ExpectS: 15, SnapshotS: 20, FlushS: 4, DueS: 300 },
 };
 
-const entries = (count: number): EntryRecord[] =>
+const entries = (count: number): StoredEntryRecord[] =>
   Array.from({ length: count }, (_, i) => ({
     task: 40 + i,
     attempt: 1 + i,
@@ -39,12 +49,12 @@
     session: 1 + (i % 2),
   }));
 
-function records(spec: JobSpec, { Chunk }: ProductionChunk): Record<string, unknown> {
-  const job: JobRecord = {
+function records(spec: StoredJobSpec, { Chunk }: ProductionChunk): Record<string, unknown> {
+  const job: StoredJobRecord = {
     ...{ spec, home: 'drone-0', state: 'open', tasks: 300, at: 1764637200.25 },
     ...{ size: 100, zones: [], cut: 3, finished: [1], away: [1, 2] },
   };
-  const chunk: ChunkRecord = {
+  const chunk: StoredChunkRecord = {
     ...{ spec, home: 'drone-0', at: 1764637200.25, from: 0, to: 100, zone: 'a', next: 61 },
     ...{ done: [0, 12, 30, 40], entries: entries(60), moves: 1 },
   };
@@ -78,8 +88,12 @@
   commit: productionCommit(),
   submission: body,
   records: records(spec, chunk),
-  requests: productionRequests.map((request) => peer.encodeRequest(request).toString('base64')),
-  answers: productionAnswers.map((answer) => peer.encodeAnswer(answer).toString('base64')),
+  requests: productionRequests.map((request) =>
+    peer.encodeRequest(decodeWireRequest(encodeRequest(request))).toString('base64'),
+  ),
+  answers: productionAnswers.map((answer) =>
+    peer.encodeAnswer(decodeWireAnswer(encodeAnswer(answer))).toString('base64'),
+  ),
 };
 const folder = resolve(import.meta.dirname, '../../../../test/fixtures');
 mkdirSync(folder, { recursive: true });
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Ownership, type Held } from '../src/coordination/ownership.js';
 import { Peers } from '../src/coordination/peers.js';
-import type { Gossip } from '../src/protocol/peer.js';
+import type { Gossip } from '../src/protocol/peerMessages.js';
 import type { Txn } from '../src/protocol/state.js';
 import { keys, type TokenRecord } from '../src/storage/records.js';
 import type { Replica } from '../src/storage/replica.js';
--- a/test/pieces.test.ts
+++ b/test/pieces.test.ts
@@ -117,6 +117,6 @@
   const puts = [{ key: KEY, value: group(50) }];
   assert.equal((await client(false).txn({ when: [], puts, removes: [] })).kind, 'malformed');
   state.limits = { valueBytes: Infinity, txnOps: Infinity };
-  const held = [{ key: KEY, value: 1, hold: 999 }];
+  const held = [{ key: KEY, value: group(1), hold: 999 }];
   assert.equal((await client().txn({ when: [], puts: held, removes: [] })).kind, 'no-lease');
 });
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -1,7 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseJob } from '../src/protocol/job.js';
-import { decodeAnswer, decodeRequest, encodeAnswer, encodeRequest } from '../src/protocol/peer.js';
+import {
+  decodeAnswer,
+  decodeRequest,
+  encodeAnswer,
+  encodeRequest,
+} from '../src/protocol/peerCodec.js';
 import { defaultTuning, parseSettings, parseTuning } from '../src/protocol/settings.js';
 import { parseReport } from '../src/protocol/worker.js';
 import { submission } from './support/cluster.js';
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { rolloutPath } from '../src/protocol/routes.js';
-import { keys, type OwnerRecord } from '../src/storage/records.js';
+import { keys } from '../src/storage/records.js';
+import type { StoredOwnerRecord } from '../src/storage/storedRecords.js';
 import { buildWithFeatures, pause, presentBuild, until } from './support/cluster.js';
 import { FEATURES, LABELS, RolloutCluster } from './support/rolloutCluster.js';
 
@@ -73,7 +74,7 @@
     await rollout.start();
     const users = rollout.submit();
     await rollout.untilLevel(3);
-    const before = cluster.state.rows.get(keys.owner('drone-2'))?.value as OwnerRecord;
+    const before = cluster.state.rows.get(keys.owner('drone-2'))?.value as StoredOwnerRecord;
     cluster.crash('drone-2');
     cluster.builds.set('drone-2', without);
     await cluster.boot('drone-2');
@@ -81,7 +82,8 @@
     assert.match(reason, /rollouts to be switched on/);
     cluster.crash('drone-2');
     await until('a peer has its part', () => {
-      const owner = cluster.state.rows.get(keys.owner('drone-2'))?.value as OwnerRecord | undefined;
+      const owner = cluster.state.rows.get(keys.owner('drone-2'))?.value as
+        StoredOwnerRecord | undefined;
       return owner !== undefined && owner.node !== 'drone-2' && owner.token > before.token;
     });
     await rollout.restart('drone-2', withFeatures);
@@ -102,20 +104,20 @@
     cluster.crash('drone-2');
     const key = keys.owner('drone-2');
     await until('its key is gone', () => {
-      const owner = cluster.state.rows.get(key)?.value as OwnerRecord | undefined;
+      const owner = cluster.state.rows.get(key)?.value as StoredOwnerRecord | undefined;
       return owner?.node !== 'drone-2';
     });
     // An old process that had loaded before the barrier writes its key again and again.
     const stored = cluster.state.rows.get(key);
-    const token = (stored?.value as OwnerRecord | undefined)?.token ?? 0;
-    const value: OwnerRecord = { node: 'drone-2', token: token + 1, process: 'an old build' };
+    const token = (stored?.value as StoredOwnerRecord | undefined)?.token ?? 0;
+    const value: StoredOwnerRecord = { node: 'drone-2', token: token + 1, process: 'an old build' };
     const written = cluster.state.apply({
       When: [{ K: key, Stamp: stored?.stamp ?? 0 }],
       Then: [{ Put: key, Value: value }],
     });
     assert.equal(written.status, 200);
     await until('a peer has taken the part over', () => {
-      const owner = cluster.state.rows.get(key)?.value as OwnerRecord;
+      const owner = cluster.state.rows.get(key)?.value as StoredOwnerRecord;
       return owner.node !== 'drone-2';
     });
   } finally {
--- a/test/support/messages.ts
+++ b/test/support/messages.ts
@@ -1,5 +1,5 @@
 /** One message of each kind that controllers send, in each form that matters to its encoding. */
-import type { PeerAnswer, PeerRequest } from '../../src/protocol/peer.js';
+import type { PeerAnswer, PeerRequest } from '../../src/protocol/peerMessages.js';
 
 export const productionRequests: PeerRequest[] = [
   { PrepareCancel: { job: 'wk-1', at: 1000.5 } },
