--- a/src/coordination/audit.ts
+++ b/src/coordination/audit/auditTrail.ts
@@ -2,8 +2,8 @@
  * The audit trail: one structured line for each decision about who may act for a part and about attempts, and a counter
  * for each kind. With it one task can be followed over all controllers (docs/operations.md).
  */
-import { log } from '../base/log.js';
-import type { OverRule } from './attemptOver.js';
+import { log } from '../../base/log.js';
+import type { OverRule } from '../reconciliation/attemptTermination.js';
 
 /** Which way orders took: a request to the worker, or the answer to its report. */
 export type OrderRoute = 'command' | 'answer';
--- a/src/coordination/provisioning/provisioner.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,13 +1,13 @@
 /** The one elected node that rents and returns machines for all parts. */
 import { sleep } from '../../base/clock.js';
 import { describe, log } from '../../base/log.js';
-import type { MachineType } from '../../protocol/cloud.js';
+import type { MachineType } from '../../protocol/cloudProtocol.js';
 import { keys } from '../../storage/records.js';
 import { CloudClient } from './cloudClient.js';
-import { GroupStore, type ProvisioningNode } from './groupStore.js';
-import { MachineListing } from './machineListing.js';
-import { Releaser } from './releaser.js';
-import { Renter } from './renter.js';
+import { GroupStore, type ProvisioningNode } from './machineGroupStore.js';
+import { MachineListing } from './inventorySync.js';
+import { Releaser } from './scaleIn.js';
+import { Renter } from './scaleOut.js';
 
 /** Time between two steps, as a ratio to the time between reports. */
 const INTERVAL = 1 / 6;
--- a/src/coordination/provisioning/cloudClient.ts
+++ b/src/coordination/autoscaling/cloudClient.ts
@@ -1,7 +1,7 @@
 /** Requests to the cloud, within its rate; answers that are no answer to the question are told apart by kind. */
 import type { Clock } from '../../base/clock.js';
-import * as cloud from '../../protocol/cloud.js';
-import { Budget } from '../../storage/budget.js';
+import * as cloud from '../../protocol/cloudProtocol.js';
+import { Budget } from '../../storage/rateLimiter.js';
 import type { HttpClient, Response } from '../../transport/httpClient.js';
 
 export type RentalAnswer =
--- a/src/coordination/needs.ts
+++ b/src/coordination/autoscaling/demandEstimator.ts
@@ -1,12 +1,12 @@
 /** What should be rented for a part, and which of its machines may be returned: pure. */
-import type { MachineType } from '../protocol/cloud.js';
-import { rankName, type JobSpec } from '../protocol/job.js';
-import type { Demand } from '../protocol/peerMessages.js';
-import type { Chunk } from './chunk.js';
-import { Arrivals } from './estimate.js';
-import type { Machine } from './machine.js';
-import type { Part } from './part.js';
-import { allows, holds, shapeOf, takeRoom, type Room } from './placement.js';
+import type { MachineType } from '../../protocol/cloudProtocol.js';
+import { rankName, type JobSpec } from '../../protocol/job.js';
+import type { Demand } from '../../protocol/peerMessages.js';
+import type { Chunk } from '../shard/chunk.js';
+import { Arrivals } from '../scheduling/runTimes.js';
+import type { Machine } from '../shard/machine.js';
+import type { Part } from '../shard/shard.js';
+import { allows, holds, shapeOf, takeRoom, type Room } from '../scheduling/placement.js';
 
 export interface NeedsOptions {
   /** Batch work that waits should be through in this many seconds. */
--- a/src/coordination/provisioning/machineListing.ts
+++ b/src/coordination/autoscaling/inventorySync.ts
@@ -1,10 +1,10 @@
 /** Follows the cloud's list: machines that nobody expected get a part, and addresses are stored. */
 import { describe, log } from '../../base/log.js';
-import type { ListedMachine } from '../../protocol/cloud.js';
+import type { ListedMachine } from '../../protocol/cloudProtocol.js';
 import type { GroupRecord } from '../../storage/records.js';
 import type { CloudClient } from './cloudClient.js';
-import type { GroupStore, ProvisioningNode } from './groupStore.js';
-import { choosePartFor, groupLimit, splitGroup } from './machinePool.js';
+import type { GroupStore, ProvisioningNode } from './machineGroupStore.js';
+import { choosePartFor, groupLimit, splitGroup } from './machineGroups.js';
 
 /** How often the list is read, as a ratio to the time that it lags behind. */
 const INTERVAL = 0.75;
--- a/src/coordination/provisioning/groupStore.ts
+++ b/src/coordination/autoscaling/machineGroupStore.ts
@@ -1,11 +1,11 @@
 /** The stored groups of machines, written by the elected provisioner alone and under its ownership. */
 import { sleep } from '../../base/clock.js';
-import { TXN_BYTES } from '../../protocol/state.js';
-import type { Urgency } from '../../storage/budget.js';
+import { TXN_BYTES } from '../../protocol/stateProtocol.js';
+import type { Urgency } from '../../storage/rateLimiter.js';
 import { keys, type GroupRecord } from '../../storage/records.js';
 import type { TxnResult } from '../../storage/stateClient.js';
-import type { Controller } from '../controller.js';
-import { PROVISIONER } from '../ownership.js';
+import type { Controller } from '../controller/controller.js';
+import { PROVISIONER } from '../leadership/shardLeadership.js';
 
 /** What is needed of a node. */
 export type ProvisioningNode = Pick<
--- a/src/coordination/provisioning/machinePool.ts
+++ b/src/coordination/autoscaling/machineGroups.ts
@@ -1,6 +1,6 @@
 /** Which part a machine goes to, and how many machines one record may hold: pure. */
-import { RENT_LIMIT } from '../../protocol/cloud.js';
-import type { Fleet } from '../../storage/fleet.js';
+import { RENT_LIMIT } from '../../protocol/cloudProtocol.js';
+import type { Fleet } from '../../storage/machineInventory.js';
 import type { GroupRecord } from '../../storage/records.js';
 
 /** A machine's name, time and address in its group's record, with room for long ones. */
--- a/src/coordination/provisioning/releaser.ts
+++ b/src/coordination/autoscaling/scaleIn.ts
@@ -1,8 +1,8 @@
 /** Returns machines to the cloud: those that are lost, failed or no longer needed. */
 import { describe, log } from '../../base/log.js';
-import { RELEASE_LIMIT } from '../../protocol/cloud.js';
+import { RELEASE_LIMIT } from '../../protocol/cloudProtocol.js';
 import type { CloudClient } from './cloudClient.js';
-import type { GroupStore, ProvisioningNode } from './groupStore.js';
+import type { GroupStore, ProvisioningNode } from './machineGroupStore.js';
 
 /** How long a released machine is remembered, as a ratio to the lag of the cloud's list. */
 const MEMORY = 10;
--- a/src/coordination/provisioning/renter.ts
+++ b/src/coordination/autoscaling/scaleOut.ts
@@ -1,11 +1,11 @@
 /** Rents machines for what the parts lack. */
 import { describe, log } from '../../base/log.js';
 import { keys, type GroupRecord } from '../../storage/records.js';
-import { PROVISIONER } from '../ownership.js';
+import { PROVISIONER } from '../leadership/shardLeadership.js';
 import type { CloudClient, RentalAnswer } from './cloudClient.js';
-import type { GroupStore, ProvisioningNode } from './groupStore.js';
-import { choosePartFor, groupLimit } from './machinePool.js';
-import { mergePlans, planRentals, type RentPlan } from './renting.js';
+import type { GroupStore, ProvisioningNode } from './machineGroupStore.js';
+import { choosePartFor, groupLimit } from './machineGroups.js';
+import { mergePlans, planRentals, type RentPlan } from './scaleOutPlan.js';
 
 /** Seconds for which a live service's machine is expected to be kept. */
 const SERVICE_HORIZON = 600;
--- a/src/coordination/provisioning/renting.ts
+++ b/src/coordination/autoscaling/scaleOutPlan.ts
@@ -1,5 +1,5 @@
 /** What to rent for work that has no room: pure. */
-import type { MachineType } from '../../protocol/cloud.js';
+import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { Demand } from '../../protocol/peerMessages.js';
 
 export interface RentPlan {
--- a/src/coordination/orders.ts
+++ b/src/coordination/commands/commandDispatcher.ts
@@ -1,22 +1,22 @@
 /** What machines are told and asked: orders, questions to those that are silent, doubts settled. */
-import { describe, log } from '../base/log.js';
+import { describe, log } from '../../base/log.js';
 import {
   ordersRequest,
   parseReport,
   paths as workerPaths,
   type Order,
   type Report,
-} from '../protocol/worker.js';
-import { TurnQueue } from '../transport/turnQueue.js';
-import { CallFailed, type HttpClient } from '../transport/httpClient.js';
-import type { Audit, CommandOutcome, OrderRoute } from './audit.js';
-import type { Authority } from './authority.js';
-import type { Chunk } from './chunk.js';
-import { restamp, type OwnedPart } from './ownedPart.js';
-import type { Machine } from './machine.js';
-import type { Ownership } from './ownership.js';
-import type { Settings } from '../protocol/settings.js';
-import type { Clock } from '../base/clock.js';
+} from '../../protocol/workerProtocol.js';
+import { TurnQueue } from '../../transport/turnQueue.js';
+import { CallFailed, type HttpClient } from '../../transport/httpClient.js';
+import type { Audit, CommandOutcome, OrderRoute } from '../audit/auditTrail.js';
+import type { Authority } from '../leadership/authority.js';
+import type { Chunk } from '../shard/chunk.js';
+import { restamp, type OwnedPart } from '../leadership/ownedShard.js';
+import type { Machine } from '../shard/machine.js';
+import type { Ownership } from '../leadership/shardLeadership.js';
+import type { Settings } from '../../protocol/settings.js';
+import type { Clock } from '../../base/clock.js';
 
 /** Machines that one core may ask in a second without noticing it. */
 const PROBES_PER_CORE = 120;
--- a/src/coordination/gateway.ts
+++ b/src/coordination/controller/gateway.ts
@@ -1,16 +1,16 @@
 /** Routes requests, whether they come from users, workers or peers. */
-import { paths, helloPath, rolloutPath } from '../protocol/routes.js';
-import { decodeRequest, encodeAnswer } from '../protocol/peerCodec.js';
-import type { PeerAnswer, Relay } from '../protocol/peerMessages.js';
-import { log } from '../base/log.js';
-import { decodeSpec } from '../protocol/peerCodec.js';
-import type { HttpMessage } from '../transport/httpParser.js';
-import type { Reply } from '../transport/httpServer.js';
+import { paths, helloPath, rolloutPath } from '../../protocol/routes.js';
+import { decodeRequest, encodeAnswer } from '../../protocol/peerCodec.js';
+import type { PeerAnswer, Relay } from '../../protocol/peerMessages.js';
+import { log } from '../../base/log.js';
+import { decodeSpec } from '../../protocol/peerCodec.js';
+import type { HttpMessage } from '../../transport/httpParser.js';
+import type { Reply } from '../../transport/httpServer.js';
 import type { Controller } from './controller.js';
 import { overview } from './overview.js';
-import type { RolloutRoutes } from './rollout/rolloutRoutes.js';
-import { Users } from './users.js';
-import { Workers } from './workers.js';
+import type { RolloutRoutes } from '../rollout/rolloutRoutes.js';
+import { Users } from '../jobs/jobService.js';
+import { Workers } from '../reconciliation/heartbeatEndpoint.js';
 
 /** What keeps machines and this node in service: it goes before users' requests under any load. */
 export const isEssential = ({ target }: HttpMessage): boolean =>
--- a/src/coordination/overview.ts
+++ b/src/coordination/controller/overview.ts
@@ -1,5 +1,5 @@
 /** Parts, queues and machines of a node, for `barrowlb status`. */
-import type { Overview } from '../protocol/overview.js';
+import type { Overview } from '../../protocol/overview.js';
 import type { Controller } from './controller.js';
 
 export function overview(node: Controller): Overview {
--- a/src/coordination/cancelPreparations.ts
+++ b/src/coordination/jobs/cancellationPreparations.ts
@@ -3,14 +3,14 @@
  * starts nothing more. The record alone would not do: a node that the state service refuses can't read it, goes
  * on answering its workers, and would keep cancelled tasks alive for longer than they may be (safety, C1).
  */
-import { DRIFT, type Clock } from '../base/clock.js';
-import type { PreparedChunk } from '../protocol/peerMessages.js';
-import type { Settings } from '../protocol/settings.js';
-import { keys, type JobRecord, type OwnerRecord } from '../storage/records.js';
-import type { Replica } from '../storage/replica.js';
-import type { Chunk } from './chunk.js';
-import type { OwnedPart } from './ownedPart.js';
-import type { Peers } from './peers.js';
+import { DRIFT, type Clock } from '../../base/clock.js';
+import type { PreparedChunk } from '../../protocol/peerMessages.js';
+import type { Settings } from '../../protocol/settings.js';
+import { keys, type JobRecord, type OwnerRecord } from '../../storage/records.js';
+import type { Replica } from '../../storage/stateCache.js';
+import type { Chunk } from '../shard/chunk.js';
+import type { OwnedPart } from '../leadership/ownedShard.js';
+import type { Peers } from '../peers/peerRegistry.js';
 
 /** What is needed of a node. */
 export interface PreparingNode {
--- a/src/coordination/jobLookup.ts
+++ b/src/coordination/jobs/jobLookup.ts
@@ -1,11 +1,11 @@
 /** Finds out how a job stands: from this node's copy, its owner, the store or any peer that can tell. */
-import type { JobStatus, JobView } from '../protocol/job.js';
-import { keys, type JobRecord } from '../storage/records.js';
-import type { Reply } from '../transport/httpServer.js';
-import type { Chunk } from './chunk.js';
-import { chunkRanges } from './chunks.js';
-import type { Controller } from './controller.js';
-import { reasonFor } from './reasons.js';
+import type { JobStatus, JobView } from '../../protocol/job.js';
+import { keys, type JobRecord } from '../../storage/records.js';
+import type { Reply } from '../../transport/httpServer.js';
+import type { Chunk } from '../shard/chunk.js';
+import { chunkRanges } from '../shard/chunking.js';
+import type { Controller } from '../controller/controller.js';
+import { reasonFor } from './waitReasons.js';
 
 /** Seconds in which a user is answered; PROTOCOL has them give up after five. */
 export const PATIENCE = 4;
--- a/src/coordination/users.ts
+++ b/src/coordination/jobs/jobService.ts
@@ -1,16 +1,22 @@
 /** What users ask: submissions, states, cancellations. Any node answers for any job. */
-import { acceptedAnswer, idPattern, jobAnswer, parseJob, type JobSpec } from '../protocol/job.js';
-import { keys, type JobRecord } from '../storage/records.js';
-import type { Reply } from '../transport/httpServer.js';
-import { Accepting, type Submission } from './accepting.js';
-import { Chunk } from './chunk.js';
-import { chunkRanges, chunkSize, mayCut, zonesFor, type Range } from './chunks.js';
-import type { Controller } from './controller.js';
+import {
+  acceptedAnswer,
+  idPattern,
+  jobAnswer,
+  parseJob,
+  type JobSpec,
+} from '../../protocol/job.js';
+import { keys, type JobRecord } from '../../storage/records.js';
+import type { Reply } from '../../transport/httpServer.js';
+import { Accepting, type Submission } from './submissionWriter.js';
+import { Chunk } from '../shard/chunk.js';
+import { chunkRanges, chunkSize, mayCut, zonesFor, type Range } from '../shard/chunking.js';
+import type { Controller } from '../controller/controller.js';
 import { fromRelay, JobLookup, PATIENCE } from './jobLookup.js';
-import type { OwnedPart } from './ownedPart.js';
-import { allows, holds } from './placement.js';
-import { checkNeeds, type Needs } from './pipelines/admission.js';
-import { limitOf } from './quotas.js';
+import type { OwnedPart } from '../leadership/ownedShard.js';
+import { allows, holds } from '../scheduling/placement.js';
+import { checkNeeds, type Needs } from '../pipelines/dependencyAdmission.js';
+import { limitOf } from '../quota/quotaShares.js';
 import { unavailable } from './replies.js';
 
 const cutOff = (): Reply =>
--- a/src/coordination/accepting.ts
+++ b/src/coordination/jobs/submissionWriter.ts
@@ -3,20 +3,20 @@
  * so do the chunks that they send to the same peer: a burst of jobs must not use up the changes that the
  * state service allows.
  */
-import { sleep, type Clock } from '../base/clock.js';
-import { describe, log } from '../base/log.js';
-import { acceptedAnswer } from '../protocol/job.js';
-import { TXN_BYTES, type Item, type Txn } from '../protocol/state.js';
-import { keys, type JobRecord, type BucketRecord } from '../storage/records.js';
-import type { RecordLayout } from '../storage/recordLayout.js';
-import type { Replica } from '../storage/replica.js';
-import type { StateClient, TxnResult } from '../storage/stateClient.js';
-import type { Reply } from '../transport/httpServer.js';
-import type { Chunk } from './chunk.js';
-import type { HomeJob, OwnedPart } from './ownedPart.js';
+import { sleep, type Clock } from '../../base/clock.js';
+import { describe, log } from '../../base/log.js';
+import { acceptedAnswer } from '../../protocol/job.js';
+import { TXN_BYTES, type Item, type Txn } from '../../protocol/stateProtocol.js';
+import { keys, type JobRecord, type BucketRecord } from '../../storage/records.js';
+import type { RecordLayout } from '../../storage/recordFormat.js';
+import type { Replica } from '../../storage/stateCache.js';
+import type { StateClient, TxnResult } from '../../storage/stateClient.js';
+import type { Reply } from '../../transport/httpServer.js';
+import type { Chunk } from '../shard/chunk.js';
+import type { HomeJob, OwnedPart } from '../leadership/ownedShard.js';
 import { unavailable } from './replies.js';
-import { potentialOf } from './bucket.js';
-import type { Commits } from './commits.js';
+import { potentialOf } from '../persistence/bucket.js';
+import type { Commits } from '../persistence/jobPersistence.js';
 
 export interface Submission {
   id: string;
--- a/src/coordination/reasons.ts
+++ b/src/coordination/jobs/waitReasons.ts
@@ -1,8 +1,8 @@
 /** Why a job waits, in words that can be read out on the phone. */
-import type { JobRecord } from '../storage/records.js';
-import type { Chunk } from './chunk.js';
-import type { Controller } from './controller.js';
-import { allows, holds } from './placement.js';
+import type { JobRecord } from '../../storage/records.js';
+import type { Chunk } from '../shard/chunk.js';
+import type { Controller } from '../controller/controller.js';
+import { allows, holds } from '../scheduling/placement.js';
 
 export function reasonFor(node: Controller, record: JobRecord, chunks: Chunk[]): string {
   const { spec } = record;
--- a/src/coordination/authority.ts
+++ b/src/coordination/leadership/authority.ts
@@ -2,10 +2,10 @@
  * What this node may do for a part at this moment: the one place that weighs ownership, token, lease and grace (safety, O5,
  * O6, O8). Asked at the last moment before something leaves.
  */
-import type { Clock } from '../base/clock.js';
-import type { Ownership } from './ownership.js';
-import type { OwnedPart } from './ownedPart.js';
-import type { Peers } from './peers.js';
+import type { Clock } from '../../base/clock.js';
+import type { Ownership } from './shardLeadership.js';
+import type { OwnedPart } from './ownedShard.js';
+import type { Peers } from '../peers/peerRegistry.js';
 
 export interface AuthorityNode {
   ownership: Pick<Ownership, 'valid' | 'until'>;
--- a/src/coordination/ownedPart.ts
+++ b/src/coordination/leadership/ownedShard.ts
@@ -1,8 +1,8 @@
 /** A part that a node hosts, and the jobs whose home it is. */
-import type { JobRecord } from '../storage/records.js';
-import type { Ownership } from './ownership.js';
-import type { Part } from './part.js';
-import type { Bucket } from './bucket.js';
+import type { JobRecord } from '../../storage/records.js';
+import type { Ownership } from './shardLeadership.js';
+import type { Part } from '../shard/shard.js';
+import type { Bucket } from '../persistence/bucket.js';
 
 /** A job whose home is a part that we host. */
 export interface HomeJob {
--- a/src/coordination/recordFollower.ts
+++ b/src/coordination/leadership/recordFollower.ts
@@ -1,10 +1,10 @@
 /** What changes of the stored records mean to this node: machines, jobs and chunks of its parts follow them. */
-import type { Clock } from '../base/clock.js';
-import type { MachineType } from '../protocol/cloud.js';
-import type { Change } from '../protocol/state.js';
-import type { Buckets } from '../storage/buckets.js';
-import type { Fleet } from '../storage/fleet.js';
-import type { NodeMarks } from '../storage/nodeMarks.js';
+import type { Clock } from '../../base/clock.js';
+import type { MachineType } from '../../protocol/cloudProtocol.js';
+import type { Change } from '../../protocol/stateProtocol.js';
+import type { Buckets } from '../../storage/chunkIndex.js';
+import type { Fleet } from '../../storage/machineInventory.js';
+import type { NodeMarks } from '../../storage/nodeCapabilities.js';
 import {
   BARRIER_KEY,
   keys,
@@ -12,10 +12,10 @@
   type GroupRecord,
   type JobRecord,
   type NodeRecord,
-} from '../storage/records.js';
-import type { OwnedPart } from './ownedPart.js';
-import type { PartLoader } from './partLoader.js';
-import type { Pipelines } from './pipelines/pipelines.js';
+} from '../../storage/records.js';
+import type { OwnedPart } from './ownedShard.js';
+import type { PartLoader } from './shardLoader.js';
+import type { Pipelines } from '../pipelines/pipelines.js';
 
 /** What is needed of a node. */
 export interface FollowingNode {
--- a/src/coordination/ownership.ts
+++ b/src/coordination/leadership/shardLeadership.ts
@@ -2,11 +2,11 @@
  * Who owns which part. A part's owner holds its key by a lease of the state service; tokens come from
  * one counter there, so that any new ownership has a token above every earlier one.
  */
-import { DRIFT, sleep, type Clock } from '../base/clock.js';
-import { describe, log } from '../base/log.js';
-import type { Replica } from '../storage/replica.js';
-import type { StateClient } from '../storage/stateClient.js';
-import { keys, type LastOwner, type OwnerRecord, type TokenRecord } from '../storage/records.js';
+import { DRIFT, sleep, type Clock } from '../../base/clock.js';
+import { describe, log } from '../../base/log.js';
+import type { Replica } from '../../storage/stateCache.js';
+import type { StateClient } from '../../storage/stateClient.js';
+import { keys, type LastOwner, type OwnerRecord, type TokenRecord } from '../../storage/records.js';
 
 /** Not a part: the key by which the one node that rents and returns machines is elected. */
 export const PROVISIONER = '~provisioner';
--- a/src/coordination/partLoader.ts
+++ b/src/coordination/leadership/shardLoader.ts
@@ -1,17 +1,17 @@
 /** Makes a part from its stored records, and takes up records that come to it later. */
-import type { Clock } from '../base/clock.js';
-import { describe, log } from '../base/log.js';
-import { keys, type JobRecord, type BucketRecord } from '../storage/records.js';
-import type { Fleet } from '../storage/fleet.js';
-import type { Replica } from '../storage/replica.js';
-import type { StateClient } from '../storage/stateClient.js';
-import type { RecordLayout } from '../storage/recordLayout.js';
-import type { Commits } from './commits.js';
-import { ownPart, type HomeJob, type OwnedPart } from './ownedPart.js';
-import type { Held } from './ownership.js';
-import type { Part } from './part.js';
-import { Bucket } from './bucket.js';
-import type { CancelPreparations } from './cancelPreparations.js';
+import type { Clock } from '../../base/clock.js';
+import { describe, log } from '../../base/log.js';
+import { keys, type JobRecord, type BucketRecord } from '../../storage/records.js';
+import type { Fleet } from '../../storage/machineInventory.js';
+import type { Replica } from '../../storage/stateCache.js';
+import type { StateClient } from '../../storage/stateClient.js';
+import type { RecordLayout } from '../../storage/recordFormat.js';
+import type { Commits } from '../persistence/jobPersistence.js';
+import { ownPart, type HomeJob, type OwnedPart } from './ownedShard.js';
+import type { Held } from './shardLeadership.js';
+import type { Part } from '../shard/shard.js';
+import { Bucket } from '../persistence/bucket.js';
+import type { CancelPreparations } from '../jobs/cancellationPreparations.js';
 
 /** What is needed of a node. */
 export interface LoadingNode {
--- a/src/coordination/sender.ts
+++ b/src/coordination/migration/migrationInitiator.ts
@@ -1,12 +1,12 @@
 /** Sends jobs on: the sender-initiated path of the paper, for new chunks and for those that wait. */
-import { describe, log } from '../base/log.js';
-import { rankName, type JobSpec } from '../protocol/job.js';
-import type { Estimate } from '../protocol/peerMessages.js';
-import { keys } from '../storage/records.js';
-import type { Chunk } from './chunk.js';
-import type { Controller } from './controller.js';
-import type { OwnedPart } from './ownedPart.js';
-import { choosePart, turnaround } from './migration.js';
+import { describe, log } from '../../base/log.js';
+import { rankName, type JobSpec } from '../../protocol/job.js';
+import type { Estimate } from '../../protocol/peerMessages.js';
+import { keys } from '../../storage/records.js';
+import type { Chunk } from '../shard/chunk.js';
+import type { Controller } from '../controller/controller.js';
+import type { OwnedPart } from '../leadership/ownedShard.js';
+import { choosePart, turnaround } from './migrationPolicy.js';
 
 export class Sender {
   private readonly asking = new Set<Chunk>();
--- a/src/coordination/migration.ts
+++ b/src/coordination/migration/migrationPolicy.ts
@@ -1,5 +1,5 @@
 /** The paper's sender-initiated choice (PAPER, III.A.1), with DESIGN's changes. */
-import type { Estimate } from '../protocol/peerMessages.js';
+import type { Estimate } from '../../protocol/peerMessages.js';
 
 /** The larger of wait and image fetch, plus the run; output transfer is nothing here. */
 export const turnaround = (wait: number, fetch: number, run: number): number =>
--- a/src/coordination/gossiper.ts
+++ b/src/coordination/peers/gossiper.ts
@@ -1,13 +1,13 @@
 /** Tells the peers at a steady pace what this node owns, lacks and can spare. */
-import type { Clock } from '../base/clock.js';
-import type { Gossip } from '../protocol/peerMessages.js';
-import type { Settings, Tuning } from '../protocol/settings.js';
-import type { StateClient } from '../storage/stateClient.js';
-import type { OwnedPart } from './ownedPart.js';
-import type { Machine } from './machine.js';
-import type { Ownership } from './ownership.js';
-import type { Part } from './part.js';
-import type { Peers } from './peers.js';
+import type { Clock } from '../../base/clock.js';
+import type { Gossip } from '../../protocol/peerMessages.js';
+import type { Settings, Tuning } from '../../protocol/settings.js';
+import type { StateClient } from '../../storage/stateClient.js';
+import type { OwnedPart } from '../leadership/ownedShard.js';
+import type { Machine } from '../shard/machine.js';
+import type { Ownership } from '../leadership/shardLeadership.js';
+import type { Part } from '../shard/shard.js';
+import type { Peers } from './peerRegistry.js';
 
 export type Demands = ReturnType<Part['needs']['demands']>;
 
--- a/src/coordination/peers.ts
+++ b/src/coordination/peers/peerRegistry.ts
@@ -1,6 +1,6 @@
 /** What this node knows of the others, and its calls to them. */
-import type { Clock } from '../base/clock.js';
-import { decodeAnswer, encodeRequest, encodeSpec } from '../protocol/peerCodec.js';
+import type { Clock } from '../../base/clock.js';
+import { decodeAnswer, encodeRequest, encodeSpec } from '../../protocol/peerCodec.js';
 import type {
   Demand,
   Estimate,
@@ -8,9 +8,9 @@
   Relay,
   Relayed,
   PreparedChunk,
-} from '../protocol/peerMessages.js';
-import type { JobSpec } from '../protocol/job.js';
-import type { PeerClient } from '../transport/peerLink.js';
+} from '../../protocol/peerMessages.js';
+import type { JobSpec } from '../../protocol/job.js';
+import type { PeerClient } from '../../transport/peerLink.js';
 
 interface Peer {
   label: string;
--- a/src/coordination/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -3,16 +3,16 @@
  * part's ownership key and on the bucket it changes; a bucket's record is made from memory when its turn
  * comes, so that it holds all that has changed meanwhile.
  */
-import { sleep, type Clock } from '../base/clock.js';
-import { describe, log } from '../base/log.js';
-import { TXN_BYTES, type Txn } from '../protocol/state.js';
-import type { Urgency } from '../storage/budget.js';
-import { keys, type BucketRecord } from '../storage/records.js';
-import type { RecordLayout } from '../storage/recordLayout.js';
-import type { Replica } from '../storage/replica.js';
-import type { StateClient, TxnResult } from '../storage/stateClient.js';
-import type { Chunk } from './chunk.js';
-import type { OwnedPart } from './ownedPart.js';
+import { sleep, type Clock } from '../../base/clock.js';
+import { describe, log } from '../../base/log.js';
+import { TXN_BYTES, type Txn } from '../../protocol/stateProtocol.js';
+import type { Urgency } from '../../storage/rateLimiter.js';
+import { keys, type BucketRecord } from '../../storage/records.js';
+import type { RecordLayout } from '../../storage/recordFormat.js';
+import type { Replica } from '../../storage/stateCache.js';
+import type { StateClient, TxnResult } from '../../storage/stateClient.js';
+import type { Chunk } from '../shard/chunk.js';
+import type { OwnedPart } from '../leadership/ownedShard.js';
 import { potentialOf, Bucket } from './bucket.js';
 
 export interface BucketWriterEvents {
--- a/src/coordination/commits.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -3,15 +3,15 @@
  * done, chunks that are cut or move. A transaction that got no answer is repeated under the same
  * conditions, so that at most one of the copies is ever applied.
  */
-import { sleep, type Clock } from '../base/clock.js';
-import { describe, log } from '../base/log.js';
-import type { Txn } from '../protocol/state.js';
-import { keys, type JobRecord } from '../storage/records.js';
-import type { Buckets } from '../storage/buckets.js';
-import { Chunk } from './chunk.js';
-import { chunkRanges, mayCut, totalChunks } from './chunks.js';
+import { sleep, type Clock } from '../../base/clock.js';
+import { describe, log } from '../../base/log.js';
+import type { Txn } from '../../protocol/stateProtocol.js';
+import { keys, type JobRecord } from '../../storage/records.js';
+import type { Buckets } from '../../storage/chunkIndex.js';
+import { Chunk } from '../shard/chunk.js';
+import { chunkRanges, mayCut, totalChunks } from '../shard/chunking.js';
 import { missingChunks } from './missingChunks.js';
-import type { HomeJob, OwnedPart } from './ownedPart.js';
+import type { HomeJob, OwnedPart } from '../leadership/ownedShard.js';
 import {
   BucketWriter,
   type BucketWriterEvents,
--- a/src/coordination/pipelines/pipelines.ts
+++ b/src/coordination/pipelines/pipelines.ts
@@ -2,9 +2,9 @@
 import type { Clock } from '../../base/clock.js';
 import { rankOrder, type JobSpec } from '../../protocol/job.js';
 import { keys, type JobRecord } from '../../storage/records.js';
-import type { Replica } from '../../storage/replica.js';
-import type { Commits } from '../commits.js';
-import type { OwnedPart } from '../ownedPart.js';
+import type { Replica } from '../../storage/stateCache.js';
+import type { Commits } from '../persistence/jobPersistence.js';
+import type { OwnedPart } from '../leadership/ownedShard.js';
 import { DependencyGraph } from './dependencyGraph.js';
 
 /** Of the time that a cancellation has, how old the copy of the records may be, and how long a job may stay open. */
--- a/src/coordination/clusterTotals.ts
+++ b/src/coordination/quota/clusterTotals.ts
@@ -1,6 +1,6 @@
 /** Sums over all parts: those owned here by our own count, the others by their owners' last gossip. */
-import type { OwnedPart } from './ownedPart.js';
-import type { Peers } from './peers.js';
+import type { OwnedPart } from '../leadership/ownedShard.js';
+import type { Peers } from '../peers/peerRegistry.js';
 import type { Amount, Starved } from './teamUsage.js';
 
 export class ClusterTotals {
--- a/src/coordination/quotas.ts
+++ b/src/coordination/quota/quotaShares.ts
@@ -2,15 +2,15 @@
  * Team limits across parts: shares of each limit are handed out in the state service, and their sum
  * never passes the limit. A part uses no more than its share, whatever may still run included.
  */
-import { describe, log } from '../base/log.js';
-import type { Gossip } from '../protocol/peerMessages.js';
-import type { Settings, Team } from '../protocol/settings.js';
-import type { Txn } from '../protocol/state.js';
-import { keys, type QuotaRecord } from '../storage/records.js';
-import type { Replica } from '../storage/replica.js';
-import type { StateClient, TxnResult } from '../storage/stateClient.js';
-import type { OwnedPart } from './ownedPart.js';
-import type { Ownership } from './ownership.js';
+import { describe, log } from '../../base/log.js';
+import type { Gossip } from '../../protocol/peerMessages.js';
+import type { Settings, Team } from '../../protocol/settings.js';
+import type { Txn } from '../../protocol/stateProtocol.js';
+import { keys, type QuotaRecord } from '../../storage/records.js';
+import type { Replica } from '../../storage/stateCache.js';
+import type { StateClient, TxnResult } from '../../storage/stateClient.js';
+import type { OwnedPart } from '../leadership/ownedShard.js';
+import type { Ownership } from '../leadership/shardLeadership.js';
 import { nothing, type Amount } from './teamUsage.js';
 
 const LIMITS = ['cpus', 'gpus'] as const;
--- a/src/coordination/teamUsage.ts
+++ b/src/coordination/quota/teamUsage.ts
@@ -1,5 +1,5 @@
 /** What teams' tasks use of a part, against their limits and guarantees. */
-import type { JobSpec } from '../protocol/job.js';
+import type { JobSpec } from '../../protocol/job.js';
 
 /** Processors and accelerators. */
 export interface Amount {
--- a/src/coordination/attemptOver.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -2,9 +2,9 @@
  * When an attempt is over (safety, T2). This module alone says so: what releases a task takes a verdict of this type, and
  * nothing else can make one.
  */
-import { DRIFT } from '../base/clock.js';
-import type { Entry } from './chunk.js';
-import type { Machine, Placed } from './machine.js';
+import { DRIFT } from '../../base/clock.js';
+import type { Entry } from '../shard/chunk.js';
+import type { Machine, Placed } from '../shard/machine.js';
 
 /**
  * What a verdict rests on: a report that shows the end; a report without an attempt that was there, or that an adopter
--- a/src/coordination/workers.ts
+++ b/src/coordination/reconciliation/heartbeatEndpoint.ts
@@ -1,10 +1,15 @@
 /** Reports of workers: answered by the owner of the machine's part, wherever they arrive. */
-import { log } from '../base/log.js';
-import { helloAnswer, parseReport, redirectAnswer, type Report } from '../protocol/worker.js';
-import type { Reply } from '../transport/httpServer.js';
-import type { Controller } from './controller.js';
-import type { OwnedPart } from './ownedPart.js';
-import type { Machine } from './machine.js';
+import { log } from '../../base/log.js';
+import {
+  helloAnswer,
+  parseReport,
+  redirectAnswer,
+  type Report,
+} from '../../protocol/workerProtocol.js';
+import type { Reply } from '../../transport/httpServer.js';
+import type { Controller } from '../controller/controller.js';
+import type { OwnedPart } from '../leadership/ownedShard.js';
+import type { Machine } from '../shard/machine.js';
 
 const elsewhere = (owner: string | null): Reply => ({ status: 421, body: redirectAnswer(owner) });
 
--- a/src/coordination/reportIntake.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -1,10 +1,10 @@
 /** What workers' reports say of machines and of the attempts that are, or may be, there. */
-import type { Report, TaskReport } from '../protocol/worker.js';
-import { AttemptOver } from './attemptOver.js';
-import type { Chunk, Entry } from './chunk.js';
-import type { RunTimes } from './estimate.js';
-import { attemptKey, type Machine, type Placed } from './machine.js';
-import type { Part, PartOptions } from './part.js';
+import type { Report, TaskReport } from '../../protocol/workerProtocol.js';
+import { AttemptOver } from './attemptTermination.js';
+import type { Chunk, Entry } from '../shard/chunk.js';
+import type { RunTimes } from '../scheduling/runTimes.js';
+import { attemptKey, type Machine, type Placed } from '../shard/machine.js';
+import type { Part, PartOptions } from '../shard/shard.js';
 
 /**
  * Where a report comes from: a worker's own, which may be late or get no answer; one that follows an
--- a/src/coordination/liveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -1,7 +1,7 @@
 /** Which machines of a part are silent, and since when what ran there is over. */
-import { AttemptOver } from './attemptOver.js';
-import type { Machine } from './machine.js';
-import type { Part, PartOptions } from './part.js';
+import { AttemptOver } from './attemptTermination.js';
+import type { Machine } from '../shard/machine.js';
+import type { Part, PartOptions } from '../shard/shard.js';
 
 export class Liveness {
   /** When most of the machines were last silent: more likely a fault on our side than on theirs. */
--- a/src/coordination/rollout/drain.ts
+++ b/src/coordination/rollout/drain.ts
@@ -1,5 +1,5 @@
 /** Taking a node out of service: it gives up what it owns, and takes nothing until the drain is cancelled. */
-import type { Ownership } from '../ownership.js';
+import type { Ownership } from '../leadership/shardLeadership.js';
 
 export class Drain {
   /** It was asked for and not cancelled. */
--- a/src/coordination/rollout/health.ts
+++ b/src/coordination/rollout/health.ts
@@ -1,7 +1,7 @@
 /** What a node tells of itself to those who replace controllers. */
 import type { ControllerHealth } from '@barrowlb/rollout';
 import { VERSION } from '../../base/version.js';
-import type { Controller } from '../controller.js';
+import type { Controller } from '../controller/controller.js';
 
 export function healthOf(node: Controller): ControllerHealth {
   const parts = [...node.ownedParts.values()].map(({ part }) => part);
--- a/src/coordination/rollout/migratedParts.ts
+++ b/src/coordination/rollout/migratedShards.ts
@@ -5,12 +5,12 @@
 import type { Condition, Conversion, MigratedPart } from '@barrowlb/rollout';
 import { sleep, type Clock } from '../../base/clock.js';
 import { keys, BUCKETS, JOBS, type JobRecord } from '../../storage/records.js';
-import type { StoredForm } from '../../storage/recordLayout.js';
-import type { Replica } from '../../storage/replica.js';
+import type { StoredForm } from '../../storage/recordFormat.js';
+import type { Replica } from '../../storage/stateCache.js';
 import type { StateClient } from '../../storage/stateClient.js';
-import type { Commits } from '../commits.js';
-import type { OwnedPart } from '../ownedPart.js';
-import { PROVISIONER, type Ownership } from '../ownership.js';
+import type { Commits } from '../persistence/jobPersistence.js';
+import type { OwnedPart } from '../leadership/ownedShard.js';
+import { PROVISIONER, type Ownership } from '../leadership/shardLeadership.js';
 
 /** What is needed of a node. */
 export interface MigratingNode {
--- a/src/coordination/rollout/rolloutRoutes.ts
+++ b/src/coordination/rollout/rolloutRoutes.ts
@@ -9,8 +9,8 @@
 import * as v from 'valibot';
 import { rolloutPath } from '../../protocol/routes.js';
 import type { Reply } from '../../transport/httpServer.js';
-import type { Controller } from '../controller.js';
-import { unavailable } from '../replies.js';
+import type { Controller } from '../controller/controller.js';
+import { unavailable } from '../jobs/replies.js';
 import { healthOf } from './health.js';
 import type { RolloutService } from './rolloutService.js';
 
--- a/src/coordination/rollout/rolloutService.ts
+++ b/src/coordination/rollout/rolloutService.ts
@@ -31,16 +31,16 @@
 } from '@barrowlb/rollout';
 import type { Clock } from '../../base/clock.js';
 import { describe, log } from '../../base/log.js';
-import type { Change } from '../../protocol/state.js';
+import type { Change } from '../../protocol/stateProtocol.js';
 import { BARRIER_KEY, keys, ROOT, type OwnerRecord } from '../../storage/records.js';
-import type { StoredForm } from '../../storage/recordLayout.js';
+import type { StoredForm } from '../../storage/recordFormat.js';
 import type { StateClient } from '../../storage/stateClient.js';
-import { restamp } from '../ownedPart.js';
-import { PROVISIONER, type Ownership } from '../ownership.js';
-import type { Peers } from '../peers.js';
+import { restamp } from '../leadership/ownedShard.js';
+import { PROVISIONER, type Ownership } from '../leadership/shardLeadership.js';
+import type { Peers } from '../peers/peerRegistry.js';
 import { COMPRESSED_RECORDS } from './featureNames.js';
 import { BARRIER_FROM, featureTable, MARKED_LEVEL } from './featureTable.js';
-import { MigratedParts, type MigratingNode } from './migratedParts.js';
+import { MigratedParts, type MigratingNode } from './migratedShards.js';
 import type { RolloutSetup } from './rolloutSetup.js';
 
 /** Operations of one step of a migration at the most: no more than the smallest state service takes. */
--- a/src/coordination/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,6 +1,6 @@
 /** Where one task may go: pure functions over what machines last reported. */
-import type { Random } from '../base/random.js';
-import type { JobSpec } from '../protocol/job.js';
+import type { Random } from '../../base/random.js';
+import type { JobSpec } from '../../protocol/job.js';
 
 export interface Room {
   cpus: number;
--- a/src/coordination/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,11 +1,11 @@
 /** Stops lower-ranked work, and what teams have borrowed, where others need the room. */
-import { rankOrder } from '../protocol/job.js';
-import type { Chunk } from './chunk.js';
+import { rankOrder } from '../../protocol/job.js';
+import type { Chunk } from '../shard/chunk.js';
 import { Heap } from './heap.js';
-import type { Machine, Placed } from './machine.js';
-import type { Part } from './part.js';
+import type { Machine, Placed } from '../shard/machine.js';
+import type { Part } from '../shard/shard.js';
 import { allows, holds, shapeOf, victimsFor, type Room } from './placement.js';
-import type { Amount, TeamUsage } from './teamUsage.js';
+import type { Amount, TeamUsage } from '../quota/teamUsage.js';
 
 /** Running tasks that may be stopped. */
 type Victims = { rank: number; need: Room; loss: number; placed: Placed }[];
--- a/src/coordination/replay.ts
+++ b/src/coordination/scheduling/queueReplay.ts
@@ -8,7 +8,7 @@
  */
 import { Heap } from './heap.js';
 import { allows, holds, shapeOf, takeRoom, type Room } from './placement.js';
-import type { JobSpec } from '../protocol/job.js';
+import type { JobSpec } from '../../protocol/job.js';
 
 export interface ReplayHost {
   type: string;
--- a/src/coordination/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,15 +1,15 @@
 /** Places what waits on the machines of a part: first come first served within a rank, with backfilling. */
-import { log } from '../base/log.js';
-import type { Random } from '../base/random.js';
-import { rankOrder } from '../protocol/job.js';
-import type { Chunk, Entry } from './chunk.js';
-import type { RunTimes } from './estimate.js';
-import type { Machine } from './machine.js';
-import type { Part, PartOptions } from './part.js';
+import { log } from '../../base/log.js';
+import type { Random } from '../../base/random.js';
+import { rankOrder } from '../../protocol/job.js';
+import type { Chunk, Entry } from '../shard/chunk.js';
+import type { RunTimes } from './runTimes.js';
+import type { Machine } from '../shard/machine.js';
+import type { Part, PartOptions } from '../shard/shard.js';
 import { allows, bestFit, holds, sampleHosts, shapeOf, takeRoom } from './placement.js';
 import { Preemption } from './preemption.js';
-import { StartDoubt } from './startDoubt.js';
-import { nothing, type Amount, type ClusterView, type Starved } from './teamUsage.js';
+import { StartDoubt } from '../reconciliation/unacknowledgedStart.js';
+import { nothing, type Amount, type ClusterView, type Starved } from '../quota/teamUsage.js';
 
 interface Round {
   /** Machines that may take work and had room when the round began. */
--- a/src/coordination/decisionRounds.ts
+++ b/src/coordination/scheduling/schedulingRounds.ts
@@ -2,8 +2,8 @@
  * When rounds of decisions take place: soon after something has changed, now and then without a reason, since
  * time alone changes what is due, and never without a rest in between.
  */
-import { sleep, type Clock } from '../base/clock.js';
-import { log } from '../base/log.js';
+import { sleep, type Clock } from '../../base/clock.js';
+import { log } from '../../base/log.js';
 
 /** How long changes are gathered for one round, as a ratio to the time between reports. */
 const GATHER = 1 / 200;
--- a/src/coordination/waitEstimates.ts
+++ b/src/coordination/scheduling/waitEstimates.ts
@@ -1,11 +1,11 @@
 /** What a part tells of the wait and the turnaround that work would see there. */
-import { rankOrder, type JobSpec } from '../protocol/job.js';
-import { isAhead, type Chunk } from './chunk.js';
-import type { RunTimes } from './estimate.js';
-import type { Machine, Placed } from './machine.js';
-import type { Part } from './part.js';
+import { rankOrder, type JobSpec } from '../../protocol/job.js';
+import { isAhead, type Chunk } from '../shard/chunk.js';
+import type { RunTimes } from './runTimes.js';
+import type { Machine, Placed } from '../shard/machine.js';
+import type { Part } from '../shard/shard.js';
 import { allows, holds, type Room, takeRoom } from './placement.js';
-import { replay, ReplayStart, type ReplayHost, type ReplayItem } from './replay.js';
+import { replay, ReplayStart, type ReplayHost, type ReplayItem } from './queueReplay.js';
 
 /** How old a snapshot of the machines may be, as a ratio to the time between reports. */
 const SNAPSHOT_AGE = 1 / 40;
--- a/src/coordination/chunk.ts
+++ b/src/coordination/shard/chunk.ts
@@ -1,8 +1,8 @@
-import { rankOrder, type JobSpec } from '../protocol/job.js';
-import type { TaskState } from '../protocol/worker.js';
-import type { Bucket } from './bucket.js';
-import { fromRanges, toRanges, type ChunkRecord } from '../storage/records.js';
-import type { StartDoubt } from './startDoubt.js';
+import { rankOrder, type JobSpec } from '../../protocol/job.js';
+import type { TaskState } from '../../protocol/workerProtocol.js';
+import type { Bucket } from '../persistence/bucket.js';
+import { fromRanges, toRanges, type ChunkRecord } from '../../storage/records.js';
+import type { StartDoubt } from '../reconciliation/unacknowledgedStart.js';
 
 /** One attempt of one task that is, or may be, on a machine. */
 export interface Entry {
--- a/src/coordination/chunks.ts
+++ b/src/coordination/shard/chunking.ts
@@ -1,6 +1,6 @@
 /** How a job is cut into chunks: pure, and the same on every node. */
-import type { JobSpec } from '../protocol/job.js';
-import type { JobRecord } from '../storage/records.js';
+import type { JobSpec } from '../../protocol/job.js';
+import type { JobRecord } from '../../storage/records.js';
 
 export interface Range {
   from: number;
--- a/src/coordination/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -1,9 +1,9 @@
-import type { Order, Report, TaskReport } from '../protocol/worker.js';
-import type { MachineType } from '../protocol/cloud.js';
-import type { MachineRecord } from '../storage/records.js';
+import type { Order, Report, TaskReport } from '../../protocol/workerProtocol.js';
+import type { MachineType } from '../../protocol/cloudProtocol.js';
+import type { MachineRecord } from '../../storage/records.js';
 import type { Chunk, Entry } from './chunk.js';
-import { takeRoom, type Host, type Room } from './placement.js';
-import { ReportedTasks } from './reportedTasks.js';
+import { takeRoom, type Host, type Room } from '../scheduling/placement.js';
+import { ReportedTasks } from './reportedAttempts.js';
 
 /** An ended attempt that the worker still reports, and from when on it may be forgotten. */
 export interface Leftover {
--- a/src/coordination/reportedTasks.ts
+++ b/src/coordination/shard/reportedAttempts.ts
@@ -2,7 +2,7 @@
  * What a worker last reported of the attempts on its machine. A task may stand in it more than once, in any order: an attempt
  * that has ended stays until it is reaped, and the next one of the same task may run beside it.
  */
-import type { TaskReport } from '../protocol/worker.js';
+import type { TaskReport } from '../../protocol/workerProtocol.js';
 
 export class ReportedTasks {
   private readonly firstOf = new Map<string, TaskReport>();
--- a/src/coordination/part.ts
+++ b/src/coordination/shard/shard.ts
@@ -2,23 +2,23 @@
  * One part: its machines, its queue and what runs where. No I/O: reports come in, orders and changed
  * records go out, and the clock is passed in.
  */
-import type { Random } from '../base/random.js';
-import type { MachineType } from '../protocol/cloud.js';
-import { rankOrder } from '../protocol/job.js';
-import type { ChunkRecord, MachineRecord } from '../storage/records.js';
-import { AttemptOver } from './attemptOver.js';
-import { Audit, type Invariant } from './audit.js';
+import type { Random } from '../../base/random.js';
+import type { MachineType } from '../../protocol/cloudProtocol.js';
+import { rankOrder } from '../../protocol/job.js';
+import type { ChunkRecord, MachineRecord } from '../../storage/records.js';
+import { AttemptOver } from '../reconciliation/attemptTermination.js';
+import { Audit, type Invariant } from '../audit/auditTrail.js';
 import { byOrder, Chunk, type Entry } from './chunk.js';
-import type { RunTimes } from './estimate.js';
+import type { RunTimes } from '../scheduling/runTimes.js';
 import { Machine, type Placed } from './machine.js';
-import { Needs, type NeedsOptions } from './needs.js';
-import { Liveness } from './liveness.js';
-import { ReportIntake } from './reportIntake.js';
-import { Scheduler } from './scheduler.js';
-import { StartDoubt } from './startDoubt.js';
-import { Strangers } from './strangers.js';
-import { singlePartView, TeamUsage, type ClusterView } from './teamUsage.js';
-import { WaitEstimates } from './waitEstimates.js';
+import { Needs, type NeedsOptions } from '../autoscaling/demandEstimator.js';
+import { Liveness } from '../reconciliation/machineLiveness.js';
+import { ReportIntake } from '../reconciliation/heartbeatReconciler.js';
+import { Scheduler } from '../scheduling/scheduler.js';
+import { StartDoubt } from '../reconciliation/unacknowledgedStart.js';
+import { Strangers } from '../reconciliation/unknownAttempts.js';
+import { singlePartView, TeamUsage, type ClusterView } from '../quota/teamUsage.js';
+import { WaitEstimates } from '../scheduling/waitEstimates.js';
 
 export interface PartOptions extends NeedsOptions {
   lease: number;
--- a/src/main.ts
+++ b/src/main.ts
@@ -12,8 +12,8 @@
 import { VERSION } from './base/version.js';
 import { printStatus, printWhy, QueryError } from './cli/query.js';
 import { addRolloutCommands } from './cli/rolloutCommands.js';
-import { Controller } from './coordination/controller.js';
-import { Gateway, isEssential } from './coordination/gateway.js';
+import { Controller } from './coordination/controller/controller.js';
+import { Gateway, isEssential } from './coordination/controller/gateway.js';
 import { EXIT_REFUSED, setUpRollout } from './coordination/rollout/rolloutSetup.js';
 import {
   defaultTuning,
--- a/src/storage/compression.ts
+++ b/src/storage/compression.ts
@@ -4,7 +4,7 @@
  */
 import { deflateSync, inflateSync, strFromU8, strToU8 } from 'fflate';
 import { crc32 } from 'node:zlib';
-import { REQUEST_BYTES } from '../protocol/state.js';
+import { REQUEST_BYTES } from '../protocol/stateProtocol.js';
 import { CorruptRecordError, type CompressedValue, type RecordCodec } from './recordCodec.js';
 
 /** Records are some kilobytes: a higher level takes longer and saves nothing. */
--- a/src/storage/nodeMarks.ts
+++ b/src/storage/nodeCapabilities.ts
@@ -4,8 +4,8 @@
  */
 import { describe, log } from '../base/log.js';
 import { keys, type NodeRecord } from './records.js';
-import { LAYOUT, type RecordLayout } from './recordLayout.js';
-import type { Replica } from './replica.js';
+import { LAYOUT, type RecordLayout } from './recordFormat.js';
+import type { Replica } from './stateCache.js';
 import type { StateClient } from './stateClient.js';
 
 export class NodeMarks {
--- a/src/storage/plainRecords.ts
+++ b/src/storage/plainRecords.ts
@@ -3,7 +3,7 @@
  * name and nothing left out.
  */
 import { fromStoredSpec, toStoredSpec } from '../protocol/storedJobSpec.js';
-import type { MachineType } from '../protocol/cloud.js';
+import type { MachineType } from '../protocol/cloudProtocol.js';
 import { mapValues } from './mapValues.js';
 import type {
   BucketRecord,
--- a/src/storage/recordLayout.ts
+++ b/src/storage/recordFormat.ts
@@ -5,7 +5,7 @@
  * every node can read it (safety, V2). Beyond the limit of a value records are stored in pieces, or compressed where
  * the cluster's version allows that (safety, R5).
  */
-import type { MachineType } from '../protocol/cloud.js';
+import type { MachineType } from '../protocol/cloudProtocol.js';
 import type { JobSpec } from '../protocol/job.js';
 import { toStoredSpec } from '../protocol/storedJobSpec.js';
 import {
@@ -22,7 +22,7 @@
   PIECE_FRAME_BYTES,
   pieceCount,
   type KeyedValue,
-} from './pieces.js';
+} from './fragments.js';
 import {
   fromStoredGroup,
   fromStoredMachineType,
--- a/src/storage/replica.ts
+++ b/src/storage/stateCache.ts
@@ -1,7 +1,7 @@
 /** The copy of the state service's records that each node keeps. */
 import { sleep, type Clock } from '../base/clock.js';
 import { log, describe } from '../base/log.js';
-import type { Change } from '../protocol/state.js';
+import type { Change } from '../protocol/stateProtocol.js';
 import type { StateClient } from './stateClient.js';
 
 /** Changes after a revision, up to `epoch`. */
--- a/src/storage/stateClient.ts
+++ b/src/storage/stateClient.ts
@@ -2,11 +2,11 @@
 import { sleep } from '../base/clock.js';
 import { log } from '../base/log.js';
 import { CallFailed, type HttpClient, type Response } from '../transport/httpClient.js';
-import * as wire from '../protocol/state.js';
-import { Budget, shareOf, type Urgency } from './budget.js';
-import { isPiece, joinPieces, pieceCount } from './pieces.js';
+import * as wire from '../protocol/stateProtocol.js';
+import { Budget, shareOf, type Urgency } from './rateLimiter.js';
+import { isPiece, joinPieces, pieceCount } from './fragments.js';
 import { CorruptRecordError } from './recordCodec.js';
-import { formOf, type RecordLayout, type StoredForm } from './recordLayout.js';
+import { formOf, type RecordLayout, type StoredForm } from './recordFormat.js';
 import { keys } from './records.js';
 
 /** The state service could not be asked, or refused: nothing is known to have been carried out. */
--- a/test/audit.test.ts
+++ b/test/audit/auditTrail.test.ts
@@ -1,8 +1,8 @@
 /** The audit trail: how a line reads, what is counted, and that decisions about attempts leave their evidence. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Audit, formatAudit } from '../src/coordination/audit.js';
-import { Bench } from './support/bench.js';
+import { Audit, formatAudit } from '../../src/coordination/audit/auditTrail.js';
+import { Bench } from '../support/bench.js';
 
 test('a line names time, node and event, and quotes what has spaces', () => {
   const line = formatAudit('drone-0', 12.5, {
--- a/test/cli.test.ts
+++ b/test/cli/cli.test.ts
@@ -4,8 +4,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { Cluster, submission, until } from './support/cluster.js';
-import { run } from './support/commandLine.js';
+import { Cluster, submission, until } from '../support/cluster.js';
+import { run } from '../support/commandLine.js';
 
 test('wrong arguments and bad settings end with one clear line', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'barrowlb-'));
--- a/test/rolloutCli.test.ts
+++ b/test/cli/rolloutCli.test.ts
@@ -4,14 +4,14 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, test } from 'node:test';
-import { VERSION } from '../src/base/version.js';
+import { VERSION } from '../../src/base/version.js';
 import { rolloutKeys, type DriverRecord } from '@barrowlb/rollout';
-import { buildWithFeatures, Cluster, presentBuild, until } from './support/cluster.js';
-import { loneSettings, run, runUntilEnd, type Ran } from './support/commandLine.js';
-import { EXIT_REFUSED } from '../src/coordination/rollout/rolloutSetup.js';
-import { BARRIER_KEY } from '../src/storage/records.js';
-import { StateStandIn } from './support/state.js';
-import { FEATURES, LABELS } from './support/rolloutCluster.js';
+import { buildWithFeatures, Cluster, presentBuild, until } from '../support/cluster.js';
+import { loneSettings, run, runUntilEnd, type Ran } from '../support/commandLine.js';
+import { EXIT_REFUSED } from '../../src/coordination/rollout/rolloutSetup.js';
+import { BARRIER_KEY } from '../../src/storage/records.js';
+import { StateStandIn } from '../support/state.js';
+import { FEATURES, LABELS } from '../support/rolloutCluster.js';
 
 const folder = mkdtempSync(join(tmpdir(), 'barrowlb-'));
 
--- a/test/startup.test.ts
+++ b/test/cli/startup.test.ts
@@ -7,10 +7,10 @@
 import { after, before, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { buildSync } from 'esbuild';
-import { loneSettings } from './support/commandLine.js';
+import { loneSettings } from '../support/commandLine.js';
 
-const root = fileURLToPath(new URL('../../..', import.meta.url));
-const compiledMain = fileURLToPath(new URL('../src/main.js', import.meta.url));
+const root = fileURLToPath(new URL('../../../..', import.meta.url));
+const compiledMain = fileURLToPath(new URL('../../src/main.js', import.meta.url));
 const folder = mkdtempSync(join(tmpdir(), 'barrowlb-'));
 const bundle = join(folder, 'barrowlb.cjs');
 const snapshot = join(folder, 'barrowlb.blob');
--- a/test/cluster.test.ts
+++ b/test/cluster/cluster.test.ts
@@ -1,8 +1,8 @@
 /** Whole controllers on stand-ins: what users see. Each case waits for an outcome. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { submission, until } from './support/cluster.js';
-import { spec as jobSpec } from './support/spec.js';
+import { submission, until } from '../support/cluster.js';
+import { spec as jobSpec } from '../support/spec.js';
 import {
   accept,
   service,
@@ -11,7 +11,7 @@
   watchUse,
   withCluster,
   type Answer,
-} from './support/users.js';
+} from '../support/users.js';
 
 const forever = (): number => Infinity;
 const brief = (): number => 0.3;
--- a/test/outages.test.ts
+++ b/test/cluster/outages.test.ts
@@ -1,8 +1,8 @@
 /** What users see while things fail. Each case waits for an outcome. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { pause, submission, until, type Cluster } from './support/cluster.js';
-import { accept, adopted, service, status, withCluster } from './support/users.js';
+import { pause, submission, until, type Cluster } from '../support/cluster.js';
+import { accept, adopted, service, status, withCluster } from '../support/users.js';
 
 const outages: {
   name: string;
--- a/test/meetings.test.ts
+++ b/test/cluster/overlappingFaults.test.ts
@@ -1,9 +1,9 @@
 /** Troubles that meet, on whole controllers: the table in docs/safety.md names the meeting of each case. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { pause, submission, until, type Cluster } from './support/cluster.js';
-import type { WorkerStandIn } from './support/fleet.js';
-import { accept, service, status, watchUse, withCluster, type Answer } from './support/users.js';
+import { pause, submission, until, type Cluster } from '../support/cluster.js';
+import type { WorkerStandIn } from '../support/fleet.js';
+import { accept, service, status, watchUse, withCluster, type Answer } from '../support/users.js';
 
 const holder = (cluster: Cluster, task: string): WorkerStandIn | undefined =>
   [...cluster.cloud.workers.values()].find((w) => w.tasks.includes(task));
--- a/test/meetingsOfUsers.test.ts
+++ b/test/cluster/overlappingRequests.test.ts
@@ -4,9 +4,9 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { BucketRecord, JobRecord } from '../src/storage/records.js';
-import { layoutFor } from './support/layout.js';
-import { pause, submission, until, type Cluster } from './support/cluster.js';
+import type { BucketRecord, JobRecord } from '../../src/storage/records.js';
+import { layoutFor } from '../support/layout.js';
+import { pause, submission, until, type Cluster } from '../support/cluster.js';
 import {
   accept,
   adopted,
@@ -15,7 +15,7 @@
   watchUse,
   withCluster,
   type Answer,
-} from './support/users.js';
+} from '../support/users.js';
 
 const tasksOf = (cluster: Cluster, id: string): string[] =>
   [...cluster.cloud.workers.values()].flatMap((worker) =>
--- a/test/orders.test.ts
+++ b/test/commands/commandDispatcher.test.ts
@@ -1,15 +1,15 @@
 /** Questions to machines: what silent ones may hold, and what says nothing of them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Audit } from '../src/coordination/audit.js';
-import { Authority } from '../src/coordination/authority.js';
-import { ownPart } from '../src/coordination/ownedPart.js';
-import { Chunk } from '../src/coordination/chunk.js';
-import { Orders, type OrdersNode } from '../src/coordination/orders.js';
-import { CallFailed, type Response } from '../src/transport/httpClient.js';
-import { TurnQueue } from '../src/transport/turnQueue.js';
-import { emptyPart } from './support/part.js';
-import { spec } from './support/spec.js';
+import { Audit } from '../../src/coordination/audit/auditTrail.js';
+import { Authority } from '../../src/coordination/leadership/authority.js';
+import { ownPart } from '../../src/coordination/leadership/ownedShard.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Orders, type OrdersNode } from '../../src/coordination/commands/commandDispatcher.js';
+import { CallFailed, type Response } from '../../src/transport/httpClient.js';
+import { TurnQueue } from '../../src/transport/turnQueue.js';
+import { emptyPart } from '../support/part.js';
+import { spec } from '../support/spec.js';
 
 const SOCKETS = 120;
 
--- a/test/costs.test.ts
+++ b/test/commands/costs.test.ts
@@ -1,18 +1,18 @@
 /** Costs that were won back on small controllers, held by counts: messages, questions and visits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Audit } from '../src/coordination/audit.js';
-import { Chunk } from '../src/coordination/chunk.js';
-import { ownPart } from '../src/coordination/ownedPart.js';
-import { Machine } from '../src/coordination/machine.js';
-import { Orders } from '../src/coordination/orders.js';
-import type { Part } from '../src/coordination/part.js';
-import type { TaskReport } from '../src/protocol/worker.js';
-import { TurnQueue } from '../src/transport/turnQueue.js';
-import { submission, until } from './support/cluster.js';
-import { emptyPart, m8 } from './support/part.js';
-import { spec } from './support/spec.js';
-import { accept, settled, withCluster } from './support/users.js';
+import { Audit } from '../../src/coordination/audit/auditTrail.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { ownPart } from '../../src/coordination/leadership/ownedShard.js';
+import { Machine } from '../../src/coordination/shard/machine.js';
+import { Orders } from '../../src/coordination/commands/commandDispatcher.js';
+import type { Part } from '../../src/coordination/shard/shard.js';
+import type { TaskReport } from '../../src/protocol/workerProtocol.js';
+import { TurnQueue } from '../../src/transport/turnQueue.js';
+import { submission, until } from '../support/cluster.js';
+import { emptyPart, m8 } from '../support/part.js';
+import { spec } from '../support/spec.js';
+import { accept, settled, withCluster } from '../support/users.js';
 
 const REPORT = 4;
 const AGAIN = REPORT * 1.5;
--- a/test/cancelling.test.ts
+++ b/test/jobs/cancellationPreparations.test.ts
@@ -1,15 +1,15 @@
 /** Cancellations that meet other troubles: what was confirmed holds, and what can't hold is not confirmed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Chunk } from '../src/coordination/chunk.js';
-import { ownPart, type OwnedPart } from '../src/coordination/ownedPart.js';
-import { CancelPreparations } from '../src/coordination/cancelPreparations.js';
-import type { PreparedChunk } from '../src/protocol/peerMessages.js';
-import { keys, type JobRecord } from '../src/storage/records.js';
-import { until, type Cluster } from './support/cluster.js';
-import { emptyPart } from './support/part.js';
-import { spec as jobSpec } from './support/spec.js';
-import { status, withCluster, type Answer } from './support/users.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { ownPart, type OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
+import { CancelPreparations } from '../../src/coordination/jobs/cancellationPreparations.js';
+import type { PreparedChunk } from '../../src/protocol/peerMessages.js';
+import { keys, type JobRecord } from '../../src/storage/records.js';
+import { until, type Cluster } from '../support/cluster.js';
+import { emptyPart } from '../support/part.js';
+import { spec as jobSpec } from '../support/spec.js';
+import { status, withCluster, type Answer } from '../support/users.js';
 
 const ID = 'wk-000201';
 
--- a/test/users.test.ts
+++ b/test/jobs/jobService.test.ts
@@ -1,16 +1,16 @@
 /** Answers to users: never older than what the node that answers knows by then. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { seededRandom } from '../src/base/random.js';
-import { Controller } from '../src/coordination/controller.js';
-import { Users } from '../src/coordination/users.js';
-import { defaultTuning, parseSettings } from '../src/protocol/settings.js';
-import { keys, type JobRecord } from '../src/storage/records.js';
-import type { Response } from '../src/transport/httpClient.js';
-import type { Reply } from '../src/transport/httpServer.js';
-import { submission } from './support/cluster.js';
-import { settingsText } from './support/settings.js';
-import { spec } from './support/spec.js';
+import { seededRandom } from '../../src/base/random.js';
+import { Controller } from '../../src/coordination/controller/controller.js';
+import { Users } from '../../src/coordination/jobs/jobService.js';
+import { defaultTuning, parseSettings } from '../../src/protocol/settings.js';
+import { keys, type JobRecord } from '../../src/storage/records.js';
+import type { Response } from '../../src/transport/httpClient.js';
+import type { Reply } from '../../src/transport/httpServer.js';
+import { submission } from '../support/cluster.js';
+import { settingsText } from '../support/settings.js';
+import { spec } from '../support/spec.js';
 
 const ID = 'wk-000901';
 
--- a/test/accepting.test.ts
+++ b/test/jobs/submissionWriter.test.ts
@@ -1,15 +1,15 @@
 /** Accepting jobs: many in one transaction, each exactly once, whatever becomes of the answers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Accepting, type AcceptingNode } from '../src/coordination/accepting.js';
-import { Chunk } from '../src/coordination/chunk.js';
-import { ownPart, type OwnedPart } from '../src/coordination/ownedPart.js';
-import { keys, type JobRecord, type BucketRecord } from '../src/storage/records.js';
-import type { Reply } from '../src/transport/httpServer.js';
-import { layoutFor } from './support/layout.js';
-import { emptyPart } from './support/part.js';
-import { spec } from './support/spec.js';
-import { MemoryStore } from './support/store.js';
+import { Accepting, type AcceptingNode } from '../../src/coordination/jobs/submissionWriter.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { ownPart, type OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
+import { keys, type JobRecord, type BucketRecord } from '../../src/storage/records.js';
+import type { Reply } from '../../src/transport/httpServer.js';
+import { layoutFor } from '../support/layout.js';
+import { emptyPart } from '../support/part.js';
+import { spec } from '../support/spec.js';
+import { MemoryStore } from '../support/store.js';
 
 class Counter {
   now = 0;
--- a/test/authority.test.ts
+++ b/test/leadership/authority.test.ts
@@ -1,9 +1,9 @@
 /** What a node may do for a part, by its lease, its token and what peers say. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Authority, type AnswerRight } from '../src/coordination/authority.js';
-import { ownPart } from '../src/coordination/ownedPart.js';
-import { emptyPart } from './support/part.js';
+import { Authority, type AnswerRight } from '../../src/coordination/leadership/authority.js';
+import { ownPart } from '../../src/coordination/leadership/ownedShard.js';
+import { emptyPart } from '../support/part.js';
 
 const TOKEN = 5;
 const GRACE = 36;
--- a/test/ownership.test.ts
+++ b/test/leadership/shardLeadership.test.ts
@@ -1,10 +1,10 @@
 /** Ownership of parts: what a node may believe to own when answers come late. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Ownership } from '../src/coordination/ownership.js';
-import { keys } from '../src/storage/records.js';
-import { until } from './support/cluster.js';
-import { MemoryStore } from './support/store.js';
+import { Ownership } from '../../src/coordination/leadership/shardLeadership.js';
+import { keys } from '../../src/storage/records.js';
+import { until } from '../support/cluster.js';
+import { MemoryStore } from '../support/store.js';
 
 const LEASE_S = 4;
 
--- a/test/partLoader.test.ts
+++ b/test/leadership/shardLoader.test.ts
@@ -1,17 +1,17 @@
 /** Loading a part from its records: what an earlier owner may have left on machines counts, whatever became of its job. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { PartLoader, type LoadingNode } from '../src/coordination/partLoader.js';
+import { PartLoader, type LoadingNode } from '../../src/coordination/leadership/shardLoader.js';
 import {
   keys,
   type BucketRecord,
   type JobRecord,
   type MachineRecord,
-} from '../src/storage/records.js';
-import type { Stored } from '../src/storage/replica.js';
-import { layoutFor } from './support/layout.js';
-import { emptyPart, m8 } from './support/part.js';
-import { spec } from './support/spec.js';
+} from '../../src/storage/records.js';
+import type { Stored } from '../../src/storage/stateCache.js';
+import { layoutFor } from '../support/layout.js';
+import { emptyPart, m8 } from '../support/part.js';
+import { spec } from '../support/spec.js';
 
 const HELD = { token: 7, stamp: 9, lostAt: 0 };
 
--- a/test/peers.test.ts
+++ b/test/peers/peerRegistry.test.ts
@@ -1,15 +1,15 @@
 /** What is believed of peers, and what a node believes of itself after it stood still. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Ownership, type Held } from '../src/coordination/ownership.js';
-import { Peers } from '../src/coordination/peers.js';
-import type { Gossip } from '../src/protocol/peerMessages.js';
-import type { Txn } from '../src/protocol/state.js';
-import { keys, type TokenRecord } from '../src/storage/records.js';
-import type { Replica } from '../src/storage/replica.js';
-import type { StateClient } from '../src/storage/stateClient.js';
-import { PeerClient } from '../src/transport/peerLink.js';
-import { MemoryStore } from './support/store.js';
+import { Ownership, type Held } from '../../src/coordination/leadership/shardLeadership.js';
+import { Peers } from '../../src/coordination/peers/peerRegistry.js';
+import type { Gossip } from '../../src/protocol/peerMessages.js';
+import type { Txn } from '../../src/protocol/stateProtocol.js';
+import { keys, type TokenRecord } from '../../src/storage/records.js';
+import type { Replica } from '../../src/storage/stateCache.js';
+import type { StateClient } from '../../src/storage/stateClient.js';
+import { PeerClient } from '../../src/transport/peerLink.js';
+import { MemoryStore } from '../support/store.js';
 
 const REPORT = 4;
 const SKEW = 0.1;
--- a/test/storing.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -1,18 +1,18 @@
 /** What is stored and when: machines by rental, chunks on buckets, and answers that get lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Chunk } from '../src/coordination/chunk.js';
-import { ownPart, type OwnedPart } from '../src/coordination/ownedPart.js';
-import { choosePartFor } from '../src/coordination/provisioning/machinePool.js';
-import { BucketWriter } from '../src/coordination/bucketWriter.js';
-import { shareOf } from '../src/storage/budget.js';
-import { Fleet } from '../src/storage/fleet.js';
-import { keys, type GroupRecord, type BucketRecord } from '../src/storage/records.js';
-import { Buckets } from '../src/storage/buckets.js';
-import { layoutFor } from './support/layout.js';
-import { emptyPart, m8 } from './support/part.js';
-import { spec } from './support/spec.js';
-import { MemoryStore } from './support/store.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { ownPart, type OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
+import { choosePartFor } from '../../src/coordination/autoscaling/machineGroups.js';
+import { BucketWriter } from '../../src/coordination/persistence/bucketWriter.js';
+import { shareOf } from '../../src/storage/rateLimiter.js';
+import { Fleet } from '../../src/storage/machineInventory.js';
+import { keys, type GroupRecord, type BucketRecord } from '../../src/storage/records.js';
+import { Buckets } from '../../src/storage/chunkIndex.js';
+import { layoutFor } from '../support/layout.js';
+import { emptyPart, m8 } from '../support/part.js';
+import { spec } from '../support/spec.js';
+import { MemoryStore } from '../support/store.js';
 
 const group = (part: string, ...names: string[]): GroupRecord => ({
   part,
--- a/test/commits.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -1,16 +1,20 @@
 /** Jobs' records: what is kept of chunks when another change of the record is found, and what its owner may say. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Chunk } from '../src/coordination/chunk.js';
-import { Commits } from '../src/coordination/commits.js';
-import { ownPart, type HomeJob, type OwnedPart } from '../src/coordination/ownedPart.js';
-import { Buckets } from '../src/storage/buckets.js';
-import { keys, type JobRecord } from '../src/storage/records.js';
-import { Replica } from '../src/storage/replica.js';
-import { layoutFor } from './support/layout.js';
-import { emptyPart } from './support/part.js';
-import { spec } from './support/spec.js';
-import { MemoryStore } from './support/store.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Commits } from '../../src/coordination/persistence/jobPersistence.js';
+import {
+  ownPart,
+  type HomeJob,
+  type OwnedPart,
+} from '../../src/coordination/leadership/ownedShard.js';
+import { Buckets } from '../../src/storage/chunkIndex.js';
+import { keys, type JobRecord } from '../../src/storage/records.js';
+import { Replica } from '../../src/storage/stateCache.js';
+import { layoutFor } from '../support/layout.js';
+import { emptyPart } from '../support/part.js';
+import { spec } from '../support/spec.js';
+import { MemoryStore } from '../support/store.js';
 
 const ID = 'wk-1';
 const KEY = keys.job(ID);
--- a/test/limits.test.ts
+++ b/test/persistence/recordLimits.test.ts
@@ -1,12 +1,12 @@
 /** Limits of the state service that have fallen: what is stored larger is taken apart, and nothing is lost in between. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BucketWriter } from '../src/coordination/bucketWriter.js';
-import type { Commits } from '../src/coordination/commits.js';
-import type { OwnedPart } from '../src/coordination/ownedPart.js';
-import { PartLoader } from '../src/coordination/partLoader.js';
-import { groupLimit } from '../src/coordination/provisioning/machinePool.js';
-import type { RecordLayout } from '../src/storage/recordLayout.js';
+import { BucketWriter } from '../../src/coordination/persistence/bucketWriter.js';
+import type { Commits } from '../../src/coordination/persistence/jobPersistence.js';
+import type { OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
+import { PartLoader } from '../../src/coordination/leadership/shardLoader.js';
+import { groupLimit } from '../../src/coordination/autoscaling/machineGroups.js';
+import type { RecordLayout } from '../../src/storage/recordFormat.js';
 import {
   keys,
   type BucketRecord,
@@ -15,11 +15,11 @@
   type GroupRecord,
   type JobRecord,
   type TokenRecord,
-} from '../src/storage/records.js';
-import { layoutFor } from './support/layout.js';
-import { emptyPart, m8 } from './support/part.js';
-import { spec } from './support/spec.js';
-import { MemoryStore } from './support/store.js';
+} from '../../src/storage/records.js';
+import { layoutFor } from '../support/layout.js';
+import { emptyPart, m8 } from '../support/part.js';
+import { spec } from '../support/spec.js';
+import { MemoryStore } from '../support/store.js';
 
 const LIMITS = { value: 2048, txn: 64 * 1024 };
 const TXN_OPS = 5;
--- a/test/sizes.test.ts
+++ b/test/persistence/recordSizes.test.ts
@@ -1,16 +1,16 @@
 /** Any sound settings: the service starts and serves, whatever its size and the limits around it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chunkRanges, chunkSize } from '../src/coordination/chunks.js';
-import { groupLimit } from '../src/coordination/provisioning/machinePool.js';
-import { RENT_LIMIT } from '../src/protocol/cloud.js';
-import type { JobSpec } from '../src/protocol/job.js';
-import { Chunk } from '../src/coordination/chunk.js';
-import { keys, type BucketRecord } from '../src/storage/records.js';
-import { layoutFor } from './support/layout.js';
-import { submission, until } from './support/cluster.js';
-import { spec } from './support/spec.js';
-import { accept, status, withCluster } from './support/users.js';
+import { chunkRanges, chunkSize } from '../../src/coordination/shard/chunking.js';
+import { groupLimit } from '../../src/coordination/autoscaling/machineGroups.js';
+import { RENT_LIMIT } from '../../src/protocol/cloudProtocol.js';
+import type { JobSpec } from '../../src/protocol/job.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { keys, type BucketRecord } from '../../src/storage/records.js';
+import { layoutFor } from '../support/layout.js';
+import { submission, until } from '../support/cluster.js';
+import { spec } from '../support/spec.js';
+import { accept, status, withCluster } from '../support/users.js';
 
 for (const [nodes, zones] of [
   [1, ['a']],
--- a/test/dependencyGraph.test.ts
+++ b/test/pipelines/dependencyGraph.test.ts
@@ -1,11 +1,11 @@
 /** Which jobs wait for others, from stored states that arrive in any order. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { seededRandom } from '../src/base/random.js';
+import { seededRandom } from '../../src/base/random.js';
 import {
   DependencyGraph,
   type StoredState,
-} from '../src/coordination/pipelines/dependencyGraph.js';
+} from '../../src/coordination/pipelines/dependencyGraph.js';
 
 interface Job {
   state: StoredState;
--- a/test/pipelines.test.ts
+++ b/test/pipelines/pipelines.test.ts
@@ -1,8 +1,8 @@
 /** Jobs that wait for others, on whole controllers: nothing starts too early, and what is cancelled takes along what needs it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { pause, submission, until, type Cluster } from './support/cluster.js';
-import { accept, adopted, service, settled, status, withCluster } from './support/users.js';
+import { pause, submission, until, type Cluster } from '../support/cluster.js';
+import { accept, adopted, service, settled, status, withCluster } from '../support/users.js';
 
 const [FIRST, SECOND, THIRD] = ['wk-000901', 'wk-000902', 'wk-000903'];
 
--- a/test/protocol.test.ts
+++ b/test/protocol/protocol.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parseJob } from '../src/protocol/job.js';
+import { parseJob } from '../../src/protocol/job.js';
 import {
   decodeAnswer,
   decodeRequest,
   encodeAnswer,
   encodeRequest,
-} from '../src/protocol/peerCodec.js';
-import { defaultTuning, parseSettings, parseTuning } from '../src/protocol/settings.js';
-import { parseReport } from '../src/protocol/worker.js';
-import { submission } from './support/cluster.js';
-import { productionAnswers, productionRequests } from './support/messages.js';
-import { settingsText } from './support/settings.js';
+} from '../../src/protocol/peerCodec.js';
+import { defaultTuning, parseSettings, parseTuning } from '../../src/protocol/settings.js';
+import { parseReport } from '../../src/protocol/workerProtocol.js';
+import { submission } from '../support/cluster.js';
+import { productionAnswers, productionRequests } from '../support/messages.js';
+import { settingsText } from '../support/settings.js';
 
 const text = (changes: Record<string, unknown>): string =>
   JSON.stringify(submission('wk-000001', changes));
--- a/test/quotas.test.ts
+++ b/test/quota/quotaShares.test.ts
@@ -1,14 +1,14 @@
 /** Team limits across parts: what may run at once never passes the limit, whatever fails between two steps. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { seededRandom } from '../src/base/random.js';
-import { ownPart, type OwnedPart } from '../src/coordination/ownedPart.js';
-import { Quotas, reshare, type QuotaNode } from '../src/coordination/quotas.js';
-import type { Amount } from '../src/coordination/teamUsage.js';
-import { keys, type QuotaRecord } from '../src/storage/records.js';
-import { emptyPart } from './support/part.js';
-import { spec } from './support/spec.js';
-import { MemoryStore } from './support/store.js';
+import { seededRandom } from '../../src/base/random.js';
+import { ownPart, type OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
+import { Quotas, reshare, type QuotaNode } from '../../src/coordination/quota/quotaShares.js';
+import type { Amount } from '../../src/coordination/quota/teamUsage.js';
+import { keys, type QuotaRecord } from '../../src/storage/records.js';
+import { emptyPart } from '../support/part.js';
+import { spec } from '../support/spec.js';
+import { MemoryStore } from '../support/store.js';
 
 const KEY = keys.quota('crew');
 const LIMIT: Amount = { cpus: 40, gpus: 10 };
--- a/test/reportIntake.test.ts
+++ b/test/reconciliation/heartbeatReconciler.test.ts
@@ -1,11 +1,11 @@
 /** What reports say: stale ones, sessions, starts in doubt, failures. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Source } from '../src/coordination/reportIntake.js';
-import type { JobSpec } from '../src/protocol/job.js';
-import type { Report, TaskReport } from '../src/protocol/worker.js';
-import { Bench, TOKEN } from './support/bench.js';
-import { startedRecord } from './support/spec.js';
+import type { Source } from '../../src/coordination/reconciliation/heartbeatReconciler.js';
+import type { JobSpec } from '../../src/protocol/job.js';
+import type { Report, TaskReport } from '../../src/protocol/workerProtocol.js';
+import { Bench, TOKEN } from '../support/bench.js';
+import { startedRecord } from '../support/spec.js';
 
 test('done is stored before it is reaped', () => {
   const b = new Bench();
--- a/test/liveness.test.ts
+++ b/test/reconciliation/machineLiveness.test.ts
@@ -1,7 +1,7 @@
 /** Silent machines: when their tasks are over, and which machines are lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Bench } from './support/bench.js';
+import { Bench } from '../support/bench.js';
 
 test('a silent machine keeps its tasks until nobody can have renewed its lease', () => {
   const b = new Bench();
--- a/test/startDoubt.test.ts
+++ b/test/reconciliation/unacknowledgedStart.test.ts
@@ -1,13 +1,13 @@
 /** Starts whose command got no answer: they may be carried out late, whatever became of later commands. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { CommandOutcome } from '../src/coordination/audit.js';
-import { ownPart } from '../src/coordination/ownedPart.js';
-import { StartDoubt } from '../src/coordination/startDoubt.js';
-import type { TaskReport } from '../src/protocol/worker.js';
-import { Bench, TOKEN } from './support/bench.js';
-import { CommandBench, type Passage } from './support/commandBench.js';
-import { startedRecord } from './support/spec.js';
+import type { CommandOutcome } from '../../src/coordination/audit/auditTrail.js';
+import { ownPart } from '../../src/coordination/leadership/ownedShard.js';
+import { StartDoubt } from '../../src/coordination/reconciliation/unacknowledgedStart.js';
+import type { TaskReport } from '../../src/protocol/workerProtocol.js';
+import { Bench, TOKEN } from '../support/bench.js';
+import { CommandBench, type Passage } from '../support/commandBench.js';
+import { startedRecord } from '../support/spec.js';
 
 const TASK = 'wk-1/0';
 
--- a/test/rollout.test.ts
+++ b/test/rollout/rollout.test.ts
@@ -1,11 +1,11 @@
 /** Whole controllers that are replaced one after the other while users submit, and the level of what they store. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { rolloutPath } from '../src/protocol/routes.js';
-import { keys } from '../src/storage/records.js';
-import type { StoredOwnerRecord } from '../src/storage/storedRecords.js';
-import { buildWithFeatures, pause, presentBuild, until } from './support/cluster.js';
-import { FEATURES, LABELS, RolloutCluster } from './support/rolloutCluster.js';
+import { rolloutPath } from '../../src/protocol/routes.js';
+import { keys } from '../../src/storage/records.js';
+import type { StoredOwnerRecord } from '../../src/storage/storedRecords.js';
+import { buildWithFeatures, pause, presentBuild, until } from '../support/cluster.js';
+import { FEATURES, LABELS, RolloutCluster } from '../support/rolloutCluster.js';
 
 const withFeatures = buildWithFeatures(FEATURES);
 
--- a/test/scheduling.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -1,30 +1,39 @@
 /** The pure parts of scheduling, with numbers worked out by hand. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { nextToAsk } from '../src/coordination/sender.js';
-import { seededRandom } from '../src/base/random.js';
-import { Chunk } from '../src/coordination/chunk.js';
+import { nextToAsk } from '../../src/coordination/migration/migrationInitiator.js';
+import { seededRandom } from '../../src/base/random.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
 import {
   chunkRanges,
   chunkSize,
   mayCut,
   totalChunks,
   zonesFor,
-} from '../src/coordination/chunks.js';
-import { Arrivals, RunTimes } from '../src/coordination/estimate.js';
-import { choosePart, turnaround } from '../src/coordination/migration.js';
-import { allows, bestFit, sampleHosts, victimsFor } from '../src/coordination/placement.js';
-import { reshare } from '../src/coordination/quotas.js';
-import { requestSizes } from '../src/coordination/provisioning/renter.js';
+} from '../../src/coordination/shard/chunking.js';
+import { Arrivals, RunTimes } from '../../src/coordination/scheduling/runTimes.js';
+import { choosePart, turnaround } from '../../src/coordination/migration/migrationPolicy.js';
+import {
+  allows,
+  bestFit,
+  sampleHosts,
+  victimsFor,
+} from '../../src/coordination/scheduling/placement.js';
+import { reshare } from '../../src/coordination/quota/quotaShares.js';
+import { requestSizes } from '../../src/coordination/autoscaling/scaleOut.js';
 import {
   mergePlans,
   planRentals,
   type RentPlan,
-} from '../src/coordination/provisioning/renting.js';
-import { replay, ReplayStart, type ReplayHost } from '../src/coordination/replay.js';
-import type { JobRecord } from '../src/storage/records.js';
-import { fromRanges, toRanges } from '../src/storage/records.js';
-import { spec } from './support/spec.js';
+} from '../../src/coordination/autoscaling/scaleOutPlan.js';
+import {
+  replay,
+  ReplayStart,
+  type ReplayHost,
+} from '../../src/coordination/scheduling/queueReplay.js';
+import type { JobRecord } from '../../src/storage/records.js';
+import { fromRanges, toRanges } from '../../src/storage/records.js';
+import { spec } from '../support/spec.js';
 
 const room = (cpus: number, memory = 64): { cpus: number; gpus: number; memory: number } => ({
   cpus,
--- a/test/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -1,16 +1,16 @@
 /** Which work starts where and when: ranks, backfilling, limits, gangs, and what a round may cost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Chunk } from '../src/coordination/chunk.js';
-import type { Machine } from '../src/coordination/machine.js';
-import { Part } from '../src/coordination/part.js';
-import type { MachineType } from '../src/protocol/cloud.js';
-import { rankOrder } from '../src/protocol/job.js';
-import type { TaskReport } from '../src/protocol/worker.js';
-import { singlePartView } from '../src/coordination/teamUsage.js';
-import { Bench } from './support/bench.js';
-import { m8 } from './support/part.js';
-import { spec } from './support/spec.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
+import type { Machine } from '../../src/coordination/shard/machine.js';
+import { Part } from '../../src/coordination/shard/shard.js';
+import type { MachineType } from '../../src/protocol/cloudProtocol.js';
+import { rankOrder } from '../../src/protocol/job.js';
+import type { TaskReport } from '../../src/protocol/workerProtocol.js';
+import { singlePartView } from '../../src/coordination/quota/teamUsage.js';
+import { Bench } from '../support/bench.js';
+import { m8 } from '../support/part.js';
+import { spec } from '../support/spec.js';
 
 test('rank before arrival; a live service stops batch work, batch work stops nothing', () => {
   const b = new Bench();
--- a/test/decisionRounds.test.ts
+++ b/test/scheduling/schedulingRounds.test.ts
@@ -1,7 +1,7 @@
 /** When rounds of decisions take place. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DecisionRounds } from '../src/coordination/decisionRounds.js';
+import { DecisionRounds } from '../../src/coordination/scheduling/schedulingRounds.js';
 
 const REPORT_S = 4;
 
--- a/test/part.test.ts
+++ b/test/shard/shard.test.ts
@@ -1,9 +1,9 @@
 /** A part: starts once they are stored, cancellations, adoption. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Chunk } from '../src/coordination/chunk.js';
-import { Bench } from './support/bench.js';
-import { spec } from './support/spec.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Bench } from '../support/bench.js';
+import { spec } from '../support/spec.js';
 
 test('a start goes out only after its placement is stored, and only while it may', () => {
   const b = new Bench();
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -9,7 +9,7 @@
 import { drawPlan, type SoakPlan, type SoakSize } from './plan.js';
 import { SoakCluster } from './soakCluster.js';
 import { SoakLog } from './soakLog.js';
-import { Strikes } from './strikes.js';
+import { Strikes } from './faultInjection.js';
 
 /** Of the jobs that may begin one, those that are the first of a pipeline. */
 const PIPELINE_SHARE = 0.2;
--- a/test/compatibility.test.ts
+++ b/test/storage/compatibility.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { parseJob, type JobSpec } from '../src/protocol/job.js';
+import { parseJob, type JobSpec } from '../../src/protocol/job.js';
 import {
   decodeAnswer,
   decodeRequest,
@@ -13,14 +13,14 @@
   encodeAnswer,
   encodeRequest,
   encodeSpec,
-} from '../src/protocol/peerCodec.js';
-import { NodeMarks } from '../src/storage/nodeMarks.js';
-import { LAYOUT, RecordLayout } from '../src/storage/recordLayout.js';
-import { keys, type BucketRecord, type JobRecord } from '../src/storage/records.js';
-import { layoutFor } from './support/layout.js';
-import { productionAnswers, productionRequests } from './support/messages.js';
-import { spec } from './support/spec.js';
-import { MemoryStore } from './support/store.js';
+} from '../../src/protocol/peerCodec.js';
+import { NodeMarks } from '../../src/storage/nodeCapabilities.js';
+import { LAYOUT, RecordLayout } from '../../src/storage/recordFormat.js';
+import { keys, type BucketRecord, type JobRecord } from '../../src/storage/records.js';
+import { layoutFor } from '../support/layout.js';
+import { productionAnswers, productionRequests } from '../support/messages.js';
+import { spec } from '../support/spec.js';
+import { MemoryStore } from '../support/store.js';
 
 interface Fixtures {
   submission: unknown;
@@ -30,7 +30,7 @@
 }
 
 const fixtures = JSON.parse(
-  readFileSync(new URL('../../../test/fixtures/production.json', import.meta.url), 'utf8'),
+  readFileSync(new URL('../../../../test/fixtures/production.json', import.meta.url), 'utf8'),
 ) as Fixtures;
 
 const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
--- a/test/compression.test.ts
+++ b/test/storage/compression.test.ts
@@ -2,16 +2,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { deflateCodec } from '../src/storage/compression.js';
-import { joinPieces } from '../src/storage/pieces.js';
-import { CorruptRecordError, type CompressedValue } from '../src/storage/recordCodec.js';
-import { formOf, RecordLayout, type StoredForm } from '../src/storage/recordLayout.js';
-import { BARRIER_KEY, keys, type JobRecord } from '../src/storage/records.js';
-import { systemClock } from '../src/base/clock.js';
-import { StateClient } from '../src/storage/stateClient.js';
-import { HttpClient } from '../src/transport/httpClient.js';
-import { spec } from './support/spec.js';
-import { StateStandIn } from './support/state.js';
+import { deflateCodec } from '../../src/storage/compression.js';
+import { joinPieces } from '../../src/storage/fragments.js';
+import { CorruptRecordError, type CompressedValue } from '../../src/storage/recordCodec.js';
+import { formOf, RecordLayout, type StoredForm } from '../../src/storage/recordFormat.js';
+import { BARRIER_KEY, keys, type JobRecord } from '../../src/storage/records.js';
+import { systemClock } from '../../src/base/clock.js';
+import { StateClient } from '../../src/storage/stateClient.js';
+import { HttpClient } from '../../src/transport/httpClient.js';
+import { spec } from '../support/spec.js';
+import { StateStandIn } from '../support/state.js';
 
 const VALUE_BYTES = 2048;
 
--- a/test/fleetRecords.test.ts
+++ b/test/storage/fleetRecords.test.ts
@@ -1,8 +1,8 @@
 /** The copy of the machines' records: which part a machine is in. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Fleet } from '../src/storage/fleet.js';
-import type { GroupRecord } from '../src/storage/records.js';
+import { Fleet } from '../../src/storage/machineInventory.js';
+import type { GroupRecord } from '../../src/storage/records.js';
 
 const group = (part: string): GroupRecord => ({
   part,
--- a/test/pieces.test.ts
+++ b/test/storage/fragments.test.ts
@@ -1,13 +1,13 @@
 /** Records beyond the state service's limit: stored in pieces by one transaction, and read whole or not at all. */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
-import { systemClock } from '../src/base/clock.js';
-import type { GroupRecord } from '../src/storage/records.js';
-import { keys } from '../src/storage/records.js';
-import { StateClient } from '../src/storage/stateClient.js';
-import { HttpClient } from '../src/transport/httpClient.js';
-import { layoutFor } from './support/layout.js';
-import { StateStandIn } from './support/state.js';
+import { systemClock } from '../../src/base/clock.js';
+import type { GroupRecord } from '../../src/storage/records.js';
+import { keys } from '../../src/storage/records.js';
+import { StateClient } from '../../src/storage/stateClient.js';
+import { HttpClient } from '../../src/transport/httpClient.js';
+import { layoutFor } from '../support/layout.js';
+import { StateStandIn } from '../support/state.js';
 
 const LIMITS = { valueBytes: 2048, txnOps: 5 };
 const KEY = keys.group('r-1');
--- a/test/goldenBytes.test.ts
+++ b/test/storage/goldenBytes.test.ts
@@ -6,11 +6,16 @@
 import assert from 'node:assert/strict';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { encodeAnswer, encodeRequest, encodeSpec } from '../src/protocol/peerCodec.js';
-import { grantRequest, txnRequest } from '../src/protocol/state.js';
-import { helloAnswer, ordersRequest, redirectAnswer, type Order } from '../src/protocol/worker.js';
-import { deflateCodec } from '../src/storage/compression.js';
-import { RecordLayout } from '../src/storage/recordLayout.js';
+import { encodeAnswer, encodeRequest, encodeSpec } from '../../src/protocol/peerCodec.js';
+import { grantRequest, txnRequest } from '../../src/protocol/stateProtocol.js';
+import {
+  helloAnswer,
+  ordersRequest,
+  redirectAnswer,
+  type Order,
+} from '../../src/protocol/workerProtocol.js';
+import { deflateCodec } from '../../src/storage/compression.js';
+import { RecordLayout } from '../../src/storage/recordFormat.js';
 import {
   keys,
   type BucketRecord,
@@ -21,12 +26,12 @@
   type OwnerRecord,
   type QuotaRecord,
   type TokenRecord,
-} from '../src/storage/records.js';
-import type { MachineType } from '../src/protocol/cloud.js';
-import { productionAnswers, productionRequests } from './support/messages.js';
-import { spec } from './support/spec.js';
+} from '../../src/storage/records.js';
+import type { MachineType } from '../../src/protocol/cloudProtocol.js';
+import { productionAnswers, productionRequests } from '../support/messages.js';
+import { spec } from '../support/spec.js';
 
-const goldenFile = new URL('../../../test/fixtures/golden.json', import.meta.url);
+const goldenFile = new URL('../../../../test/fixtures/golden.json', import.meta.url);
 
 const fullSpec = spec({
   id: 'wk-000001',
--- a/test/budget.test.ts
+++ b/test/storage/rateLimiter.test.ts
@@ -1,7 +1,7 @@
 /** The order in which requests get their turn at a service that limits its rate. */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
-import { Budget, shareOf, type Urgency } from '../src/storage/budget.js';
+import { Budget, shareOf, type Urgency } from '../../src/storage/rateLimiter.js';
 
 const RATE = 10;
 
--- a/test/replica.test.ts
+++ b/test/storage/stateCache.test.ts
@@ -1,8 +1,8 @@
 /** The copy of the state service's records: what it asks for, and what late answers may not do. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Change } from '../src/protocol/state.js';
-import { Replica, type ChangeLog } from '../src/storage/replica.js';
+import type { Change } from '../../src/protocol/stateProtocol.js';
+import { Replica, type ChangeLog } from '../../src/storage/stateCache.js';
 
 const put = (key: string, stamp: number): Change => ({ key, value: {}, stamp, removed: false });
 const remove = (key: string, stamp: number): Change => ({
--- a/test/support/bench.ts
+++ b/test/support/bench.ts
@@ -1,13 +1,13 @@
 /** A part on a clock of its own, with one type of machine, and reports made by hand. */
 import { seededRandom } from '../../src/base/random.js';
-import { Chunk } from '../../src/coordination/chunk.js';
-import { RunTimes } from '../../src/coordination/estimate.js';
-import type { Machine } from '../../src/coordination/machine.js';
-import { Part } from '../../src/coordination/part.js';
-import type { Source } from '../../src/coordination/reportIntake.js';
-import { singlePartView, type ClusterView } from '../../src/coordination/teamUsage.js';
+import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { RunTimes } from '../../src/coordination/scheduling/runTimes.js';
+import type { Machine } from '../../src/coordination/shard/machine.js';
+import { Part } from '../../src/coordination/shard/shard.js';
+import type { Source } from '../../src/coordination/reconciliation/heartbeatReconciler.js';
+import { singlePartView, type ClusterView } from '../../src/coordination/quota/teamUsage.js';
 import type { JobSpec } from '../../src/protocol/job.js';
-import type { Report, TaskReport } from '../../src/protocol/worker.js';
+import type { Report, TaskReport } from '../../src/protocol/workerProtocol.js';
 import { m8 } from './part.js';
 import { spec } from './spec.js';
 
--- a/test/support/cluster.ts
+++ b/test/support/cluster.ts
@@ -2,8 +2,8 @@
 import { systemClock } from '../../src/base/clock.js';
 import { setLogLevel } from '../../src/base/log.js';
 import { seededRandom } from '../../src/base/random.js';
-import { Controller } from '../../src/coordination/controller.js';
-import { Gateway, isEssential } from '../../src/coordination/gateway.js';
+import { Controller } from '../../src/coordination/controller/controller.js';
+import { Gateway, isEssential } from '../../src/coordination/controller/gateway.js';
 import { withoutRollout, type RolloutSetup } from '../../src/coordination/rollout/rolloutSetup.js';
 import * as rolloutModules from '../../src/coordination/rollout/rolloutModules.js';
 import { defaultTuning, parseSettings } from '../../src/protocol/settings.js';
--- a/test/support/commandBench.ts
+++ b/test/support/commandBench.ts
@@ -2,13 +2,13 @@
  * A part and its orders on a clock of its own, with workers that follow PROTOCOL behind a network that a test scripts:
  * commands arrive, are held and arrive late, or are never sent. It tells which tasks were on two machines at once.
  */
-import { Audit } from '../../src/coordination/audit.js';
-import type { Chunk } from '../../src/coordination/chunk.js';
-import type { Machine } from '../../src/coordination/machine.js';
-import { Orders, type OrdersNode } from '../../src/coordination/orders.js';
-import type { Held } from '../../src/coordination/ownership.js';
-import { ownPart, type OwnedPart } from '../../src/coordination/ownedPart.js';
-import { helloAnswer, parseReport } from '../../src/protocol/worker.js';
+import { Audit } from '../../src/coordination/audit/auditTrail.js';
+import type { Chunk } from '../../src/coordination/shard/chunk.js';
+import type { Machine } from '../../src/coordination/shard/machine.js';
+import { Orders, type OrdersNode } from '../../src/coordination/commands/commandDispatcher.js';
+import type { Held } from '../../src/coordination/leadership/shardLeadership.js';
+import { ownPart, type OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
+import { helloAnswer, parseReport } from '../../src/protocol/workerProtocol.js';
 import { CallFailed, type Response } from '../../src/transport/httpClient.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
 import { Bench, TOKEN } from './bench.js';
--- a/test/support/layout.ts
+++ b/test/support/layout.ts
@@ -1,4 +1,4 @@
-import { RecordLayout } from '../../src/storage/recordLayout.js';
+import { RecordLayout } from '../../src/storage/recordFormat.js';
 
 /** A layout of records for these limits of the state service; compact once every node has the present version. */
 export function layoutFor(valueBytes = 16 * 1024, txnOps = 16, isCompact = false): RecordLayout {
--- a/test/support/part.ts
+++ b/test/support/part.ts
@@ -1,8 +1,8 @@
 /** An empty part with one type of machine, for tests of what works on parts. */
 import { seededRandom } from '../../src/base/random.js';
-import { RunTimes } from '../../src/coordination/estimate.js';
-import { Part } from '../../src/coordination/part.js';
-import type { MachineType } from '../../src/protocol/cloud.js';
+import { RunTimes } from '../../src/coordination/scheduling/runTimes.js';
+import { Part } from '../../src/coordination/shard/shard.js';
+import type { MachineType } from '../../src/protocol/cloudProtocol.js';
 
 export const m8: MachineType = {
   name: 'm8',
--- a/test/support/store.ts
+++ b/test/support/store.ts
@@ -1,6 +1,6 @@
 /** The state service in memory, for tests of what writes to it: conditions hold, answers can get lost. */
-import type { Txn, Item } from '../../src/protocol/state.js';
-import type { RecordLayout } from '../../src/storage/recordLayout.js';
+import type { Txn, Item } from '../../src/protocol/stateProtocol.js';
+import type { RecordLayout } from '../../src/storage/recordFormat.js';
 import type { TxnResult } from '../../src/storage/stateClient.js';
 
 export class MemoryStore {
--- a/test/history.test.ts
+++ b/test/tools/history.test.ts
@@ -1,7 +1,7 @@
 /** The checker of histories: what it must reject, and what it must not. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { History, type Rule, type Told } from './support/history.js';
+import { History, type Rule, type Told } from '../support/history.js';
 
 type Step =
   | ['told', Told, { sent: number; at: number; node?: string; job?: string }]
--- a/test/knownRed.test.ts
+++ b/test/tools/knownRed.test.ts
@@ -1,7 +1,7 @@
 /** Which failures count: what KNOWN-RED.txt lists does not, anything else does. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { judge, MalformedListError, parseKnownRed } from './knownRed/knownRed.js';
+import { judge, MalformedListError, parseKnownRed } from '../knownRed/knownRed.js';
 
 const LISTED = parseKnownRed('# a comment\n\norders: is late | a lost answer | 33\n');
 
--- a/test/regression.test.ts
+++ b/test/tools/regression.test.ts
@@ -7,7 +7,7 @@
   lastRecorded,
   type ScoredDay,
   type ScoreEntry,
-} from './regression/comparison.js';
+} from '../regression/comparison.js';
 
 const day = (wait: number, price: number, changes: Partial<ScoredDay> = {}): ScoredDay => ({
   ...{ name: 'rough', score: 0.7, rules: {} },
--- a/test/soak.test.ts
+++ b/test/tools/soak.test.ts
@@ -4,12 +4,12 @@
 import net from 'node:net';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { parseArguments, UsageError } from './soak/commandLine.js';
-import { fieldsOf, kindOfJob, runTime } from './soak/jobKinds.js';
-import { drawPlan, secondsOf } from './soak/plan.js';
-import { SoakLog } from './soak/soakLog.js';
-import { until } from './support/cluster.js';
-import { Link } from './support/link.js';
+import { parseArguments, UsageError } from '../soak/commandLine.js';
+import { fieldsOf, kindOfJob, runTime } from '../soak/jobKinds.js';
+import { drawPlan, secondsOf } from '../soak/plan.js';
+import { SoakLog } from '../soak/soakLog.js';
+import { until } from '../support/cluster.js';
+import { Link } from '../support/link.js';
 
 const SEEDS = Array.from({ length: 60 }, (_, index) => index + 1);
 
@@ -165,7 +165,7 @@
 }
 
 test('a bad argument ends the command with usage and exit code 2', () => {
-  const program = join(import.meta.dirname, 'soak/main.js');
+  const program = join(import.meta.dirname, '../soak/main.js');
   const { status, stderr } = spawnSync(process.execPath, [program, '--seeds', 'x']);
   assert.equal(status, 2);
   assert.match(String(stderr), /usage: npm run soak/);
--- a/test/http.test.ts
+++ b/test/transport/http.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
-import { CallFailed, HttpClient } from '../src/transport/httpClient.js';
-import { HttpError, HttpParser } from '../src/transport/httpParser.js';
-import { HttpServer } from '../src/transport/httpServer.js';
+import { CallFailed, HttpClient } from '../../src/transport/httpClient.js';
+import { HttpError, HttpParser } from '../../src/transport/httpParser.js';
+import { HttpServer } from '../../src/transport/httpServer.js';
 
 const SMALL_SERVER = {
   bodyLimit: 10,
--- a/test/overload.test.ts
+++ b/test/transport/overload.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
-import type { Response } from '../src/transport/httpClient.js';
-import { submission, until, type Cluster } from './support/cluster.js';
-import { accept, service, settled, status, withCluster } from './support/users.js';
+import type { Response } from '../../src/transport/httpClient.js';
+import { submission, until, type Cluster } from '../support/cluster.js';
+import { accept, service, settled, status, withCluster } from '../support/users.js';
 
 function addressOf(cluster: Cluster, label: string): { host: string; port: number } {
   const address = cluster.nodes.get(label)?.address ?? '';
--- a/test/peerLink.test.ts
+++ b/test/transport/peerLink.test.ts
@@ -1,7 +1,7 @@
 /** Calls between our own processes: slow answers, answers that were there in time, and connections that hang. */
 import assert from 'node:assert/strict';
 import { mock, test, type TestContext } from 'node:test';
-import { PeerClient, PeerServer } from '../src/transport/peerLink.js';
+import { PeerClient, PeerServer } from '../../src/transport/peerLink.js';
 
 const HOST = '127.0.0.1';
 
--- a/test/turns.test.ts
+++ b/test/transport/turnQueue.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
-import { HttpServer } from '../src/transport/httpServer.js';
-import { TurnQueue } from '../src/transport/turnQueue.js';
+import { HttpServer } from '../../src/transport/httpServer.js';
+import { TurnQueue } from '../../src/transport/turnQueue.js';
 
 /** Runs all turns and gives what was done in each. */
 function turnsOf(items: [name: string, isUrgent: boolean][]): string[][] {
