--- a/src/coordination/audit/auditTrail.ts
+++ b/src/coordination/audit/auditTrail.ts
@@ -3,10 +3,10 @@
  * for each kind. With it one task can be followed over all controllers (docs/operations.md).
  */
 import { log } from '../../base/log.js';
-import type { OverRule } from '../reconciliation/attemptTermination.js';
+import type { TerminationRule } from '../reconciliation/attemptTermination.js';
 
 /** Which way orders took: a request to the worker, or the answer to its report. */
-export type OrderRoute = 'command' | 'answer';
+export type CommandRoute = 'command' | 'answer';
 
 /** What has become of a request with orders. */
 export type CommandOutcome = 'executed' | 'refused' | 'unsent' | 'unanswered';
@@ -36,7 +36,7 @@
       token: number;
       machine: string;
       session: number;
-      route: OrderRoute;
+      route: CommandRoute;
       /** As `verb task#attempt`, separated by commas. */
       orders: string;
       leaseLeft: number;
@@ -55,7 +55,7 @@
       task: string;
       attempt: number;
       machine: string;
-      rule: OverRule;
+      rule: TerminationRule;
       /** Seconds since what the verdict rests on was heard. */
       evidenceAge: number;
     }
@@ -81,14 +81,14 @@
 };
 
 /** One line: `audit at=… node=… event=… name=value …`. */
-export function formatAudit(node: string, at: number, event: AuditEvent): string {
+export function formatAuditEvent(node: string, at: number, event: AuditEvent): string {
   const fields = Object.entries(event).map(
     ([name, value]) => `${name}=${formatValue(value as string | number | null)}`,
   );
   return `audit at=${at.toFixed(3)} node=${node} ${fields.join(' ')}`;
 }
 
-export class Audit {
+export class AuditTrail {
   private readonly counts = new Map<string, number>();
 
   constructor(
@@ -115,7 +115,7 @@
   }
 
   private format(event: AuditEvent): string {
-    return formatAudit(this.node, this.wall(), event);
+    return formatAuditEvent(this.node, this.wall(), event);
   }
 }
 
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -4,35 +4,35 @@
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import { keys } from '../../storage/records.js';
 import { CloudClient } from './cloudClient.js';
-import { GroupStore, type ProvisioningNode } from './machineGroupStore.js';
-import { MachineListing } from './inventorySync.js';
-import { Releaser } from './scaleIn.js';
-import { Renter } from './scaleOut.js';
+import { MachineGroupStore, type AutoscalingContext } from './machineGroupStore.js';
+import { InventorySync } from './inventorySync.js';
+import { ScaleIn } from './scaleIn.js';
+import { ScaleOut } from './scaleOut.js';
 
 /** Time between two steps, as a ratio to the time between reports. */
 const INTERVAL = 1 / 6;
 
-export class Provisioner {
+export class Autoscaler {
   private active = false;
   private stopped = false;
   private isStoringTypes = false;
   private readonly cloud: CloudClient;
-  private readonly groups: GroupStore;
-  private readonly renter: Renter;
-  private readonly releaser: Releaser;
-  private readonly listing: MachineListing;
+  private readonly groups: MachineGroupStore;
+  private readonly renter: ScaleOut;
+  private readonly releaser: ScaleIn;
+  private readonly listing: InventorySync;
 
   constructor(
-    private readonly node: ProvisioningNode,
+    private readonly node: AutoscalingContext,
     process: string,
   ) {
     const { clock, links, settings } = node;
     const { cloudEndpoint, cloudRate } = settings;
     this.cloud = new CloudClient(links.services, clock, cloudEndpoint, cloudRate);
-    this.groups = new GroupStore(node, process);
-    this.renter = new Renter(node, this.cloud, this.groups);
-    this.releaser = new Releaser(node, this.cloud, this.groups);
-    this.listing = new MachineListing(node, this.cloud, this.groups, (machine) =>
+    this.groups = new MachineGroupStore(node, process);
+    this.renter = new ScaleOut(node, this.cloud, this.groups);
+    this.releaser = new ScaleIn(node, this.cloud, this.groups);
+    this.listing = new InventorySync(node, this.cloud, this.groups, (machine) =>
       this.releaser.isReleased(machine),
     );
   }
--- a/src/coordination/autoscaling/cloudClient.ts
+++ b/src/coordination/autoscaling/cloudClient.ts
@@ -1,7 +1,7 @@
 /** Requests to the cloud, within its rate; answers that are no answer to the question are told apart by kind. */
 import type { Clock } from '../../base/clock.js';
 import * as cloud from '../../protocol/cloudProtocol.js';
-import { Budget } from '../../storage/rateLimiter.js';
+import { RateLimiter } from '../../storage/rateLimiter.js';
 import type { HttpClient, Response } from '../../transport/httpClient.js';
 
 export type RentalAnswer =
@@ -20,7 +20,7 @@
 const PAUSE_AFTER_FAILURE = 1;
 
 export class CloudClient {
-  private readonly budget: Budget;
+  private readonly budget: RateLimiter;
   private failedUntil = 0;
 
   constructor(
@@ -29,7 +29,7 @@
     private readonly endpoint: string,
     rate: number,
   ) {
-    this.budget = new Budget(clock, rate * RATE_SHARE, rate);
+    this.budget = new RateLimiter(clock, rate * RATE_SHARE, rate);
   }
 
   /** It has failed a moment ago. */
@@ -51,7 +51,7 @@
     }
   }
 
-  async rent(ask: cloud.RentalAsk): Promise<RentalAnswer> {
+  async rent(ask: cloud.RentalRequest): Promise<RentalAnswer> {
     const answer = await this.call('POST', cloud.paths.rentals, cloud.rentalRequest(ask));
     if (answer.status === 200) {
       return { kind: 'rented', machines: cloud.parseRented(answer.body) ?? [] };
--- a/src/coordination/autoscaling/demandEstimator.ts
+++ b/src/coordination/autoscaling/demandEstimator.ts
@@ -3,12 +3,18 @@
 import { rankName, type JobSpec } from '../../protocol/job.js';
 import type { Demand } from '../../protocol/peerMessages.js';
 import type { Chunk } from '../shard/chunk.js';
-import { Arrivals } from '../scheduling/runTimes.js';
+import { ArrivalRate } from '../scheduling/runTimes.js';
 import type { Machine } from '../shard/machine.js';
-import type { Part } from '../shard/shard.js';
-import { allows, holds, shapeOf, takeRoom, type Room } from '../scheduling/placement.js';
+import type { Shard } from '../shard/shard.js';
+import {
+  satisfiesConstraints,
+  fits,
+  shapeOf,
+  subtractResources,
+  type Resources,
+} from '../scheduling/placement.js';
 
-export interface NeedsOptions {
+export interface DemandOptions {
   /** Batch work that waits should be through in this many seconds. */
   patience: number;
   /** Beyond this many seconds machines at full price are worth it: the last of its objectives is at risk. */
@@ -19,21 +25,21 @@
   window: number;
 }
 
-export class Needs {
-  private readonly arrivals: Arrivals;
-  private readonly liveArrivals: Arrivals;
+export class DemandEstimator {
+  private readonly arrivals: ArrivalRate;
+  private readonly liveArrivals: ArrivalRate;
   private lastLive: Chunk | null = null;
 
   constructor(
     private readonly part: Pick<
-      Part,
+      Shard,
       'label' | 'machines' | 'chunks' | 'waiting' | 'queue' | 'estimates'
     >,
-    private readonly options: NeedsOptions,
+    private readonly options: DemandOptions,
     private readonly types: () => Map<string, MachineType>,
   ) {
-    this.arrivals = new Arrivals(options.window);
-    this.liveArrivals = new Arrivals(options.window);
+    this.arrivals = new ArrivalRate(options.window);
+    this.liveArrivals = new ArrivalRate(options.window);
   }
 
   noteArrival(chunk: Chunk, sign: number, now: number): void {
@@ -153,7 +159,7 @@
 
   /** Work that neither machines that are up nor those on their way can hold in good time. */
   demands(now: number): Demand[] {
-    const rooms = new RoomsByRank(
+    const rooms = new CapacityByRank(
       [...this.part.machines.values()].filter((machine) => this.countsForBatch(machine, now)),
     );
     const list = new DemandList();
@@ -199,10 +205,10 @@
  * Room on machines for what waits, in the order of the queue: what is placed takes its room before lower
  * ranks do, so work that would be stopped for a waiting service does not make it ask for a machine.
  */
-class RoomsByRank {
-  private readonly rooms: { machine: Machine; room: Room }[];
+class CapacityByRank {
+  private readonly rooms: { machine: Machine; room: Resources }[];
   /** What is placed, by falling rank, and the room that it takes. */
-  private readonly placed: { spec: JobSpec; rank: number; room: Room }[];
+  private readonly placed: { spec: JobSpec; rank: number; room: Resources }[];
   private settled = 0;
   /** Shapes of work for which no room is left. */
   private readonly full = new Set<string>();
@@ -225,9 +231,9 @@
     let hasSuited = false;
     for (const { machine, room } of this.rooms) {
       if (left === 0) break;
-      if (!allows(spec, zone, machine)) continue;
-      if (holds(machine.size, spec)) hasSuited = true;
-      for (; left > 0 && holds(room, spec); left--) takeRoom(room, spec);
+      if (!satisfiesConstraints(spec, zone, machine)) continue;
+      if (fits(machine.size, spec)) hasSuited = true;
+      for (; left > 0 && fits(room, spec); left--) subtractResources(room, spec);
     }
     if (left > 0 && hasSuited) this.full.add(shape);
     return { left, hasSuited };
@@ -237,7 +243,7 @@
     for (; this.settled < this.placed.length; this.settled++) {
       const next = this.placed[this.settled];
       if (next === undefined || next.rank < rank) return;
-      takeRoom(next.room, next.spec);
+      subtractResources(next.room, next.spec);
     }
   }
 }
--- a/src/coordination/autoscaling/inventorySync.ts
+++ b/src/coordination/autoscaling/inventorySync.ts
@@ -1,10 +1,10 @@
 /** Follows the cloud's list: machines that nobody expected get a part, and addresses are stored. */
 import { describe, log } from '../../base/log.js';
 import type { ListedMachine } from '../../protocol/cloudProtocol.js';
-import type { GroupRecord } from '../../storage/records.js';
+import type { MachineGroupRecord } from '../../storage/records.js';
 import type { CloudClient } from './cloudClient.js';
-import type { GroupStore, ProvisioningNode } from './machineGroupStore.js';
-import { choosePartFor, groupLimit, splitGroup } from './machineGroups.js';
+import type { MachineGroupStore, AutoscalingContext } from './machineGroupStore.js';
+import { chooseShardFor, groupLimit, splitGroup } from './machineGroups.js';
 
 /** How often the list is read, as a ratio to the time that it lags behind. */
 const INTERVAL = 0.75;
@@ -19,7 +19,7 @@
 const addressOf = (machine: ListedMachine | undefined): string =>
   machine?.status === 'running' ? machine.address : '';
 
-export class MachineListing {
+export class InventorySync {
   private listed = new Map<string, ListedMachine>();
   /** Machines without a record, and since when. */
   private readonly unknownSince = new Map<string, number>();
@@ -27,9 +27,9 @@
   private isReading = false;
 
   constructor(
-    private readonly node: ProvisioningNode,
+    private readonly node: AutoscalingContext,
     private readonly cloud: CloudClient,
-    private readonly groups: GroupStore,
+    private readonly groups: MachineGroupStore,
     /** Its release was confirmed: a late list may still show it. */
     private readonly isReleased: (machine: string) => boolean,
   ) {}
@@ -65,11 +65,11 @@
   /** Machines that nobody expected (late rentals, those up from the start) get a part. */
   private async adoptUnknown(): Promise<void> {
     const { node } = this;
-    const groups = new Map<string, GroupRecord>();
+    const groups = new Map<string, MachineGroupRecord>();
     const taken: { part: string; type: string; count: number }[] = [];
     for (const machine of this.longUnknown()) {
       const { name, type, zone, spot, age } = machine;
-      const part = choosePartFor(node, zone, '', taken);
+      const part = chooseShardFor(node, zone, '', taken);
       taken.push({ part, type, count: 1 });
       const key = [part, type, zone, String(spot)].join(' ');
       const group = groups.get(key) ?? { part, type, zone, spot, machines: {} };
@@ -116,7 +116,7 @@
     }
   }
 
-  private hasNewAddresses(group: GroupRecord): boolean {
+  private hasNewAddresses(group: MachineGroupRecord): boolean {
     const wall = this.node.clock.wall();
     let missing = 0;
     let found = 0;
@@ -131,7 +131,7 @@
     return found > 0 && (missing === 0 || isLate);
   }
 
-  private withAddresses(group: GroupRecord): GroupRecord {
+  private withAddresses(group: MachineGroupRecord): MachineGroupRecord {
     const machines = Object.entries(group.machines).map(([name, machine]) => {
       const address = machine.address ?? addressOf(this.listed.get(name));
       return [name, address === '' ? machine : { ...machine, address }] as const;
--- a/src/coordination/autoscaling/machineGroupStore.ts
+++ b/src/coordination/autoscaling/machineGroupStore.ts
@@ -1,14 +1,14 @@
 /** The stored groups of machines, written by the elected provisioner alone and under its ownership. */
 import { sleep } from '../../base/clock.js';
-import { TXN_BYTES } from '../../protocol/stateProtocol.js';
-import type { Urgency } from '../../storage/rateLimiter.js';
-import { keys, type GroupRecord } from '../../storage/records.js';
-import type { TxnResult } from '../../storage/stateClient.js';
+import { TRANSACTION_BYTES } from '../../protocol/stateProtocol.js';
+import type { RequestPriority } from '../../storage/rateLimiter.js';
+import { keys, type MachineGroupRecord } from '../../storage/records.js';
+import type { TransactionResult } from '../../storage/stateClient.js';
 import type { Controller } from '../controller/controller.js';
-import { PROVISIONER } from '../leadership/shardLeadership.js';
+import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
 
 /** What is needed of a node. */
-export type ProvisioningNode = Pick<
+export type AutoscalingContext = Pick<
   Controller,
   | 'clock'
   | 'fleet'
@@ -28,7 +28,7 @@
 /** How often the removal of released machines from their records may fail. */
 const REMOVAL_TRIES = 20;
 
-export class GroupStore {
+export class MachineGroupStore {
   /** Machines whose group is being stored, by the group's name: they are not unknown. */
   readonly pending = new Map<string, string[]>();
   private readonly storing = new Set<string>();
@@ -36,7 +36,7 @@
   private stopped = false;
 
   constructor(
-    private readonly node: ProvisioningNode,
+    private readonly node: AutoscalingContext,
     private readonly process: string,
   ) {}
 
@@ -46,9 +46,9 @@
 
   /** The condition that this node is the provisioner; null when it is not. */
   ownerCondition(): { key: string; stamp: number } | null {
-    const held = this.node.ownership.get(PROVISIONER);
+    const held = this.node.ownership.get(AUTOSCALER_DUTY);
     if (held === undefined || !this.node.ownership.valid) return null;
-    return { key: keys.owner(PROVISIONER), stamp: held.stamp };
+    return { key: keys.owner(AUTOSCALER_DUTY), stamp: held.stamp };
   }
 
   /** A name for a rental and its group that is never used again. */
@@ -64,7 +64,7 @@
   }
 
   /** Stores a rental's intention, unless anything under its name is stored already. */
-  async create(name: string, group: GroupRecord): Promise<TxnResult> {
+  async create(name: string, group: MachineGroupRecord): Promise<TransactionResult> {
     const owner = this.ownerCondition();
     if (owner === null) return { kind: 'refused' };
     const key = keys.group(name);
@@ -76,22 +76,22 @@
   }
 
   /** Stores machines that no rental of ours brought, under a name that is used once. */
-  async adopt(group: GroupRecord): Promise<void> {
+  async adopt(group: MachineGroupRecord): Promise<void> {
     const { node } = this;
     const name = this.nextName();
-    const held = node.ownership.get(PROVISIONER);
+    const held = node.ownership.get(AUTOSCALER_DUTY);
     this.storing.add(name);
     this.pending.set(name, Object.keys(group.machines));
     // Its machines are stored in no other group before this one's fate is known: a machine that were
     // in two groups would have two owners.
-    while (!this.stopped && node.ownership.get(PROVISIONER) === held) {
+    while (!this.stopped && node.ownership.get(AUTOSCALER_DUTY) === held) {
       if (await this.tryAdopt(name, group)) break;
     }
     this.storing.delete(name);
   }
 
   /** True once it is known what has become of the group. */
-  private async tryAdopt(name: string, group: GroupRecord): Promise<boolean> {
+  private async tryAdopt(name: string, group: MachineGroupRecord): Promise<boolean> {
     const { node } = this;
     const result = await this.create(name, group);
     if (result.kind === 'applied') return true;
@@ -104,12 +104,15 @@
     if (item === undefined) return false;
     if (item !== null) node.replica.note(key, item.value, item.stamp);
     // Neither our key nor our ownership is as we thought: a new provisioner will find them.
-    else await node.ownership.verifyOwner(PROVISIONER).catch(() => undefined);
+    else await node.ownership.verifyOwner(AUTOSCALER_DUTY).catch(() => undefined);
     return true;
   }
 
   /** Changes groups in one transaction; null removes one. */
-  async replace(groups: Map<string, GroupRecord | null>, urgency: Urgency): Promise<TxnResult> {
+  async replace(
+    groups: Map<string, MachineGroupRecord | null>,
+    urgency: RequestPriority,
+  ): Promise<TransactionResult> {
     const { replica, state } = this.node;
     const owner = this.ownerCondition();
     if (owner === null) return { kind: 'refused' };
@@ -150,7 +153,7 @@
       if (result.kind === 'conflict') {
         // An earlier copy was applied, or the watch is late: look again.
         for (const name of groups.keys()) await this.reread(name);
-        await ownership.verifyOwner(PROVISIONER);
+        await ownership.verifyOwner(AUTOSCALER_DUTY);
       }
       if (result.kind === 'applied') continue;
       failures++;
@@ -159,15 +162,15 @@
   }
 
   /** The groups that hold any of the machines, without them: as many as fit a transaction, or one. */
-  private withoutMachines(machines: string[]): Map<string, GroupRecord | null> {
+  private withoutMachines(machines: string[]): Map<string, MachineGroupRecord | null> {
     const { fleet, replica, settings, state } = this.node;
-    const groups = new Map<string, GroupRecord | null>();
+    const groups = new Map<string, MachineGroupRecord | null>();
     const operations = new Map<string, number>();
     let bytes = 0;
     for (const machine of machines) {
       const name = fleet.groupOf(machine);
       if (name === undefined) continue;
-      const stored = replica.get(keys.group(name))?.value as GroupRecord | undefined;
+      const stored = replica.get(keys.group(name))?.value as MachineGroupRecord | undefined;
       const before = groups.get(name) ?? stored;
       if (before === undefined) continue;
       if (!groups.has(name)) bytes += JSON.stringify(before).length;
@@ -176,7 +179,7 @@
       const others = [...operations].filter(([other]) => other !== name);
       const cost = state.operations(keys.group(name), after);
       const all = others.reduce((sum, [, count]) => sum + count, cost);
-      if (groups.size > 0 && (all > settings.txnOps || bytes > TXN_BYTES)) break;
+      if (groups.size > 0 && (all > settings.txnOps || bytes > TRANSACTION_BYTES)) break;
       groups.set(name, after);
       operations.set(name, cost);
     }
--- a/src/coordination/autoscaling/machineGroups.ts
+++ b/src/coordination/autoscaling/machineGroups.ts
@@ -1,7 +1,7 @@
 /** Which part a machine goes to, and how many machines one record may hold: pure. */
 import { RENT_LIMIT } from '../../protocol/cloudProtocol.js';
-import type { Fleet } from '../../storage/machineInventory.js';
-import type { GroupRecord } from '../../storage/records.js';
+import type { MachineInventory } from '../../storage/machineInventory.js';
+import type { MachineGroupRecord } from '../../storage/records.js';
 
 /** A machine's name, time and address in its group's record, with room for long ones. */
 const MACHINE_BYTES = 120;
@@ -16,9 +16,9 @@
 }
 
 /** The same machines in groups of at most `most`. */
-export function splitGroup(group: GroupRecord, most: number): GroupRecord[] {
+export function splitGroup(group: MachineGroupRecord, most: number): MachineGroupRecord[] {
   const machines = Object.entries(group.machines);
-  const groups: GroupRecord[] = [];
+  const groups: MachineGroupRecord[] = [];
   for (let from = 0; from < machines.length; from += most) {
     groups.push({ ...group, machines: Object.fromEntries(machines.slice(from, from + most)) });
   }
@@ -26,19 +26,19 @@
 }
 
 /** What is looked at to find a part for machines. */
-export interface PoolNode {
+export interface MachineGroupContext {
   parts: string[];
   zoneOf: ReadonlyMap<string, string>;
   types: ReadonlyMap<string, { cpus: number }>;
-  fleet: Pick<Fleet, 'countsOf'>;
+  fleet: Pick<MachineInventory, 'countsOf'>;
 }
 
 /**
  * Machines go to a part of their own zone, so that a cut between zones leaves parts whole: to the one
  * that wants them, or else to the one with the fewest processors.
  */
-export function choosePartFor(
-  node: PoolNode,
+export function chooseShardFor(
+  node: MachineGroupContext,
   zone: string,
   wanted: string,
   /** Machines that are on their way to a part. */
--- a/src/coordination/autoscaling/scaleIn.ts
+++ b/src/coordination/autoscaling/scaleIn.ts
@@ -2,20 +2,20 @@
 import { describe, log } from '../../base/log.js';
 import { RELEASE_LIMIT } from '../../protocol/cloudProtocol.js';
 import type { CloudClient } from './cloudClient.js';
-import type { GroupStore, ProvisioningNode } from './machineGroupStore.js';
+import type { MachineGroupStore, AutoscalingContext } from './machineGroupStore.js';
 
 /** How long a released machine is remembered, as a ratio to the lag of the cloud's list. */
 const MEMORY = 10;
 
-export class Releaser {
+export class ScaleIn {
   /** Machines whose release was answered 200: gone, whatever a late list says. */
   private readonly released = new Map<string, number>();
   private readonly releasing = new Set<string>();
 
   constructor(
-    private readonly node: ProvisioningNode,
+    private readonly node: AutoscalingContext,
     private readonly cloud: CloudClient,
-    private readonly groups: GroupStore,
+    private readonly groups: MachineGroupStore,
   ) {}
 
   isReleased(machine: string): boolean {
--- a/src/coordination/autoscaling/scaleOut.ts
+++ b/src/coordination/autoscaling/scaleOut.ts
@@ -1,11 +1,11 @@
 /** Rents machines for what the parts lack. */
 import { describe, log } from '../../base/log.js';
-import { keys, type GroupRecord } from '../../storage/records.js';
-import { PROVISIONER } from '../leadership/shardLeadership.js';
+import { keys, type MachineGroupRecord } from '../../storage/records.js';
+import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
 import type { CloudClient, RentalAnswer } from './cloudClient.js';
-import type { GroupStore, ProvisioningNode } from './machineGroupStore.js';
-import { choosePartFor, groupLimit } from './machineGroups.js';
-import { mergePlans, planRentals, type RentPlan } from './scaleOutPlan.js';
+import type { MachineGroupStore, AutoscalingContext } from './machineGroupStore.js';
+import { chooseShardFor, groupLimit } from './machineGroups.js';
+import { mergePlans, planScaleOut, type ScaleOutPlan } from './scaleOutPlan.js';
 
 /** Seconds for which a live service's machine is expected to be kept. */
 const SERVICE_HORIZON = 600;
@@ -19,8 +19,8 @@
 /** How soon a part's demands are looked at again after a refusal, as a ratio to the time between reports. */
 const RETRY_OTHER_KIND = 1 / 5;
 
-interface Coming {
-  plan: RentPlan;
+interface PendingScaleOut {
+  plan: ScaleOutPlan;
   /** Steady time until which the parts may not have counted its machines. */
   until: number;
 }
@@ -42,20 +42,20 @@
   return sizes;
 }
 
-export class Renter {
+export class ScaleOut {
   /** Kinds of machines of which the cloud has none, and when they are asked for again. */
   private readonly refusals = new Map<string, { until: number; pause: number }>();
   /** Rentals, by name, that are being stored or asked for. */
   private readonly busy = new Set<string>();
   /** Rentals on their way, and those whose machines the parts may not have counted yet, by name. */
-  private readonly coming = new Map<string, Coming>();
+  private readonly coming = new Map<string, PendingScaleOut>();
   /** When each part's demands are looked at again. */
   private readonly holdOff = new Map<string, number>();
 
   constructor(
-    private readonly node: ProvisioningNode,
+    private readonly node: AutoscalingContext,
     private readonly cloud: CloudClient,
-    private readonly groups: GroupStore,
+    private readonly groups: MachineGroupStore,
   ) {}
 
   /** This node has been elected: what it knew of an earlier election's rentals is void. */
@@ -95,15 +95,15 @@
     }
   }
 
-  private plan(demands: Parameters<typeof planRentals>[0]): RentPlan[] {
+  private plan(demands: Parameters<typeof planScaleOut>[0]): ScaleOutPlan[] {
     const { node } = this;
     const { settings, types } = node;
     const within = settings.objectives.filter((o) => o.kind === 'finished').map((o) => o.within);
     const coming = [...this.coming.values()].map(({ plan }) => plan);
-    return planRentals(demands, {
+    return planScaleOut(demands, {
       types: [...types.values()],
       refused: (type, zone, spot) => this.isRefused(kindOf(type, zone, spot)),
-      partFor: (zone, wanted) => choosePartFor(node, zone, wanted, coming),
+      partFor: (zone, wanted) => chooseShardFor(node, zone, wanted, coming),
       zoneOf: (part) => node.zoneOf.get(part),
       coming,
       patience: within.length > 0 ? Math.min(...within) : settings.lease * 2,
@@ -113,7 +113,7 @@
   }
 
   /** The last that was asked for of this kind could not be had, or not all of it. */
-  private wasRefused({ type, zone, spot }: RentPlan): boolean {
+  private wasRefused({ type, zone, spot }: ScaleOutPlan): boolean {
     return this.refusals.has(kindOf(type, zone, spot));
   }
 
@@ -122,12 +122,12 @@
   }
 
   /** The intention is stored before the request is sent. */
-  private async intend(plan: RentPlan): Promise<void> {
+  private async intend(plan: ScaleOutPlan): Promise<void> {
     const { clock, replica, settings } = this.node;
     if (this.groups.ownerCondition() === null) return;
     const name = this.groups.nextName();
     const { part, type, zone, spot, count } = plan;
-    const group: GroupRecord = { part, type, zone, spot, machines: {}, asked: count };
+    const group: MachineGroupRecord = { part, type, zone, spot, machines: {}, asked: count };
     this.busy.add(name);
     this.coming.set(name, { plan, until: Infinity });
     // Demands that come up one by one are gathered: together they fill larger, cheaper machines.
@@ -143,7 +143,7 @@
     else await this.rent(name, group);
   }
 
-  private async rent(name: string, group: GroupRecord): Promise<void> {
+  private async rent(name: string, group: MachineGroupRecord): Promise<void> {
     if (this.busy.has(name)) return;
     this.busy.add(name);
     const { type, zone, spot, asked: count = 0 } = group;
@@ -157,7 +157,11 @@
     }
   }
 
-  private async takeAnswer(name: string, group: GroupRecord, answer: RentalAnswer): Promise<void> {
+  private async takeAnswer(
+    name: string,
+    group: MachineGroupRecord,
+    answer: RentalAnswer,
+  ): Promise<void> {
     const { part, type, zone, spot } = group;
     const kind = kindOf(type, zone, spot);
     switch (answer.kind) {
@@ -178,7 +182,11 @@
     }
   }
 
-  private async takeMachines(name: string, group: GroupRecord, names: string[]): Promise<void> {
+  private async takeMachines(
+    name: string,
+    group: MachineGroupRecord,
+    names: string[],
+  ): Promise<void> {
     const { part, type, zone, spot, asked = 0 } = group;
     const kind = kindOf(type, zone, spot);
     // Until the group is stored, a list that shows them must not make unknown machines of them.
@@ -192,7 +200,7 @@
   }
 
   /** Puts a rental's machines in its intention's place; without an answer, the next step asks again. */
-  private async conclude(name: string, group: GroupRecord | null): Promise<void> {
+  private async conclude(name: string, group: MachineGroupRecord | null): Promise<void> {
     const { clock, ownership, settings } = this.node;
     const coming = this.coming.get(name);
     const count = Object.keys(group?.machines ?? {}).length;
@@ -206,7 +214,7 @@
     const result = await this.groups.replace(stored, 'rental');
     if (result.kind !== 'conflict') return;
     await this.groups.reread(name);
-    await ownership.verifyOwner(PROVISIONER);
+    await ownership.verifyOwner(AUTOSCALER_DUTY);
   }
 
   private refuse(kind: string, part: string): void {
--- a/src/coordination/autoscaling/scaleOutPlan.ts
+++ b/src/coordination/autoscaling/scaleOutPlan.ts
@@ -2,7 +2,7 @@
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { Demand } from '../../protocol/peerMessages.js';
 
-export interface RentPlan {
+export interface ScaleOutPlan {
   part: string;
   type: string;
   zone: string;
@@ -10,7 +10,7 @@
   count: number;
 }
 
-export interface RentContext {
+export interface ScaleOutContext {
   types: MachineType[];
   /** True while the cloud has lately refused this kind. */
   refused(type: string, zone: string, spot: boolean): boolean;
@@ -19,7 +19,7 @@
   /** Zone that the demanding part is in. */
   zoneOf(part: string): string | undefined;
   /** Rentals whose machines the demands do not count yet. */
-  coming: RentPlan[];
+  coming: ScaleOutPlan[];
   /** Seconds in which batch work should be through. */
   patience: number;
   /** How long a live service's machine is expected to be kept. */
@@ -44,12 +44,12 @@
   return Math.min(by(type.cpus, d.cpus), by(type.gpus, d.gpus), by(type.memory, d.memory));
 };
 
-function horizonOf(demand: Demand, context: RentContext): number {
+function horizonOf(demand: Demand, context: ScaleOutContext): number {
   if (!demand.service) return Math.max(demand.run * 2, 60);
   return demand.urgent ? context.promptHorizon : context.serviceHorizon;
 }
 
-function offers(demand: Demand, context: RentContext): Offer[] {
+function offers(demand: Demand, context: ScaleOutContext): Offer[] {
   const found: Offer[] = [];
   for (const type of context.types) {
     if (demand.types !== null && !demand.types.includes(type.name)) continue;
@@ -76,8 +76,8 @@
 }
 
 /** One request for each kind and part: every request costs changes at the state service. */
-export function mergePlans(plans: RentPlan[]): RentPlan[] {
-  const merged = new Map<string, RentPlan>();
+export function mergePlans(plans: ScaleOutPlan[]): ScaleOutPlan[] {
+  const merged = new Map<string, ScaleOutPlan>();
   for (const plan of plans) {
     const key = [plan.part, plan.type, plan.zone, String(plan.spot)].join(' ');
     const known = merged.get(key);
@@ -88,17 +88,17 @@
 }
 
 /** Short tasks can follow each other on one machine and still be through in time. */
-function wavesOf(demand: Demand, type: MachineType, context: RentContext): number {
+function wavesOf(demand: Demand, type: MachineType, context: ScaleOutContext): number {
   if (demand.service) return 1;
   const spareTime = context.patience - type.boot;
   return Math.max(1, Math.min(3, Math.floor(spareTime / Math.max(1, demand.run))));
 }
 
 /** Machines that hold what waits, each kind at the lowest price for the work; largest rank first. */
-export function planRentals(demands: Demand[], context: RentContext): RentPlan[] {
-  const plans: RentPlan[] = [];
+export function planScaleOut(demands: Demand[], context: ScaleOutContext): ScaleOutPlan[] {
+  const plans: ScaleOutPlan[] = [];
   /** Room left on machines that are being rented for others. */
-  const spare = new Map<RentPlan, { cpus: number; memory: number; gpus: number }>();
+  const spare = new Map<ScaleOutPlan, { cpus: number; memory: number; gpus: number }>();
   const types = new Map(context.types.map((t) => [t.name, t]));
   for (const plan of context.coming) {
     const type = types.get(plan.type);
--- a/src/coordination/commands/commandDispatcher.ts
+++ b/src/coordination/commands/commandDispatcher.ts
@@ -1,20 +1,20 @@
 /** What machines are told and asked: orders, questions to those that are silent, doubts settled. */
 import { describe, log } from '../../base/log.js';
 import {
-  ordersRequest,
-  parseReport,
+  commandsRequest,
+  parseHeartbeat,
   paths as workerPaths,
-  type Order,
-  type Report,
+  type Command,
+  type Heartbeat,
 } from '../../protocol/workerProtocol.js';
 import { TurnQueue } from '../../transport/turnQueue.js';
-import { CallFailed, type HttpClient } from '../../transport/httpClient.js';
-import type { Audit, CommandOutcome, OrderRoute } from '../audit/auditTrail.js';
+import { HttpCallError, type HttpClient } from '../../transport/httpClient.js';
+import type { AuditTrail, CommandOutcome, CommandRoute } from '../audit/auditTrail.js';
 import type { Authority } from '../leadership/authority.js';
 import type { Chunk } from '../shard/chunk.js';
-import { restamp, type OwnedPart } from '../leadership/ownedShard.js';
+import { advanceFencingToken, type OwnedShard } from '../leadership/ownedShard.js';
 import type { Machine } from '../shard/machine.js';
-import type { Ownership } from '../leadership/shardLeadership.js';
+import type { ShardLeadership } from '../leadership/shardLeadership.js';
 import type { Settings } from '../../protocol/settings.js';
 import type { Clock } from '../../base/clock.js';
 
@@ -22,24 +22,24 @@
 const PROBES_PER_CORE = 120;
 
 /** How long an ended attempt whose start is in doubt stays in reports, as a ratio to the time between reports. */
-const LEFTOVER_PATIENCE = 4;
+const UNACKNOWLEDGED_END_INTERVALS = 4;
 
 /** A round may have commands for hundreds of machines; sent at once they would keep reports waiting. */
 const COMMANDS_PER_TURN = 4;
 
 /** What is needed of a node. */
-export interface OrdersNode {
+export interface CommandDispatcherContext {
   settings: Pick<Settings, 'report' | 'cores' | 'maxSockets'>;
   clock: Pick<Clock, 'now'>;
   links: { machines: Pick<HttpClient, 'call'> };
-  ownership: Pick<Ownership, 'valid' | 'raise' | 'until'>;
+  ownership: Pick<ShardLeadership, 'valid' | 'raise' | 'until'>;
   authority: Pick<Authority, 'mayAct' | 'mayEnd'>;
-  audit: Audit;
-  ownedParts: ReadonlyMap<string, OwnedPart>;
+  audit: AuditTrail;
+  ownedParts: ReadonlyMap<string, OwnedShard>;
   requestRound(): void;
 }
 
-const listOrders = (orders: Order[]): string =>
+const formatCommands = (orders: Command[]): string =>
   orders.map(({ verb, task, attempt }) => `${verb} ${task}#${attempt}`).join(',');
 
 /** Carried out (200), certainly not (409), or perhaps. */
@@ -48,16 +48,16 @@
   return status === 409 ? 'refused' : 'unanswered';
 }
 
-export class Orders {
+export class CommandDispatcher {
   /** Questions on their way to machines that have left one without an answer. */
   private toSilent = 0;
 
   constructor(
-    private readonly node: OrdersNode,
+    private readonly node: CommandDispatcherContext,
     private readonly turns = new TurnQueue({ urgent: COMMANDS_PER_TURN, ordinary: 0 }),
   ) {}
 
-  queueStarts(host: OwnedPart, chunks: Chunk[]): void {
+  queueStarts(host: OwnedShard, chunks: Chunk[]): void {
     for (const chunk of chunks) {
       for (const entry of chunk.entries.values()) {
         if (entry.seen) continue;
@@ -84,20 +84,20 @@
   }
 
   /** Without a valid lease only the ends that users have asked for may be sent: those can't be wrong. */
-  private isDue(host: OwnedPart, machine: Machine): boolean {
+  private isDue(host: OwnedShard, machine: Machine): boolean {
     if (!this.node.authority.mayEnd(host)) return false;
     if (!this.node.authority.mayAct(host)) return machine.endings().length > 0;
     return machine.needsCommand(this.node.clock.now(), this.node.settings.report * 1.5);
   }
 
-  private async command(host: OwnedPart, machine: Machine): Promise<void> {
+  private async command(host: OwnedShard, machine: Machine): Promise<void> {
     if (machine.inFlight) {
       host.part.pendingCommands.add(machine);
       return;
     }
     const { report } = this.node.settings;
     if (!this.isDue(host, machine)) return;
-    const orders: Order[] = this.node.authority.mayAct(host)
+    const orders: Command[] = this.node.authority.mayAct(host)
       ? machine.orders(true, this.node.clock.now(), report * 1.5)
       : machine.endings();
     const { token } = host;
@@ -132,12 +132,12 @@
 
   /** Sends orders; what became of them, and the report that came back. */
   private async exchange(
-    host: OwnedPart,
+    host: OwnedShard,
     { address, session, name }: Machine,
-    orders: Order[],
-  ): Promise<{ outcome: CommandOutcome; report: Report | null }> {
+    orders: Command[],
+  ): Promise<{ outcome: CommandOutcome; report: Heartbeat | null }> {
     const { links, settings, authority } = this.node;
-    const body = ordersRequest(host.token, session, orders);
+    const body = commandsRequest(host.token, session, orders);
     const startsWork = orders.some(({ verb }) => verb === 'start');
     const mayLeave = (): boolean => (startsWork ? authority.mayAct(host) : authority.mayEnd(host));
     const target = workerPaths.orders;
@@ -146,16 +146,16 @@
       const answer = await links.machines.call(
         ...[address, 'POST', target, body, patience, mayLeave],
       );
-      return { outcome: outcomeOf(answer.status), report: parseReport(answer.body) };
+      return { outcome: outcomeOf(answer.status), report: parseHeartbeat(answer.body) };
     } catch (error) {
       log.debug(`orders to ${name}: ${describe(error)}`);
-      const isUnsent = error instanceof CallFailed && error.unsent;
+      const isUnsent = error instanceof HttpCallError && error.unsent;
       return { outcome: isUnsent ? 'unsent' : 'unanswered', report: null };
     }
   }
 
   /** Notes orders that are about to leave, and under which right. */
-  noteSent(host: OwnedPart, machine: Machine, orders: Order[], route: OrderRoute): void {
+  noteSent(host: OwnedShard, machine: Machine, orders: Command[], route: CommandRoute): void {
     const { ownership, clock } = this.node;
     this.node.audit.note({
       event: 'orders-sent',
@@ -164,16 +164,16 @@
       machine: machine.name,
       session: machine.session,
       route,
-      orders: listOrders(orders),
+      orders: formatCommands(orders),
       leaseLeft: ownership.until - clock.now(),
     });
   }
 
   private noteOutcome(
-    host: OwnedPart,
+    host: OwnedShard,
     token: number,
     machine: Machine,
-    orders: Order[],
+    orders: Command[],
     outcome: CommandOutcome,
   ): void {
     this.node.audit.note({
@@ -182,12 +182,12 @@
       token,
       machine: machine.name,
       outcome,
-      orders: listOrders(orders),
+      orders: formatCommands(orders),
     });
   }
 
   /** Asks a machine whose report is overdue: a hanging one is told from one that can't reach us. */
-  async probe(host: OwnedPart, machine: Machine): Promise<void> {
+  async probe(host: OwnedShard, machine: Machine): Promise<void> {
     if (machine.probing || machine.address === '') return;
     const silent = machine.missed > 0;
     // A question to a silent machine holds its socket until its time is up. When a zone is cut off they
@@ -207,7 +207,7 @@
         undefined,
         timeout,
       );
-      const report = parseReport(answer.body);
+      const report = parseHeartbeat(answer.body);
       if (report !== null && host.alive && machine.address === address) {
         machine.noteReached(this.node.clock.now());
         const told = host.part.reports.apply(machine, report, this.node.clock.now(), 'answer');
@@ -215,7 +215,7 @@
       }
     } catch (error) {
       // Not asked for want of sockets: healthy machines would be taken for silent ones.
-      if (!(error instanceof CallFailed && error.local)) {
+      if (!(error instanceof HttpCallError && error.local)) {
         machine.missed++;
         machine.missedSince ??= sent;
       }
@@ -253,7 +253,7 @@
    * Machines stored by an earlier owner are asked directly, since their workers may never come. After a
    * takeover they are hundreds: those with live services go first, and most of the others report meanwhile.
    */
-  private probeUnreached(host: OwnedPart): void {
+  private probeUnreached(host: OwnedShard): void {
     const unreached: Machine[] = [];
     for (const machine of host.part.machines.values()) {
       if (machine.reached === null && machine.address !== '') unreached.push(machine);
@@ -264,7 +264,7 @@
   }
 
   /** Machines that were in reach and have said nothing for too long. */
-  private probeOverdue(host: OwnedPart, now: number): void {
+  private probeOverdue(host: OwnedShard, now: number): void {
     const { report } = this.node.settings;
     const machines = [...host.part.machines.values()].filter((machine) => machine.up);
     // Those that were asked longest ago go first, since not all may get their turn.
@@ -298,7 +298,7 @@
    * A start stays in doubt until its worker has seen a higher token: get one when something has to wait for that. All
    * workers report a higher token at once, so a task that just runs, its start in doubt or not, is no reason for one.
    */
-  private settleDoubts(host: OwnedPart, now: number): void {
+  private settleDoubts(host: OwnedShard, now: number): void {
     const { report } = this.node.settings;
     if (now - host.raisedAt < report) return;
     const stuck = [...host.part.machines.values()].filter((machine) => {
@@ -306,11 +306,11 @@
       // One that our answers do not reach would not see the new token either.
       const isHeard = reached !== null && now - reached < report * 2;
       if (inDoubtSince === null || !isHeard || now - inDoubtSince <= report) return false;
-      return machine.waitsForDoubt(now - report * LEFTOVER_PATIENCE);
+      return machine.waitsForDoubt(now - report * UNACKNOWLEDGED_END_INTERVALS);
     });
     if (stuck.length === 0) return;
     host.raisedAt = now;
-    void restamp(this.node.ownership, host)
+    void advanceFencingToken(this.node.ownership, host)
       .then((isRaised) => {
         if (!isRaised) return;
         for (const machine of stuck) machine.inDoubtSince = null;
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -5,40 +5,44 @@
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { Settings, Tuning } from '../../protocol/settings.js';
 import { parseTypes, paths as cloudPaths, type MachineType } from '../../protocol/cloudProtocol.js';
-import type { Change } from '../../protocol/stateProtocol.js';
-import { BARRIER_KEY, BUCKETS, keys, ROOT, type OwnerRecord } from '../../storage/records.js';
-import { Fleet } from '../../storage/machineInventory.js';
-import { NodeMarks } from '../../storage/nodeCapabilities.js';
-import { RecordLayout } from '../../storage/recordFormat.js';
-import { Replica } from '../../storage/stateCache.js';
-import { Buckets } from '../../storage/chunkIndex.js';
+import type { KeyValueChange } from '../../protocol/stateProtocol.js';
+import { BARRIER_KEY, BUCKETS, keys, ROOT, type LeaderRecord } from '../../storage/records.js';
+import { MachineInventory } from '../../storage/machineInventory.js';
+import { NodeCapabilities } from '../../storage/nodeCapabilities.js';
+import { RecordFormat } from '../../storage/recordFormat.js';
+import { StateCache } from '../../storage/stateCache.js';
+import { ChunkIndex } from '../../storage/chunkIndex.js';
 import { StateClient } from '../../storage/stateClient.js';
 import type { HttpClient } from '../../transport/httpClient.js';
 import { PeerClient } from '../../transport/peerLink.js';
-import { Audit } from '../audit/auditTrail.js';
+import { AuditTrail } from '../audit/auditTrail.js';
 import { Authority } from '../leadership/authority.js';
 import { ClusterTotals } from '../quota/clusterTotals.js';
-import { Commits } from '../persistence/jobPersistence.js';
-import { DecisionRounds } from '../scheduling/schedulingRounds.js';
+import { JobPersistence } from '../persistence/jobPersistence.js';
+import { SchedulingRounds } from '../scheduling/schedulingRounds.js';
 import { RunTimes } from '../scheduling/runTimes.js';
 import { Gossiper } from '../peers/gossiper.js';
-import type { OwnedPart } from '../leadership/ownedShard.js';
-import type { NeedsOptions } from '../autoscaling/demandEstimator.js';
-import { Orders } from '../commands/commandDispatcher.js';
-import { Ownership, PROVISIONER, type Held } from '../leadership/shardLeadership.js';
-import { Part } from '../shard/shard.js';
-import { PartLoader } from '../leadership/shardLoader.js';
-import { Peers } from '../peers/peerRegistry.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import type { DemandOptions } from '../autoscaling/demandEstimator.js';
+import { CommandDispatcher } from '../commands/commandDispatcher.js';
+import {
+  ShardLeadership,
+  AUTOSCALER_DUTY,
+  type Leadership,
+} from '../leadership/shardLeadership.js';
+import { Shard } from '../shard/shard.js';
+import { ShardLoader } from '../leadership/shardLoader.js';
+import { PeerRegistry } from '../peers/peerRegistry.js';
 import { Pipelines } from '../pipelines/pipelines.js';
-import { Provisioner } from '../autoscaling/autoscaler.js';
-import { Quotas } from '../quota/quotaShares.js';
+import { Autoscaler } from '../autoscaling/autoscaler.js';
+import { QuotaShares } from '../quota/quotaShares.js';
 import { RecordFollower } from '../leadership/recordFollower.js';
-import { Sender } from '../migration/migrationInitiator.js';
+import { MigrationInitiator } from '../migration/migrationInitiator.js';
 import { Drain } from '../rollout/drain.js';
 import { withoutRollout, type RolloutSetup } from '../rollout/rolloutSetup.js';
 import type { RolloutService } from '../rollout/rolloutService.js';
 import type { ClusterView } from '../quota/teamUsage.js';
-import { CancelPreparations } from '../jobs/cancellationPreparations.js';
+import { CancellationPreparations } from '../jobs/cancellationPreparations.js';
 
 /** Calls to one peer that may wait for an answer. */
 const PEER_CALLS = 256;
@@ -50,38 +54,38 @@
 }
 
 export class Controller {
-  readonly ownedParts = new Map<string, OwnedPart>();
-  readonly replica: Replica;
-  readonly fleet = new Fleet();
-  readonly buckets = new Buckets();
-  readonly layout: RecordLayout;
-  readonly marks: NodeMarks;
+  readonly ownedParts = new Map<string, OwnedShard>();
+  readonly replica: StateCache;
+  readonly fleet = new MachineInventory();
+  readonly buckets = new ChunkIndex();
+  readonly layout: RecordFormat;
+  readonly marks: NodeCapabilities;
   readonly state: StateClient;
-  readonly ownership: Ownership;
-  readonly audit: Audit;
+  readonly ownership: ShardLeadership;
+  readonly audit: AuditTrail;
   readonly authority: Authority;
-  readonly commits: Commits;
-  readonly peers: Peers;
+  readonly commits: JobPersistence;
+  readonly peers: PeerRegistry;
   readonly parts: string[];
   readonly runTimes = new RunTimes();
   types = new Map<string, MachineType>();
   /** Which node's zone each part is in. */
   readonly zoneOf = new Map<string, string>();
-  readonly sender: Sender;
-  readonly orders: Orders;
-  readonly cancelPreparations: CancelPreparations;
+  readonly sender: MigrationInitiator;
+  readonly orders: CommandDispatcher;
+  readonly cancelPreparations: CancellationPreparations;
   readonly pipelines: Pipelines;
   /** Null while staged upgrades are switched off. */
   readonly rollout: RolloutService | null;
   readonly drain: Drain;
   /** Submissions that were answered 503 since the start. */
   refusedRequests = 0;
-  private readonly quotas: Quotas;
-  private readonly provisioner: Provisioner;
+  private readonly quotas: QuotaShares;
+  private readonly provisioner: Autoscaler;
   readonly totals: ClusterTotals;
   readonly gossiper: Gossiper;
-  private readonly rounds: DecisionRounds;
-  private readonly loader: PartLoader;
+  private readonly rounds: SchedulingRounds;
+  private readonly loader: ShardLoader;
   private readonly follower: RecordFollower;
   private stopped = false;
 
@@ -101,28 +105,34 @@
     for (const peer of settings.peers) this.zoneOf.set(peer.label, peer.zone);
     const { modules } = rolloutSetup;
     const codec = modules?.deflateCodec ?? null;
-    this.layout = new RecordLayout(settings, codec, () => this.rollout?.mayCompress === true);
-    this.audit = new Audit(settings.label, () => clock.wall());
+    this.layout = new RecordFormat(settings, codec, () => this.rollout?.mayCompress === true);
+    this.audit = new AuditTrail(settings.label, () => clock.wall());
     this.state = this.createState();
     this.replica = this.createReplica();
-    this.marks = new NodeMarks(this.state, this.replica, this.layout, settings.label, this.parts);
+    this.marks = new NodeCapabilities(
+      this.state,
+      this.replica,
+      this.layout,
+      settings.label,
+      this.parts,
+    );
     this.ownership = this.createOwnership();
     this.drain = new Drain(this.ownership);
     this.commits = this.createCommits();
     this.peers = this.createPeers();
     this.authority = new Authority(this);
     this.rollout = modules === null ? null : new modules.RolloutService(this, rolloutSetup);
-    this.sender = new Sender(this);
-    this.orders = new Orders(this);
-    this.cancelPreparations = new CancelPreparations(this);
+    this.sender = new MigrationInitiator(this);
+    this.orders = new CommandDispatcher(this);
+    this.cancelPreparations = new CancellationPreparations(this);
     this.pipelines = new Pipelines(this);
-    this.quotas = new Quotas(this);
-    this.provisioner = new Provisioner(this, process);
+    this.quotas = new QuotaShares(this);
+    this.provisioner = new Autoscaler(this, process);
     this.totals = new ClusterTotals(this.ownedParts, this.peers, this.zoneOf);
     this.gossiper = new Gossiper(this);
-    this.loader = new PartLoader(this);
+    this.loader = new ShardLoader(this);
     this.follower = new RecordFollower(this, this.loader);
-    this.rounds = new DecisionRounds(clock, settings.report, () => {
+    this.rounds = new SchedulingRounds(clock, settings.report, () => {
       this.decide();
       this.orders.send();
       this.gossiper.sendIfDue();
@@ -142,19 +152,19 @@
     return new StateClient(this.links.services, this.clock, options, this.layout);
   }
 
-  private createReplica(): Replica {
+  private createReplica(): StateCache {
     // Watches may take a tenth of the requests.
     const pause = Math.max(0.05, this.parts.length / (this.settings.stateRate * 0.1));
     // A watch that waits long leaves it open how old the copy is, and with that what users may be told (P4).
     const hold = Math.min(this.settings.report * 2, this.settings.cancel / 6);
     const watch = { hold, pause };
-    return new Replica(this.state, ROOT, this.clock, watch, (change) => {
+    return new StateCache(this.state, ROOT, this.clock, watch, (change) => {
       this.follower.follow(change);
     });
   }
 
-  private createOwnership(): Ownership {
-    return new Ownership(
+  private createOwnership(): ShardLeadership {
+    return new ShardLeadership(
       this.state,
       this.replica,
       this.clock,
@@ -184,9 +194,9 @@
     );
   }
 
-  private createCommits(): Commits {
+  private createCommits(): JobPersistence {
     const { state } = this;
-    return new Commits(
+    return new JobPersistence(
       this.state,
       this.replica,
       this.buckets,
@@ -214,8 +224,8 @@
     );
   }
 
-  private createPeers(): Peers {
-    return new Peers(
+  private createPeers(): PeerRegistry {
+    return new PeerRegistry(
       this.clock,
       this.settings.report,
       this.settings.skew,
@@ -232,7 +242,7 @@
   }
 
   /** How soon batch work should be through, and how far back its arrivals are looked at. */
-  private get pace(): NeedsOptions {
+  private get pace(): DemandOptions {
     const promised = this.settings.objectives.filter((o) => o.kind === 'finished');
     const patience = Math.min(this.settings.lease * 4, ...promised.map((o) => o.within));
     const last = Math.max(patience, ...promised.map((o) => o.within));
@@ -246,7 +256,7 @@
   }
 
   /** Follows the records of staged upgrades; a node without them must not serve beyond a barrier. */
-  noteRollout(change: Change): void {
+  noteRollout(change: KeyValueChange): void {
     if (this.rollout !== null) this.rollout.note(change);
     else if (change.key === BARRIER_KEY && !change.removed) {
       this.rolloutSetup.refused('the cluster stores records that need rollouts to be switched on');
@@ -359,8 +369,8 @@
 
   // ---- Ownership ----
 
-  private gain(label: string, held: Held): void {
-    if (label === PROVISIONER) {
+  private gain(label: string, held: Leadership): void {
+    if (label === AUTOSCALER_DUTY) {
       this.provisioner.elected();
       return;
     }
@@ -373,15 +383,15 @@
     this.requestRound();
   }
 
-  private createPart(label: string): Part {
+  private createPart(label: string): Shard {
     const { report, lease, zones } = this.settings;
     const options = { lease, report, sample: this.tuning.sample, zones, ...this.pace };
     const types = (): Map<string, MachineType> => this.types;
     const view = this.viewOf(label);
-    return new Part(label, options, types, this.runTimes, this.random, view, this.audit);
+    return new Shard(label, options, types, this.runTimes, this.random, view, this.audit);
   }
 
-  private noteGained(part: string, { token }: Held, otherOwnersLeft: number): void {
+  private noteGained(part: string, { token }: Leadership, otherOwnersLeft: number): void {
     const { ownership, replica, clock } = this;
     const now = clock.now();
     this.audit.note({
@@ -411,7 +421,7 @@
   }
 
   private lose(label: string): void {
-    if (label === PROVISIONER) {
+    if (label === AUTOSCALER_DUTY) {
       this.provisioner.retired();
       return;
     }
@@ -428,7 +438,7 @@
   }
 
   ownerOf(part: string): string | null {
-    const stored = this.replica.get(keys.owner(part))?.value as OwnerRecord | undefined;
+    const stored = this.replica.get(keys.owner(part))?.value as LeaderRecord | undefined;
     const told = this.peers.hostOf(part);
     if (told !== null && told.token > (stored?.token ?? 0)) return told.label;
     return stored?.node ?? told?.label ?? null;
--- a/src/coordination/controller/gateway.ts
+++ b/src/coordination/controller/gateway.ts
@@ -1,5 +1,5 @@
 /** Routes requests, whether they come from users, workers or peers. */
-import { paths, helloPath, rolloutPath } from '../../protocol/routes.js';
+import { paths, heartbeatPath, rolloutPath } from '../../protocol/routes.js';
 import { decodeRequest, encodeAnswer } from '../../protocol/peerCodec.js';
 import type { PeerAnswer, Relay } from '../../protocol/peerMessages.js';
 import { log } from '../../base/log.js';
@@ -9,12 +9,12 @@
 import type { Controller } from './controller.js';
 import { overview } from './overview.js';
 import type { RolloutRoutes } from '../rollout/rolloutRoutes.js';
-import { Users } from '../jobs/jobService.js';
-import { Workers } from '../reconciliation/heartbeatEndpoint.js';
+import { JobService } from '../jobs/jobService.js';
+import { HeartbeatEndpoint } from '../reconciliation/heartbeatEndpoint.js';
 
 /** What keeps machines and this node in service: it goes before users' requests under any load. */
 export const isEssential = ({ target }: HttpMessage): boolean =>
-  target === helloPath || target === paths.ready;
+  target === heartbeatPath || target === paths.ready;
 
 const ROLLOUT_OFF: Reply = {
   status: 404,
@@ -23,21 +23,21 @@
 const NOT_FOUND: Reply = { status: 404, body: { error: 'no such path' } };
 
 export class Gateway {
-  private readonly users: Users;
-  private readonly workers: Workers;
+  private readonly users: JobService;
+  private readonly workers: HeartbeatEndpoint;
   /** Null while rollouts are off. */
   private readonly rollout: RolloutRoutes | null;
 
   constructor(private readonly node: Controller) {
-    this.users = new Users(node);
-    this.workers = new Workers(node);
+    this.users = new JobService(node);
+    this.workers = new HeartbeatEndpoint(node);
     const { modules } = node.rolloutSetup;
     this.rollout = modules === null ? null : new modules.RolloutRoutes(node);
   }
 
   handle(request: HttpMessage, follows: boolean): Promise<Reply> {
     const path = request.target.split('?')[0] ?? '';
-    if (path === helloPath && request.method === 'POST') {
+    if (path === heartbeatPath && request.method === 'POST') {
       return this.workers.hello(request.body, { relayed: false, follows });
     }
     return this.route(request.method, path, request.body, false);
@@ -49,7 +49,7 @@
     body: string,
     relayed: boolean,
   ): Promise<Reply> {
-    if (path === helloPath && method === 'POST') {
+    if (path === heartbeatPath && method === 'POST') {
       return this.workers.hello(body, { relayed, follows: false });
     }
     if (path === paths.ready) {
--- a/src/coordination/jobs/cancellationPreparations.ts
+++ b/src/coordination/jobs/cancellationPreparations.ts
@@ -6,19 +6,19 @@
 import { DRIFT, type Clock } from '../../base/clock.js';
 import type { PreparedChunk } from '../../protocol/peerMessages.js';
 import type { Settings } from '../../protocol/settings.js';
-import { keys, type JobRecord, type OwnerRecord } from '../../storage/records.js';
-import type { Replica } from '../../storage/stateCache.js';
+import { keys, type JobRecord, type LeaderRecord } from '../../storage/records.js';
+import type { StateCache } from '../../storage/stateCache.js';
 import type { Chunk } from '../shard/chunk.js';
-import type { OwnedPart } from '../leadership/ownedShard.js';
-import type { Peers } from '../peers/peerRegistry.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import type { PeerRegistry } from '../peers/peerRegistry.js';
 
 /** What is needed of a node. */
-export interface PreparingNode {
+export interface CancellationContext {
   settings: Pick<Settings, 'report' | 'lease' | 'cancel'>;
   clock: Pick<Clock, 'now'>;
-  ownedParts: ReadonlyMap<string, OwnedPart>;
-  replica: Pick<Replica, 'get' | 'syncedAt'>;
-  peers: Pick<Peers, 'prepareCancel'>;
+  ownedParts: ReadonlyMap<string, OwnedShard>;
+  replica: Pick<StateCache, 'get' | 'syncedAt'>;
+  peers: Pick<PeerRegistry, 'prepareCancel'>;
   /** The job waits for others: nothing of it was started, nor is there any chunk of it. */
   isHeld(job: string): boolean;
   requestRound(): void;
@@ -27,18 +27,18 @@
 /** Seconds in which a cancellation that was announced is stored or given up: its user waits no longer. */
 const STORED_WITHIN = 5;
 
-export class CancelPreparations {
+export class CancellationPreparations {
   /** Jobs whose cancellation was announced, and when. */
   private readonly jobs = new Map<string, number>();
 
-  constructor(private readonly node: PreparingNode) {}
+  constructor(private readonly node: CancellationContext) {}
 
   has(id: string): boolean {
     return this.jobs.has(id);
   }
 
   /** A chunk that has just come here. */
-  apply(host: OwnedPart, chunk: Chunk): void {
+  apply(host: OwnedShard, chunk: Chunk): void {
     if (this.has(chunk.spec.id)) host.part.prepareCancel(chunk, this.node.clock.now());
   }
 
@@ -61,7 +61,7 @@
   }
 
   /** No earlier owner of the part answers the workers of its tasks for longer than a cancellation leaves. */
-  private isOurs(host: OwnedPart, chunk: Chunk, now: number): boolean {
+  private isOurs(host: OwnedShard, chunk: Chunk, now: number): boolean {
     const { cancel, lease, report } = this.node.settings;
     const allowance = Math.max(0, cancel - lease * (1 + 2 * DRIFT) - report);
     if (now >= host.previousOwnerUntil - allowance) return true;
@@ -78,7 +78,7 @@
     for (let k = 0; k < record.cut; k++) if (!record.finished.includes(k)) missing.add(k);
     const note = (found: PreparedChunk[]): boolean => {
       for (const { index, part, token } of found) {
-        const owner = this.node.replica.get(keys.owner(part))?.value as OwnerRecord | undefined;
+        const owner = this.node.replica.get(keys.owner(part))?.value as LeaderRecord | undefined;
         // One that has lost the part and does not know it speaks for nobody.
         if (owner !== undefined && owner.token <= token) missing.delete(index);
       }
--- a/src/coordination/jobs/jobLookup.ts
+++ b/src/coordination/jobs/jobLookup.ts
@@ -5,10 +5,10 @@
 import type { Chunk } from '../shard/chunk.js';
 import { chunkRanges } from '../shard/chunking.js';
 import type { Controller } from '../controller/controller.js';
-import { reasonFor } from './waitReasons.js';
+import { waitReason } from './waitReasons.js';
 
 /** Seconds in which a user is answered; PROTOCOL has them give up after five. */
-export const PATIENCE = 4;
+export const REQUEST_TIMEOUT_SECONDS = 4;
 
 /** A user's request, as it is passed on to a peer. */
 export interface UserRequest {
@@ -97,7 +97,7 @@
     }
     if (mayRelay) {
       const request = { method: 'GET', target: `/v1/jobs/${id}`, body: '' };
-      const relay = await this.relayAny(request, PATIENCE / 5);
+      const relay = await this.relayAny(request, REQUEST_TIMEOUT_SECONDS / 5);
       if (relay !== null && (relay.status === 200 || relay.status === 404)) {
         return { view: null, isUnavailable: false, relay };
       }
@@ -138,12 +138,12 @@
       }
     }
     // Done is said only once it is stored: the last tasks may be over already.
-    const reason = done + running >= spec.tasks ? null : reasonFor(node, record, chunks);
+    const reason = done + running >= spec.tasks ? null : waitReason(node, record, chunks);
     return { status: running > 0 ? 'running' : 'queued', done, running, reason };
   }
 
   /** Asks nodes that the state service serves, one after the other, while the user still waits. */
-  async relayAny(request: UserRequest, patience = PATIENCE): Promise<Reply | null> {
+  async relayAny(request: UserRequest, patience = REQUEST_TIMEOUT_SECONDS): Promise<Reply | null> {
     const { clock, peers } = this.node;
     const deadline = clock.now() + patience;
     const labels = peers.served();
--- a/src/coordination/jobs/jobService.ts
+++ b/src/coordination/jobs/jobService.ts
@@ -8,29 +8,35 @@
 } from '../../protocol/job.js';
 import { keys, type JobRecord } from '../../storage/records.js';
 import type { Reply } from '../../transport/httpServer.js';
-import { Accepting, type Submission } from './submissionWriter.js';
+import { SubmissionWriter, type Submission } from './submissionWriter.js';
 import { Chunk } from '../shard/chunk.js';
-import { chunkRanges, chunkSize, mayCut, zonesFor, type Range } from '../shard/chunking.js';
+import {
+  chunkRanges,
+  chunkSize,
+  mayCreateChunk,
+  zonesFor,
+  type ChunkRange,
+} from '../shard/chunking.js';
 import type { Controller } from '../controller/controller.js';
-import { fromRelay, JobLookup, PATIENCE } from './jobLookup.js';
-import type { OwnedPart } from '../leadership/ownedShard.js';
-import { allows, holds } from '../scheduling/placement.js';
-import { checkNeeds, type Needs } from '../pipelines/dependencyAdmission.js';
+import { fromRelay, JobLookup, REQUEST_TIMEOUT_SECONDS } from './jobLookup.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import { satisfiesConstraints, fits } from '../scheduling/placement.js';
+import { checkDependencies, type DependencyCheck } from '../pipelines/dependencyAdmission.js';
 import { limitOf } from '../quota/quotaShares.js';
 import { unavailable } from './replies.js';
 
-const cutOff = (): Reply =>
+const isolatedReply = (): Reply =>
   unavailable('this node is cut off from the others and the state service', 2);
 
-export class Users {
+export class JobService {
   private readonly accepting = new Map<string, Promise<Reply>>();
 
-  private readonly storing: Accepting;
+  private readonly storing: SubmissionWriter;
   private readonly lookup: JobLookup;
 
   constructor(private readonly node: Controller) {
     this.lookup = new JobLookup(node);
-    this.storing = new Accepting(node, (id) => this.known(id));
+    this.storing = new SubmissionWriter(node, (id) => this.known(id));
   }
 
   // ---- Submitting ----
@@ -42,7 +48,7 @@
     const running = this.accepting.get(job.id);
     if (running !== undefined) return running;
     const { node } = this;
-    if (node.isolated) return cutOff();
+    if (node.isolated) return isolatedReply();
     if (!node.ownership.valid) {
       if (!relayed) {
         const answer = await this.lookup.relayAny({ method: 'POST', target: '/v1/jobs', body });
@@ -60,10 +66,10 @@
     if (host === undefined) return unavailable('this node is starting');
     // More waits for the state service than it can take in the time that a user waits.
     const delay = this.storing.delay;
-    if (delay > PATIENCE / 2) {
+    if (delay > REQUEST_TIMEOUT_SECONDS / 2) {
       return unavailable(
         'too many requests just now',
-        Math.max(1, Math.ceil(delay - PATIENCE / 4)),
+        Math.max(1, Math.ceil(delay - REQUEST_TIMEOUT_SECONDS / 4)),
       );
     }
     const promise = this.accept(host, job);
@@ -110,10 +116,10 @@
     const { node } = this;
     const found = new Map<string, number>();
     for (const type of node.types.values()) {
-      if (!holds(type, spec)) continue;
+      if (!fits(type, spec)) continue;
       for (const zone of type.zones) {
         const host = { type: type.name, zone, spot: false };
-        if (allows(spec, null, host)) found.set(zone, 0);
+        if (satisfiesConstraints(spec, null, host)) found.set(zone, 0);
       }
     }
     for (const zone of found.keys()) found.set(zone, node.totals.liveRoomIn(zone));
@@ -127,7 +133,7 @@
     );
   }
 
-  private async accept(home: OwnedPart, spec: JobSpec): Promise<Reply> {
+  private async accept(home: OwnedShard, spec: JobSpec): Promise<Reply> {
     const { node } = this;
     const reason = this.impossible(spec);
     // The transaction that stores a job fails if the job is known already, so the store is asked beforehand
@@ -141,12 +147,16 @@
     }
     if (spec.waitsOn.length === 0) return this.store(home, spec, []);
     if (!node.marks.isUpgraded) return unavailable('the service is being upgraded', 2);
-    const needs = await checkNeeds(spec, this.lookup);
+    const needs = await checkDependencies(spec, this.lookup);
     return this.acceptDependent(home, spec, needs);
   }
 
   /** A job that names others, as they stand. */
-  private async acceptDependent(home: OwnedPart, spec: JobSpec, needs: Needs): Promise<Reply> {
+  private async acceptDependent(
+    home: OwnedShard,
+    spec: JobSpec,
+    needs: DependencyCheck,
+  ): Promise<Reply> {
     switch (needs.kind) {
       case 'unavailable':
         return unavailable('the state service is out of reach');
@@ -160,7 +170,11 @@
       case 'cancelled': {
         // Accepted, and cancelled with the job that it names.
         const record: JobRecord = { ...this.recordFor(home, spec), spec: null, state: 'cancelled' };
-        return this.storing.accept(home, { id: spec.id, record, first: [] }, PATIENCE);
+        return this.storing.accept(
+          home,
+          { id: spec.id, record, first: [] },
+          REQUEST_TIMEOUT_SECONDS,
+        );
       }
       case 'open':
         // What is done already is done for good.
@@ -168,7 +182,7 @@
     }
   }
 
-  private recordFor(home: OwnedPart, spec: JobSpec): JobRecord {
+  private recordFor(home: OwnedShard, spec: JobSpec): JobRecord {
     const { node } = this;
     const most = node.layout.tasksFor(spec);
     return {
@@ -186,13 +200,13 @@
   }
 
   /** Stores a job, with the chunks that go to peers; one that waits for others has none yet. */
-  private async store(home: OwnedPart, spec: JobSpec, waitsFor: string[]): Promise<Reply> {
+  private async store(home: OwnedShard, spec: JobSpec, waitsFor: string[]): Promise<Reply> {
     const { node } = this;
     const record = this.recordFor(home, spec);
     const ranges = chunkRanges(spec.tasks, record.size, record.zones);
     const { txnOps, stateWriteRate } = node.settings;
     const most = Math.min(4, txnOps - 2, Math.floor(stateWriteRate / 4));
-    const atOnce = ranges.slice(0, Math.max(2, most)).filter((_, k) => mayCut(record, k));
+    const atOnce = ranges.slice(0, Math.max(2, most)).filter((_, k) => mayCreateChunk(record, k));
     record.cut = atOnce.length;
     const key = keys.job(spec.id);
     if (node.layout.isCompact && node.layout.bytes(key, record) > node.layout.capacity(1)) {
@@ -203,15 +217,15 @@
     const first =
       waitsFor.length > 0 || isLarge ? [] : await this.place(home, spec, record.at, atOnce);
     record.away = first.flatMap((f, k) => (f.part === home.part.label ? [] : [k]));
-    return this.storing.accept(home, { id: spec.id, record, first }, PATIENCE);
+    return this.storing.accept(home, { id: spec.id, record, first }, REQUEST_TIMEOUT_SECONDS);
   }
 
   /** Chooses a part for each of the first chunks. */
   private place(
-    home: OwnedPart,
+    home: OwnedShard,
     spec: JobSpec,
     at: number,
-    atOnce: Range[],
+    atOnce: ChunkRange[],
   ): Promise<Submission['first']> {
     const { node } = this;
     const now = node.clock.now();
@@ -251,7 +265,7 @@
     if (!idPattern.test(id)) return { status: 404, body: { error: 'no such job' } };
     let record: JobRecord | null | undefined = this.lookup.copyOf(id);
     if (record && record.state !== 'open') return over(id, record.state);
-    if (node.isolated) return cutOff();
+    if (node.isolated) return isolatedReply();
     if (record === undefined) record = await this.lookup.stored(id);
     if (record === null) return { status: 404, body: { error: 'no such job' } };
     if (record !== undefined && record.state !== 'open') return over(id, record.state);
@@ -269,7 +283,11 @@
       ) {
         return unavailable('a node that may run tasks of the job cannot be asked just now', 2);
       }
-      const state = await node.commits.cancel(host, job, node.clock.now() + PATIENCE);
+      const state = await node.commits.cancel(
+        host,
+        job,
+        node.clock.now() + REQUEST_TIMEOUT_SECONDS,
+      );
       if (state !== null && state !== 'open') return over(id, state);
       return unavailable('the cancellation could not be stored');
     }
--- a/src/coordination/jobs/submissionWriter.ts
+++ b/src/coordination/jobs/submissionWriter.ts
@@ -6,17 +6,21 @@
 import { sleep, type Clock } from '../../base/clock.js';
 import { describe, log } from '../../base/log.js';
 import { acceptedAnswer } from '../../protocol/job.js';
-import { TXN_BYTES, type Item, type Txn } from '../../protocol/stateProtocol.js';
+import {
+  TRANSACTION_BYTES,
+  type KeyValue,
+  type Transaction,
+} from '../../protocol/stateProtocol.js';
 import { keys, type JobRecord, type BucketRecord } from '../../storage/records.js';
-import type { RecordLayout } from '../../storage/recordFormat.js';
-import type { Replica } from '../../storage/stateCache.js';
-import type { StateClient, TxnResult } from '../../storage/stateClient.js';
+import type { RecordFormat } from '../../storage/recordFormat.js';
+import type { StateCache } from '../../storage/stateCache.js';
+import type { StateClient, TransactionResult } from '../../storage/stateClient.js';
 import type { Reply } from '../../transport/httpServer.js';
 import type { Chunk } from '../shard/chunk.js';
-import type { HomeJob, OwnedPart } from '../leadership/ownedShard.js';
+import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
 import { unavailable } from './replies.js';
-import { potentialOf } from '../persistence/bucket.js';
-import type { Commits } from '../persistence/jobPersistence.js';
+import { maxStoredBytes } from '../persistence/bucket.js';
+import type { JobPersistence } from '../persistence/jobPersistence.js';
 
 export interface Submission {
   id: string;
@@ -24,32 +28,32 @@
   first: { part: string; chunk: Chunk }[];
 }
 
-interface Waiting extends Submission {
-  home: OwnedPart;
+interface QueuedSubmission extends Submission {
+  home: OwnedShard;
   deadline: number;
   settle: (reply: Reply) => void;
 }
 
 /** Jobs whose transaction is on its way, and whether a copy of it got no answer. */
 interface Batch {
-  home: OwnedPart;
-  jobs: Waiting[];
+  home: OwnedShard;
+  jobs: QueuedSubmission[];
   transfers: Map<string, { part: string; value: BucketRecord }>;
   mayBeStored: boolean;
 }
 
 /** What is needed of a node. */
-export interface AcceptingNode {
+export interface SubmissionWriterContext {
   process: string;
   parts: string[];
   settings: { txnOps: number };
-  layout: RecordLayout;
+  layout: RecordFormat;
   clock: Clock;
   state: Pick<StateClient, 'turn' | 'charge' | 'get' | 'writeDelay' | 'writeRate' | 'healthy'>;
-  replica: Pick<Replica, 'get' | 'note'>;
+  replica: Pick<StateCache, 'get' | 'note'>;
   ownership: { readonly valid: boolean; verifyOwner(part: string): Promise<void> };
-  commits: Pick<Commits, 'acceptMissing'> & {
-    write(host: OwnedPart, txn: Txn, urgency: 'granted'): Promise<TxnResult>;
+  commits: Pick<JobPersistence, 'acceptMissing'> & {
+    write(host: OwnedShard, txn: Transaction, urgency: 'granted'): Promise<TransactionResult>;
   };
   requestRound(): void;
 }
@@ -61,7 +65,7 @@
  * What a batch takes of the limits of a transaction and of each transfer's record. Beyond them the state
  * service calls it malformed, and all of its users would be turned away together, again and again.
  */
-class Size {
+class BatchSize {
   private all = 0;
   private operations = 0;
   private readonly transfers = new Map<string, number>();
@@ -71,7 +75,7 @@
     private readonly mostTransfer: number,
     private readonly mostOperations: number,
     private readonly home: string,
-    private readonly layout: RecordLayout,
+    private readonly layout: RecordFormat,
   ) {}
 
   /** Counts one more; false when it does not fit any more. */
@@ -82,7 +86,7 @@
     let fits = this.operations <= this.mostOperations;
     for (const { part, chunk } of first) {
       if (part === this.home) continue;
-      const bytes = potentialOf(chunk, layout);
+      const bytes = maxStoredBytes(chunk, layout);
       const transfer = (this.transfers.get(part) ?? 0) + bytes;
       this.transfers.set(part, transfer);
       this.all += bytes;
@@ -92,13 +96,13 @@
   }
 }
 
-export class Accepting {
-  private readonly queue: Waiting[] = [];
+export class SubmissionWriter {
+  private readonly queue: QueuedSubmission[] = [];
   private running = 0;
   private transfers = 0;
 
   constructor(
-    private readonly node: AcceptingNode,
+    private readonly node: SubmissionWriterContext,
     /** What a job is answered that somebody else has stored. */
     private readonly known: (id: string) => Promise<Reply>,
   ) {}
@@ -110,7 +114,7 @@
   }
 
   /** Resolves with the user's answer within `patience` seconds. */
-  accept(home: OwnedPart, submission: Submission, patience: number): Promise<Reply> {
+  accept(home: OwnedShard, submission: Submission, patience: number): Promise<Reply> {
     const { clock } = this.node;
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
@@ -154,8 +158,14 @@
     if (home === undefined) return null;
     const { settings, parts, layout } = this.node;
     const most = Math.max(1, settings.txnOps - (parts.length - 1));
-    const jobs: Waiting[] = [];
-    const size = new Size(TXN_BYTES * 0.8, layout.valueBytes * 0.9, most, home.part.label, layout);
+    const jobs: QueuedSubmission[] = [];
+    const size = new BatchSize(
+      TRANSACTION_BYTES * 0.8,
+      layout.valueBytes * 0.9,
+      most,
+      home.part.label,
+      layout,
+    );
     for (let i = 0; i < this.queue.length; i++) {
       const next = this.queue[i];
       if (next?.home !== home) continue;
@@ -215,7 +225,7 @@
     }
   }
 
-  private answer(batch: Batch, reply: (job: Waiting) => Reply): void {
+  private answer(batch: Batch, reply: (job: QueuedSubmission) => Reply): void {
     for (const job of batch.jobs) job.settle(reply(job));
     batch.jobs = [];
   }
@@ -224,7 +234,7 @@
   private async attempt(batch: Batch): Promise<boolean> {
     const { node } = this;
     const { home, jobs, transfers } = batch;
-    const when: Txn['when'] = jobs.map((job) => ({ key: keys.job(job.id), stamp: 0 }));
+    const when: Transaction['when'] = jobs.map((job) => ({ key: keys.job(job.id), stamp: 0 }));
     for (const part of new Set([...transfers.values()].map((p) => p.part))) {
       when.push({ key: keys.owner(part), stamp: node.replica.get(keys.owner(part))?.stamp ?? 0 });
     }
@@ -271,7 +281,7 @@
    * then, at an adopter of the part: each is taken as it is stored, under its own stamp. With the record that was
    * sent, a job that has been cancelled would be open again here, and for good.
    */
-  private foundStored(batch: Batch, found: (Item | null)[]): void {
+  private foundStored(batch: Batch, found: (KeyValue | null)[]): void {
     batch.jobs.forEach((job, i) => {
       const item = found[i];
       if (item) this.takeUp(batch.home, job, item.value as JobRecord, item.stamp);
@@ -279,7 +289,7 @@
     this.settle(batch);
   }
 
-  private takeUp(home: OwnedPart, submission: Submission, record: JobRecord, stamp: number): void {
+  private takeUp(home: OwnedShard, submission: Submission, record: JobRecord, stamp: number): void {
     const { node } = this;
     const { id, first } = submission;
     const job: HomeJob = { id, record, stamp, busy: false };
@@ -314,7 +324,7 @@
 }
 
 /** Whether a stored job is the one that was sent, at whatever state it has arrived. */
-function isStoredCopy(sent: JobRecord, item: Item | null | undefined): boolean {
+function isStoredCopy(sent: JobRecord, item: KeyValue | null | undefined): boolean {
   const stored = item?.value as JobRecord | undefined;
   return stored?.at === sent.at && stored.home === sent.home;
 }
--- a/src/coordination/jobs/waitReasons.ts
+++ b/src/coordination/jobs/waitReasons.ts
@@ -2,9 +2,9 @@
 import type { JobRecord } from '../../storage/records.js';
 import type { Chunk } from '../shard/chunk.js';
 import type { Controller } from '../controller/controller.js';
-import { allows, holds } from '../scheduling/placement.js';
+import { satisfiesConstraints, fits } from '../scheduling/placement.js';
 
-export function reasonFor(node: Controller, record: JobRecord, chunks: Chunk[]): string {
+export function waitReason(node: Controller, record: JobRecord, chunks: Chunk[]): string {
   const { spec } = record;
   if (spec === null) return 'The job is over.';
   const since = Math.max(0, Math.round(node.clock.wall() - record.at));
@@ -36,7 +36,7 @@
   }
   const place = chunk.zone === null ? '' : ` in zone ${chunk.zone}`;
   const suited = [...part.machines.values()].filter(
-    (m) => allows(spec, chunk.zone, m) && holds(m.size, spec),
+    (m) => satisfiesConstraints(spec, chunk.zone, m) && fits(m.size, spec),
   );
   const coming = suited.filter((m) => !m.up).length;
   const ahead = [...part.chunks.values()].filter(
--- a/src/coordination/leadership/authority.ts
+++ b/src/coordination/leadership/authority.ts
@@ -3,13 +3,13 @@
  * O6, O8). Asked at the last moment before something leaves.
  */
 import type { Clock } from '../../base/clock.js';
-import type { Ownership } from './shardLeadership.js';
-import type { OwnedPart } from './ownedShard.js';
-import type { Peers } from '../peers/peerRegistry.js';
+import type { ShardLeadership } from './shardLeadership.js';
+import type { OwnedShard } from './ownedShard.js';
+import type { PeerRegistry } from '../peers/peerRegistry.js';
 
-export interface AuthorityNode {
-  ownership: Pick<Ownership, 'valid' | 'until'>;
-  peers: Pick<Peers, 'hostOf'>;
+export interface AuthorityContext {
+  ownership: Pick<ShardLeadership, 'valid' | 'until'>;
+  peers: Pick<PeerRegistry, 'hostOf'>;
   clock: Pick<Clock, 'now'>;
   /** Seconds after its own lease for which a node goes on answering its workers. */
   readonly grace: number;
@@ -19,27 +19,27 @@
  * Whether a worker's report gets a 200, which renews its lease. `deposed`: its worker has seen a token above ours; `adopted`: a
  * peer says that it owns the part; `silent`: an adopter may count on our silence by now.
  */
-export type AnswerRight =
+export type HeartbeatDecision =
   | { kind: 'answer' }
   | { kind: 'deposed' }
   | { kind: 'adopted'; owner: string }
   | { kind: 'silent' };
 
 export class Authority {
-  constructor(private readonly node: AuthorityNode) {}
+  constructor(private readonly node: AuthorityContext) {}
 
   /** Work may be started, and anything else that only the owner may do. */
-  mayAct(host: Pick<OwnedPart, 'alive'>): boolean {
+  mayAct(host: Pick<OwnedShard, 'alive'>): boolean {
     return host.alive && this.node.ownership.valid;
   }
 
   /** Tasks that users have asked to cancel may be ended without a valid lease too: that can't be wrong. */
-  mayEnd(host: Pick<OwnedPart, 'alive'>): boolean {
+  mayEnd(host: Pick<OwnedShard, 'alive'>): boolean {
     return host.alive;
   }
 
   /** `seenToken`: the highest token that the worker has seen. */
-  toAnswer(host: OwnedPart, seenToken: number): AnswerRight {
+  toAnswer(host: OwnedShard, seenToken: number): HeartbeatDecision {
     const { ownership, peers, clock, grace } = this.node;
     // Another owner is entitled now; we would be ignored for as long as we held the worker here.
     if (seenToken > host.token) return { kind: 'deposed' };
--- a/src/coordination/leadership/ownedShard.ts
+++ b/src/coordination/leadership/ownedShard.ts
@@ -1,7 +1,7 @@
 /** A part that a node hosts, and the jobs whose home it is. */
 import type { JobRecord } from '../../storage/records.js';
-import type { Ownership } from './shardLeadership.js';
-import type { Part } from '../shard/shard.js';
+import type { ShardLeadership } from './shardLeadership.js';
+import type { Shard } from '../shard/shard.js';
 import type { Bucket } from '../persistence/bucket.js';
 
 /** A job whose home is a part that we host. */
@@ -19,8 +19,8 @@
 }
 
 /** A part that this node hosts: its own, or one adopted from a peer. */
-export interface OwnedPart {
-  part: Part;
+export interface OwnedShard {
+  part: Shard;
   token: number;
   stamp: number;
   /** False once the part is lost: nothing is written or started for it any more. */
@@ -39,12 +39,12 @@
   readonly gainedToken: number;
 }
 
-export function ownPart(
-  part: Part,
+export function createOwnedShard(
+  part: Shard,
   { token, stamp }: { token: number; stamp: number },
   now: number,
   previousOwnerUntil = now,
-): OwnedPart {
+): OwnedShard {
   part.ownToken = token;
   return {
     part,
@@ -65,9 +65,9 @@
  * Gives the part a higher token and a new stamp: orders and transactions of ours that are still on their way are refused
  * from then on. False where that was not possible just now.
  */
-export async function restamp(
-  ownership: Pick<Ownership, 'raise'>,
-  host: OwnedPart,
+export async function advanceFencingToken(
+  ownership: Pick<ShardLeadership, 'raise'>,
+  host: OwnedShard,
 ): Promise<boolean> {
   const held = await ownership.raise(host.part.label);
   if (held === null || !host.alive) return false;
--- a/src/coordination/leadership/recordFollower.ts
+++ b/src/coordination/leadership/recordFollower.ts
@@ -1,44 +1,44 @@
 /** What changes of the stored records mean to this node: machines, jobs and chunks of its parts follow them. */
 import type { Clock } from '../../base/clock.js';
 import type { MachineType } from '../../protocol/cloudProtocol.js';
-import type { Change } from '../../protocol/stateProtocol.js';
-import type { Buckets } from '../../storage/chunkIndex.js';
-import type { Fleet } from '../../storage/machineInventory.js';
-import type { NodeMarks } from '../../storage/nodeCapabilities.js';
+import type { KeyValueChange } from '../../protocol/stateProtocol.js';
+import type { ChunkIndex } from '../../storage/chunkIndex.js';
+import type { MachineInventory } from '../../storage/machineInventory.js';
+import type { NodeCapabilities } from '../../storage/nodeCapabilities.js';
 import {
   BARRIER_KEY,
   keys,
   type BucketRecord,
-  type GroupRecord,
+  type MachineGroupRecord,
   type JobRecord,
-  type NodeRecord,
+  type NodeCapabilityRecord,
 } from '../../storage/records.js';
-import type { OwnedPart } from './ownedShard.js';
-import type { PartLoader } from './shardLoader.js';
+import type { OwnedShard } from './ownedShard.js';
+import type { ShardLoader } from './shardLoader.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
 
 /** What is needed of a node. */
-export interface FollowingNode {
+export interface RecordFollowerContext {
   clock: Pick<Clock, 'now'>;
   types: Map<string, MachineType>;
-  fleet: Fleet;
-  buckets: Buckets;
-  marks: NodeMarks;
+  fleet: MachineInventory;
+  buckets: ChunkIndex;
+  marks: NodeCapabilities;
   pipelines: Pick<Pipelines, 'note'>;
   /** Follows the records of staged upgrades. */
-  noteRollout(change: Change): void;
-  ownedParts: ReadonlyMap<string, OwnedPart>;
+  noteRollout(change: KeyValueChange): void;
+  ownedParts: ReadonlyMap<string, OwnedShard>;
   requestRound(): void;
 }
 
 export class RecordFollower {
   constructor(
-    private readonly node: FollowingNode,
-    private readonly loader: Pick<PartLoader, 'noteBucket'>,
+    private readonly node: RecordFollowerContext,
+    private readonly loader: Pick<ShardLoader, 'noteBucket'>,
   ) {}
 
   /** One record has changed in this node's copy. */
-  follow(change: Change): void {
+  follow(change: KeyValueChange): void {
     const { node } = this;
     const [, kind, name = '', bucket = ''] = change.key.split('/');
     if (kind === 'rollout' || change.key === BARRIER_KEY) {
@@ -49,7 +49,7 @@
     if (change.key === keys.types) this.onTypes(change.value as MachineType[]);
     else if (kind === 'fleet') this.onGroup(name, change);
     else if (kind === 'job') this.onJob(name, change.value as JobRecord);
-    else if (kind === 'node') node.marks.note(name, change.value as NodeRecord);
+    else if (kind === 'node') node.marks.note(name, change.value as NodeCapabilityRecord);
     else if (kind === 'run') this.onBucket(name, bucket, change);
   }
 
@@ -58,7 +58,7 @@
     if (this.node.types.size === 0) this.node.types = new Map(types.map((t) => [t.name, t]));
   }
 
-  private onBucket(part: string, bucket: string, change: Change): void {
+  private onBucket(part: string, bucket: string, change: KeyValueChange): void {
     const value = change.value as BucketRecord | null;
     this.node.buckets.note(part, bucket, value, change.stamp);
     const host = this.node.ownedParts.get(part);
@@ -83,9 +83,12 @@
     this.node.requestRound();
   }
 
-  private onGroup(group: string, change: Change): void {
+  private onGroup(group: string, change: KeyValueChange): void {
     const now = this.node.clock.now();
-    const { present, gone } = this.node.fleet.note(group, change.value as GroupRecord | null);
+    const { present, gone } = this.node.fleet.note(
+      group,
+      change.value as MachineGroupRecord | null,
+    );
     for (const host of this.node.ownedParts.values()) {
       // The record goes only after the cloud has said that the machine is gone.
       for (const name of gone) host.part.removeMachine(name, now);
--- a/src/coordination/leadership/shardLeadership.ts
+++ b/src/coordination/leadership/shardLeadership.ts
@@ -4,14 +4,19 @@
  */
 import { DRIFT, sleep, type Clock } from '../../base/clock.js';
 import { describe, log } from '../../base/log.js';
-import type { Replica } from '../../storage/stateCache.js';
+import type { StateCache } from '../../storage/stateCache.js';
 import type { StateClient } from '../../storage/stateClient.js';
-import { keys, type LastOwner, type OwnerRecord, type TokenRecord } from '../../storage/records.js';
+import {
+  keys,
+  type LastLeader,
+  type LeaderRecord,
+  type FencingTokenRecord,
+} from '../../storage/records.js';
 
 /** Not a part: the key by which the one node that rents and returns machines is elected. */
-export const PROVISIONER = '~provisioner';
+export const AUTOSCALER_DUTY = '~provisioner';
 
-export interface Held {
+export interface Leadership {
   token: number;
   stamp: number;
   /**
@@ -21,7 +26,7 @@
   lostAt: number;
 }
 
-export interface OwnershipOptions {
+export interface ShardLeadershipOptions {
   label: string;
   process: string;
   parts: string[];
@@ -31,8 +36,8 @@
   grace: number;
 }
 
-export interface OwnershipEvents {
-  gained(part: string, held: Held): void;
+export interface ShardLeadershipEvents {
+  gained(part: string, held: Leadership): void;
   lost(part: string): void;
   /** Resolves once nothing of the part is on its way to the state service any more. */
   quiet(part: string): Promise<void>;
@@ -41,13 +46,13 @@
   /** Whether this node may own anything just now. */
   mayClaim(): boolean;
   /** Whether an ownership key counts: its process may be one that cannot read what is stored (safety, R4). */
-  isEntitled(owner: OwnerRecord): boolean;
+  isEntitled(owner: LeaderRecord): boolean;
 }
 
-export class Ownership {
+export class ShardLeadership {
   private hold: number | null = null;
   private validUntil = -Infinity;
-  private readonly held = new Map<string, Held>();
+  private readonly held = new Map<string, Leadership>();
   private readonly absentSince = new Map<string, number>();
   private readonly busy = new Set<string>();
   private isReleasing = false;
@@ -55,10 +60,13 @@
 
   constructor(
     private readonly client: Pick<StateClient, 'grant' | 'extend' | 'get' | 'txn'>,
-    private readonly replica: Pick<Replica, 'get' | 'note' | 'noteRemoved' | 'catchUp' | 'loaded'>,
+    private readonly replica: Pick<
+      StateCache,
+      'get' | 'note' | 'noteRemoved' | 'catchUp' | 'loaded'
+    >,
     private readonly clock: Clock,
-    private readonly options: OwnershipOptions,
-    private readonly events: OwnershipEvents,
+    private readonly options: ShardLeadershipOptions,
+    private readonly events: ShardLeadershipEvents,
   ) {}
 
   /** Whether this node may start work and speak for its parts: by its own clock, drift included. */
@@ -86,7 +94,7 @@
     return this.validUntil;
   }
 
-  get(part: string): Held | undefined {
+  get(part: string): Leadership | undefined {
     return this.held.get(part);
   }
 
@@ -162,7 +170,7 @@
   private async watchKeys(): Promise<void> {
     while (!this.stopped) {
       if (this.valid && this.replica.loaded) {
-        for (const part of [...this.options.parts, PROVISIONER]) this.look(part);
+        for (const part of [...this.options.parts, AUTOSCALER_DUTY]) this.look(part);
       }
       await sleep(this.options.ttl / 20);
     }
@@ -171,7 +179,7 @@
   private look(part: string): void {
     if (this.busy.has(part)) return;
     const { label } = this.options;
-    const stored = this.replica.get(keys.owner(part))?.value as OwnerRecord | undefined;
+    const stored = this.replica.get(keys.owner(part))?.value as LeaderRecord | undefined;
     const mine = this.held.get(part);
     if (mine !== undefined) {
       if (stored !== undefined) this.forfeit(part, stored.token);
@@ -179,7 +187,7 @@
       this.absentSince.delete(part);
       if (this.isReleasing) {
         this.exclusive(part, () => this.handOver(part));
-      } else if (part !== label && part !== PROVISIONER && this.events.wantsBack(part)) {
+      } else if (part !== label && part !== AUTOSCALER_DUTY && this.events.wantsBack(part)) {
         this.exclusive(part, () => this.handOver(part));
       }
       return;
@@ -207,7 +215,7 @@
     if (part === label) return 0;
     const size = parts.length;
     const turn = (parts.indexOf(label) - Math.max(0, parts.indexOf(part)) + size) % size;
-    return part === PROVISIONER ? (turn * ttl) / 10 : ((1 + turn) * ttl) / 8;
+    return part === AUTOSCALER_DUTY ? (turn * ttl) / 10 : ((1 + turn) * ttl) / 8;
   }
 
   private exclusive(part: string, work: () => Promise<void>): void {
@@ -238,7 +246,7 @@
   }
 
   /** A higher token for a part that we own already; it settles starts that are in doubt. */
-  async raise(part: string): Promise<Held | null> {
+  async raise(part: string): Promise<Leadership | null> {
     const before = this.held.get(part);
     if (before === undefined || this.busy.has(part)) return null;
     this.busy.add(part);
@@ -255,20 +263,20 @@
 
   private async writeOwner(
     part: string,
-    may: (owner: OwnerRecord | null, stamp: number) => boolean,
-  ): Promise<Held | null> {
+    may: (owner: LeaderRecord | null, stamp: number) => boolean,
+  ): Promise<Leadership | null> {
     const key = keys.owner(part);
     const { label: node, process } = this.options;
     const counter = await this.client.get(keys.token);
     const before = await this.client.get(key);
-    const owner = (before?.value ?? null) as OwnerRecord | null;
+    const owner = (before?.value ?? null) as LeaderRecord | null;
     if (!may(owner, before?.stamp ?? 0) || this.hold === null) {
       if (before !== null) this.replica.note(key, before.value, before.stamp);
       return null;
     }
-    const tokens = (counter?.value ?? { last: 0 }) as TokenRecord;
+    const tokens = (counter?.value ?? { last: 0 }) as FencingTokenRecord;
     const token = tokens.last + 1;
-    const record: OwnerRecord = { node, token, process };
+    const record: LeaderRecord = { node, token, process };
     const lost = lostBefore(tokens.owners?.[part], node, this.clock.wall(), this.options.grace);
     const owners = { ...tokens.owners, [part]: { node, lost } };
     const result = await this.client.txn(
@@ -278,7 +286,7 @@
           { key, stamp: before?.stamp ?? 0 },
         ],
         puts: [
-          { key: keys.token, value: { last: token, owners } satisfies TokenRecord },
+          { key: keys.token, value: { last: token, owners } satisfies FencingTokenRecord },
           { key, value: record, hold: this.hold },
         ],
         removes: [],
@@ -289,7 +297,7 @@
     if (result.kind === 'unknown' || result.kind === 'conflict') {
       // It may have been applied all the same: read back, then decide.
       const now = await this.client.get(key);
-      const stored = now?.value as OwnerRecord | undefined;
+      const stored = now?.value as LeaderRecord | undefined;
       if (now !== null && stored?.token === token && stored.process === process) stamp = now.stamp;
     }
     if (stamp === 0) return null;
@@ -308,7 +316,7 @@
     const key = keys.owner(part);
     for (let tries = 0; tries < 5; tries++) {
       const counter = await this.client.get(keys.token);
-      const tokens = (counter?.value ?? { last: held.token }) as TokenRecord;
+      const tokens = (counter?.value ?? { last: held.token }) as FencingTokenRecord;
       const owners = withoutOwner(tokens.owners, part, this.isReleasing);
       const result = await this.client.txn(
         {
@@ -335,10 +343,10 @@
  * noted, unless an earlier owner has to be waited for.
  */
 function withoutOwner(
-  owners: Record<string, LastOwner> | undefined,
+  owners: Record<string, LastLeader> | undefined,
   part: string,
   isForAnyPeer: boolean,
-): Record<string, LastOwner> {
+): Record<string, LastLeader> {
   const lost = owners?.[part]?.lost ?? {};
   if (!isForAnyPeer) return { ...owners, [part]: { node: part, lost } };
   const others = Object.entries(owners ?? {}).filter(([name]) => name !== part);
@@ -354,7 +362,7 @@
  * itself, whose earlier process has ended, nor those that lost it long ago.
  */
 function lostBefore(
-  last: LastOwner | undefined,
+  last: LastLeader | undefined,
   node: string,
   wall: number,
   grace: number,
--- a/src/coordination/leadership/shardLoader.ts
+++ b/src/coordination/leadership/shardLoader.ts
@@ -2,41 +2,41 @@
 import type { Clock } from '../../base/clock.js';
 import { describe, log } from '../../base/log.js';
 import { keys, type JobRecord, type BucketRecord } from '../../storage/records.js';
-import type { Fleet } from '../../storage/machineInventory.js';
-import type { Replica } from '../../storage/stateCache.js';
+import type { MachineInventory } from '../../storage/machineInventory.js';
+import type { StateCache } from '../../storage/stateCache.js';
 import type { StateClient } from '../../storage/stateClient.js';
-import type { RecordLayout } from '../../storage/recordFormat.js';
-import type { Commits } from '../persistence/jobPersistence.js';
-import { ownPart, type HomeJob, type OwnedPart } from './ownedShard.js';
-import type { Held } from './shardLeadership.js';
-import type { Part } from '../shard/shard.js';
+import type { RecordFormat } from '../../storage/recordFormat.js';
+import type { JobPersistence } from '../persistence/jobPersistence.js';
+import { createOwnedShard, type HomeJob, type OwnedShard } from './ownedShard.js';
+import type { Leadership } from './shardLeadership.js';
+import type { Shard } from '../shard/shard.js';
 import { Bucket } from '../persistence/bucket.js';
-import type { CancelPreparations } from '../jobs/cancellationPreparations.js';
+import type { CancellationPreparations } from '../jobs/cancellationPreparations.js';
 
 /** What is needed of a node. */
-export interface LoadingNode {
+export interface ShardLoaderContext {
   clock: Clock;
-  fleet: Pick<Fleet, 'of'>;
-  replica: Pick<Replica, 'get' | 'under' | 'noteRemoved'>;
+  fleet: Pick<MachineInventory, 'of'>;
+  replica: Pick<StateCache, 'get' | 'under' | 'noteRemoved'>;
   state: Pick<StateClient, 'get'>;
-  cancelPreparations: Pick<CancelPreparations, 'apply'>;
-  commits: Pick<Commits, 'acceptMissing'>;
-  layout: RecordLayout;
+  cancelPreparations: Pick<CancellationPreparations, 'apply'>;
+  commits: Pick<JobPersistence, 'acceptMissing'>;
+  layout: RecordFormat;
   requestRound(): void;
 }
 
-export class PartLoader {
+export class ShardLoader {
   /** Stored buckets without a counterpart in memory, seen once. */
   private readonly unmatched = new Set<string>();
 
-  constructor(private readonly node: LoadingNode) {}
+  constructor(private readonly node: ShardLoaderContext) {}
 
   /** `renewed`: steady time until which another node may answer the part's workers. */
-  load(part: Part, held: Held, renewed: number): OwnedPart {
+  load(part: Shard, held: Leadership, renewed: number): OwnedShard {
     const { node } = this;
     const now = node.clock.now();
     const { label } = part;
-    const host = ownPart(part, held, now, renewed);
+    const host = createOwnedShard(part, held, now, renewed);
     for (const [name, record] of node.fleet.of(label)) part.addMachine(name, record, now, renewed);
     const prefix = keys.runs(label);
     // Of two records that hold a chunk the newer one counts: the other is about to be removed (safety, V5).
@@ -49,7 +49,7 @@
     return host;
   }
 
-  private loadJobs(host: OwnedPart): void {
+  private loadJobs(host: OwnedShard): void {
     const prefix = keys.job('');
     for (const [key, { value, stamp }] of this.node.replica.under(prefix)) {
       const record = value as JobRecord;
@@ -62,7 +62,7 @@
   }
 
   /** Takes up one bucket of a part, but for chunks that are over and run nowhere; those go with its next change. */
-  loadBucket(host: OwnedPart, name: string, value: BucketRecord, stamp: number): void {
+  loadBucket(host: OwnedShard, name: string, value: BucketRecord, stamp: number): void {
     const { node } = this;
     const now = node.clock.now();
     const bucket = new Bucket(name, stamp, node.layout);
@@ -88,7 +88,7 @@
    * A stored bucket has changed. Only what was just sent here is taken up: nothing of it can have been started
    * by this part's owners.
    */
-  noteBucket(host: OwnedPart, name: string, value: BucketRecord, stamp: number): void {
+  noteBucket(host: OwnedShard, name: string, value: BucketRecord, stamp: number): void {
     if (host.buckets.has(name)) return;
     const chunks = Object.values(value.chunks);
     if (!chunks.every((chunk) => chunk.moves > 0 && chunk.entries.length === 0)) return;
@@ -97,7 +97,7 @@
   }
 
   /** Takes up stored buckets of an owned part that are not in memory: changes that the watch has missed. */
-  adoptUnmatched(host: OwnedPart): void {
+  adoptUnmatched(host: OwnedShard): void {
     const prefix = keys.runs(host.part.label);
     for (const [key] of this.node.replica.under(prefix)) {
       const name = key.slice(prefix.length);
@@ -107,7 +107,7 @@
     }
   }
 
-  private async adopt(host: OwnedPart, key: string, name: string): Promise<void> {
+  private async adopt(host: OwnedShard, key: string, name: string): Promise<void> {
     const { node } = this;
     this.unmatched.delete(key);
     try {
--- a/src/coordination/migration/migrationInitiator.ts
+++ b/src/coordination/migration/migrationInitiator.ts
@@ -1,14 +1,14 @@
 /** Sends jobs on: the sender-initiated path of the paper, for new chunks and for those that wait. */
 import { describe, log } from '../../base/log.js';
 import { rankName, type JobSpec } from '../../protocol/job.js';
-import type { Estimate } from '../../protocol/peerMessages.js';
+import type { TurnaroundEstimate } from '../../protocol/peerMessages.js';
 import { keys } from '../../storage/records.js';
 import type { Chunk } from '../shard/chunk.js';
 import type { Controller } from '../controller/controller.js';
-import type { OwnedPart } from '../leadership/ownedShard.js';
-import { choosePart, turnaround } from './migrationPolicy.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import { chooseShard, turnaround } from './migrationPolicy.js';
 
-export class Sender {
+export class MigrationInitiator {
   private readonly asking = new Set<Chunk>();
 
   constructor(private readonly node: Controller) {}
@@ -27,7 +27,7 @@
    * the peer with the smallest turnaround (DESIGN). A chunk held to a zone starts from a part there.
    */
   async choose(
-    home: OwnedPart,
+    home: OwnedShard,
     spec: JobSpec,
     zone: string | null,
     count: number,
@@ -46,7 +46,7 @@
     const fetch = home.part.estimates.fetchFor(spec, zone);
     const start = spec.service ? Math.max(wait, fetch) : wait;
     if (start < this.threshold(spec) || !tuning.migrate) return home.part.label;
-    const estimate: Estimate = {
+    const estimate: TurnaroundEstimate = {
       part: home.part.label,
       wait,
       turnaround: turnaround(wait, fetch, run),
@@ -54,7 +54,7 @@
     };
     const answers = await node.peers.ask(spec, zone, count, patience);
     const others = this.estimates(spec, zone, count).filter((e) => e.part !== estimate.part);
-    const part = choosePart(estimate, [...answers, ...others], tuning);
+    const part = chooseShard(estimate, [...answers, ...others], tuning);
     const known = node.replica.get(keys.owner(part)) !== undefined;
     if (part !== home.part.label && known) return part;
     // Nobody has such machines yet: a part in the zone is the one that they will be rented for.
@@ -67,7 +67,7 @@
   }
 
   /** Answers to a peer's question, one for each part owned here. */
-  estimates(spec: JobSpec, zone: string | null, tasks: number): Estimate[] {
+  estimates(spec: JobSpec, zone: string | null, tasks: number): TurnaroundEstimate[] {
     if (!this.node.ownership.valid) return [];
     const now = this.node.clock.now();
     return [...this.node.ownedParts.values()].map(({ part }) => {
@@ -96,7 +96,7 @@
       // A few at a time: many senders reading the same answers would flood one idle peer. Live services
       // first, and then those that were asked for longest ago: else the first few would be asked for again
       // and again, and those behind them never.
-      for (const chunk of nextToAsk(host.part.chunks.values(), 2, (chunk) => {
+      for (const chunk of nextMigrationCandidates(host.part.chunks.values(), 2, (chunk) => {
         const pause = this.threshold(chunk.spec);
         if (chunk.isNewlyReleased) return chunk.movable && !this.asking.has(chunk);
         if (chunk.blockedSince === null || now - chunk.blockedSince < pause) return false;
@@ -110,7 +110,7 @@
     }
   }
 
-  private async sendOn(host: OwnedPart, chunk: Chunk): Promise<void> {
+  private async sendOn(host: OwnedShard, chunk: Chunk): Promise<void> {
     const { node } = this;
     this.asking.add(chunk);
     try {
@@ -130,7 +130,7 @@
 }
 
 /** The first few of those that may be asked for: by rank, then by when they last were. */
-export function nextToAsk(
+export function nextMigrationCandidates(
   chunks: Iterable<Chunk>,
   most: number,
   due: (chunk: Chunk) => boolean,
--- a/src/coordination/migration/migrationPolicy.ts
+++ b/src/coordination/migration/migrationPolicy.ts
@@ -1,11 +1,11 @@
 /** The paper's sender-initiated choice (PAPER, III.A.1), with DESIGN's changes. */
-import type { Estimate } from '../../protocol/peerMessages.js';
+import type { TurnaroundEstimate } from '../../protocol/peerMessages.js';
 
 /** The larger of wait and image fetch, plus the run; output transfer is nothing here. */
 export const turnaround = (wait: number, fetch: number, run: number): number =>
   Math.max(wait, fetch) + run;
 
-export interface GateOptions {
+export interface MigrationPolicyOptions {
   factor: number;
   tolerance: number;
 }
@@ -14,7 +14,11 @@
  * Home, while its turnaround is within `factor` of the smallest; else the smallest, where answers
  * within `tolerance` of it count as equal and go to the lowest utilisation.
  */
-export function choosePart(home: Estimate, answers: Estimate[], options: GateOptions): string {
+export function chooseShard(
+  home: TurnaroundEstimate,
+  answers: TurnaroundEstimate[],
+  options: MigrationPolicyOptions,
+): string {
   const finite = answers.filter((a) => Number.isFinite(a.turnaround));
   const least = Math.min(home.turnaround, ...finite.map((a) => a.turnaround));
   if (!Number.isFinite(least) || home.turnaround <= least * options.factor) return home.part;
--- a/src/coordination/peers/gossiper.ts
+++ b/src/coordination/peers/gossiper.ts
@@ -3,25 +3,25 @@
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { Settings, Tuning } from '../../protocol/settings.js';
 import type { StateClient } from '../../storage/stateClient.js';
-import type { OwnedPart } from '../leadership/ownedShard.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
 import type { Machine } from '../shard/machine.js';
-import type { Ownership } from '../leadership/shardLeadership.js';
-import type { Part } from '../shard/shard.js';
-import type { Peers } from './peerRegistry.js';
+import type { ShardLeadership } from '../leadership/shardLeadership.js';
+import type { Shard } from '../shard/shard.js';
+import type { PeerRegistry } from './peerRegistry.js';
 
-export type Demands = ReturnType<Part['needs']['demands']>;
+export type Demands = ReturnType<Shard['needs']['demands']>;
 
 /** What is needed of a node. */
-export interface GossipingNode {
+export interface GossipContext {
   settings: Pick<Settings, 'label' | 'report' | 'lease' | 'teams'>;
   tuning: Pick<Tuning, 'idleRatio'>;
   clock: Clock;
   process: string;
-  ownedParts: ReadonlyMap<string, OwnedPart>;
+  ownedParts: ReadonlyMap<string, OwnedShard>;
   state: Pick<StateClient, 'need' | 'share' | 'lastServed'>;
   stateTtl: number;
-  ownership: Pick<Ownership, 'valid'>;
-  peers: Pick<Peers, 'gossip' | 'needs'>;
+  ownership: Pick<ShardLeadership, 'valid'>;
+  peers: Pick<PeerRegistry, 'gossip' | 'needs'>;
   drain: { readonly isActive: boolean };
 }
 
@@ -37,7 +37,7 @@
   private lastSent = -Infinity;
   private sequence = 0;
 
-  constructor(private readonly node: GossipingNode) {}
+  constructor(private readonly node: GossipContext) {}
 
   /** Sends a message to all peers if one is due. */
   sendIfDue(): void {
@@ -71,7 +71,7 @@
     };
   }
 
-  private get parts(): Part[] {
+  private get parts(): Shard[] {
     return [...this.node.ownedParts.values()].map((host) => host.part);
   }
 
--- a/src/coordination/peers/peerRegistry.ts
+++ b/src/coordination/peers/peerRegistry.ts
@@ -3,7 +3,7 @@
 import { decodeAnswer, encodeRequest, encodeSpec } from '../../protocol/peerCodec.js';
 import type {
   Demand,
-  Estimate,
+  TurnaroundEstimate,
   Gossip,
   Relay,
   Relayed,
@@ -21,7 +21,7 @@
   servedSince: number | null;
 }
 
-export class Peers {
+export class PeerRegistry {
   private readonly peers = new Map<string, Peer>();
 
   constructor(
@@ -132,7 +132,7 @@
     zone: string | null,
     tasks: number,
     timeout: number,
-  ): Promise<(Estimate & { node: string })[]> {
+  ): Promise<(TurnaroundEstimate & { node: string })[]> {
     const body = encodeRequest({ Ask: { spec: encodeSpec(spec), zone, tasks } });
     const talking = [...this.peers.values()].filter(
       (p) => this.clock.now() - p.heard <= this.fresh * 0.4,
--- a/src/coordination/persistence/bucket.ts
+++ b/src/coordination/persistence/bucket.ts
@@ -1,6 +1,6 @@
 /** Some chunks of a part that are stored in one record. */
 import type { BucketRecord } from '../../storage/records.js';
-import type { RecordLayout } from '../../storage/recordFormat.js';
+import type { RecordFormat } from '../../storage/recordFormat.js';
 import type { Chunk } from '../shard/chunk.js';
 
 /** Bytes of the numbers around a gap in what is done. */
@@ -30,7 +30,7 @@
     readonly name: string,
     /** The record's stamp; 0 while there is none. */
     public stamp: number,
-    private readonly layout: RecordLayout,
+    private readonly layout: RecordFormat,
   ) {}
 
   add(chunk: Chunk): void {
@@ -47,7 +47,7 @@
   /** What its record may grow to while all tasks of all its chunks run. */
   get potential(): number {
     let bytes = 0;
-    for (const chunk of this.chunks) bytes += potentialOf(chunk, this.layout);
+    for (const chunk of this.chunks) bytes += maxStoredBytes(chunk, this.layout);
     return bytes;
   }
 
@@ -88,7 +88,7 @@
 }
 
 /** What a chunk may take of a record while all of its tasks run. */
-export function potentialOf(chunk: Chunk, layout: RecordLayout): number {
+export function maxStoredBytes(chunk: Chunk, layout: RecordFormat): number {
   const { frame, task } = layout.sizes;
   return layout.specBytes(chunk.spec) + frame + task * chunk.size;
 }
--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -5,22 +5,22 @@
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import { describe, log } from '../../base/log.js';
-import { TXN_BYTES, type Txn } from '../../protocol/stateProtocol.js';
-import type { Urgency } from '../../storage/rateLimiter.js';
+import { TRANSACTION_BYTES, type Transaction } from '../../protocol/stateProtocol.js';
+import type { RequestPriority } from '../../storage/rateLimiter.js';
 import { keys, type BucketRecord } from '../../storage/records.js';
-import type { RecordLayout } from '../../storage/recordFormat.js';
-import type { Replica } from '../../storage/stateCache.js';
-import type { StateClient, TxnResult } from '../../storage/stateClient.js';
+import type { RecordFormat } from '../../storage/recordFormat.js';
+import type { StateCache } from '../../storage/stateCache.js';
+import type { StateClient, TransactionResult } from '../../storage/stateClient.js';
 import type { Chunk } from '../shard/chunk.js';
-import type { OwnedPart } from '../leadership/ownedShard.js';
-import { potentialOf, Bucket } from './bucket.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import { maxStoredBytes, Bucket } from './bucket.js';
 
 export interface BucketWriterEvents {
   valid(): boolean;
   /** An ownership key was not as we thought. */
   verifyOwner(part: string): Promise<void>;
   /** Chunks were stored: their starts may go out. */
-  stored(host: OwnedPart, chunks: Chunk[]): void;
+  stored(host: OwnedShard, chunks: Chunk[]): void;
 }
 
 /** What is needed of the state service and of our copy of the records. */
@@ -28,11 +28,11 @@
   StateClient,
   'txn' | 'get' | 'turn' | 'writeRate' | 'writeDelay' | 'writeLoad' | 'operations'
 >;
-export type Copy = Pick<Replica, 'get' | 'note' | 'noteRemoved'>;
+export type Copy = Pick<StateCache, 'get' | 'note' | 'noteRemoved'>;
 
 export interface BucketWriterOptions {
   txnOps: number;
-  layout: RecordLayout;
+  layout: RecordFormat;
   /** Seconds that changes which nobody waits for are gathered. */
   linger: number;
   retry: number;
@@ -69,17 +69,17 @@
 
   /** Every write of a part goes through here: under its ownership, and only while that is valid. */
   async write(
-    host: OwnedPart,
-    txn: Txn,
-    urgency: Urgency | 'granted' = 'later',
-  ): Promise<TxnResult> {
+    host: OwnedShard,
+    txn: Transaction,
+    urgency: RequestPriority | 'granted' = 'later',
+  ): Promise<TransactionResult> {
     if (!host.alive || !this.host.valid()) return { kind: 'refused' };
     const owner = { key: keys.owner(host.part.label), stamp: host.stamp };
     return this.client.txn({ ...txn, when: [owner, ...txn.when] }, urgency);
   }
 
   /** Starts the storing of what is due. */
-  pass(host: OwnedPart): void {
+  pass(host: OwnedShard): void {
     if (this.options.layout.isCompact) this.retireLargeBuckets(host);
     for (const chunk of host.part.dirty) {
       if (chunk.accepted && chunk.bucket === null) this.assignBucket(host, chunk);
@@ -91,7 +91,7 @@
    * Buckets from before the present limits, whose records may not be written any more: their chunks go to others, as
    * the state service allows (safety, V5). A single chunk that is too large is stored in pieces.
    */
-  private retireLargeBuckets(host: OwnedPart): void {
+  private retireLargeBuckets(host: OwnedShard): void {
     for (const bucket of host.buckets.values()) {
       if (bucket.isMeasured || bucket.busy) continue;
       bucket.isMeasured = true;
@@ -105,11 +105,11 @@
 
   /** What chunks may take of one record. */
   private get room(): number {
-    return Math.min(this.options.layout.valueBytes, TXN_BYTES * TXN_SHARE) * VALUE_SHARE;
+    return Math.min(this.options.layout.valueBytes, TRANSACTION_BYTES * TXN_SHARE) * VALUE_SHARE;
   }
 
   /** Buckets that should be stored now. */
-  private dueBuckets(host: OwnedPart): Map<Bucket, Urgency> {
+  private dueBuckets(host: OwnedShard): Map<Bucket, RequestPriority> {
     const now = this.clock.now();
     // Ends can wait while users and starts need the state service's changes: a crash meanwhile loses nothing
     // that the workers do not still report. A chunk whose tasks end one by one would be written for each few.
@@ -118,7 +118,7 @@
       this.client.writeDelay('later') > linger / 2 || this.client.writeLoad > BUSY_LOAD;
     const patience = linger * (isBusy ? BUSY_PATIENCE : 1);
     const isGathering = now < host.gatherUntil;
-    const due = new Map<Bucket, Urgency>();
+    const due = new Map<Bucket, RequestPriority>();
     for (const chunk of host.part.dirty) {
       const { bucket } = chunk;
       if (bucket === null || bucket.busy || due.get(bucket) === 'urgent') continue;
@@ -135,12 +135,12 @@
   }
 
   /** Stores buckets, as many in one transaction as fit it. */
-  private flushAll(host: OwnedPart, due: Map<Bucket, Urgency>): void {
+  private flushAll(host: OwnedShard, due: Map<Bucket, RequestPriority>): void {
     const most = Math.max(1, this.options.txnOps - 1);
     let batch: Bucket[] = [];
     let bytes = 0;
     let operations = 0;
-    let urgency: Urgency = 'later';
+    let urgency: RequestPriority = 'later';
     const send = (): void => {
       if (batch.length === 0) return;
       void this.flush(host, batch, urgency);
@@ -150,7 +150,7 @@
       if (host.writing >= TRANSACTIONS) break;
       const size = bucket.bytes;
       const cost = this.operationsFor(host, bucket, size);
-      const isFull = operations + cost > most || bytes + size > TXN_BYTES * TXN_SHARE;
+      const isFull = operations + cost > most || bytes + size > TRANSACTION_BYTES * TXN_SHARE;
       if (batch.length > 0 && isFull) send();
       batch.push(bucket);
       bytes += size;
@@ -161,7 +161,7 @@
   }
 
   /** Puts that a bucket of this size takes: a large one is stored in pieces. */
-  private operationsFor(host: OwnedPart, bucket: Bucket, bytes: number): number {
+  private operationsFor(host: OwnedShard, bucket: Bucket, bytes: number): number {
     const { layout } = this.options;
     if (!layout.isCompact) return 1;
     // The record is made when its turn comes, and may be a little larger by then.
@@ -173,10 +173,10 @@
    * Onto the fullest bucket of its kind that is sure to hold it, or a new one. An empty bucket whose record is still
    * stored serves as well: it takes one change, where removing it and creating another takes two.
    */
-  private assignBucket(host: OwnedPart, chunk: Chunk): void {
+  private assignBucket(host: OwnedShard, chunk: Chunk): void {
     const { layout, process } = this.options;
     const { room } = this;
-    const need = potentialOf(chunk, layout);
+    const need = maxStoredBytes(chunk, layout);
     let best: Bucket | null = null;
     let most = -1;
     for (const bucket of host.buckets.values()) {
@@ -195,11 +195,15 @@
     best.add(chunk);
   }
 
-  private key(host: OwnedPart, bucket: Bucket): string {
+  private key(host: OwnedShard, bucket: Bucket): string {
     return keys.run(host.part.label, bucket.name);
   }
 
-  private async flush(host: OwnedPart, buckets: Bucket[], urgency: Urgency): Promise<void> {
+  private async flush(
+    host: OwnedShard,
+    buckets: Bucket[],
+    urgency: RequestPriority,
+  ): Promise<void> {
     host.writing++;
     for (const bucket of buckets) bucket.busy = true;
     // A round of starts every so often, each with all that has come up; users have the rest.
@@ -210,7 +214,7 @@
       const stored = buckets.flatMap((s) =>
         [...s.chunks].map((c) => ({ chunk: c, at: c.version })),
       );
-      const puts: Txn['puts'] = [];
+      const puts: Transaction['puts'] = [];
       const removes: string[] = [];
       for (const bucket of buckets) {
         if (bucket.chunks.size > 0 || bucket.unsettled)
@@ -244,10 +248,10 @@
   }
 
   private applied(
-    host: OwnedPart,
+    host: OwnedShard,
     buckets: Bucket[],
     stored: { chunk: Chunk; at: number }[],
-    puts: Txn['puts'],
+    puts: Transaction['puts'],
     stamp: number,
   ): void {
     for (const { chunk, at } of stored) {
@@ -275,7 +279,7 @@
   }
 
   /** Copies of ours that got no answer may have been applied: take what they left. */
-  async resolve(host: OwnedPart, buckets: Bucket[]): Promise<void> {
+  async resolve(host: OwnedShard, buckets: Bucket[]): Promise<void> {
     await this.host.verifyOwner(host.part.label);
     for (const bucket of buckets) {
       const item = await this.client.get(this.key(host, bucket));
@@ -300,11 +304,11 @@
    * changes that belong to it: its home notes that it has left.
    */
   async move(
-    host: OwnedPart,
+    host: OwnedShard,
     chunk: Chunk,
     to: string,
-    extra: Pick<Txn, 'when' | 'puts'>,
-  ): Promise<TxnResult> {
+    extra: Pick<Transaction, 'when' | 'puts'>,
+  ): Promise<TransactionResult> {
     const { bucket } = chunk;
     const owner = this.replica.get(keys.owner(to));
     if (bucket === null || owner === undefined || !chunk.movable) return { kind: 'refused' };
@@ -351,10 +355,10 @@
 
   /** The change of a bucket that loses a chunk; one that is empty then goes, unless it may be created late. */
   private withoutChunk(
-    host: OwnedPart,
+    host: OwnedShard,
     bucket: Bucket,
     chunk: Chunk,
-  ): Pick<Txn, 'puts' | 'removes'> {
+  ): Pick<Transaction, 'puts' | 'removes'> {
     const key = this.key(host, bucket);
     if (bucket.chunks.size === 1 && !bucket.unsettled) return { puts: [], removes: [key] };
     const others = Object.entries(bucket.record().chunks).filter(([id]) => id !== chunk.id);
--- a/src/coordination/persistence/jobPersistence.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -5,13 +5,13 @@
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import { describe, log } from '../../base/log.js';
-import type { Txn } from '../../protocol/stateProtocol.js';
+import type { Transaction } from '../../protocol/stateProtocol.js';
 import { keys, type JobRecord } from '../../storage/records.js';
-import type { Buckets } from '../../storage/chunkIndex.js';
+import type { ChunkIndex } from '../../storage/chunkIndex.js';
 import { Chunk } from '../shard/chunk.js';
-import { chunkRanges, mayCut, totalChunks } from '../shard/chunking.js';
+import { chunkRanges, mayCreateChunk, totalChunks } from '../shard/chunking.js';
 import { missingChunks } from './missingChunks.js';
-import type { HomeJob, OwnedPart } from '../leadership/ownedShard.js';
+import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
 import {
   BucketWriter,
   type BucketWriterEvents,
@@ -20,8 +20,8 @@
   type Store,
 } from './bucketWriter.js';
 
-export interface CommitHost extends BucketWriterEvents {
-  ownedParts: ReadonlyMap<string, OwnedPart>;
+export interface JobPersistenceContext extends BucketWriterEvents {
+  ownedParts: ReadonlyMap<string, OwnedShard>;
   /** The job is about to be cancelled. */
   isBeingCancelled(job: string): boolean;
   /** The job waits for others: it has no chunks before these are done. */
@@ -30,15 +30,15 @@
   readonly hasUnreadableChunks: boolean;
 }
 
-export class Commits {
+export class JobPersistence {
   private readonly bucketWriter: BucketWriter;
 
   constructor(
     private readonly client: Store,
     private readonly replica: Copy,
-    private readonly buckets: Pick<Buckets, 'entries'>,
+    private readonly buckets: Pick<ChunkIndex, 'entries'>,
     private readonly clock: Clock,
-    private readonly host: CommitHost,
+    private readonly host: JobPersistenceContext,
     private readonly options: BucketWriterOptions,
   ) {
     this.bucketWriter = new BucketWriter(client, replica, clock, host, options);
@@ -73,7 +73,7 @@
     }
   }
 
-  private settle(host: OwnedPart, chunk: Chunk): void {
+  private settle(host: OwnedShard, chunk: Chunk): void {
     if (chunk.cancelled) {
       // Its job's record says that it is cancelled, so nobody will ever start anything of it again.
       if (chunk.entries.size === 0) host.part.dropChunk(chunk);
@@ -94,7 +94,7 @@
   }
 
   /** Hands a chunk, of which nothing is on any machine, to another part. */
-  async move(host: OwnedPart, chunk: Chunk, to: string): Promise<void> {
+  async move(host: OwnedShard, chunk: Chunk, to: string): Promise<void> {
     if (chunk.home !== host.part.label) {
       await this.bucketWriter.move(host, chunk, to, { when: [], puts: [] });
       return;
@@ -123,7 +123,7 @@
   // ---- Jobs ----
 
   /** Notes a complete chunk in its job, and the job as done with the last one. True when stored. */
-  private async finish(home: OwnedPart, job: HomeJob, index: number): Promise<boolean> {
+  private async finish(home: OwnedShard, job: HomeJob, index: number): Promise<boolean> {
     if (job.busy) return false;
     const { record } = job;
     if (record.state !== 'open' || record.finished.includes(index)) return true;
@@ -146,7 +146,7 @@
   }
 
   /** Stores a job's record as it is, so that it takes the form that is written now. True when stored. */
-  async rewrite(home: OwnedPart, job: HomeJob): Promise<boolean> {
+  async rewrite(home: OwnedShard, job: HomeJob): Promise<boolean> {
     if (job.busy || job.record.state !== 'open') return false;
     job.busy = true;
     try {
@@ -157,10 +157,10 @@
   }
 
   /** Stores a job's new record; in memory it changes only after that. */
-  private async writeJob(home: OwnedPart, job: HomeJob, next: JobRecord): Promise<boolean> {
+  private async writeJob(home: OwnedShard, job: HomeJob, next: JobRecord): Promise<boolean> {
     const key = keys.job(job.id);
     const when = [{ key, stamp: job.stamp }];
-    const txn: Txn = { when, puts: [{ key, value: next }], removes: [] };
+    const txn: Transaction = { when, puts: [{ key, value: next }], removes: [] };
     await this.client.turn(1, 'urgent');
     const wasUnsettled = job.unsettled === true;
     // From now on others may read a final state and tell users of it, before its answer gets here.
@@ -182,7 +182,7 @@
   }
 
   /** True when the stored record was not as we thought, and is now. */
-  private async reread(home: OwnedPart, job: HomeJob, wasUnsettled: boolean): Promise<boolean> {
+  private async reread(home: OwnedShard, job: HomeJob, wasUnsettled: boolean): Promise<boolean> {
     const item = await this.client.get(keys.job(job.id));
     if (!home.alive || item === null) return false;
     if (item.stamp === job.stamp) {
@@ -198,7 +198,7 @@
    * Takes up the chunks of a home job that are neither here nor stored: nothing of them was started. So it is where a
    * part is loaded, where a change that cut a chunk got no answer, and where a job no longer waits for others.
    */
-  acceptMissing(home: OwnedPart, job: HomeJob): void {
+  acceptMissing(home: OwnedShard, job: HomeJob): void {
     if (!home.alive || this.host.isHeld(job.id) || this.host.hasUnreadableChunks) return;
     const now = this.clock.now();
     const isReleased = (job.record.spec?.waitsOn.length ?? 0) > 0;
@@ -209,7 +209,7 @@
     }
   }
 
-  private applyJob(home: OwnedPart, job: HomeJob, record: JobRecord, stamp: number): void {
+  private applyJob(home: OwnedShard, job: HomeJob, record: JobRecord, stamp: number): void {
     job.record = record;
     job.stamp = stamp;
     job.unsettled = false;
@@ -219,7 +219,7 @@
 
   /** Stores a cancellation. Gives the job's state afterwards, or null when it isn't known. */
   async cancel(
-    home: OwnedPart,
+    home: OwnedShard,
     job: HomeJob,
     deadline: number,
   ): Promise<JobRecord['state'] | null> {
@@ -243,12 +243,13 @@
   }
 
   /** Large jobs are cut step by step, so that no part holds more of them than it can run. */
-  private cutMore(home: OwnedPart, job: HomeJob): void {
+  private cutMore(home: OwnedShard, job: HomeJob): void {
     const { record } = job;
     if (job.busy || record.spec === null || record.state !== 'open') return;
     if (this.host.isHeld(job.id)) return;
     const open = record.cut - record.finished.length;
-    if (open >= 4 || record.cut >= totalChunks(record) || !mayCut(record, record.cut)) return;
+    if (open >= 4 || record.cut >= totalChunks(record) || !mayCreateChunk(record, record.cut))
+      return;
     if (this.host.isBeingCancelled(job.id)) return;
     const next = chunkRanges(record.spec.tasks, record.size, record.zones)[record.cut];
     if (next === undefined) return;
@@ -260,7 +261,7 @@
     void this.addCut(home, job, chunk);
   }
 
-  private async addCut(home: OwnedPart, job: HomeJob, chunk: Chunk): Promise<void> {
+  private async addCut(home: OwnedShard, job: HomeJob, chunk: Chunk): Promise<void> {
     job.busy = true;
     try {
       const next = { ...job.record, cut: job.record.cut + 1 };
--- a/src/coordination/pipelines/dependencyAdmission.ts
+++ b/src/coordination/pipelines/dependencyAdmission.ts
@@ -3,14 +3,14 @@
 import type { JobRecord } from '../../storage/records.js';
 
 /** What is needed to look jobs up. */
-export interface NeedsLookup {
+export interface DependencyLookup {
   /** This node's copy of a job's record. */
   copyOf(job: string): JobRecord | undefined;
   /** The stored record; null when there is none, undefined when that can't be told. */
   stored(job: string): Promise<JobRecord | null | undefined>;
 }
 
-export type Needs =
+export type DependencyCheck =
   /** All are known and none is cancelled; `pending` are not done. */
   | { kind: 'open'; pending: string[] }
   | { kind: 'cancelled' }
@@ -19,7 +19,10 @@
   | { kind: 'unavailable' };
 
 /** How the jobs that a job names stand. Only the store can tell that one was never accepted. */
-export async function checkNeeds(spec: JobSpec, lookup: NeedsLookup): Promise<Needs> {
+export async function checkDependencies(
+  spec: JobSpec,
+  lookup: DependencyLookup,
+): Promise<DependencyCheck> {
   const pending: string[] = [];
   let isCancelled = false;
   for (const need of spec.waitsOn) {
--- a/src/coordination/pipelines/pipelines.ts
+++ b/src/coordination/pipelines/pipelines.ts
@@ -2,9 +2,9 @@
 import type { Clock } from '../../base/clock.js';
 import { rankOrder, type JobSpec } from '../../protocol/job.js';
 import { keys, type JobRecord } from '../../storage/records.js';
-import type { Replica } from '../../storage/stateCache.js';
-import type { Commits } from '../persistence/jobPersistence.js';
-import type { OwnedPart } from '../leadership/ownedShard.js';
+import type { StateCache } from '../../storage/stateCache.js';
+import type { JobPersistence } from '../persistence/jobPersistence.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
 import { DependencyGraph } from './dependencyGraph.js';
 
 /** Of the time that a cancellation has, how old the copy of the records may be, and how long a job may stay open. */
@@ -17,12 +17,12 @@
 const MOST_NAMES = 4;
 
 /** What is needed of a node. */
-export interface PipelineNode {
+export interface PipelineContext {
   settings: { cancel: number };
   clock: Pick<Clock, 'now'>;
-  ownedParts: ReadonlyMap<string, OwnedPart>;
-  replica: Pick<Replica, 'get' | 'loaded' | 'syncedAt'>;
-  commits: Pick<Commits, 'acceptMissing' | 'cancel'>;
+  ownedParts: ReadonlyMap<string, OwnedShard>;
+  replica: Pick<StateCache, 'get' | 'loaded' | 'syncedAt'>;
+  commits: Pick<JobPersistence, 'acceptMissing' | 'cancel'>;
   requestRound(): void;
 }
 
@@ -31,7 +31,7 @@
   /** Jobs whose cancellation is being stored. */
   private readonly writing = new Set<string>();
 
-  constructor(private readonly node: PipelineNode) {
+  constructor(private readonly node: PipelineContext) {
     this.graph = new DependencyGraph((job) => this.recordOf(job)?.state, {
       released: (job) => {
         this.release(job);
--- a/src/coordination/quota/clusterTotals.ts
+++ b/src/coordination/quota/clusterTotals.ts
@@ -1,20 +1,20 @@
 /** Sums over all parts: those owned here by our own count, the others by their owners' last gossip. */
-import type { OwnedPart } from '../leadership/ownedShard.js';
-import type { Peers } from '../peers/peerRegistry.js';
-import type { Amount, Starved } from './teamUsage.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import type { PeerRegistry } from '../peers/peerRegistry.js';
+import type { TeamResources, StarvedJob } from './teamUsage.js';
 
 export class ClusterTotals {
   constructor(
-    private readonly ownedParts: ReadonlyMap<string, OwnedPart>,
-    private readonly peers: Pick<Peers, 'gossips'>,
+    private readonly ownedParts: ReadonlyMap<string, OwnedShard>,
+    private readonly peers: Pick<PeerRegistry, 'gossips'>,
     /** The zone of each part's node. */
     private readonly zoneOf: ReadonlyMap<string, string>,
   ) {}
 
   /** What a team's tasks take at all parts but one. */
-  usedElsewhere(team: string, except: string): Amount {
+  usedElsewhere(team: string, except: string): TeamResources {
     const used = { cpus: 0, gpus: 0 };
-    const add = (amount: Amount): void => {
+    const add = (amount: TeamResources): void => {
       used.cpus += amount.cpus;
       used.gpus += amount.gpus;
     };
@@ -28,12 +28,12 @@
   }
 
   /** The first in the queue's order of a team's starved jobs, of all parts but one. */
-  starvedElsewhere(team: string, except: string): Starved | null {
+  starvedElsewhere(team: string, except: string): StarvedJob | null {
     const here = [...this.ownedParts.values()].flatMap(({ part }) =>
       part.label === except ? [] : [...part.scheduler.starving.values()],
     );
     const there = this.peers.gossips().flatMap((gossip) => gossip.starving);
-    let first: Starved | null = null;
+    let first: StarvedJob | null = null;
     for (const candidate of [...here, ...there]) {
       if (candidate.team !== team) continue;
       if (first === null || isAhead(candidate, first)) first = candidate;
@@ -57,6 +57,6 @@
   }
 }
 
-function isAhead(one: Starved, other: Starved): boolean {
+function isAhead(one: StarvedJob, other: StarvedJob): boolean {
   return one.rank > other.rank || (one.rank === other.rank && one.at < other.at);
 }
--- a/src/coordination/quota/quotaShares.ts
+++ b/src/coordination/quota/quotaShares.ts
@@ -5,18 +5,18 @@
 import { describe, log } from '../../base/log.js';
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { Settings, Team } from '../../protocol/settings.js';
-import type { Txn } from '../../protocol/stateProtocol.js';
+import type { Transaction } from '../../protocol/stateProtocol.js';
 import { keys, type QuotaRecord } from '../../storage/records.js';
-import type { Replica } from '../../storage/stateCache.js';
-import type { StateClient, TxnResult } from '../../storage/stateClient.js';
-import type { OwnedPart } from '../leadership/ownedShard.js';
-import type { Ownership } from '../leadership/shardLeadership.js';
-import { nothing, type Amount } from './teamUsage.js';
+import type { StateCache } from '../../storage/stateCache.js';
+import type { StateClient, TransactionResult } from '../../storage/stateClient.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import type { ShardLeadership } from '../leadership/shardLeadership.js';
+import { noTeamResources, type TeamResources } from './teamUsage.js';
 
 const LIMITS = ['cpus', 'gpus'] as const;
 
 /** 0 in the settings means that there is no limit. */
-export const limitOf = (team: Team): Amount => ({
+export const limitOf = (team: Team): TeamResources => ({
   cpus: team.cpusMax > 0 ? team.cpusMax : Infinity,
   gpus: team.gpusMax > 0 ? team.gpusMax : Infinity,
 });
@@ -30,12 +30,12 @@
 export function reshare(
   shares: QuotaRecord,
   part: string,
-  used: Amount,
-  want: Amount,
-  limit: Amount,
+  used: TeamResources,
+  want: TeamResources,
+  limit: TeamResources,
 ): QuotaRecord {
-  const before = shares[part] ?? nothing();
-  const mine = nothing();
+  const before = shares[part] ?? noTeamResources();
+  const mine = noTeamResources();
   for (const kind of LIMITS) {
     if (!Number.isFinite(limit[kind])) continue;
     let others = 0;
@@ -48,30 +48,30 @@
 
 /** A smaller share that may be stored already: binds until the record has a higher stamp than `stamp`. */
 interface PendingReduction {
-  share: Amount;
+  share: TeamResources;
   stamp: number;
 }
 
 /** What is needed of a node. */
-export interface QuotaNode {
+export interface QuotaContext {
   settings: Pick<Settings, 'teams'>;
-  ownedParts: ReadonlyMap<string, OwnedPart>;
-  ownership: Pick<Ownership, 'valid'>;
+  ownedParts: ReadonlyMap<string, OwnedShard>;
+  ownership: Pick<ShardLeadership, 'valid'>;
   peers: { gossips(): Pick<Gossip, 'throttled'>[] };
-  replica: Pick<Replica, 'get' | 'note'>;
+  replica: Pick<StateCache, 'get' | 'note'>;
   state: Pick<StateClient, 'get'>;
-  commits: { write(host: OwnedPart, txn: Txn): Promise<TxnResult> };
+  commits: { write(host: OwnedShard, txn: Transaction): Promise<TransactionResult> };
 }
 
-export class Quotas {
+export class QuotaShares {
   private busy = false;
   /** By team and part. */
   private readonly reductions = new Map<string, PendingReduction>();
 
-  constructor(private readonly node: QuotaNode) {}
+  constructor(private readonly node: QuotaContext) {}
 
   /** How much of a team's limit a part may use; null: there is no limit. */
-  allowance(part: string, name: string): Amount | null {
+  allowance(part: string, name: string): TeamResources | null {
     const team = this.node.settings.teams.find((t) => t.name === name);
     if (team === undefined) return null;
     const limit = limitOf(team);
@@ -84,9 +84,9 @@
   }
 
   /** The stored share, or less where a reduction of it is on its way. */
-  private usableShare(part: string, team: string): Amount {
+  private usableShare(part: string, team: string): TeamResources {
     const stored = this.node.replica.get(keys.quota(team));
-    const share = (stored?.value as QuotaRecord | undefined)?.[part] ?? nothing();
+    const share = (stored?.value as QuotaRecord | undefined)?.[part] ?? noTeamResources();
     const reduction = this.reductions.get(reductionKey(part, team));
     if (reduction === undefined || (stored?.stamp ?? 0) > reduction.stamp) return share;
     return smaller(share, reduction.share);
@@ -109,7 +109,7 @@
     }
   }
 
-  private async balanceTeam(team: Team, label: string, limit: Amount): Promise<void> {
+  private async balanceTeam(team: Team, label: string, limit: TeamResources): Promise<void> {
     const host = this.node.ownedParts.get(label);
     if (host === undefined) return;
     const { part } = host;
@@ -127,7 +127,11 @@
     if (!isMore && !(isLess && this.isThrottledElsewhere(team.name))) return;
     // What shrinks binds at once, before it is stored; what grows may be used only once it is stored.
     this.reductions.set(reductionKey(label, team.name), { share: smaller(before, after), stamp });
-    const txn: Txn = { when: [{ key, stamp }], puts: [{ key, value: wanted }], removes: [] };
+    const txn: Transaction = {
+      when: [{ key, stamp }],
+      puts: [{ key, value: wanted }],
+      removes: [],
+    };
     const result = await this.node.commits.write(host, txn);
     if (result.kind === 'applied') {
       this.node.replica.note(key, wanted, result.stamp);
@@ -142,12 +146,12 @@
   }
 }
 
-const isLimited = (limit: Amount): boolean =>
+const isLimited = (limit: TeamResources): boolean =>
   Number.isFinite(limit.cpus) || Number.isFinite(limit.gpus);
 
 const reductionKey = (part: string, team: string): string => `${part} ${team}`;
 
-const smaller = (one: Amount, other: Amount): Amount => ({
+const smaller = (one: TeamResources, other: TeamResources): TeamResources => ({
   cpus: Math.min(one.cpus, other.cpus),
   gpus: Math.min(one.gpus, other.gpus),
 });
--- a/src/coordination/quota/teamUsage.ts
+++ b/src/coordination/quota/teamUsage.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../../protocol/job.js';
 
 /** Processors and accelerators. */
-export interface Amount {
+export interface TeamResources {
   cpus: number;
   gpus: number;
 }
@@ -10,32 +10,32 @@
 /** What a part has to know of the rest of the cluster. */
 export interface ClusterView {
   /** How much of a team's limit this part may use; null: no limit. */
-  allowance(team: string): Amount | null;
+  allowance(team: string): TeamResources | null;
   /** What a team is guaranteed; 0: nothing. */
-  guarantee(team: string): Amount;
+  guarantee(team: string): TeamResources;
   /** What a team's tasks take at the other parts, as last heard. */
-  usedElsewhere(team: string): Amount;
+  usedElsewhere(team: string): TeamResources;
   /** The first of a team's jobs that waits too long for the team's limit at another part. */
-  starvedElsewhere(team: string): Starved | null;
+  starvedElsewhere(team: string): StarvedJob | null;
   /** The highest rank of the jobs that need a job; below every rank when none does. */
   inheritedRank(job: string): number;
 }
 
 /** A job that has long been kept waiting by its team's limit. */
-export interface Starved {
+export interface StarvedJob {
   team: string;
   /** Time of day of its submission, and its rank: the order of the queue. */
   at: number;
   rank: number;
 }
 
-export const nothing = (): Amount => ({ cpus: 0, gpus: 0 });
+export const noTeamResources = (): TeamResources => ({ cpus: 0, gpus: 0 });
 
 /** The view of a part that is the only one. */
-export const singlePartView: ClusterView = {
+export const singleShardView: ClusterView = {
   allowance: () => null,
-  guarantee: nothing,
-  usedElsewhere: nothing,
+  guarantee: noTeamResources,
+  usedElsewhere: noTeamResources,
   starvedElsewhere: () => null,
   inheritedRank: () => -Infinity,
 };
@@ -45,7 +45,7 @@
 
 export class TeamUsage {
   /** Kept up to date, since each decision asks for it. */
-  private readonly used = new Map<string, Amount>();
+  private readonly used = new Map<string, TeamResources>();
 
   constructor(private readonly cluster: ClusterView) {}
 
@@ -60,7 +60,7 @@
     );
   }
 
-  private total(team: string): Amount {
+  private total(team: string): TeamResources {
     const here = this.usedBy(team);
     const there = this.cluster.usedElsewhere(team);
     return { cpus: here.cpus + there.cpus, gpus: here.gpus + there.gpus };
@@ -78,20 +78,20 @@
   }
 
   /** What a team runs beyond its guarantee. */
-  borrowed(team: string): Amount {
+  borrowed(team: string): TeamResources {
     const guarantee = this.cluster.guarantee(team);
     const used = this.total(team);
     return { cpus: used.cpus - guarantee.cpus, gpus: used.gpus - guarantee.gpus };
   }
 
   /** What a team's tasks take here, those that may still run included. */
-  usedBy(team: string): Readonly<Amount> {
-    return this.used.get(team) ?? nothing();
+  usedBy(team: string): Readonly<TeamResources> {
+    return this.used.get(team) ?? noTeamResources();
   }
 
   /** Counts tasks that have been placed here, or, below zero, are over. */
   add(spec: JobSpec, tasks: number): void {
-    const used = this.used.get(spec.team) ?? nothing();
+    const used = this.used.get(spec.team) ?? noTeamResources();
     this.used.set(spec.team, used);
     used.cpus += tasks * spec.cpus;
     used.gpus += tasks * spec.gpus;
--- a/src/coordination/reconciliation/heartbeatEndpoint.ts
+++ b/src/coordination/reconciliation/heartbeatEndpoint.ts
@@ -1,20 +1,20 @@
 /** Reports of workers: answered by the owner of the machine's part, wherever they arrive. */
 import { log } from '../../base/log.js';
 import {
-  helloAnswer,
-  parseReport,
+  heartbeatAnswer,
+  parseHeartbeat,
   redirectAnswer,
-  type Report,
+  type Heartbeat,
 } from '../../protocol/workerProtocol.js';
 import type { Reply } from '../../transport/httpServer.js';
 import type { Controller } from '../controller/controller.js';
-import type { OwnedPart } from '../leadership/ownedShard.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
 import type { Machine } from '../shard/machine.js';
 
 const elsewhere = (owner: string | null): Reply => ({ status: 421, body: redirectAnswer(owner) });
 
 /** How a report came: passed on by a peer, or after an answer on the same connection. */
-export interface Arrival {
+export interface HeartbeatArrival {
   relayed: boolean;
   follows: boolean;
 }
@@ -25,18 +25,18 @@
  * connection, which proves as much. After a takeover hundreds do, and a question to each would cost more
  * than answering them.
  */
-function needsProbe(machine: Machine, report: Report, token: number): boolean {
+function needsProbe(machine: Machine, report: Heartbeat, token: number): boolean {
   if (machine.missed > 0) return true;
   return !machine.up && (report.tasks.length === 0 || report.token >= token);
 }
 
-export class Workers {
+export class HeartbeatEndpoint {
   /** Workers that were sent on, and when: those that come back can't reach the owner. */
   readonly sentOn = new Map<string, number>();
 
   constructor(private readonly node: Controller) {}
 
-  async hello(body: string, arrival: Arrival): Promise<Reply> {
+  async hello(body: string, arrival: HeartbeatArrival): Promise<Reply> {
     const reply = await this.decide(body, arrival);
     if (reply.status !== 200) {
       const name = /"Drone": ?"([^"]*)"/.exec(body)?.[1] ?? '?';
@@ -45,10 +45,10 @@
     return reply;
   }
 
-  private async decide(body: string, { relayed, follows }: Arrival): Promise<Reply> {
-    let report: Report | null = null;
+  private async decide(body: string, { relayed, follows }: HeartbeatArrival): Promise<Reply> {
+    let report: Heartbeat | null = null;
     try {
-      report = parseReport(JSON.parse(body));
+      report = parseHeartbeat(JSON.parse(body));
     } catch {
       // Not JSON: answered like any other malformed report.
     }
@@ -64,7 +64,7 @@
     return this.sendOn(part, report, body);
   }
 
-  private answer(host: OwnedPart, report: Report, follows: boolean): Reply {
+  private answer(host: OwnedShard, report: Heartbeat, follows: boolean): Reply {
     const { node } = this;
     const now = node.clock.now();
     const right = node.authority.toAnswer(host, report.token);
@@ -90,10 +90,10 @@
     machine.renewed = Math.max(machine.renewed, now);
     if (says === 'news') node.requestRound();
     if (orders.length > 0) node.orders.noteSent(host, machine, orders, 'answer');
-    return { status: 200, body: helloAnswer(host.token, orders) };
+    return { status: 200, body: heartbeatAnswer(host.token, orders) };
   }
 
-  private async sendOn(part: string, report: Report, body: string): Promise<Reply> {
+  private async sendOn(part: string, report: Heartbeat, body: string): Promise<Reply> {
     const { node } = this;
     const now = node.clock.now();
     const owner = node.ownerOf(part);
--- a/src/coordination/reconciliation/heartbeatReconciler.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -1,39 +1,39 @@
 /** What workers' reports say of machines and of the attempts that are, or may be, there. */
-import type { Report, TaskReport } from '../../protocol/workerProtocol.js';
-import { AttemptOver } from './attemptTermination.js';
-import type { Chunk, Entry } from '../shard/chunk.js';
+import type { Heartbeat, ReportedAttempt } from '../../protocol/workerProtocol.js';
+import { AttemptTermination } from './attemptTermination.js';
+import type { Chunk, Attempt } from '../shard/chunk.js';
 import type { RunTimes } from '../scheduling/runTimes.js';
-import { attemptKey, type Machine, type Placed } from '../shard/machine.js';
-import type { Part, PartOptions } from '../shard/shard.js';
+import { attemptKey, type Machine, type Placement } from '../shard/machine.js';
+import type { Shard, ShardOptions } from '../shard/shard.js';
 
 /**
  * Where a report comes from: a worker's own, which may be late or get no answer; one that follows an
  * answer of ours on the same connection; the answer to a question or command of ours.
  */
-export type Source = 'report' | 'follow' | 'answer';
+export type HeartbeatOrigin = 'report' | 'follow' | 'answer';
 
 /** What a report says: nothing, since it is older than what is known; nothing new; or something new. */
-export type Told = 'older' | 'as before' | 'news';
+export type HeartbeatEffect = 'older' | 'as before' | 'news';
 
 /** Of a machine's pace, how much one task that has ended counts: one odd task says little. */
-const PACE_WEIGHT = 0.25;
+const SLOWNESS_WEIGHT = 0.25;
 
 /** The slowest pace that is believed, as a ratio to what was expected. */
-const SLOWEST = 8;
+const MAX_SLOWNESS = 8;
 
 /** Machines on which a job must have failed before the job is blamed, not they. */
-const BAD_JOB = 3;
+const FAULTY_JOB_MACHINES = 3;
 
 /** Jobs that must have failed in a row on a machine before the machine is blamed. */
-const BAD_MACHINE = 2;
+const FAULTY_MACHINE_JOBS = 2;
 
-export class ReportIntake {
+export class HeartbeatReconciler {
   constructor(
     private readonly part: Pick<
-      Part,
+      Shard,
       'chunks' | 'chunksOf' | 'changed' | 'pendingCommands' | 'release' | 'stop' | 'strangers'
     >,
-    private readonly options: Pick<PartOptions, 'lease' | 'report'>,
+    private readonly options: Pick<ShardOptions, 'lease' | 'report'>,
     private readonly runTimes: RunTimes,
   ) {}
 
@@ -41,7 +41,7 @@
    * Takes a worker's report. Most say nothing new, and nothing has to be decided anew for them: with
    * hundreds of machines that would be most of a node's work.
    */
-  apply(machine: Machine, report: Report, now: number, from: Source): Told {
+  apply(machine: Machine, report: Heartbeat, now: number, from: HeartbeatOrigin): HeartbeatEffect {
     if (!machine.isNewer(report)) return 'older';
     const before = machine.usable(now);
     const isHello = from !== 'answer';
@@ -85,10 +85,10 @@
   }
 
   /** What a newer report says of one attempt. */
-  private settle(machine: Machine, placed: Placed, isHello: boolean, now: number): void {
+  private settle(machine: Machine, placed: Placement, isHello: boolean, now: number): void {
     const { chunk, entry } = placed;
     if (isHello) entry.sentInAnswer = false;
-    const over = AttemptOver.byReport(machine, placed, now);
+    const over = AttemptTermination.byReport(machine, placed, now);
     const report = machine.tasks.find(chunk.taskName(entry.task), entry.attempt);
     if (report === undefined || over?.rule === 'new-session') {
       if (over !== null) this.part.release(machine, placed, over, now);
@@ -99,8 +99,8 @@
   /** It is there, and not over. */
   private progress(
     machine: Machine,
-    { chunk, entry }: Placed,
-    report: TaskReport,
+    { chunk, entry }: Placement,
+    report: ReportedAttempt,
     now: number,
   ): void {
     entry.seen = true;
@@ -114,9 +114,9 @@
   /** The worker says that it has ended, and why. */
   private end(
     machine: Machine,
-    placed: Placed,
-    report: TaskReport,
-    over: AttemptOver,
+    placed: Placement,
+    report: ReportedAttempt,
+    over: AttemptTermination,
     now: number,
   ): void {
     const { chunk, entry } = placed;
@@ -134,7 +134,7 @@
     this.leave(machine, chunk, entry, now);
   }
 
-  private finish(machine: Machine, placed: Placed, over: AttemptOver, now: number): void {
+  private finish(machine: Machine, placed: Placement, over: AttemptTermination, now: number): void {
     const { chunk, entry } = placed;
     if (entry.runningSince !== null) {
       const actual = now - entry.runningSince;
@@ -142,7 +142,8 @@
       this.runTimes.note(chunk.spec.jobClass, chunk.spec.expect, actual);
       // A machine's own pace, slowly followed.
       if (expected > 0) {
-        machine.slowness += PACE_WEIGHT * (Math.min(SLOWEST, actual / expected) - machine.slowness);
+        machine.slowness +=
+          SLOWNESS_WEIGHT * (Math.min(MAX_SLOWNESS, actual / expected) - machine.slowness);
       }
     }
     machine.failedJobs.clear();
@@ -153,7 +154,7 @@
   }
 
   /** The attempt's end stays in the worker's reports until it may be forgotten. */
-  private leave(machine: Machine, chunk: Chunk, entry: Entry, now: number): void {
+  private leave(machine: Machine, chunk: Chunk, entry: Attempt, now: number): void {
     const version = chunk.version;
     const { attempt, task, doubt, sentInAnswer } = entry;
     const leftover = {
@@ -175,9 +176,9 @@
     chunk.failedOn.add(machine.name);
     // Several jobs failing on one machine point at the machine; one job failing on several machines
     // points at the job. Neither takes the other's good name with it.
-    const jobIsBad = chunk.failedOn.size >= BAD_JOB;
+    const jobIsBad = chunk.failedOn.size >= FAULTY_JOB_MACHINES;
     if (jobIsBad) machine.failedJobs.delete(chunk.spec.id);
-    if (machine.failedJobs.size >= BAD_MACHINE) {
+    if (machine.failedJobs.size >= FAULTY_MACHINE_JOBS) {
       machine.shunnedUntil = now + this.options.lease * machine.failedJobs.size;
     }
     this.backOff(chunk, now);
--- a/src/coordination/reconciliation/machineLiveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -1,15 +1,15 @@
 /** Which machines of a part are silent, and since when what ran there is over. */
-import { AttemptOver } from './attemptTermination.js';
+import { AttemptTermination } from './attemptTermination.js';
 import type { Machine } from '../shard/machine.js';
-import type { Part, PartOptions } from '../shard/shard.js';
+import type { Shard, ShardOptions } from '../shard/shard.js';
 
-export class Liveness {
+export class MachineLiveness {
   /** When most of the machines were last silent: more likely a fault on our side than on theirs. */
   private mostSilentAt = -Infinity;
 
   constructor(
-    private readonly part: Pick<Part, 'audit' | 'label' | 'machines' | 'release'>,
-    private readonly options: Pick<PartOptions, 'lease' | 'report'>,
+    private readonly part: Pick<Shard, 'audit' | 'label' | 'machines' | 'release'>,
+    private readonly options: Pick<ShardOptions, 'lease' | 'report'>,
   ) {}
 
   /** Silent machines: what ran there is over once nobody can have renewed the lease that long. */
@@ -17,7 +17,7 @@
     for (const machine of this.part.machines.values()) {
       machine.cutOff = now - (machine.reportedAt ?? machine.created) > this.options.lease / 2;
       if (machine.entries.size === 0) continue;
-      const over = AttemptOver.byLease(machine, this.options, now);
+      const over = AttemptTermination.byLease(machine, this.options, now);
       if (over === null) continue;
       machine.lost = true;
       for (const placed of [...machine.entries.values()]) {
--- a/src/coordination/reconciliation/unacknowledgedStart.ts
+++ b/src/coordination/reconciliation/unacknowledgedStart.ts
@@ -5,14 +5,14 @@
 import type { CommandOutcome } from '../audit/auditTrail.js';
 
 /** No command was sent under any token. */
-const NEVER = -Infinity;
+const NO_TOKEN = -Infinity;
 
-export class StartDoubt {
+export class UnacknowledgedStart {
   /** The token of the command that is on its way. There is one at a time for a machine. */
-  private awaited = NEVER;
+  private awaited = NO_TOKEN;
 
   /** `unanswered`: the highest token of a command that got no answer. */
-  constructor(private unanswered = NEVER) {}
+  constructor(private unanswered = NO_TOKEN) {}
 
   /** A worker that has seen a token carries out nothing that was sent under a lower one. */
   isOpen(seenToken: number): boolean {
@@ -25,18 +25,18 @@
   }
 
   noteOutcome(token: number, outcome: CommandOutcome): void {
-    this.awaited = NEVER;
+    this.awaited = NO_TOKEN;
     switch (outcome) {
       case 'unanswered':
         this.unanswered = Math.max(this.unanswered, token);
         return;
       case 'refused':
         // The worker is past the token or the session, and so past those of all earlier commands.
-        this.unanswered = NEVER;
+        this.unanswered = NO_TOKEN;
         return;
       case 'executed':
         // The worker has seen this token. A copy under the same one is carried out all the same.
-        if (this.unanswered < token) this.unanswered = NEVER;
+        if (this.unanswered < token) this.unanswered = NO_TOKEN;
         return;
       case 'unsent':
         return;
--- a/src/coordination/reconciliation/unknownAttempts.ts
+++ b/src/coordination/reconciliation/unknownAttempts.ts
@@ -4,7 +4,7 @@
  */
 import type { Machine } from '../shard/machine.js';
 
-export class Strangers {
+export class UnknownAttempts {
   private readonly tasksOn = new Map<Machine, string[]>();
   private readonly machinesOf = new Map<string, Set<Machine>>();
 
--- a/src/coordination/rollout/drain.ts
+++ b/src/coordination/rollout/drain.ts
@@ -1,11 +1,13 @@
 /** Taking a node out of service: it gives up what it owns, and takes nothing until the drain is cancelled. */
-import type { Ownership } from '../leadership/shardLeadership.js';
+import type { ShardLeadership } from '../leadership/shardLeadership.js';
 
 export class Drain {
   /** It was asked for and not cancelled. */
   isActive = false;
 
-  constructor(private readonly ownership: Pick<Ownership, 'release' | 'reclaim' | 'isIdle'>) {}
+  constructor(
+    private readonly ownership: Pick<ShardLeadership, 'release' | 'reclaim' | 'isIdle'>,
+  ) {}
 
   /** Nothing is owned any more, and nothing on its way to be given up. */
   get isDone(): boolean {
--- a/src/coordination/rollout/migratedShards.ts
+++ b/src/coordination/rollout/migratedShards.ts
@@ -6,22 +6,22 @@
 import { sleep, type Clock } from '../../base/clock.js';
 import { keys, BUCKETS, JOBS, type JobRecord } from '../../storage/records.js';
 import type { StoredForm } from '../../storage/recordFormat.js';
-import type { Replica } from '../../storage/stateCache.js';
+import type { StateCache } from '../../storage/stateCache.js';
 import type { StateClient } from '../../storage/stateClient.js';
-import type { Commits } from '../persistence/jobPersistence.js';
-import type { OwnedPart } from '../leadership/ownedShard.js';
-import { PROVISIONER, type Ownership } from '../leadership/shardLeadership.js';
+import type { JobPersistence } from '../persistence/jobPersistence.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import { AUTOSCALER_DUTY, type ShardLeadership } from '../leadership/shardLeadership.js';
 
 /** What is needed of a node. */
-export interface MigratingNode {
+export interface MigrationContext {
   clock: Clock;
   settings: { report: number };
   parts: string[];
-  ownedParts: ReadonlyMap<string, OwnedPart>;
-  ownership: Pick<Ownership, 'get' | 'valid'>;
-  replica: Pick<Replica, 'get' | 'note'>;
+  ownedParts: ReadonlyMap<string, OwnedShard>;
+  ownership: Pick<ShardLeadership, 'get' | 'valid'>;
+  replica: Pick<StateCache, 'get' | 'note'>;
   state: Pick<StateClient, 'get' | 'txn' | 'keysOfForm' | 'unreadable'>;
-  commits: Pick<Commits, 'rewrite'>;
+  commits: Pick<JobPersistence, 'rewrite'>;
 }
 
 /** How long a record's own write is waited for, as a ratio to the time between reports. */
@@ -30,9 +30,9 @@
 /** Between two looks whether it was written, as a ratio to the time between reports. */
 const LOOK = 1 / 10;
 
-export class MigratedParts {
+export class MigratedShards {
   constructor(
-    private readonly node: MigratingNode,
+    private readonly node: MigrationContext,
     /** The form in which no record should be any more. */
     private readonly outdatedForm: () => StoredForm,
   ) {}
@@ -41,7 +41,7 @@
   owned(): MigratedPart[] {
     const { node } = this;
     const parts = [...node.ownedParts.keys()];
-    if (node.ownership.get(PROVISIONER) !== undefined) parts.push(PROVISIONER);
+    if (node.ownership.get(AUTOSCALER_DUTY) !== undefined) parts.push(AUTOSCALER_DUTY);
     return parts.map((label) => ({
       label,
       ownership: () => this.ownership(label),
@@ -68,7 +68,7 @@
   /** Who converts a record: the owner of its part, else the lease holder. */
   private partOf(key: string): string {
     const part = key.startsWith(BUCKETS) ? key.split('/')[2] : this.homeOf(key);
-    return part !== undefined && this.node.parts.includes(part) ? part : PROVISIONER;
+    return part !== undefined && this.node.parts.includes(part) ? part : AUTOSCALER_DUTY;
   }
 
   private homeOf(key: string): string | undefined {
@@ -91,7 +91,7 @@
   }
 
   /** Its chunks count as changed, so that the part stores it with its next change. */
-  private async rewriteBucket(host: OwnedPart, key: string): Promise<Conversion> {
+  private async rewriteBucket(host: OwnedShard, key: string): Promise<Conversion> {
     const name = key.slice(keys.runs(host.part.label).length);
     const bucket = host.buckets.get(name);
     if (bucket === undefined) return { kind: 'later' };
@@ -111,7 +111,7 @@
     return { kind: 'converted' };
   }
 
-  private async rewriteJob(host: OwnedPart, key: string): Promise<Conversion> {
+  private async rewriteJob(host: OwnedShard, key: string): Promise<Conversion> {
     const job = host.jobs.get(key.slice(JOBS.length));
     // The job is over: nobody but a migration changes its record any more.
     if (job === undefined) return this.rewriteDirectly(host.part.label, key);
--- a/src/coordination/rollout/rolloutService.ts
+++ b/src/coordination/rollout/rolloutService.ts
@@ -31,16 +31,16 @@
 } from '@barrowlb/rollout';
 import type { Clock } from '../../base/clock.js';
 import { describe, log } from '../../base/log.js';
-import type { Change } from '../../protocol/stateProtocol.js';
-import { BARRIER_KEY, keys, ROOT, type OwnerRecord } from '../../storage/records.js';
+import type { KeyValueChange } from '../../protocol/stateProtocol.js';
+import { BARRIER_KEY, keys, ROOT, type LeaderRecord } from '../../storage/records.js';
 import type { StoredForm } from '../../storage/recordFormat.js';
 import type { StateClient } from '../../storage/stateClient.js';
-import { restamp } from '../leadership/ownedShard.js';
-import { PROVISIONER, type Ownership } from '../leadership/shardLeadership.js';
-import type { Peers } from '../peers/peerRegistry.js';
+import { advanceFencingToken } from '../leadership/ownedShard.js';
+import { AUTOSCALER_DUTY, type ShardLeadership } from '../leadership/shardLeadership.js';
+import type { PeerRegistry } from '../peers/peerRegistry.js';
 import { COMPRESSED_RECORDS } from './featureNames.js';
 import { BARRIER_FROM, featureTable, MARKED_LEVEL } from './featureTable.js';
-import { MigratedParts, type MigratingNode } from './migratedShards.js';
+import { MigratedShards, type MigrationContext } from './migratedShards.js';
 import type { RolloutSetup } from './rolloutSetup.js';
 
 /** Operations of one step of a migration at the most: no more than the smallest state service takes. */
@@ -53,14 +53,14 @@
 const MIGRATION_LOAD = 1 / 2;
 
 /** What is needed of a node. */
-export interface RolloutNode extends MigratingNode {
+export interface RolloutContext extends MigrationContext {
   clock: Clock;
   process: string;
   settings: { label: string; report: number };
-  ownership: Ownership;
-  peers: Pick<Peers, 'processOf'>;
+  ownership: ShardLeadership;
+  peers: Pick<PeerRegistry, 'processOf'>;
   marks: { readonly isUpgraded: boolean };
-  replica: MigratingNode['replica'] & {
+  replica: MigrationContext['replica'] & {
     readonly loaded: boolean;
     under(prefix: string): Iterable<[string, { value: unknown; stamp: number }]>;
   };
@@ -72,7 +72,7 @@
   private readonly participant: Participant;
   private readonly coordinator: VersionCoordinator;
   private readonly migrator: Migrator;
-  private readonly parts: MigratedParts;
+  private readonly parts: MigratedShards;
   private readonly history = new BlockerHistory();
   private readonly store: RecordStore;
   private readonly range = { min: featureTable.lowest, max: featureTable.highest };
@@ -84,12 +84,12 @@
   private isMigrating = false;
 
   constructor(
-    private readonly node: RolloutNode,
+    private readonly node: RolloutContext,
     private readonly setup: RolloutSetup,
   ) {
     this.tracker = new VersionTracker(featureTable, this.range, MARKED_LEVEL);
     this.store = { txn: (change) => node.state.txn(change, 'urgent') };
-    this.parts = new MigratedParts(node, () => this.outdatedForm);
+    this.parts = new MigratedShards(node, () => this.outdatedForm);
     this.participant = this.createParticipant();
     this.coordinator = this.createCoordinator();
     this.migrator = new Migrator(this.store, node.replica, {
@@ -129,12 +129,12 @@
     const { ownership, replica, state } = this.node;
     const lease = {
       condition: () => {
-        const held = ownership.get(PROVISIONER);
+        const held = ownership.get(AUTOSCALER_DUTY);
         if (held === undefined || !ownership.valid) return null;
-        return { key: keys.owner(PROVISIONER), stamp: held.stamp };
+        return { key: keys.owner(AUTOSCALER_DUTY), stamp: held.stamp };
       },
       get token() {
-        return ownership.get(PROVISIONER)?.token ?? 0;
+        return ownership.get(AUTOSCALER_DUTY)?.token ?? 0;
       },
     };
     return new VersionCoordinator(this.store, replica, lease, () => this.snapshot(), {
@@ -169,7 +169,7 @@
   }
 
   /** Whether an ownership key is that of a process which can read what is stored. */
-  isEntitled(owner: OwnerRecord): boolean {
+  isEntitled(owner: LeaderRecord): boolean {
     return !this.isFenced || this.publishedProcess(owner.node) === owner.process;
   }
 
@@ -187,7 +187,7 @@
   // ---- Following and reconciling ----
 
   /** One of this subsystem's records has changed in the copy. */
-  note({ key, value, removed }: Change): void {
+  note({ key, value, removed }: KeyValueChange): void {
     const present = removed ? null : value;
     if (key === rolloutKeys.version) this.tracker.noteVersion(present);
     else if (key === BARRIER_KEY) this.tracker.noteBarrier(key, present);
@@ -223,7 +223,7 @@
       const isDone =
         host === undefined
           ? (await ownership.raise(part)) !== null
-          : await restamp(ownership, host);
+          : await advanceFencingToken(ownership, host);
       if (!isDone && ownership.get(part) !== undefined) return false;
     }
     return true;
@@ -267,13 +267,13 @@
   }
 
   private get allParts(): string[] {
-    return [...this.node.parts, PROVISIONER];
+    return [...this.node.parts, AUTOSCALER_DUTY];
   }
 
   private ownerOf(part: string): OwnerView {
     const key = keys.owner(part);
     const stored = this.node.replica.get(key);
-    const owner = (stored?.value ?? null) as OwnerRecord | null;
+    const owner = (stored?.value ?? null) as LeaderRecord | null;
     return { part, key, stamp: stored?.stamp ?? 0, owner };
   }
 
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -2,18 +2,18 @@
 import type { Random } from '../../base/random.js';
 import type { JobSpec } from '../../protocol/job.js';
 
-export interface Room {
+export interface Resources {
   cpus: number;
   gpus: number;
   memory: number;
 }
 
-export interface Host {
+export interface CandidateMachine {
   name: string;
   type: string;
   zone: string;
   spot: boolean;
-  free: Room;
+  free: Resources;
   /** Time per unit of work against the usual; 1 is usual, 2 is half as fast. */
   slowness: number;
   /** Processors that live services have there. */
@@ -23,13 +23,13 @@
 
 const EPSILON = 1e-6;
 
-export const holds = (room: Room, need: Room): boolean =>
+export const fits = (room: Resources, need: Resources): boolean =>
   room.cpus + EPSILON >= need.cpus &&
   room.gpus + EPSILON >= need.gpus &&
   room.memory + EPSILON >= need.memory;
 
 /** Whether a job's constraints allow a machine, whatever room it has. */
-export function allows(
+export function satisfiesConstraints(
   spec: JobSpec,
   zone: string | null,
   host: { type: string; zone: string; spot: boolean },
@@ -56,14 +56,14 @@
 }
 
 /** Takes room away, or gives it back with -1. */
-export function takeRoom(room: Room, need: Room, times = 1): void {
+export function subtractResources(room: Resources, need: Resources, times = 1): void {
   room.cpus -= times * need.cpus;
   room.gpus -= times * need.gpus;
   room.memory -= times * need.memory;
 }
 
 /** Samples a few of the machines that have room; those that hold the image are always looked at. */
-export function sampleHosts<T extends Host>(
+export function sampleCandidates<T extends CandidateMachine>(
   hosts: T[],
   image: string,
   count: number,
@@ -84,7 +84,7 @@
  * Best fit: the least that is left of the scarcer of processors and memory. Slow machines and, where
  * the fetch would hold the task up, machines without the image come last.
  */
-export function bestFit<T extends Host>(hosts: T[], spec: JobSpec): T | null {
+export function bestFit<T extends CandidateMachine>(hosts: T[], spec: JobSpec): T | null {
   let best: T | null = null;
   let bestScore = Infinity;
   for (const host of hosts) {
@@ -106,7 +106,7 @@
 
 export interface Victim {
   rank: number;
-  need: Room;
+  need: Resources;
   /** Seconds of work that stopping it would lose. */
   loss: number;
 }
@@ -116,8 +116,8 @@
  * Work of the same or a higher rank is never in it.
  */
 export function victimsFor<T extends Victim>(
-  free: Room,
-  need: Room,
+  free: Resources,
+  need: Resources,
   running: T[],
   rank: number,
 ): T[] | null {
@@ -126,11 +126,11 @@
   const room = { ...free };
   const chosen: T[] = [];
   for (const victim of candidates) {
-    if (holds(room, need)) break;
+    if (fits(room, need)) break;
     room.cpus += victim.need.cpus;
     room.gpus += victim.need.gpus;
     room.memory += victim.need.memory;
     chosen.push(victim);
   }
-  return holds(room, need) ? chosen : null;
+  return fits(room, need) ? chosen : null;
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -2,13 +2,13 @@
 import { rankOrder } from '../../protocol/job.js';
 import type { Chunk } from '../shard/chunk.js';
 import { Heap } from './heap.js';
-import type { Machine, Placed } from '../shard/machine.js';
-import type { Part } from '../shard/shard.js';
-import { allows, holds, shapeOf, victimsFor, type Room } from './placement.js';
-import type { Amount, TeamUsage } from '../quota/teamUsage.js';
+import type { Machine, Placement } from '../shard/machine.js';
+import type { Shard } from '../shard/shard.js';
+import { satisfiesConstraints, fits, shapeOf, victimsFor, type Resources } from './placement.js';
+import type { TeamResources, TeamUsage } from '../quota/teamUsage.js';
 
 /** Running tasks that may be stopped. */
-type Victims = { rank: number; need: Room; loss: number; placed: Placed }[];
+type Victims = { rank: number; need: Resources; loss: number; placed: Placement }[];
 
 /** A machine on which stopping some tasks makes room for one. */
 interface Offer {
@@ -25,7 +25,7 @@
 
 export class Preemption {
   constructor(
-    private readonly part: Pick<Part, 'machines' | 'chunks' | 'stop'>,
+    private readonly part: Pick<Shard, 'machines' | 'chunks' | 'stop'>,
     private readonly teams: TeamUsage,
     /** Seconds between two reports of a worker. */
     private readonly report: number,
@@ -92,7 +92,7 @@
   }
 
   private offer(heap: Heap<Offer>, machine: Machine, chunk: Chunk, now: number): void {
-    if (!machine.usable(now) || !allows(chunk.spec, chunk.zone, machine)) return;
+    if (!machine.usable(now) || !satisfiesConstraints(chunk.spec, chunk.zone, machine)) return;
     const victims = victimsFor(
       machine.free,
       chunk.spec,
@@ -107,7 +107,7 @@
   private stoppable(machine: Machine, claimant: Chunk, now: number): Victims {
     const list: Victims = [];
     const entitled = this.teams.isEntitled(claimant.spec);
-    const borrowed = new Map<string, Amount>();
+    const borrowed = new Map<string, TeamResources>();
     for (const placed of machine.entries.values()) {
       const { chunk, entry } = placed;
       if (entry.stop !== null) continue;
@@ -141,9 +141,9 @@
     if (chunk.clearingSince !== null && now - chunk.clearingSince > patience) return false;
     const stoppable: { machine: Machine; victims: Victims; loss: number }[] = [];
     for (const machine of this.part.machines.values()) {
-      if (!machine.usable(now) || !allows(spec, chunk.zone, machine)) continue;
+      if (!machine.usable(now) || !satisfiesConstraints(spec, chunk.zone, machine)) continue;
       if (!machine.hasImage(spec.image) || machine.slowness > 1.5) continue;
-      if (holds(machine.free, spec)) return false;
+      if (fits(machine.free, spec)) return false;
       const running = this.stoppable(machine, chunk, now);
       const victims = victimsFor(machine.free, spec, running, chunk.rank);
       if (victims === null || victims.some((v) => v.placed.chunk.spec.checkpoint > 0)) continue;
--- a/src/coordination/scheduling/queueReplay.ts
+++ b/src/coordination/scheduling/queueReplay.ts
@@ -7,17 +7,23 @@
  * hundreds of machines is replayed for every submission and every question of a peer.
  */
 import { Heap } from './heap.js';
-import { allows, holds, shapeOf, takeRoom, type Room } from './placement.js';
+import {
+  satisfiesConstraints,
+  fits,
+  shapeOf,
+  subtractResources,
+  type Resources,
+} from './placement.js';
 import type { JobSpec } from '../../protocol/job.js';
 
-export interface ReplayHost {
+export interface ReplayMachine {
   type: string;
   zone: string;
   spot: boolean;
-  free: Room;
+  free: Resources;
   /** Seconds until it can take work: 0, or the rest of its boot time. */
   ready: number;
-  running: { ends: number; need: Room }[];
+  running: { ends: number; need: Resources }[];
 }
 
 export interface ReplayItem {
@@ -37,7 +43,7 @@
 interface End {
   at: number;
   host: number;
-  need: Room;
+  need: Resources;
 }
 
 /** Work that the same machines suit, in the order of the queue. */
@@ -49,7 +55,7 @@
   head: number;
 }
 
-const NOTHING: Room = { cpus: 0, gpus: 0, memory: 0 };
+const NOTHING: Resources = { cpus: 0, gpus: 0, memory: 0 };
 
 /** The queue by shapes: of those that want the same, only the first has to be looked at. */
 function lanesOf(items: ReplayItem[]): Lane[] {
@@ -69,7 +75,7 @@
   /** When running tasks end and machines get ready, soonest first. */
   readonly ends: readonly End[];
 
-  constructor(readonly hosts: readonly ReplayHost[]) {
+  constructor(readonly hosts: readonly ReplayMachine[]) {
     const ends: End[] = [];
     hosts.forEach(({ running, ready }, host) => {
       for (const task of running) ends.push({ at: Math.max(0, task.ends), host, need: task.need });
@@ -108,7 +114,11 @@
   candidate: ReplayItem,
 ): ReplayResult {
   const { hosts } = start;
-  if (!hosts.some((h) => allows(candidate.spec, candidate.zone, h) && everHolds(h, candidate))) {
+  if (
+    !hosts.some(
+      (h) => satisfiesConstraints(candidate.spec, candidate.zone, h) && everHolds(h, candidate),
+    )
+  ) {
     return { wait: Infinity };
   }
   let lanes = lanesOf([...queue, candidate]);
@@ -116,20 +126,20 @@
   const ends = new Ends(start.ends);
   let own = candidate.count;
   /** Starts what this machine has room for, first come first served, later work filling in behind. */
-  const fill = (host: ReplayHost, index: number, room: Room, now: number): void => {
+  const fill = (host: ReplayMachine, index: number, room: Resources, now: number): void => {
     for (;;) {
       let first: Lane | null = null;
       let order = Infinity;
       for (const lane of lanes) {
         const next = lane.waiting[lane.head];
         if (next === undefined || next.order > order) continue;
-        if (!holds(room, lane.spec) || !allows(lane.spec, lane.zone, host)) continue;
+        if (!fits(room, lane.spec) || !satisfiesConstraints(lane.spec, lane.zone, host)) continue;
         [first, order] = [lane, next.order];
       }
       const next = first?.waiting[first.head];
       if (first === null || next === undefined) return;
       const { spec: need, run } = next.item;
-      takeRoom(room, need);
+      subtractResources(room, need);
       if (Number.isFinite(run)) ends.add({ at: now + run, host: index, need });
       if (next.item === candidate) own--;
       if (--next.left > 0) continue;
@@ -150,16 +160,16 @@
     const room = rooms[next.host];
     const host = hosts[next.host];
     if (room === undefined || host === undefined) continue;
-    takeRoom(room, next.need, -1);
+    subtractResources(room, next.need, -1);
     if (host.ready <= now) fill(host, next.host, room, now);
     if (own === 0) return { wait: now };
   }
   return { wait: now };
 }
 
-function everHolds(host: ReplayHost, item: ReplayItem): boolean {
-  if (holds(host.free, item.spec)) return true;
+function everHolds(host: ReplayMachine, item: ReplayItem): boolean {
+  if (fits(host.free, item.spec)) return true;
   const room = { ...host.free };
-  for (const task of host.running) takeRoom(room, task.need, -1);
-  return holds(room, item.spec);
+  for (const task of host.running) subtractResources(room, task.need, -1);
+  return fits(room, item.spec);
 }
--- a/src/coordination/scheduling/runTimes.ts
+++ b/src/coordination/scheduling/runTimes.ts
@@ -40,7 +40,7 @@
 }
 
 /** Work that arrives, in processors, averaged over a window that forgets slowly. */
-export class Arrivals {
+export class ArrivalRate {
   private level = 0;
   private at = 0;
   private since: number | null = null;
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -2,14 +2,26 @@
 import { log } from '../../base/log.js';
 import type { Random } from '../../base/random.js';
 import { rankOrder } from '../../protocol/job.js';
-import type { Chunk, Entry } from '../shard/chunk.js';
+import type { Chunk, Attempt } from '../shard/chunk.js';
 import type { RunTimes } from './runTimes.js';
 import type { Machine } from '../shard/machine.js';
-import type { Part, PartOptions } from '../shard/shard.js';
-import { allows, bestFit, holds, sampleHosts, shapeOf, takeRoom } from './placement.js';
+import type { Shard, ShardOptions } from '../shard/shard.js';
+import {
+  satisfiesConstraints,
+  bestFit,
+  fits,
+  sampleCandidates,
+  shapeOf,
+  subtractResources,
+} from './placement.js';
 import { Preemption } from './preemption.js';
-import { StartDoubt } from '../reconciliation/unacknowledgedStart.js';
-import { nothing, type Amount, type ClusterView, type Starved } from '../quota/teamUsage.js';
+import { UnacknowledgedStart } from '../reconciliation/unacknowledgedStart.js';
+import {
+  noTeamResources,
+  type TeamResources,
+  type ClusterView,
+  type StarvedJob,
+} from '../quota/teamUsage.js';
 
 interface Round {
   /** Machines that may take work and had room when the round began. */
@@ -23,24 +35,24 @@
   /** Teams whose limit holds up the first of their work. */
   capped: Set<string>;
   /** What was found out of each team's work that starves at other parts. */
-  starved: Map<string, Starved | null>;
+  starved: Map<string, StarvedJob | null>;
 }
 
 export class Scheduler {
   /** Teams that were kept waiting by their share of the limit in the last round. */
   readonly throttled = new Set<string>();
   /** The first of each team that its limit has kept waiting for long. */
-  readonly starving = new Map<string, Starved>();
+  readonly starving = new Map<string, StarvedJob>();
   /** The chunk at which the last round ran out of time. */
   private resumeAfter: string | null = null;
   private readonly preemption: Preemption;
 
   constructor(
     private readonly part: Pick<
-      Part,
+      Shard,
       'chunks' | 'machines' | 'label' | 'teams' | 'estimates' | 'queue' | 'changed' | 'stop'
     >,
-    private readonly options: Pick<PartOptions, 'report' | 'sample'>,
+    private readonly options: Pick<ShardOptions, 'report' | 'sample'>,
     private readonly runTimes: RunTimes,
     private readonly random: Random,
     private readonly cluster: ClusterView,
@@ -127,7 +139,7 @@
         return true;
       }
       hosts ??= candidates(round.withRoom, chunk, kept, isChoosy);
-      const sampled = sampleHosts(hosts, spec.image, this.options.sample, this.random);
+      const sampled = sampleCandidates(hosts, spec.image, this.options.sample, this.random);
       const machine = bestFit(sampled, spec);
       if (machine === null) {
         if (!isChoosy) round.full.add(kept === undefined ? shape : behind);
@@ -136,7 +148,7 @@
       const task = chunk.nextPending();
       if (task === null) return false;
       this.place(chunk, task, machine, now);
-      if (!holds(machine.free, spec)) hosts.splice(hosts.indexOf(machine), 1);
+      if (!fits(machine.free, spec)) hosts.splice(hosts.indexOf(machine), 1);
     }
     return false;
   }
@@ -163,7 +175,7 @@
     return true;
   }
 
-  private isBehind(chunk: Chunk, first: Starved | null): boolean {
+  private isBehind(chunk: Chunk, first: StarvedJob | null): boolean {
     if (first === null || chunk.rank > first.rank) return false;
     return chunk.rank < first.rank || chunk.at > first.at;
   }
@@ -172,8 +184,8 @@
    * What waits here of a team and may have a share of its limit. What yields to a job at another part may
    * not: a share kept for it would be the one that the other waits for.
    */
-  wanted(team: string): Amount {
-    const want = nothing();
+  wanted(team: string): TeamResources {
+    const want = noTeamResources();
     const first = this.cluster.starvedElsewhere(team);
     for (const chunk of this.part.chunks.values()) {
       if (chunk.spec.team !== team || this.isBehind(chunk, first)) continue;
@@ -203,20 +215,20 @@
     }
     let left = chunk.pending;
     for (const machine of this.part.machines.values()) {
-      if (!machine.usable(now) || !allows(spec, chunk.zone, machine)) continue;
+      if (!machine.usable(now) || !satisfiesConstraints(spec, chunk.zone, machine)) continue;
       if (chunk.failedOn.has(machine.name) && chunk.failedOn.size < this.part.machines.size)
         continue;
       const room = { ...machine.free };
-      while (left > 0 && holds(room, spec)) {
+      while (left > 0 && fits(room, spec)) {
         left--;
-        takeRoom(room, spec);
+        subtractResources(room, spec);
       }
     }
     return left === 0;
   }
 
   private place(chunk: Chunk, task: number, machine: Machine, now: number): void {
-    const entry: Entry = {
+    const entry: Attempt = {
       task,
       // The tasks of a gang know each other by a common attempt.
       attempt: chunk.spec.gang ? chunk.next : chunk.next++,
@@ -228,7 +240,7 @@
       state: 'fetching',
       placedAt: now,
       runningSince: null,
-      doubt: new StartDoubt(),
+      doubt: new UnacknowledgedStart(),
       sentInAnswer: false,
       stop: null,
     };
@@ -248,10 +260,10 @@
   private shadow(chunk: Chunk, now: number): { machine: Machine; at: number } | null {
     let best: { machine: Machine; at: number } | null = null;
     for (const machine of this.part.machines.values()) {
-      if (!machine.usable(now) || !allows(chunk.spec, chunk.zone, machine)) continue;
-      if (!holds(machine.size, chunk.spec)) continue;
+      if (!machine.usable(now) || !satisfiesConstraints(chunk.spec, chunk.zone, machine)) continue;
+      if (!fits(machine.size, chunk.spec)) continue;
       // Nothing ends there sooner than what is found already: most machines are passed over so.
-      const roomNow = holds(machine.free, chunk.spec);
+      const roomNow = fits(machine.free, chunk.spec);
       if (best !== null && !roomNow && this.soonest(machine, now) >= best.at) continue;
       const room = { ...machine.free };
       const ends = [...machine.entries.values()]
@@ -259,11 +271,11 @@
         .sort((a, b) => a.at - b.at);
       let at = now;
       for (const end of ends) {
-        if (holds(room, chunk.spec)) break;
-        takeRoom(room, end.need, -1);
+        if (fits(room, chunk.spec)) break;
+        subtractResources(room, end.need, -1);
         at = end.at;
       }
-      if (holds(room, chunk.spec) && at < (best?.at ?? Infinity)) best = { machine, at };
+      if (fits(room, chunk.spec) && at < (best?.at ?? Infinity)) best = { machine, at };
     }
     return best;
   }
@@ -285,7 +297,7 @@
 ): Machine[] {
   const { spec, zone, failedOn } = chunk;
   return machines.filter((machine) => {
-    if (machine === kept || !holds(machine.free, spec) || !allows(spec, zone, machine))
+    if (machine === kept || !fits(machine.free, spec) || !satisfiesConstraints(spec, zone, machine))
       return false;
     return !isChoosy || !failedOn.has(machine.name);
   });
--- a/src/coordination/scheduling/schedulingRounds.ts
+++ b/src/coordination/scheduling/schedulingRounds.ts
@@ -23,7 +23,7 @@
  */
 const LONGEST_REST = 1 / 2;
 
-export class DecisionRounds {
+export class SchedulingRounds {
   private isRequested = false;
   private isStopped = false;
   private lastEnd = -Infinity;
--- a/src/coordination/scheduling/waitEstimates.ts
+++ b/src/coordination/scheduling/waitEstimates.ts
@@ -2,10 +2,10 @@
 import { rankOrder, type JobSpec } from '../../protocol/job.js';
 import { isAhead, type Chunk } from '../shard/chunk.js';
 import type { RunTimes } from './runTimes.js';
-import type { Machine, Placed } from '../shard/machine.js';
-import type { Part } from '../shard/shard.js';
-import { allows, holds, type Room, takeRoom } from './placement.js';
-import { replay, ReplayStart, type ReplayHost, type ReplayItem } from './queueReplay.js';
+import type { Machine, Placement } from '../shard/machine.js';
+import type { Shard } from '../shard/shard.js';
+import { satisfiesConstraints, fits, type Resources, subtractResources } from './placement.js';
+import { replay, ReplayStart, type ReplayMachine, type ReplayItem } from './queueReplay.js';
 
 /** How old a snapshot of the machines may be, as a ratio to the time between reports. */
 const SNAPSHOT_AGE = 1 / 40;
@@ -25,7 +25,7 @@
   private readonly snapshots = new Map<number, Snapshot>();
 
   constructor(
-    private readonly part: Pick<Part, 'machines' | 'queue'>,
+    private readonly part: Pick<Shard, 'machines' | 'queue'>,
     private readonly runTimes: RunTimes,
     /** Seconds between two reports of a worker. */
     private readonly report: number,
@@ -37,7 +37,7 @@
   }
 
   /** Steady time at which a placed task should end; services never do. */
-  endOf({ chunk, entry }: Placed, now: number): number {
+  endOf({ chunk, entry }: Placement, now: number): number {
     if (chunk.spec.service) return Infinity;
     const run = this.expectedRun(chunk.spec);
     return Math.max(now, (entry.runningSince ?? now) + run);
@@ -74,20 +74,20 @@
   }
 
   /** The machines as the replay begins; work below the rank would be stopped for the candidate. */
-  private replayHosts(rank: number, now: number): ReplayHost[] {
-    const hosts: ReplayHost[] = [];
+  private replayHosts(rank: number, now: number): ReplayMachine[] {
+    const hosts: ReplayMachine[] = [];
     for (const machine of this.part.machines.values()) {
       const { type, zone, spot } = machine;
       if (machine.shape === undefined || machine.leaving || machine.lost) continue;
       const boot = machine.created + machine.shape.boot - now;
       const ready = machine.up ? Math.max(0, machine.shunnedUntil - now) : Math.max(1, boot);
-      const running: ReplayHost['running'] = [];
+      const running: ReplayMachine['running'] = [];
       const free = { ...machine.free };
       for (const placed of machine.entries.values()) {
         const need = placed.chunk.spec;
         if (placed.chunk.rank < rank) {
           // It would be stopped for the candidate.
-          takeRoom(free, need, -1);
+          subtractResources(free, need, -1);
           continue;
         }
         const ends = this.endOf(placed, now) - now;
@@ -103,7 +103,8 @@
     let left = count;
     for (const machine of this.part.machines.values()) {
       const { free } = machine;
-      if (!holds(free, spec) || !machine.usable(now) || !allows(spec, zone, machine)) continue;
+      if (!fits(free, spec) || !machine.usable(now) || !satisfiesConstraints(spec, zone, machine))
+        continue;
       const by = (have: number, need: number): number =>
         need > 0 ? Math.floor(have / need + 1e-9) : Infinity;
       left -= Math.min(
@@ -117,11 +118,11 @@
   }
 
   /** Room for work of this rank: what is free, and what lower ranks would give up. */
-  private roomFor(machine: Machine, spec: JobSpec): Room {
+  private roomFor(machine: Machine, spec: JobSpec): Resources {
     const room = { ...machine.free };
     for (const { chunk } of machine.entries.values()) {
       if (chunk.rank >= rankOrder[spec.rank]) continue;
-      takeRoom(room, chunk.spec, -1);
+      subtractResources(room, chunk.spec, -1);
     }
     return room;
   }
@@ -130,8 +131,8 @@
   fetchFor(spec: JobSpec, zone: string | null): number {
     let best = Infinity;
     for (const machine of this.part.machines.values()) {
-      if (machine.shape === undefined || !allows(spec, zone, machine)) continue;
-      const warm = machine.hasImage(spec.image) && holds(this.roomFor(machine, spec), spec);
+      if (machine.shape === undefined || !satisfiesConstraints(spec, zone, machine)) continue;
+      const warm = machine.hasImage(spec.image) && fits(this.roomFor(machine, spec), spec);
       best = Math.min(best, warm ? 0 : spec.imageGb / Math.max(1e-3, machine.shape.fetchRate));
     }
     return Number.isFinite(best) ? best : 0;
--- a/src/coordination/shard/chunk.ts
+++ b/src/coordination/shard/chunk.ts
@@ -2,10 +2,10 @@
 import type { TaskState } from '../../protocol/workerProtocol.js';
 import type { Bucket } from '../persistence/bucket.js';
 import { fromRanges, toRanges, type ChunkRecord } from '../../storage/records.js';
-import type { StartDoubt } from '../reconciliation/unacknowledgedStart.js';
+import type { UnacknowledgedStart } from '../reconciliation/unacknowledgedStart.js';
 
 /** One attempt of one task that is, or may be, on a machine. */
-export interface Entry {
+export interface Attempt {
   task: number;
   attempt: number;
   machine: string;
@@ -22,7 +22,7 @@
   placedAt: number;
   runningSince: number | null;
   /** Whether a start sent straight to the worker may still be carried out. */
-  readonly doubt: StartDoubt;
+  readonly doubt: UnacknowledgedStart;
   /** A start rides in the answer to a report; the worker's next report settles it. */
   sentInAnswer: boolean;
   stop: { wind: number; sentAt: number | null } | null;
@@ -30,7 +30,7 @@
 
 export class Chunk {
   readonly done: Set<number>;
-  readonly entries = new Map<number, Entry>();
+  readonly entries = new Map<number, Attempt>();
   next: number;
   /** Rises with each change; `stored` is the version that the state service has. */
   version = 1;
@@ -130,7 +130,7 @@
     return `${this.spec.id}/${task}`;
   }
 
-  isDurable(entry: Entry): boolean {
+  isDurable(entry: Attempt): boolean {
     return this.stored >= entry.version;
   }
 
@@ -171,8 +171,8 @@
 }
 
 /** The order of the queue: rank before arrival. */
-export const byOrder = (a: Chunk, b: Chunk): number =>
+export const compareByQueueOrder = (a: Chunk, b: Chunk): number =>
   b.rank - a.rank || a.at - b.at || (a.id < b.id ? -1 : 1);
 
 /** Whether a chunk is looked at before another. */
-export const isAhead = (a: Chunk, b: Chunk): boolean => byOrder(a, b) < 0;
+export const isAhead = (a: Chunk, b: Chunk): boolean => compareByQueueOrder(a, b) < 0;
--- a/src/coordination/shard/chunking.ts
+++ b/src/coordination/shard/chunking.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../../protocol/job.js';
 import type { JobRecord } from '../../storage/records.js';
 
-export interface Range {
+export interface ChunkRange {
   from: number;
   to: number;
   zone: string | null;
@@ -13,9 +13,9 @@
  * most half of its tasks, rounded up, can ever be in one zone, whoever runs them and whatever is
  * still unreachable. A job that must share a zone has the same zone for all chunks.
  */
-export function chunkRanges(tasks: number, size: number, zones: string[]): Range[] {
+export function chunkRanges(tasks: number, size: number, zones: string[]): ChunkRange[] {
   const half = zones.length > 1 ? Math.ceil(tasks / 2) : tasks;
-  const ranges: Range[] = [];
+  const ranges: ChunkRange[] = [];
   for (const [start, end, zone] of [
     [0, half, zones[0] ?? null],
     [half, tasks, zones[1] ?? null],
@@ -38,7 +38,7 @@
  * Where only one zone can run a spread job, its second half waits until all of the first is over:
  * until then a task of it would be one too many in that zone.
  */
-export function mayCut(record: JobRecord, index: number): boolean {
+export function mayCreateChunk(record: JobRecord, index: number): boolean {
   const { spec, size, zones, finished } = record;
   if (spec === null || zones.length < 2 || zones[0] !== zones[1]) return true;
   const firstHalf = Math.ceil(Math.ceil(spec.tasks / 2) / size);
