--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -1,12 +1,16 @@
-import type { Order, Report, TaskReport } from '../../protocol/workerProtocol.js';
+import type { Command, Heartbeat, ReportedAttempt } from '../../protocol/workerProtocol.js';
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { MachineRecord } from '../../storage/records.js';
-import type { Chunk, Entry } from './chunk.js';
-import { takeRoom, type Host, type Room } from '../scheduling/placement.js';
-import { ReportedTasks } from './reportedAttempts.js';
+import type { Chunk, Attempt } from './chunk.js';
+import {
+  subtractResources,
+  type CandidateMachine,
+  type Resources,
+} from '../scheduling/placement.js';
+import { ReportedAttempts } from './reportedAttempts.js';
 
 /** An ended attempt that the worker still reports, and from when on it may be forgotten. */
-export interface Leftover {
+export interface EndedAttempt {
   /** Steady time at which its end was heard of. */
   since: number;
   /** A start of it rides in the answer to a report: the worker's next report settles that. */
@@ -19,22 +23,22 @@
 /** One attempt of one task. */
 export const attemptKey = (task: string, attempt: number): string => `${task}#${attempt}`;
 
-export interface Placed {
+export interface Placement {
   chunk: Chunk;
-  entry: Entry;
+  entry: Attempt;
 }
 
 interface Occupancy {
   shape: MachineType | undefined;
-  free: Room;
+  free: Resources;
   live: number;
   taken: number;
 }
 
-const NOTHING: Room = { cpus: 0, gpus: 0, memory: 0 };
+const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memory: 0 };
 
 /** One machine of a part, as its worker last reported it. */
-export class Machine implements Host {
+export class Machine implements CandidateMachine {
   address = '';
   session = 0;
   tick = -1;
@@ -50,12 +54,12 @@
   renewed: number;
   /** Steady time at which the cloud will take it; null without a notice. */
   goneBy: number | null = null;
-  private reported = new ReportedTasks();
-  private readonly placed = new Map<string, Placed>();
+  private reported = new ReportedAttempts();
+  private readonly placed = new Map<string, Placement>();
   /** What `free` and `live` were last worked out from; placement asks for them far more often than they change. */
   private room: Occupancy | null = null;
   /** By `attemptKey`: a task may have ended here more than once. */
-  readonly leftovers = new Map<string, Leftover>();
+  readonly leftovers = new Map<string, EndedAttempt>();
   /** Images seen here, oldest use first. */
   private readonly images = new Map<string, number>();
   slowness = 1;
@@ -140,16 +144,16 @@
     return this.missed >= 2;
   }
 
-  get size(): Room {
-    return this.shape ?? NOTHING;
+  get size(): Resources {
+    return this.shape ?? NO_RESOURCES;
   }
 
   /** The attempts of ours that are, or may be, here. */
-  get entries(): ReadonlyMap<string, Placed> {
+  get entries(): ReadonlyMap<string, Placement> {
     return this.placed;
   }
 
-  put(placed: Placed): void {
+  put(placed: Placement): void {
     this.placed.set(placed.chunk.taskName(placed.entry.task), placed);
     this.room = null;
   }
@@ -160,20 +164,20 @@
   }
 
   /** All tasks that the worker last reported. */
-  get tasks(): ReportedTasks {
+  get tasks(): ReportedAttempts {
     return this.reported;
   }
 
   /** Gives false when nothing has changed, as in most reports. */
-  noteTasks(tasks: TaskReport[]): boolean {
+  noteTasks(tasks: ReportedAttempt[]): boolean {
     if (this.reported.isSameAs(tasks)) return false;
-    this.reported = new ReportedTasks(tasks);
+    this.reported = new ReportedAttempts(tasks);
     this.room = null;
     return true;
   }
 
   /** Room left beside everything that is or may still be here. */
-  get free(): Readonly<Room> {
+  get free(): Readonly<Resources> {
     return this.occupancy.free;
   }
 
@@ -194,12 +198,12 @@
     let live = 0;
     let taken = 0;
     for (const { chunk } of this.placed.values()) {
-      takeRoom(free, chunk.spec);
+      subtractResources(free, chunk.spec);
       taken += chunk.spec.cpus;
       if (chunk.spec.service) live += chunk.spec.cpus;
     }
     // A stranger (an attempt we know nothing of) takes room that we can't measure.
-    if (this.reported.all.some((report) => this.isStranger(report))) free = NOTHING;
+    if (this.reported.all.some((report) => this.isStranger(report))) free = NO_RESOURCES;
     this.room = { shape, free, live, taken };
     return this.room;
   }
@@ -221,12 +225,12 @@
   }
 
   /** Attempts that run here, and of which the part knows nothing. */
-  get strangers(): TaskReport[] {
+  get strangers(): ReportedAttempt[] {
     return this.reported.all.filter((report) => this.isStranger(report));
   }
 
   /** An attempt that is there, and not by our word. */
-  private isStranger({ task, attempt, state }: TaskReport): boolean {
+  private isStranger({ task, attempt, state }: ReportedAttempt): boolean {
     return state !== 'ended' && this.placed.get(task)?.entry.attempt !== attempt;
   }
 
@@ -260,7 +264,7 @@
     }
   }
 
-  isNewer(report: Report): boolean {
+  isNewer(report: Heartbeat): boolean {
     return (
       report.session > this.session || (report.session === this.session && report.tick > this.tick)
     );
@@ -270,8 +274,8 @@
    * Ends of tasks whose users have asked to cancel them. Whoever answers the worker gives these, with every
    * answer, whatever else it may not do: an answer without them would only keep such tasks alive.
    */
-  endings(): Order[] {
-    const orders: Order[] = [];
+  endings(): Command[] {
+    const orders: Command[] = [];
     for (const [task, { chunk, entry }] of this.entries) {
       const { attempt } = entry;
       const report = this.tasks.find(task, attempt);
@@ -293,10 +297,10 @@
    * Orders for the answer to a report. A reap changes what the worker reports, so one that has no company costs
    * another report: reaps wait for other orders, but no longer than `patience`.
    */
-  answerOrders(now: number, again: number, patience: number): Order[] {
+  answerOrders(now: number, again: number, patience: number): Command[] {
     const orders = this.orders(true, now, again);
     if (orders.some((order) => order.verb !== 'reap')) return orders;
-    const isOld = ({ task, attempt }: Order): boolean => {
+    const isOld = ({ task, attempt }: Command): boolean => {
       const leftover = this.leftovers.get(attemptKey(task, attempt));
       return leftover === undefined || now - leftover.since >= patience;
     };
@@ -304,7 +308,7 @@
   }
 
   /** Stops, starts and reaps that the worker should carry out now. Stops count as sent. */
-  orders(mayStart: boolean, now: number, again: number): Order[] {
+  orders(mayStart: boolean, now: number, again: number): Command[] {
     const commands = [...this.commands(now, again)].filter(
       ({ order }) => mayStart || order.verb !== 'start',
     );
@@ -313,7 +317,7 @@
   }
 
   /** Ended attempts that the worker may forget. */
-  private *reaps(): Generator<Order> {
+  private *reaps(): Generator<Command> {
     for (const { task, state, attempt } of this.tasks.all) {
       if (state !== 'ended') continue;
       const leftover = this.leftovers.get(attemptKey(task, attempt));
@@ -324,7 +328,7 @@
   }
 
   /** Ends of what is not ours, stops and starts that are due; one without effect is repeated after `again`. */
-  private *commands(now: number, again: number): Generator<Command> {
+  private *commands(now: number, again: number): Generator<DueCommand> {
     for (const report of this.tasks.all) {
       if (!this.isStranger(report)) continue;
       const { task, attempt } = report;
@@ -336,7 +340,7 @@
       if (stop !== null) {
         const due = dueStop(stop, here, now, again);
         if (due === null) continue;
-        const order: Order = { verb: 'halt', task, attempt, wind: due.wind };
+        const order: Command = { verb: 'halt', task, attempt, wind: due.wind };
         yield { order, firstStop: due.isLate ? null : stop };
       } else if (here === undefined && isStartDue(chunk, entry) && this.mayStart(task, now)) {
         yield { order: { verb: 'start', task, attempt }, firstStop: null };
@@ -345,23 +349,23 @@
   }
 }
 
-type Stop = NonNullable<Entry['stop']>;
+type PendingStop = NonNullable<Attempt['stop']>;
 
 /** It is stored, and by us; no report has shown it yet. */
-const isStartDue = (chunk: Chunk, entry: Entry): boolean =>
+const isStartDue = (chunk: Chunk, entry: Attempt): boolean =>
   chunk.isDurable(entry) && !entry.seen && !entry.isAdopted;
 
 /** An order that is due now. */
-interface Command {
-  order: Order;
+interface DueCommand {
+  order: Command;
   /** The stop that counts as sent with it; the end of a task that saves for too long is sent with each message. */
-  firstStop: Stop | null;
+  firstStop: PendingStop | null;
 }
 
 /** How a task is to be stopped now; null while no stop is due. */
 function dueStop(
-  stop: Stop,
-  here: TaskReport | undefined,
+  stop: PendingStop,
+  here: ReportedAttempt | undefined,
   now: number,
   again: number,
 ): { wind: number; isLate: boolean } | null {
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -6,28 +6,28 @@
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import { rankOrder } from '../../protocol/job.js';
 import type { ChunkRecord, MachineRecord } from '../../storage/records.js';
-import { AttemptOver } from '../reconciliation/attemptTermination.js';
-import { Audit, type Invariant } from '../audit/auditTrail.js';
-import { byOrder, Chunk, type Entry } from './chunk.js';
+import { AttemptTermination } from '../reconciliation/attemptTermination.js';
+import { AuditTrail, type Invariant } from '../audit/auditTrail.js';
+import { compareByQueueOrder, Chunk, type Attempt } from './chunk.js';
 import type { RunTimes } from '../scheduling/runTimes.js';
-import { Machine, type Placed } from './machine.js';
-import { Needs, type NeedsOptions } from '../autoscaling/demandEstimator.js';
-import { Liveness } from '../reconciliation/machineLiveness.js';
-import { ReportIntake } from '../reconciliation/heartbeatReconciler.js';
+import { Machine, type Placement } from './machine.js';
+import { DemandEstimator, type DemandOptions } from '../autoscaling/demandEstimator.js';
+import { MachineLiveness } from '../reconciliation/machineLiveness.js';
+import { HeartbeatReconciler } from '../reconciliation/heartbeatReconciler.js';
 import { Scheduler } from '../scheduling/scheduler.js';
-import { StartDoubt } from '../reconciliation/unacknowledgedStart.js';
-import { Strangers } from '../reconciliation/unknownAttempts.js';
-import { singlePartView, TeamUsage, type ClusterView } from '../quota/teamUsage.js';
+import { UnacknowledgedStart } from '../reconciliation/unacknowledgedStart.js';
+import { UnknownAttempts } from '../reconciliation/unknownAttempts.js';
+import { singleShardView, TeamUsage, type ClusterView } from '../quota/teamUsage.js';
 import { WaitEstimates } from '../scheduling/waitEstimates.js';
 
-export interface PartOptions extends NeedsOptions {
+export interface ShardOptions extends DemandOptions {
   lease: number;
   report: number;
   sample: number;
   zones: string[];
 }
 
-export class Part {
+export class Shard {
   readonly machines = new Map<string, Machine>();
   readonly chunks = new Map<string, Chunk>();
   private readonly byJob = new Map<string, Set<Chunk>>();
@@ -38,14 +38,14 @@
   /** Chunks whose tasks are all done or, cancelled, all over. */
   readonly settled = new Set<Chunk>();
   /** What should be rented for it, and what may be returned. */
-  readonly needs: Needs;
+  readonly needs: DemandEstimator;
   /** What teams' tasks use here. */
   readonly teams: TeamUsage;
   readonly estimates: WaitEstimates;
-  readonly reports: ReportIntake;
-  readonly liveness: Liveness;
+  readonly reports: HeartbeatReconciler;
+  readonly liveness: MachineLiveness;
   readonly scheduler: Scheduler;
-  readonly strangers = new Strangers();
+  readonly strangers = new UnknownAttempts();
   /** The token under which we own it. */
   ownToken = Infinity;
   /** Tasks whose start is held back, as noted in the audit trail. */
@@ -53,19 +53,19 @@
 
   constructor(
     readonly label: string,
-    private readonly options: PartOptions,
+    private readonly options: ShardOptions,
     private readonly types: () => Map<string, MachineType>,
     runTimes: RunTimes,
     random: Random,
-    private readonly cluster: ClusterView = singlePartView,
-    readonly audit: Audit = new Audit('', () => 0),
+    private readonly cluster: ClusterView = singleShardView,
+    readonly audit: AuditTrail = new AuditTrail('', () => 0),
   ) {
     this.teams = new TeamUsage(cluster);
     this.estimates = new WaitEstimates(this, runTimes, options.report);
-    this.reports = new ReportIntake(this, options, runTimes);
-    this.liveness = new Liveness(this, options);
+    this.reports = new HeartbeatReconciler(this, options, runTimes);
+    this.liveness = new MachineLiveness(this, options);
     this.scheduler = new Scheduler(this, options, runTimes, random, cluster);
-    this.needs = new Needs(this, options, types);
+    this.needs = new DemandEstimator(this, options, types);
   }
 
   // ---- Machines ----
@@ -93,7 +93,7 @@
     this.strangers.forget(machine);
     this.estimates.invalidate();
     this.pendingCommands.delete(machine);
-    const over = AttemptOver.byRemoval(now);
+    const over = AttemptTermination.byRemoval(now);
     for (const placed of [...machine.entries.values()]) this.release(machine, placed, over, now);
   }
 
@@ -101,7 +101,7 @@
   private mayStart(task: string, now: number): boolean {
     const holder = this.strangers.holderOf(
       task,
-      (machine) => AttemptOver.byLease(machine, this.options, now) === null,
+      (machine) => AttemptTermination.byLease(machine, this.options, now) === null,
     );
     if (holder === null) {
       this.heldBack.delete(task);
@@ -123,14 +123,19 @@
     return [...(this.byJob.get(job) ?? [])];
   }
 
-  stop(machine: Machine, entry: Entry, wind: number): void {
+  stop(machine: Machine, entry: Attempt, wind: number): void {
     if (entry.stop !== null) return;
     entry.stop = { wind, sentAt: null };
     this.pendingCommands.add(machine);
   }
 
   /** Ends an entry whose attempt is over. */
-  release(machine: Machine, { chunk, entry }: Placed, over: AttemptOver, now: number): void {
+  release(
+    machine: Machine,
+    { chunk, entry }: Placement,
+    over: AttemptTermination,
+    now: number,
+  ): void {
     this.audit.note({
       event: 'attempt-over',
       part: this.label,
@@ -219,7 +224,7 @@
       const machine = this.machines.get(e.machine);
       // Its machine's record is deleted only after the machine is gone.
       if (machine === undefined) continue;
-      const entry: Entry = {
+      const entry: Attempt = {
         ...e,
         version: 0,
         seen: false,
@@ -228,7 +233,7 @@
         placedAt: now,
         runningSince: null,
         // Whatever the last owner sent is settled once the worker has seen our token.
-        doubt: new StartDoubt(token - 1),
+        doubt: new UnacknowledgedStart(token - 1),
         sentInAnswer: false,
         stop: null,
       };
@@ -298,7 +303,7 @@
       if (machine === undefined) continue;
       this.stop(machine, entry, 0);
       entry.stop = { wind: 0, sentAt: null };
-      const over = AttemptOver.asNeverSent(machine, entry, now);
+      const over = AttemptTermination.asNeverSent(machine, entry, now);
       if (over !== null) this.release(machine, { chunk, entry }, over, now);
     }
   }
@@ -311,7 +316,9 @@
     const entitled = new Set(waiting.filter((c) => this.teams.isEntitled(c.spec)));
     return waiting.sort(
       (a, b) =>
-        b.rank - a.rank || Number(entitled.has(b)) - Number(entitled.has(a)) || byOrder(a, b),
+        b.rank - a.rank ||
+        Number(entitled.has(b)) - Number(entitled.has(a)) ||
+        compareByQueueOrder(a, b),
     );
   }
 
--- a/src/protocol/cloudProtocol.ts
+++ b/src/protocol/cloudProtocol.ts
@@ -98,7 +98,7 @@
   return result.success ? result.output.Drones : null;
 }
 
-export interface RentalAsk {
+export interface RentalRequest {
   ask: string;
   type: string;
   zone: string;
@@ -106,7 +106,7 @@
   count: number;
 }
 
-export const rentalRequest = (ask: RentalAsk): Record<string, unknown> => ({
+export const rentalRequest = (ask: RentalRequest): Record<string, unknown> => ({
   Ask: ask.ask,
   Flavour: ask.type,
   Yard: ask.zone,
--- a/src/protocol/peerCodec.ts
+++ b/src/protocol/peerCodec.ts
@@ -1,9 +1,9 @@
 /** Maps messages between controllers to their wire form and back: the one place where both sets of names meet. */
 import type { JobSpec } from './job.js';
 import type {
-  Ask,
+  EstimateRequest,
   Demand,
-  Estimate,
+  TurnaroundEstimate,
   Gossip,
   PeerAnswer,
   PeerRequest,
@@ -162,18 +162,26 @@
   };
 }
 
-const toWireAsk = (ask: Ask): WireAsk => ({ spec: ask.spec, zone: ask.zone, tasks: ask.tasks });
+const toWireAsk = (ask: EstimateRequest): WireAsk => ({
+  spec: ask.spec,
+  zone: ask.zone,
+  tasks: ask.tasks,
+});
 
-const fromWireAsk = (ask: WireAsk): Ask => ({ spec: ask.spec, zone: ask.zone, tasks: ask.tasks });
+const fromWireAsk = (ask: WireAsk): EstimateRequest => ({
+  spec: ask.spec,
+  zone: ask.zone,
+  tasks: ask.tasks,
+});
 
-const toWireEstimate = (estimate: Estimate): WireEstimate => ({
+const toWireEstimate = (estimate: TurnaroundEstimate): WireEstimate => ({
   part: estimate.part,
   wait: estimate.wait,
   turnaround: estimate.turnaround,
   utilisation: estimate.utilisation,
 });
 
-const fromWireEstimate = (estimate: WireEstimate): Estimate => ({
+const fromWireEstimate = (estimate: WireEstimate): TurnaroundEstimate => ({
   part: estimate.part,
   wait: estimate.wait,
   turnaround: estimate.turnaround,
--- a/src/protocol/peerMessages.ts
+++ b/src/protocol/peerMessages.ts
@@ -55,13 +55,13 @@
   starving: { team: string; at: number; rank: number }[];
 }
 
-export interface Ask {
+export interface EstimateRequest {
   spec: string;
   zone: string | null;
   tasks: number;
 }
 
-export interface Estimate {
+export interface TurnaroundEstimate {
   part: string;
   wait: number;
   turnaround: number;
@@ -69,7 +69,7 @@
 }
 
 /** A job is about to be cancelled: its tasks are ended and none is started. */
-export interface PrepareCancel {
+export interface CancellationNotice {
   job: string;
   /** Time of day at which it was sent: a cut may hold it back for minutes. */
   at: number;
@@ -96,9 +96,12 @@
 }
 
 export type PeerRequest =
-  { Gossip: Gossip } | { Ask: Ask } | { Relay: Relay } | { PrepareCancel: PrepareCancel };
+  | { Gossip: Gossip }
+  | { Ask: EstimateRequest }
+  | { Relay: Relay }
+  | { PrepareCancel: CancellationNotice };
 export type PeerAnswer =
   | { Noted: Record<string, never> }
-  | { Estimates: { of: Estimate[] } }
+  | { Estimates: { of: TurnaroundEstimate[] } }
   | { Relayed: Relayed }
   | { PreparedChunks: { of: PreparedChunk[] } };
--- a/src/protocol/routes.ts
+++ b/src/protocol/routes.ts
@@ -1,5 +1,5 @@
 /** Requests of nodes, users and operators that are this service's own. */
-export const helloPath = '/hello';
+export const heartbeatPath = '/hello';
 
 export const paths = {
   ready: '/ready',
--- a/src/protocol/stateProtocol.ts
+++ b/src/protocol/stateProtocol.ts
@@ -1,22 +1,22 @@
 /** The state service's wire form. */
 import * as v from 'valibot';
 
-export interface Item {
+export interface KeyValue {
   key: string;
   value: unknown;
   stamp: number;
 }
 
-export type Change = { key: string; value: unknown; stamp: number; removed: boolean };
+export type KeyValueChange = { key: string; value: unknown; stamp: number; removed: boolean };
 
-export interface Txn {
+export interface Transaction {
   /** Keys and the stamps they must have; 0: must not exist. */
   when: { key: string; stamp: number }[];
   puts: { key: string; value: unknown; hold?: number }[];
   removes: string[];
 }
 
-export const txnRequest = (txn: Txn): Record<string, unknown> => ({
+export const transactionRequest = (txn: Transaction): Record<string, unknown> => ({
   When: txn.when.map((c) => ({ K: c.key, Stamp: c.stamp })),
   Then: [
     ...txn.puts.map((p) => ({
@@ -46,13 +46,15 @@
   ),
 });
 
-export function parseItem(raw: unknown): Item | null {
+export function parseItem(raw: unknown): KeyValue | null {
   const result = v.safeParse(itemSchema, raw);
   if (!result.success) return null;
   return { key: result.output.K, value: result.output.Value, stamp: result.output.Stamp };
 }
 
-export function parseRange(raw: unknown): { items: Item[]; more: boolean; epoch: number } | null {
+export function parseRange(
+  raw: unknown,
+): { items: KeyValue[]; more: boolean; epoch: number } | null {
   const result = v.safeParse(rangeSchema, raw);
   if (!result.success) return null;
   const { Rows, More, Epoch } = result.output;
@@ -81,12 +83,12 @@
   return result.success ? result.output.error : '';
 }
 
-export function parseGrant(raw: unknown): number | null {
+export function parseLease(raw: unknown): number | null {
   const result = v.safeParse(grantSchema, raw);
   return result.success ? result.output.Hold : null;
 }
 
-export function parseLog(raw: unknown): { epoch: number; changes: Change[] } | null {
+export function parseLog(raw: unknown): { epoch: number; changes: KeyValueChange[] } | null {
   const result = v.safeParse(logSchema, raw);
   if (!result.success) return null;
   return {
@@ -100,7 +102,7 @@
   };
 }
 
-export const grantRequest = (ttl: number): Record<string, unknown> => ({
+export const leaseRequest = (ttl: number): Record<string, unknown> => ({
   TtlMs: Math.round(ttl * 1000),
 });
 
@@ -120,4 +122,4 @@
 /** What a request may hold as a whole. */
 export const REQUEST_BYTES = 64 * 1024;
 /** Of a transaction, what its changes may take; the rest is left for its conditions. */
-export const TXN_BYTES = REQUEST_BYTES - 4 * 1024;
+export const TRANSACTION_BYTES = REQUEST_BYTES - 4 * 1024;
--- a/src/protocol/workerProtocol.ts
+++ b/src/protocol/workerProtocol.ts
@@ -3,7 +3,7 @@
 
 export type TaskState = 'fetching' | 'running' | 'saving' | 'ended' | 'waiting';
 
-export interface TaskReport {
+export interface ReportedAttempt {
   task: string;
   attempt: number;
   state: TaskState;
@@ -11,7 +11,7 @@
   saved: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   machine: string;
   address: string;
   type: string;
@@ -23,7 +23,7 @@
   token: number;
   /** Seconds until the cloud takes the machine away, or null. */
   warning: number | null;
-  tasks: TaskReport[];
+  tasks: ReportedAttempt[];
 }
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
@@ -60,7 +60,7 @@
 };
 
 /** Gives null for anything that is no report. */
-export function parseReport(raw: unknown): Report | null {
+export function parseHeartbeat(raw: unknown): Heartbeat | null {
   const result = v.safeParse(schema, raw);
   if (!result.success) return null;
   const w = result.output;
@@ -85,28 +85,28 @@
   };
 }
 
-export type Order =
+export type Command =
   | { verb: 'start'; task: string; attempt: number }
   | { verb: 'halt'; task: string; attempt: number; wind: number }
   | { verb: 'reap'; task: string; attempt: number };
 
-const orderWire = (order: Order): Record<string, unknown> => ({
+const toWireCommand = (order: Command): Record<string, unknown> => ({
   Verb: order.verb,
   Piece: order.task,
   Try: order.attempt,
   ...(order.verb === 'halt' ? { WindDownS: order.wind } : {}),
 });
 
-export const helloAnswer = (token: number, orders: Order[]): Record<string, unknown> => ({
+export const heartbeatAnswer = (token: number, orders: Command[]): Record<string, unknown> => ({
   Baton: token,
-  Orders: orders.map(orderWire),
+  Orders: orders.map(toWireCommand),
 });
 
-export const ordersRequest = (
+export const commandsRequest = (
   token: number,
   session: number,
-  orders: Order[],
-): Record<string, unknown> => ({ Baton: token, Shift: session, Orders: orders.map(orderWire) });
+  orders: Command[],
+): Record<string, unknown> => ({ Baton: token, Shift: session, Orders: orders.map(toWireCommand) });
 
 export const redirectAnswer = (owner: string | null): Record<string, unknown> =>
   owner === null ? {} : { Foreman: owner };
--- a/src/storage/chunkIndex.ts
+++ b/src/storage/chunkIndex.ts
@@ -4,7 +4,7 @@
  */
 import type { ChunkRecord, BucketRecord } from './records.js';
 
-export interface Found {
+export interface IndexedChunk {
   part: string;
   bucket: string;
   record: ChunkRecord;
@@ -12,16 +12,16 @@
   stamp: number;
 }
 
-export class Buckets {
-  private readonly chunks = new Map<string, Found>();
+export class ChunkIndex {
+  private readonly chunks = new Map<string, IndexedChunk>();
   private readonly members = new Map<string, string[]>();
 
   /** The chunk's stored record, by its id. */
-  find(chunk: string): Found | undefined {
+  find(chunk: string): IndexedChunk | undefined {
     return this.chunks.get(chunk);
   }
 
-  entries(): IterableIterator<[string, Found]> {
+  entries(): IterableIterator<[string, IndexedChunk]> {
     return this.chunks.entries();
   }
 
--- a/src/storage/compactRecords.ts
+++ b/src/storage/compactRecords.ts
@@ -12,7 +12,7 @@
   toRanges,
   type BucketRecord,
   type ChunkRecord,
-  type EntryRecord,
+  type AttemptRecord,
   type JobRecord,
 } from './records.js';
 import { mapValues } from './mapValues.js';
@@ -124,7 +124,7 @@
   };
 }
 
-function compactEntries(entries: EntryRecord[]): CompactEntries[] {
+function compactEntries(entries: AttemptRecord[]): CompactEntries[] {
   const groups = new Map<string, CompactEntries>();
   for (const { task, attempt, machine, session } of entries) {
     const group = groups.get(`${machine} ${session}`) ?? [machine, session];
@@ -134,9 +134,9 @@
   return [...groups.values()];
 }
 
-function decodeEntries(groups: CompactEntries[]): EntryRecord[] {
+function decodeEntries(groups: CompactEntries[]): AttemptRecord[] {
   return groups.flatMap(([machine, session, ...numbers]) => {
-    const entries: EntryRecord[] = [];
+    const entries: AttemptRecord[] = [];
     for (let i = 0; i + 1 < numbers.length; i += 2) {
       const [task = 0, attempt = 0] = numbers.slice(i, i + 2);
       entries.push({ task, attempt, machine, session });
--- a/src/storage/fragments.ts
+++ b/src/storage/fragments.ts
@@ -1,8 +1,8 @@
 /** Records beyond the state service's limit are stored in pieces: a head under their own key, and the rest apart. */
-import { keys, PIECES } from './records.js';
+import { keys, FRAGMENTS } from './records.js';
 
 /** The first piece of a record that is stored in several. */
-interface PieceHead {
+interface FragmentHead {
   v: 2;
   pieces: number;
   text: string;
@@ -10,7 +10,7 @@
   kept?: true;
 }
 
-interface Piece {
+interface Fragment {
   text: string;
 }
 
@@ -21,7 +21,7 @@
 }
 
 /** Room in a piece for what stands around its text. */
-export const PIECE_FRAME_BYTES = 40;
+export const FRAGMENT_FRAME_BYTES = 40;
 
 /** And in a head that tells that its record is kept as it is. */
 const KEPT_BYTES = ',"kept":true'.length;
@@ -29,34 +29,34 @@
 export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
 
 /** How many pieces belong to a value besides its head. */
-export const pieceCount = (value: unknown): number => {
-  const { pieces, text } = (value ?? {}) as Partial<PieceHead>;
+export const fragmentCount = (value: unknown): number => {
+  const { pieces, text } = (value ?? {}) as Partial<FragmentHead>;
   return typeof pieces === 'number' && typeof text === 'string' ? pieces : 0;
 };
 
 /** Whether a head tells that its record cannot be made smaller. */
 export const isKeptAsIs = (value: unknown): boolean =>
-  pieceCount(value) > 0 && (value as PieceHead).kept === true;
+  fragmentCount(value) > 0 && (value as FragmentHead).kept === true;
 
 /** The value of a head and its pieces; a record without pieces is its head. */
-export function joinPieces(head: unknown, pieces: unknown[]): unknown {
+export function joinFragments(head: unknown, pieces: unknown[]): unknown {
   if (pieces.length === 0) return head;
-  const texts = [head, ...pieces].map((piece) => (piece as Piece).text);
+  const texts = [head, ...pieces].map((piece) => (piece as Fragment).text);
   return JSON.parse(texts.join('')) as unknown;
 }
 
-export const isPiece = (key: string): boolean => key.startsWith(PIECES);
+export const isFragmentKey = (key: string): boolean => key.startsWith(FRAGMENTS);
 
 /** What is put for a value that takes several pieces; the first is under its own key. */
-export function cutIntoPieces(
+export function splitIntoFragments(
   key: string,
   value: unknown,
   valueBytes: number,
   isKept: boolean,
 ): [KeyedValue, ...KeyedValue[]] {
-  const room = valueBytes - PIECE_FRAME_BYTES - (isKept ? KEPT_BYTES : 0);
+  const room = valueBytes - FRAGMENT_FRAME_BYTES - (isKept ? KEPT_BYTES : 0);
   const [first = '', ...rest] = splitText(JSON.stringify(value), room);
-  const head: PieceHead = { v: 2, pieces: rest.length, text: first };
+  const head: FragmentHead = { v: 2, pieces: rest.length, text: first };
   if (isKept) head.kept = true;
   const pieces = rest.map((text, i) => ({ key: keys.piece(key, i + 1), value: { text } }));
   return [{ key, value: head }, ...pieces];
--- a/src/storage/machineInventory.ts
+++ b/src/storage/machineInventory.ts
@@ -2,21 +2,21 @@
  * The machines, by name. They are stored in groups, one for each rental: with a record a machine, the
  * state service's changes would be used up by bookkeeping while a thousand of them come up.
  */
-import type { GroupRecord, MachineRecord } from './records.js';
+import type { MachineGroupRecord, MachineRecord } from './records.js';
 
-interface Known {
+interface InventoryEntry {
   group: string;
   record: MachineRecord;
 }
 
-export interface FleetChange {
+export interface InventoryChange {
   present: [string, MachineRecord][];
   gone: string[];
 }
 
-export class Fleet {
-  private readonly machines = new Map<string, Known>();
-  private readonly groups = new Map<string, GroupRecord>();
+export class MachineInventory {
+  private readonly machines = new Map<string, InventoryEntry>();
+  private readonly groups = new Map<string, MachineGroupRecord>();
   /** Machines of each type, by part. */
   private readonly counts = new Map<string, Map<string, number>>();
 
@@ -41,7 +41,7 @@
     return this.groups.get(group)?.asked !== undefined;
   }
 
-  entries(): IterableIterator<[string, GroupRecord]> {
+  entries(): IterableIterator<[string, MachineGroupRecord]> {
     return this.groups.entries();
   }
 
@@ -51,9 +51,9 @@
   }
 
   /** Follows one group's record; null: it has been removed. */
-  note(group: string, value: GroupRecord | null): FleetChange {
+  note(group: string, value: MachineGroupRecord | null): InventoryChange {
     const before = this.groups.get(group);
-    const change: FleetChange = { present: [], gone: [] };
+    const change: InventoryChange = { present: [], gone: [] };
     if (value === null) this.groups.delete(group);
     else this.groups.set(group, value);
     for (const name of Object.keys(before?.machines ?? {})) {
--- a/src/storage/nodeCapabilities.ts
+++ b/src/storage/nodeCapabilities.ts
@@ -3,19 +3,19 @@
  * written in that layout (safety, V2).
  */
 import { describe, log } from '../base/log.js';
-import { keys, type NodeRecord } from './records.js';
-import { LAYOUT, type RecordLayout } from './recordFormat.js';
-import type { Replica } from './stateCache.js';
+import { keys, type NodeCapabilityRecord } from './records.js';
+import { RECORD_FORMAT_VERSION, type RecordFormat } from './recordFormat.js';
+import type { StateCache } from './stateCache.js';
 import type { StateClient } from './stateClient.js';
 
-export class NodeMarks {
+export class NodeCapabilities {
   private readonly unmarked: Set<string>;
   private isWriting = false;
 
   constructor(
     private readonly client: Pick<StateClient, 'txn'>,
-    private readonly replica: Pick<Replica, 'get' | 'note' | 'loaded'>,
-    private readonly layout: RecordLayout,
+    private readonly replica: Pick<StateCache, 'get' | 'note' | 'loaded'>,
+    private readonly layout: RecordFormat,
     private readonly label: string,
     /** All nodes of the settings. */
     labels: string[],
@@ -29,8 +29,8 @@
   }
 
   /** Follows the marks in the copy of the records. */
-  note(label: string, record: NodeRecord): void {
-    if (record.layout < LAYOUT || !this.unmarked.delete(label)) return;
+  note(label: string, record: NodeCapabilityRecord): void {
+    if (record.layout < RECORD_FORMAT_VERSION || !this.unmarked.delete(label)) return;
     if (!this.isUpgraded) return;
     this.layout.useCompact();
     log.info('every node can read the present layout of records; it is used from now on');
@@ -40,11 +40,12 @@
   async ensure(): Promise<void> {
     const key = keys.node(this.label);
     const stored = this.replica.get(key);
-    const known = stored?.value as NodeRecord | undefined;
-    if (!this.replica.loaded || this.isWriting || (known?.layout ?? 0) >= LAYOUT) return;
+    const known = stored?.value as NodeCapabilityRecord | undefined;
+    if (!this.replica.loaded || this.isWriting || (known?.layout ?? 0) >= RECORD_FORMAT_VERSION)
+      return;
     this.isWriting = true;
     try {
-      const value: NodeRecord = { layout: LAYOUT };
+      const value: NodeCapabilityRecord = { layout: RECORD_FORMAT_VERSION };
       const when = [{ key, stamp: stored?.stamp ?? 0 }];
       const result = await this.client.txn({ when, puts: [{ key, value }], removes: [] }, 'urgent');
       if (result.kind === 'applied') this.replica.note(key, value, result.stamp);
--- a/src/storage/plainRecords.ts
+++ b/src/storage/plainRecords.ts
@@ -8,14 +8,14 @@
 import type {
   BucketRecord,
   ChunkRecord,
-  EntryRecord,
+  AttemptRecord,
   GroupMachine,
-  GroupRecord,
+  MachineGroupRecord,
   JobRecord,
-  LastOwner,
-  NodeRecord,
-  OwnerRecord,
-  TokenRecord,
+  LastLeader,
+  NodeCapabilityRecord,
+  LeaderRecord,
+  FencingTokenRecord,
 } from './records.js';
 import type {
   StoredBucketRecord,
@@ -103,14 +103,14 @@
   };
 }
 
-const toPlainEntry = (record: EntryRecord): StoredEntryRecord => ({
+const toPlainEntry = (record: AttemptRecord): StoredEntryRecord => ({
   task: record.task,
   attempt: record.attempt,
   machine: record.machine,
   session: record.session,
 });
 
-const fromPlainEntry = (stored: StoredEntryRecord): EntryRecord => ({
+const fromPlainEntry = (stored: StoredEntryRecord): AttemptRecord => ({
   task: stored.task,
   attempt: stored.attempt,
   machine: stored.machine,
@@ -118,49 +118,53 @@
 });
 
 /** The counter of fencing tokens as it is stored. */
-export const toStoredTokens = (record: TokenRecord): StoredTokenRecord => ({
+export const toStoredTokens = (record: FencingTokenRecord): StoredTokenRecord => ({
   last: record.last,
   ...(record.owners === undefined ? {} : { owners: mapValues(record.owners, toStoredLastOwner) }),
 });
 
 /** The counter of fencing tokens that was stored. */
-export const fromStoredTokens = (stored: StoredTokenRecord): TokenRecord => ({
+export const fromStoredTokens = (stored: StoredTokenRecord): FencingTokenRecord => ({
   last: stored.last,
   ...(stored.owners === undefined ? {} : { owners: mapValues(stored.owners, fromStoredLastOwner) }),
 });
 
-const toStoredLastOwner = (record: LastOwner): StoredLastOwner => ({
+const toStoredLastOwner = (record: LastLeader): StoredLastOwner => ({
   node: record.node,
   lost: record.lost,
 });
 
-const fromStoredLastOwner = (stored: StoredLastOwner): LastOwner => ({
+const fromStoredLastOwner = (stored: StoredLastOwner): LastLeader => ({
   node: stored.node,
   lost: stored.lost,
 });
 
 /** A leader's key as it is stored. */
-export const toStoredOwner = (record: OwnerRecord): StoredOwnerRecord => ({
+export const toStoredOwner = (record: LeaderRecord): StoredOwnerRecord => ({
   node: record.node,
   token: record.token,
   process: record.process,
 });
 
 /** A leader's key that was stored. */
-export const fromStoredOwner = (stored: StoredOwnerRecord): OwnerRecord => ({
+export const fromStoredOwner = (stored: StoredOwnerRecord): LeaderRecord => ({
   node: stored.node,
   token: stored.token,
   process: stored.process,
 });
 
 /** What a node can read, as it is stored. */
-export const toStoredNode = (record: NodeRecord): StoredNodeRecord => ({ layout: record.layout });
+export const toStoredNode = (record: NodeCapabilityRecord): StoredNodeRecord => ({
+  layout: record.layout,
+});
 
 /** What a node can read, as it was stored. */
-export const fromStoredNode = (stored: StoredNodeRecord): NodeRecord => ({ layout: stored.layout });
+export const fromStoredNode = (stored: StoredNodeRecord): NodeCapabilityRecord => ({
+  layout: stored.layout,
+});
 
 /** The machines of one rental as they are stored. */
-export const toStoredGroup = (record: GroupRecord): StoredGroupRecord => ({
+export const toStoredGroup = (record: MachineGroupRecord): StoredGroupRecord => ({
   part: record.part,
   type: record.type,
   zone: record.zone,
@@ -170,7 +174,7 @@
 });
 
 /** The machines of one rental that were stored. */
-export const fromStoredGroup = (stored: StoredGroupRecord): GroupRecord => ({
+export const fromStoredGroup = (stored: StoredGroupRecord): MachineGroupRecord => ({
   part: stored.part,
   type: stored.type,
   zone: stored.zone,
--- a/src/storage/rateLimiter.ts
+++ b/src/storage/rateLimiter.ts
@@ -8,9 +8,9 @@
  * Who goes first. `ownership`: without it nothing else counts; `submission`: a user waits for the answer;
  * `rental`: machines that are paid for; `urgent`: starts and ends that somebody waits for; `later`: bookkeeping.
  */
-export type Urgency = 'ownership' | 'submission' | 'rental' | 'urgent' | 'later';
+export type RequestPriority = 'ownership' | 'submission' | 'rental' | 'urgent' | 'later';
 
-const ORDER: Record<Urgency, number> = {
+const ORDER: Record<RequestPriority, number> = {
   ownership: 0,
   submission: 1,
   rental: 2,
@@ -22,20 +22,20 @@
  * Of the rate, what these may take ahead of starts; beyond it they queue with them. A flood of submissions, or of
  * rentals that find nothing, must not keep starts waiting.
  */
-const SHARES: ReadonlyMap<Urgency, number> = new Map([
+const SHARES: ReadonlyMap<RequestPriority, number> = new Map([
   ['submission', 1 / 2],
   ['rental', 1 / 4],
 ]);
 
 /** A bucket of tokens, refilled at a rate; callers wait their turn. */
-export class Budget {
+export class RateLimiter {
   private level: number;
   private filled: number;
   /** Cost asked for lately, a second; forgets over a few seconds. */
   private asked = 0;
   private askedAt: number;
   /** What is left of each share; below zero, they queue like other urgent work. */
-  private readonly shareLevels = new Map<Urgency, number>();
+  private readonly shareLevels = new Map<RequestPriority, number>();
   private readonly queue: { cost: number; order: number; go: () => void }[] = [];
   private timer: NodeJS.Timeout | null = null;
 
@@ -81,7 +81,7 @@
   }
 
   /** Seconds until something of this urgency would get its turn. */
-  delay(urgency: Urgency): number {
+  delay(urgency: RequestPriority): number {
     this.refill();
     let ahead = 0;
     const own = this.orderOf(urgency);
@@ -89,7 +89,7 @@
     return Math.max(0, (ahead - this.level) / this.rate);
   }
 
-  take(cost: number, urgency: Urgency): Promise<void> {
+  take(cost: number, urgency: RequestPriority): Promise<void> {
     this.forget();
     this.refill();
     this.asked += cost / MEMORY;
@@ -104,18 +104,18 @@
     });
   }
 
-  private orderOf(urgency: Urgency): number {
+  private orderOf(urgency: RequestPriority): number {
     const isBeyondShare = (this.shareLevels.get(urgency) ?? 0) < 0;
     return ORDER[isBeyondShare ? 'urgent' : urgency];
   }
 
-  private spendShare(urgency: Urgency, cost: number): void {
+  private spendShare(urgency: RequestPriority, cost: number): void {
     const level = this.shareLevels.get(urgency);
     if (level !== undefined) this.shareLevels.set(urgency, level - cost);
   }
 
   /** What goes along with somebody whose turn it is; the next wait for it. */
-  charge(cost: number, urgency: Urgency): void {
+  charge(cost: number, urgency: RequestPriority): void {
     this.refill();
     this.level -= cost;
     this.spendShare(urgency, cost);
--- a/src/storage/recordFormat.ts
+++ b/src/storage/recordFormat.ts
@@ -17,10 +17,10 @@
 } from './compactRecords.js';
 import {
   bytesOf,
-  cutIntoPieces,
+  splitIntoFragments,
   isKeptAsIs,
-  PIECE_FRAME_BYTES,
-  pieceCount,
+  FRAGMENT_FRAME_BYTES,
+  fragmentCount,
   type KeyedValue,
 } from './fragments.js';
 import {
@@ -50,11 +50,11 @@
   JOBS,
   kindOfRecord,
   type BucketRecord,
-  type GroupRecord,
+  type MachineGroupRecord,
   type JobRecord,
-  type NodeRecord,
-  type OwnerRecord,
-  type TokenRecord,
+  type NodeCapabilityRecord,
+  type LeaderRecord,
+  type FencingTokenRecord,
 } from './records.js';
 import type {
   StoredGroupRecord,
@@ -65,7 +65,7 @@
 } from './storedRecords.js';
 
 /** The layout that this version can write; a node's mark in the store names it. */
-export const LAYOUT = 2;
+export const RECORD_FORMAT_VERSION = 2;
 
 /** What a chunk's record takes at the most, beside its description. */
 export interface RecordSizes {
@@ -93,7 +93,7 @@
 /** The form of a record by its head and its value, joined but not expanded. */
 export function formOf(key: string, head: unknown, joined: unknown): StoredForm {
   if (isCompressed(joined)) return 'compressed';
-  const isInPieces = pieceCount(head) > 0 && !isKeptAsIs(head);
+  const isInPieces = fragmentCount(head) > 0 && !isKeptAsIs(head);
   return isInPieces && isCompressible(key) ? 'pieces' : 'plain';
 }
 
@@ -103,7 +103,7 @@
   form: StoredForm;
 }
 
-export class RecordLayout {
+export class RecordFormat {
   private version: 1 | 2 = 1;
   /** Sizes of descriptions: each pass asks for them again. */
   private descriptions = new WeakMap<JobSpec, number>();
@@ -146,7 +146,7 @@
   /** The most that may be stored under one key by a transaction that changes so much else. */
   capacity(otherOperations: number): number {
     const pieces = this.isCompact ? Math.max(1, this.limits.txnOps - otherOperations) : 1;
-    return pieces * (this.limits.valueBytes - PIECE_FRAME_BYTES);
+    return pieces * (this.limits.valueBytes - FRAGMENT_FRAME_BYTES);
   }
 
   specBytes(spec: JobSpec): number {
@@ -179,13 +179,13 @@
           ? compactBucket(value as BucketRecord)
           : toPlainBucket(value as BucketRecord);
       case 'group':
-        return toStoredGroup(value as GroupRecord);
+        return toStoredGroup(value as MachineGroupRecord);
       case 'owner':
-        return toStoredOwner(value as OwnerRecord);
+        return toStoredOwner(value as LeaderRecord);
       case 'node':
-        return toStoredNode(value as NodeRecord);
+        return toStoredNode(value as NodeCapabilityRecord);
       case 'tokens':
-        return toStoredTokens(value as TokenRecord);
+        return toStoredTokens(value as FencingTokenRecord);
       case 'types':
         return (value as MachineType[]).map(toStoredMachineType);
       case 'other':
@@ -207,13 +207,13 @@
     const isTried = this.codec !== null && this.mayCompress() && isCompressible(key);
     const smaller = isTried ? this.compress(key, value, encoded, bytes) : null;
     if (smaller === null) {
-      const puts = cutIntoPieces(key, encoded, valueBytes, isTried);
+      const puts = splitIntoFragments(key, encoded, valueBytes, isTried);
       return { puts, form: formOf(key, puts[0].value, encoded) };
     }
     const isWhole = bytesOf(smaller) <= valueBytes;
     const puts: EncodedValue['puts'] = isWhole
       ? [{ key, value: smaller }]
-      : cutIntoPieces(key, smaller, valueBytes, false);
+      : splitIntoFragments(key, smaller, valueBytes, false);
     return { puts, form: 'compressed' };
   }
 
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -21,7 +21,7 @@
 export const GROUPS = 'b/fleet/';
 export const OWNERS = 'b/own/';
 export const NODES = 'b/node/';
-export const PIECES = 'b/piece/';
+export const FRAGMENTS = 'b/piece/';
 
 /** Kept in front of all buckets, for builds that know of no cluster version: they cannot read it (safety, R3). */
 export const BARRIER_KEY = `${BUCKETS}~barrier/level`;
@@ -36,7 +36,7 @@
   group: (ask: string): string => `${GROUPS}${ask}`,
   quota: (team: string): string => `b/quota/${team}`,
   node: (label: string): string => `${NODES}${label}`,
-  piece: (key: string, index: number): string => `${PIECES}${key}/${index}`,
+  piece: (key: string, index: number): string => `${FRAGMENTS}${key}/${index}`,
 };
 
 /** The kinds of records whose stored names differ from those that the program uses. */
@@ -57,18 +57,18 @@
 /**
  * An owner's key goes with its lease; that another node may still answer a part's workers must outlast it.
  */
-export interface TokenRecord {
+export interface FencingTokenRecord {
   last: number;
-  owners?: Record<string, LastOwner>;
+  owners?: Record<string, LastLeader>;
 }
 
-export interface LastOwner {
+export interface LastLeader {
   node: string;
   /** Nodes that lost the part to another, and the time of day at which they did: they may not know it. */
   lost: Record<string, number>;
 }
 
-export interface OwnerRecord {
+export interface LeaderRecord {
   node: string;
   token: number;
   /** Tells one start of a process from the next. */
@@ -76,7 +76,7 @@
 }
 
 /** Tells that a node has the version that it names, or a later one. */
-export interface NodeRecord {
+export interface NodeCapabilityRecord {
   layout: number;
 }
 
@@ -101,7 +101,7 @@
   away: number[];
 }
 
-export interface EntryRecord {
+export interface AttemptRecord {
   task: number;
   attempt: number;
   machine: string;
@@ -119,7 +119,7 @@
   next: number;
   /** Done tasks as ranges: first, one past the last, first, … */
   done: number[];
-  entries: EntryRecord[];
+  entries: AttemptRecord[];
   /** How often it has been sent on. */
   moves: number;
 }
@@ -142,7 +142,7 @@
 }
 
 /** Machines of one kind and part that came together. */
-export interface GroupRecord {
+export interface MachineGroupRecord {
   part: string;
   type: string;
   zone: string;
--- a/src/storage/stateCache.ts
+++ b/src/storage/stateCache.ts
@@ -1,16 +1,16 @@
 /** The copy of the state service's records that each node keeps. */
 import { sleep, type Clock } from '../base/clock.js';
 import { log, describe } from '../base/log.js';
-import type { Change } from '../protocol/stateProtocol.js';
+import type { KeyValueChange } from '../protocol/stateProtocol.js';
 import type { StateClient } from './stateClient.js';
 
 /** Changes after a revision, up to `epoch`. */
 export interface ChangeLog {
   epoch: number;
-  changes: Change[];
+  changes: KeyValueChange[];
 }
 
-export interface Stored {
+export interface CachedRecord {
   value: unknown;
   stamp: number;
 }
@@ -19,9 +19,9 @@
  * A copy of all our records that follows the state service a little late. It is good for finding
  * things; what must be certain is read, or made a condition of a transaction.
  */
-export class Replica {
+export class StateCache {
   /** By kind (`b/job/`, `b/run/`, …): final jobs are kept for good, and nobody should walk past them. */
-  private readonly kinds = new Map<string, Map<string, Stored>>();
+  private readonly kinds = new Map<string, Map<string, CachedRecord>>();
   private epoch = -1;
   /**
    * Removals that are known here ahead of the watch, by key: until it has caught up, its answers still tell of the
@@ -38,7 +38,7 @@
     private readonly prefix: string,
     private readonly clock: Pick<Clock, 'now'>,
     private readonly options: { hold: number; pause: number },
-    private readonly changed: (change: Change) => void,
+    private readonly changed: (change: KeyValueChange) => void,
   ) {}
 
   /** The revision up to which it holds everything. */
@@ -46,12 +46,12 @@
     return this.epoch;
   }
 
-  get(key: string): Stored | undefined {
+  get(key: string): CachedRecord | undefined {
     return this.kinds.get(kindOf(key))?.get(key);
   }
 
   /** All of one kind, or those of it that begin with `prefix`. */
-  *under(prefix: string): IterableIterator<[string, Stored]> {
+  *under(prefix: string): IterableIterator<[string, CachedRecord]> {
     const kind = kindOf(prefix);
     const items = this.kinds.get(kind);
     if (items === undefined) return;
@@ -59,7 +59,7 @@
     else for (const entry of items) if (entry[0].startsWith(prefix)) yield entry;
   }
 
-  private of(key: string): Map<string, Stored> {
+  private of(key: string): Map<string, CachedRecord> {
     const kind = kindOf(key);
     let items = this.kinds.get(kind);
     if (items === undefined) this.kinds.set(kind, (items = new Map()));
--- a/src/storage/stateClient.ts
+++ b/src/storage/stateClient.ts
@@ -1,18 +1,18 @@
 import type { Clock } from '../base/clock.js';
 import { sleep } from '../base/clock.js';
 import { log } from '../base/log.js';
-import { CallFailed, type HttpClient, type Response } from '../transport/httpClient.js';
+import { HttpCallError, type HttpClient, type Response } from '../transport/httpClient.js';
 import * as wire from '../protocol/stateProtocol.js';
-import { Budget, shareOf, type Urgency } from './rateLimiter.js';
-import { isPiece, joinPieces, pieceCount } from './fragments.js';
+import { RateLimiter, shareOf, type RequestPriority } from './rateLimiter.js';
+import { isFragmentKey, joinFragments, fragmentCount } from './fragments.js';
 import { CorruptRecordError } from './recordCodec.js';
-import { formOf, type RecordLayout, type StoredForm } from './recordFormat.js';
+import { formOf, type RecordFormat, type StoredForm } from './recordFormat.js';
 import { keys } from './records.js';
 
 /** The state service could not be asked, or refused: nothing is known to have been carried out. */
-export class Unavailable extends Error {}
+export class StateServiceUnavailableError extends Error {}
 
-export type TxnResult =
+export type TransactionResult =
   | { kind: 'applied'; stamp: number }
   | { kind: 'conflict'; failed: string[] }
   /** No answer: it may have been applied, or may still be. */
@@ -40,17 +40,17 @@
 }
 
 /** How often a record in pieces is read while others change it between the reads. */
-const PIECE_TRIES = 5;
+const FRAGMENT_READ_ATTEMPTS = 5;
 
 /** What the state service answers to a put under a lease that has ended. */
 const NO_LEASE = 'no such lease';
 
 /** What is left of the limits for what the others' word, being old, does not tell of. */
-const CAUTION = 0.92;
+const RATE_SAFETY_FACTOR = 0.92;
 
 export class StateClient {
-  private readonly requests: Budget;
-  private readonly writes: Budget;
+  private readonly requests: RateLimiter;
+  private readonly writes: RateLimiter;
   /** Steady time of the last answer that was no refusal. */
   lastServed = -Infinity;
   /** Steady time of the last refusal or silence. */
@@ -66,11 +66,11 @@
     private readonly http: Pick<HttpClient, 'call'>,
     private readonly clock: Clock,
     private readonly options: StateClientOptions,
-    private readonly layout: RecordLayout,
+    private readonly layout: RecordFormat,
   ) {
     const { rate, writeRate, sharers } = options;
-    this.requests = new Budget(clock, rate / sharers, rate / sharers);
-    this.writes = new Budget(clock, writeRate / sharers, writeRate / sharers);
+    this.requests = new RateLimiter(clock, rate / sharers, rate / sharers);
+    this.writes = new RateLimiter(clock, writeRate / sharers, writeRate / sharers);
   }
 
   /** What this node asks of the service, a second. */
@@ -83,8 +83,8 @@
     const { rate, writeRate, sharers } = this.options;
     const requests = needs.map((n) => n.requests);
     const writes = needs.map((n) => n.writes);
-    this.requests.setRate(shareOf(rate * CAUTION, sharers, requests));
-    this.writes.setRate(shareOf(writeRate * CAUTION, sharers, writes));
+    this.requests.setRate(shareOf(rate * RATE_SAFETY_FACTOR, sharers, requests));
+    this.writes.setRate(shareOf(writeRate * RATE_SAFETY_FACTOR, sharers, writes));
   }
 
   /** Changes a second that are ours just now. */
@@ -98,7 +98,7 @@
   }
 
   /** Seconds that a change of this urgency would wait for its turn. */
-  writeDelay(urgency: Urgency): number {
+  writeDelay(urgency: RequestPriority): number {
     return this.writes.delay(urgency);
   }
 
@@ -141,42 +141,48 @@
       try {
         response = await this.call(method, target, body, timeout);
       } catch (error) {
-        throw new Unavailable(error instanceof Error ? error.message : 'no answer');
+        throw new StateServiceUnavailableError(
+          error instanceof Error ? error.message : 'no answer',
+        );
       }
-      if (response.status === 503) throw new Unavailable('state service refuses');
+      if (response.status === 503) throw new StateServiceUnavailableError('state service refuses');
       if (response.status !== 429) return response;
       this.requests.punish();
-      if (tries >= 3) throw new Unavailable('state service is over its rate');
+      if (tries >= 3) throw new StateServiceUnavailableError('state service is over its rate');
       await sleep(0.1 * (tries + 1));
     }
   }
 
   /** One record, its pieces joined. */
-  async get(key: string): Promise<wire.Item | null> {
-    for (let tries = 0; tries < PIECE_TRIES; tries++) {
+  async get(key: string): Promise<wire.KeyValue | null> {
+    for (let tries = 0; tries < FRAGMENT_READ_ATTEMPTS; tries++) {
       const head = await this.getRow(key);
       if (head === null) return null;
-      const indexes = Array.from({ length: pieceCount(head.value) }, (_, i) => i + 1);
+      const indexes = Array.from({ length: fragmentCount(head.value) }, (_, i) => i + 1);
       const pieces = await Promise.all(indexes.map((i) => this.getRow(keys.piece(key, i))));
       const item = this.join(head, pieces);
       if (item !== null) return item;
     }
-    throw new Unavailable('a record keeps changing');
+    throw new StateServiceUnavailableError('a record keeps changing');
   }
 
-  private async getRow(key: string): Promise<wire.Item | null> {
+  private async getRow(key: string): Promise<wire.KeyValue | null> {
     const response = await this.ask('GET', wire.paths.key(key));
     if (response.status === 404) return null;
     const item = wire.parseItem(response.body);
-    if (response.status !== 200 || item === null) throw new Unavailable('odd answer');
+    if (response.status !== 200 || item === null)
+      throw new StateServiceUnavailableError('odd answer');
     return item;
   }
 
   /** A head with its pieces, all of one revision; null when they are not. */
-  private join(head: wire.Item, pieces: (wire.Item | null | undefined)[]): wire.Item | null {
+  private join(
+    head: wire.KeyValue,
+    pieces: (wire.KeyValue | null | undefined)[],
+  ): wire.KeyValue | null {
     const { key, stamp } = head;
     if (pieces.some((piece) => piece?.stamp !== stamp)) return null;
-    const joined = joinPieces(
+    const joined = joinFragments(
       head.value,
       pieces.map((piece) => piece?.value),
     );
@@ -225,19 +231,22 @@
   }
 
   /** All items below a prefix, with a revision not newer than any of them was read at. */
-  async range(prefix: string): Promise<{ items: wire.Item[]; epoch: number }> {
+  async range(prefix: string): Promise<{ items: wire.KeyValue[]; epoch: number }> {
     const { rows, epoch } = await this.readRows(prefix);
     return { items: await this.joinAll(rows), epoch };
   }
 
-  private async readRows(prefix: string): Promise<{ rows: Map<string, wire.Item>; epoch: number }> {
-    const rows = new Map<string, wire.Item>();
+  private async readRows(
+    prefix: string,
+  ): Promise<{ rows: Map<string, wire.KeyValue>; epoch: number }> {
+    const rows = new Map<string, wire.KeyValue>();
     let epoch: number | null = null;
     for (let after = '', more = true; more;) {
       const target = wire.paths.range(prefix, after, wire.RANGE_PAGE);
       const response = await this.ask('GET', target, undefined, this.options.timeout * 3);
       const page = wire.parseRange(response.body);
-      if (response.status !== 200 || page === null) throw new Unavailable('odd answer');
+      if (response.status !== 200 || page === null)
+        throw new StateServiceUnavailableError('odd answer');
       for (const item of page.items) rows.set(item.key, item);
       epoch ??= page.epoch;
       const last = page.items[page.items.length - 1];
@@ -252,8 +261,8 @@
     const { rows } = await this.readRows(prefix);
     const found: string[] = [];
     for (const row of rows.values()) {
-      if (isPiece(row.key)) continue;
-      const pieces = piecesOf(row, (key) => rows.get(key));
+      if (isFragmentKey(row.key)) continue;
+      const pieces = fragmentsOf(row, (key) => rows.get(key));
       // Written between two pages of the reading: what it is now is asked for by itself.
       const isTorn = pieces.some((piece) => piece?.stamp !== row.stamp);
       if (isTorn) await this.get(row.key);
@@ -264,13 +273,13 @@
   }
 
   /** The records of many rows; what changed between the pages is read again by itself. */
-  private async joinAll(rows: Map<string, wire.Item>): Promise<wire.Item[]> {
-    const items: wire.Item[] = [];
+  private async joinAll(rows: Map<string, wire.KeyValue>): Promise<wire.KeyValue[]> {
+    const items: wire.KeyValue[] = [];
     for (const row of rows.values()) {
-      if (isPiece(row.key)) continue;
+      if (isFragmentKey(row.key)) continue;
       const item = await this.joinOrRead(
         row,
-        piecesOf(row, (key) => rows.get(key)),
+        fragmentsOf(row, (key) => rows.get(key)),
       );
       if (item !== null) items.push(item);
     }
@@ -279,9 +288,9 @@
 
   /** A record by what is known of its pieces, else read by itself; null: it is gone, or cannot be read. */
   private async joinOrRead(
-    head: wire.Item,
-    pieces: (wire.Item | undefined)[],
-  ): Promise<wire.Item | null> {
+    head: wire.KeyValue,
+    pieces: (wire.KeyValue | undefined)[],
+  ): Promise<wire.KeyValue | null> {
     try {
       return this.join(head, pieces) ?? (await this.get(head.key));
     } catch (error) {
@@ -292,16 +301,19 @@
   }
 
   /** Waits for the turn of a transaction that will be made, with `granted`, from what is known then. */
-  turn(cost: number, urgency: Urgency): Promise<void> {
+  turn(cost: number, urgency: RequestPriority): Promise<void> {
     return this.writes.take(cost, urgency);
   }
 
   /** More changes go with a turn that was given. */
-  charge(cost: number, urgency: Urgency): void {
+  charge(cost: number, urgency: RequestPriority): void {
     this.writes.charge(cost, urgency);
   }
 
-  async txn(txn: wire.Txn, urgency: Urgency | 'granted' = 'later'): Promise<TxnResult> {
+  async txn(
+    txn: wire.Transaction,
+    urgency: RequestPriority | 'granted' = 'later',
+  ): Promise<TransactionResult> {
     const { stored, written } = this.encodeTxn(txn);
     const cost = stored.puts.length + stored.removes.length;
     if (cost > 0 && urgency !== 'granted') await this.writes.take(cost, urgency);
@@ -311,9 +323,9 @@
     await this.requests.take(1, urgency === 'granted' ? 'ownership' : urgency);
     let response: Response;
     try {
-      response = await this.call('POST', wire.paths.txn, wire.txnRequest(stored));
+      response = await this.call('POST', wire.paths.txn, wire.transactionRequest(stored));
     } catch (error) {
-      if (error instanceof CallFailed && error.unsent) return { kind: 'refused' };
+      if (error instanceof HttpCallError && error.unsent) return { kind: 'refused' };
       return { kind: 'unknown' };
     }
     const result = this.resultOf(response);
@@ -323,8 +335,8 @@
   }
 
   /** The transaction as it is sent: values in their layout, large ones in pieces. */
-  private encodeTxn(txn: wire.Txn): { stored: wire.Txn; written: WrittenRecord[] } {
-    const puts: wire.Txn['puts'] = [];
+  private encodeTxn(txn: wire.Transaction): { stored: wire.Transaction; written: WrittenRecord[] } {
+    const puts: wire.Transaction['puts'] = [];
     const removes = [...txn.removes];
     const written: WrittenRecord[] = [];
     const removePieces = (key: string, from: number): void => {
@@ -362,7 +374,7 @@
     this.unreadable.delete(key);
   }
 
-  private resultOf(response: Response): TxnResult {
+  private resultOf(response: Response): TransactionResult {
     if (response.status === 200) {
       return { kind: 'applied', stamp: wire.parseEpoch(response.body) ?? 0 };
     }
@@ -381,9 +393,9 @@
   }
 
   async grant(ttl: number): Promise<number> {
-    const response = await this.ask('POST', wire.paths.grants, wire.grantRequest(ttl));
-    const hold = wire.parseGrant(response.body);
-    if (hold === null) throw new Unavailable('odd answer');
+    const response = await this.ask('POST', wire.paths.grants, wire.leaseRequest(ttl));
+    const hold = wire.parseLease(response.body);
+    if (hold === null) throw new StateServiceUnavailableError('odd answer');
     return hold;
   }
 
@@ -393,10 +405,11 @@
     try {
       response = await this.call('POST', wire.paths.extend(hold), undefined, timeout);
     } catch (error) {
-      throw new Unavailable(error instanceof Error ? error.message : 'no answer');
+      throw new StateServiceUnavailableError(error instanceof Error ? error.message : 'no answer');
     }
     if (response.status === 404) return false;
-    if (response.status !== 200) throw new Unavailable(`renewal: ${response.status}`);
+    if (response.status !== 200)
+      throw new StateServiceUnavailableError(`renewal: ${response.status}`);
     return true;
   }
 
@@ -405,31 +418,32 @@
     prefix: string,
     from: number,
     hold: number,
-  ): Promise<{ epoch: number; changes: wire.Change[] } | null> {
+  ): Promise<{ epoch: number; changes: wire.KeyValueChange[] } | null> {
     const target = wire.paths.changes(prefix, from, hold);
     const response = await this.ask('GET', target, undefined, hold + this.options.timeout);
     if (response.status === 410) return null;
     const told = wire.parseLog(response.body);
-    if (response.status !== 200 || told === null) throw new Unavailable('odd answer');
+    if (response.status !== 200 || told === null)
+      throw new StateServiceUnavailableError('odd answer');
     return { epoch: told.epoch, changes: await this.joinChanges(told.changes) };
   }
 
   /** A head and its pieces are changed together, so a log that has the one has the others. */
-  private async joinChanges(changes: wire.Change[]): Promise<wire.Change[]> {
-    const pieces = new Map<string, wire.Item>();
+  private async joinChanges(changes: wire.KeyValueChange[]): Promise<wire.KeyValueChange[]> {
+    const pieces = new Map<string, wire.KeyValue>();
     const versioned = (key: string, stamp: number): string => `${key}@${stamp}`;
     for (const change of changes) {
-      if (isPiece(change.key)) pieces.set(versioned(change.key, change.stamp), change);
+      if (isFragmentKey(change.key)) pieces.set(versioned(change.key, change.stamp), change);
     }
-    const joined: wire.Change[] = [];
+    const joined: wire.KeyValueChange[] = [];
     for (const change of changes) {
-      if (isPiece(change.key)) continue;
+      if (isFragmentKey(change.key)) continue;
       if (change.removed) {
         this.forget(change.key);
         joined.push(change);
         continue;
       }
-      const found = piecesOf(change, (key) => pieces.get(versioned(key, change.stamp)));
+      const found = fragmentsOf(change, (key) => pieces.get(versioned(key, change.stamp)));
       const item = await this.joinOrRead(change, found);
       if (item !== null) joined.push({ ...item, removed: false });
     }
@@ -438,23 +452,23 @@
 }
 
 /** The pieces that a head names, as far as they are known. */
-const piecesOf = (
-  head: wire.Item,
-  find: (key: string) => wire.Item | undefined,
-): (wire.Item | undefined)[] =>
-  Array.from({ length: pieceCount(head.value) }, (_, i) => find(keys.piece(head.key, i + 1)));
+const fragmentsOf = (
+  head: wire.KeyValue,
+  find: (key: string) => wire.KeyValue | undefined,
+): (wire.KeyValue | undefined)[] =>
+  Array.from({ length: fragmentCount(head.value) }, (_, i) => find(keys.piece(head.key, i + 1)));
 
-const formOfRows = (head: wire.Item, pieces: (wire.Item | undefined)[]): StoredForm =>
+const formOfRows = (head: wire.KeyValue, pieces: (wire.KeyValue | undefined)[]): StoredForm =>
   formOf(
     head.key,
     head.value,
-    joinPieces(
+    joinFragments(
       head.value,
       pieces.map((piece) => piece?.value),
     ),
   );
 
-function logMalformed({ puts, removes }: wire.Txn): void {
+function logMalformed({ puts, removes }: wire.Transaction): void {
   const sizes = puts.map(({ key, value }) => `${key} ${JSON.stringify(value).length}`);
   log.error(
     `the state service calls a change malformed: ${puts.length + removes.length} operations, ` +
--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -18,7 +18,7 @@
  * `unsent` says that the request cannot have been carried out: the connection never came up.
  * Anything else that fails may have been carried out, or may still be.
  */
-export class CallFailed extends Error {
+export class HttpCallError extends Error {
   constructor(
     message: string,
     readonly unsent: boolean,
@@ -77,7 +77,7 @@
     try {
       parsed = message.body === '' ? null : JSON.parse(message.body);
     } catch {
-      throw new CallFailed('response is not JSON', false);
+      throw new HttpCallError('response is not JSON', false);
     }
     const retry = Number(message.headers.get('retry-after'));
     return { status: message.status, body: parsed, retryAfter: retry > 0 ? retry : null };
@@ -92,10 +92,10 @@
       if (!kept.socket.destroyed) return this.send(endpoint, kept.socket, request, true);
     }
     if (this.open >= this.maxOpen && !this.evict()) {
-      return Promise.reject(new CallFailed('too many open connections', true, true));
+      return Promise.reject(new HttpCallError('too many open connections', true, true));
     }
     const address = parseAddress(endpoint);
-    if (address === null) return Promise.reject(new CallFailed(`bad address ${endpoint}`, true));
+    if (address === null) return Promise.reject(new HttpCallError(`bad address ${endpoint}`, true));
     const socket = net.connect({ ...address, noDelay: true });
     this.open++;
     socket.once('close', () => {
@@ -138,7 +138,7 @@
         settle();
         socket.on('error', () => undefined);
         socket.destroy();
-        reject(new CallFailed(reason, !sent));
+        reject(new HttpCallError(reason, !sent));
       };
       const finish = (message: HttpMessage): void => {
         settle();
--- a/src/transport/peerLink.ts
+++ b/src/transport/peerLink.ts
@@ -3,7 +3,7 @@
  * protocol layer encodes. One connection for each direction; a call that isn't answered in time fails.
  */
 import net from 'node:net';
-import { CallFailed } from './httpClient.js';
+import { HttpCallError } from './httpClient.js';
 import { parseAddress, type Address } from './address.js';
 
 const HEADER = 9;
@@ -110,19 +110,19 @@
   call(body: Buffer, timeout: number): Promise<Buffer> {
     return new Promise((resolve, reject) => {
       if (this.pending.size >= this.maxPending) {
-        reject(new CallFailed('peer is overloaded', true));
+        reject(new HttpCallError('peer is overloaded', true));
         return;
       }
       const socket = this.connection();
       if (socket === null) {
-        reject(new CallFailed(`bad address ${this.endpoint}`, true));
+        reject(new HttpCallError(`bad address ${this.endpoint}`, true));
         return;
       }
       const id = this.nextId;
       this.nextId = (this.nextId % 0xfffffff0) + 1;
       const giveUp = (): void => {
         if (!this.pending.delete(id)) return;
-        reject(new CallFailed('peer is silent', false));
+        reject(new HttpCallError('peer is silent', false));
       };
       // After a stretch in which this process did not get to run, timers fire before what has arrived
       // meanwhile is read: an answer that is there is taken.
@@ -165,7 +165,7 @@
         this.pending.delete(id);
         clearTimeout(waiting.timer);
         if (kind === ANSWER) waiting.resolve(body);
-        else waiting.reject(new CallFailed(body.toString('utf8'), false));
+        else waiting.reject(new HttpCallError(body.toString('utf8'), false));
       });
       if (!sound) this.drop(socket);
       else if (this.pending.size > 0) this.silenceTimer = this.watchSilence(socket);
@@ -189,7 +189,7 @@
     this.pending.clear();
     for (const waiting of lost) {
       clearTimeout(waiting.timer);
-      waiting.reject(new CallFailed('peer connection lost', false));
+      waiting.reject(new HttpCallError('peer connection lost', false));
     }
   }
 }
--- a/test/audit/auditTrail.test.ts
+++ b/test/audit/auditTrail.test.ts
@@ -1,11 +1,11 @@
 /** The audit trail: how a line reads, what is counted, and that decisions about attempts leave their evidence. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Audit, formatAudit } from '../../src/coordination/audit/auditTrail.js';
+import { AuditTrail, formatAuditEvent } from '../../src/coordination/audit/auditTrail.js';
 import { Bench } from '../support/bench.js';
 
 test('a line names time, node and event, and quotes what has spaces', () => {
-  const line = formatAudit('drone-0', 12.5, {
+  const line = formatAuditEvent('drone-0', 12.5, {
     event: 'orders-sent',
     part: 'drone-1',
     token: 7,
@@ -64,7 +64,7 @@
 }
 
 test('broken invariants are counted by their kind', () => {
-  const audit = new Audit('drone-0', () => 0);
+  const audit = new AuditTrail('drone-0', () => 0);
   const detail = 'seen by a test';
   audit.note({ event: 'invariant-broken', invariant: 'attempt-vanished', part: 'p', detail });
   audit.note({ event: 'part-lost', part: 'p', token: 1 });
--- a/test/commands/commandDispatcher.test.ts
+++ b/test/commands/commandDispatcher.test.ts
@@ -1,12 +1,15 @@
 /** Questions to machines: what silent ones may hold, and what says nothing of them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Audit } from '../../src/coordination/audit/auditTrail.js';
+import { AuditTrail } from '../../src/coordination/audit/auditTrail.js';
 import { Authority } from '../../src/coordination/leadership/authority.js';
-import { ownPart } from '../../src/coordination/leadership/ownedShard.js';
+import { createOwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { Chunk } from '../../src/coordination/shard/chunk.js';
-import { Orders, type OrdersNode } from '../../src/coordination/commands/commandDispatcher.js';
-import { CallFailed, type Response } from '../../src/transport/httpClient.js';
+import {
+  CommandDispatcher,
+  type CommandDispatcherContext,
+} from '../../src/coordination/commands/commandDispatcher.js';
+import { HttpCallError, type Response } from '../../src/transport/httpClient.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
 import { emptyPart } from '../support/part.js';
 import { spec } from '../support/spec.js';
@@ -20,11 +23,11 @@
     const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0, address: `h:${i}` };
     part.addMachine(`n-${i}`, record, 0).noteReached(0);
   }
-  const host = ownPart(part, { token: 1, stamp: 1 }, 0);
+  const host = createOwnedShard(part, { token: 1, stamp: 1 }, 0);
   const asked: string[] = [];
   const clock = { at: 100, now: () => clock.at };
   const ownership = { valid: true, until: Infinity, raise: () => Promise.resolve(null) };
-  const node: OrdersNode = {
+  const node: CommandDispatcherContext = {
     settings: { report: 4, cores: 1, maxSockets: SOCKETS },
     clock,
     links: {
@@ -36,7 +39,7 @@
       },
     },
     ownership,
-    audit: new Audit('drone-0', () => 0),
+    audit: new AuditTrail('drone-0', () => 0),
     authority: new Authority({ ownership, peers: { hostOf: () => null }, clock, grace: 36 }),
     ownedParts: new Map([['p', host]]),
     requestRound: () => undefined,
@@ -45,7 +48,7 @@
   const turns = new TurnQueue({ urgent: 4, ordinary: 0 }, (turn) => {
     turn();
   });
-  return { part, orders: new Orders(node, turns), asked, clock, ownership };
+  return { part, orders: new CommandDispatcher(node, turns), asked, clock, ownership };
 }
 
 test('machines that are silent hold half of the sockets for machines, and take turns', async () => {
@@ -63,7 +66,7 @@
   orders.sweep();
   assert.equal(asked.filter((a) => a === 'h:0').length, 2);
   for (let turn = 0; turn < 4; turn++) {
-    for (const fail of pending.splice(0)) fail(new CallFailed('timed out', false));
+    for (const fail of pending.splice(0)) fail(new HttpCallError('timed out', false));
     await new Promise((resolve) => setImmediate(resolve));
     orders.sweep();
   }
@@ -88,9 +91,14 @@
 });
 
 for (const [name, error, took, missed] of [
-  ['one that timed out is asked once more at once', new CallFailed('timed out', false), 1, 2],
-  ['one that was refused was missed', new CallFailed('refused', true), 0, 1],
-  ['one for which no socket was left says nothing', new CallFailed('no socket', true, true), 0, 0],
+  ['one that timed out is asked once more at once', new HttpCallError('timed out', false), 1, 2],
+  ['one that was refused was missed', new HttpCallError('refused', true), 0, 1],
+  [
+    'one for which no socket was left says nothing',
+    new HttpCallError('no socket', true, true),
+    0,
+    0,
+  ],
 ] as const) {
   test(`a question without an answer: ${name}`, async () => {
     const { part, orders, clock } = fixture(1, () => {
--- a/test/commands/costs.test.ts
+++ b/test/commands/costs.test.ts
@@ -1,13 +1,13 @@
 /** Costs that were won back on small controllers, held by counts: messages, questions and visits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Audit } from '../../src/coordination/audit/auditTrail.js';
+import { AuditTrail } from '../../src/coordination/audit/auditTrail.js';
 import { Chunk } from '../../src/coordination/shard/chunk.js';
-import { ownPart } from '../../src/coordination/leadership/ownedShard.js';
+import { createOwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { Machine } from '../../src/coordination/shard/machine.js';
-import { Orders } from '../../src/coordination/commands/commandDispatcher.js';
-import type { Part } from '../../src/coordination/shard/shard.js';
-import type { TaskReport } from '../../src/protocol/workerProtocol.js';
+import { CommandDispatcher } from '../../src/coordination/commands/commandDispatcher.js';
+import type { Shard } from '../../src/coordination/shard/shard.js';
+import type { ReportedAttempt } from '../../src/protocol/workerProtocol.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
 import { submission, until } from '../support/cluster.js';
 import { emptyPart, m8 } from '../support/part.js';
@@ -17,7 +17,7 @@
 const REPORT = 4;
 const AGAIN = REPORT * 1.5;
 
-function partWith(count: number): { part: Part; machines: Machine[] } {
+function partWith(count: number): { part: Shard; machines: Machine[] } {
   const part = emptyPart(REPORT, new Map([['m8', m8]]));
   const machines = Array.from({ length: count }, (_, i) => {
     const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0, address: `h:${i}` };
@@ -28,13 +28,13 @@
   return { part, machines };
 }
 
-function addChunk(part: Part, id: string, memory = 4): Chunk {
+function addChunk(part: Shard, id: string, memory = 4): Chunk {
   const chunk = new Chunk(spec({ id, tasks: 1, cpus: 8, memory }), 0, 'p', 0, 0, 1, null, 0);
   part.accept(chunk, 0);
   return chunk;
 }
 
-function report(part: Part, machine: Machine, now: number, tasks: TaskReport[]): void {
+function report(part: Shard, machine: Machine, now: number, tasks: ReportedAttempt[]): void {
   const { name, address, type, zone, spot, session } = machine;
   const tick = machine.tick + 1;
   const whole = {
@@ -52,7 +52,7 @@
 }
 
 /** A machine with one task that has ended, and whose end is stored. */
-function withLeftover(now: number): { part: Part; machine: Machine } {
+function withLeftover(now: number): { part: Shard; machine: Machine } {
   const { part, machines } = partWith(1);
   const [machine] = machines;
   if (machine === undefined) throw new Error('no machine');
@@ -91,7 +91,7 @@
   { name: 'a stop', strike: stopAll, due: true },
   {
     name: 'a stop that has just been sent',
-    strike: (part: Part, machine: Machine) => {
+    strike: (part: Shard, machine: Machine) => {
       stopAll(part, machine);
       machine.orders(true, 2, AGAIN);
     },
@@ -99,7 +99,7 @@
   },
   {
     name: 'a task that is not ours',
-    strike: (_: Part, machine: Machine) => {
+    strike: (_: Shard, machine: Machine) => {
       const stranger = { task: 'wk-9/0', attempt: 1, cause: null, saved: false };
       machine.noteTasks([...machine.tasks.all, { ...stranger, state: 'running' }]);
     },
@@ -120,7 +120,7 @@
   });
 }
 
-function stopAll(part: Part, machine: Machine): void {
+function stopAll(part: Shard, machine: Machine): void {
   for (const { entry } of machine.entries.values()) part.stop(machine, entry, 0);
 }
 
@@ -136,14 +136,14 @@
     settings: { report: REPORT, cores: 1, maxSockets: 1000 },
     clock: { now: () => 1 },
     links: { machines: { call } },
-    audit: new Audit('drone-0', () => 0),
+    audit: new AuditTrail('drone-0', () => 0),
     authority: { mayAct: () => true, mayEnd: () => true },
     ownership: { valid: true, until: Infinity, raise: () => Promise.resolve(null) },
-    ownedParts: new Map([['p', ownPart(part, { token: 1, stamp: 1 }, 0)]]),
+    ownedParts: new Map([['p', createOwnedShard(part, { token: 1, stamp: 1 }, 0)]]),
     requestRound: () => undefined,
   };
   const turns = new TurnQueue({ urgent: 4, ordinary: 0 }, (turn) => deferred.push(turn));
-  const orders = new Orders(node, turns);
+  const orders = new CommandDispatcher(node, turns);
   const chunks = machines.map((_, i) => addChunk(part, `wk-${i}`));
   part.scheduler.decide(1, () => false);
   for (const chunk of chunks) chunk.stored = chunk.version;
--- a/test/jobs/cancellationPreparations.test.ts
+++ b/test/jobs/cancellationPreparations.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Chunk } from '../../src/coordination/shard/chunk.js';
-import { ownPart, type OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
-import { CancelPreparations } from '../../src/coordination/jobs/cancellationPreparations.js';
+import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
+import { CancellationPreparations } from '../../src/coordination/jobs/cancellationPreparations.js';
 import type { PreparedChunk } from '../../src/protocol/peerMessages.js';
 import { keys, type JobRecord } from '../../src/storage/records.js';
 import { until, type Cluster } from '../support/cluster.js';
@@ -134,14 +134,14 @@
 
 function node(previousOwnerUntil: number, seenToken: number) {
   const part = emptyPart(4);
-  const host: OwnedPart = ownPart(part, { token: 7, stamp: 1 }, NOW, previousOwnerUntil);
+  const host: OwnedShard = createOwnedShard(part, { token: 7, stamp: 1 }, NOW, previousOwnerUntil);
   const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0 };
   const machine = part.addMachine('n-1', record, NOW);
   machine.seenToken = seenToken;
   const entry = { task: 0, attempt: 1, machine: 'n-1', session: 1 };
   const stored = new Chunk(jobSpec({ id: ID, tasks: 1 }), 0, 'q', 1, 0, 1, null, NOW).record();
   const chunk = part.loadChunk(0, { ...stored, entries: [entry] }, 7, NOW);
-  const cancelPreparations = new CancelPreparations({
+  const cancelPreparations = new CancellationPreparations({
     settings,
     clock: { now: () => NOW },
     ownedParts: new Map([['p', host]]),
@@ -193,7 +193,7 @@
 for (const { name, cut, found, enough } of answers) {
   test(`a cancellation may be confirmed: ${name}`, async () => {
     const tokens: Record<string, number> = { [keys.owner('q')]: 5, [keys.owner('r')]: 6 };
-    const cancelPreparations = new CancelPreparations({
+    const cancelPreparations = new CancellationPreparations({
       settings,
       clock: { now: () => NOW },
       ownedParts: new Map(),
--- a/test/jobs/jobService.test.ts
+++ b/test/jobs/jobService.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { seededRandom } from '../../src/base/random.js';
 import { Controller } from '../../src/coordination/controller/controller.js';
-import { Users } from '../../src/coordination/jobs/jobService.js';
+import { JobService } from '../../src/coordination/jobs/jobService.js';
 import { defaultTuning, parseSettings } from '../../src/protocol/settings.js';
 import { keys, type JobRecord } from '../../src/storage/records.js';
 import type { Response } from '../../src/transport/httpClient.js';
@@ -34,7 +34,7 @@
 /** A node whose reads of the state service are answered when the test says so, and which hears a peer. */
 class Asked {
   readonly node: Controller;
-  readonly users: Users;
+  readonly users: JobService;
   readonly reads: ((response: Response) => void)[] = [];
   relays: ((answer: { status: number; body: string; retryAfter: null }) => void)[] = [];
 
@@ -49,7 +49,7 @@
     Object.defineProperty(this.node, 'isolated', { value: false });
     Object.defineProperty(this.node.ownership, 'valid', { value: true });
     this.node.peers.relay = () => new Promise((resolve) => this.relays.push(resolve));
-    this.users = new Users(this.node);
+    this.users = new JobService(this.node);
     if (state !== null) this.node.replica.note(keys.job(ID), record(state), 5);
     this.node.replica.note(keys.owner('q'), { node: 'q', token: 1, process: 'y' }, 1);
   }
@@ -69,7 +69,7 @@
 
 const cases: {
   name: string;
-  ask: (users: Users) => Promise<Reply>;
+  ask: (users: JobService) => Promise<Reply>;
   by: 'store' | 'peer';
 }[] = [
   { name: 'a question', by: 'peer', ask: (users) => users.read(ID, false) },
--- a/test/jobs/submissionWriter.test.ts
+++ b/test/jobs/submissionWriter.test.ts
@@ -1,9 +1,12 @@
 /** Accepting jobs: many in one transaction, each exactly once, whatever becomes of the answers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Accepting, type AcceptingNode } from '../../src/coordination/jobs/submissionWriter.js';
+import {
+  SubmissionWriter,
+  type SubmissionWriterContext,
+} from '../../src/coordination/jobs/submissionWriter.js';
 import { Chunk } from '../../src/coordination/shard/chunk.js';
-import { ownPart, type OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
+import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { keys, type JobRecord, type BucketRecord } from '../../src/storage/records.js';
 import type { Reply } from '../../src/transport/httpServer.js';
 import { layoutFor } from '../support/layout.js';
@@ -14,8 +17,8 @@
 class Counter {
   now = 0;
   readonly store = new MemoryStore();
-  readonly host: OwnedPart;
-  readonly accepting: Accepting;
+  readonly host: OwnedShard;
+  readonly accepting: SubmissionWriter;
   readonly answers = new Map<string, Reply>();
   /** What this node has noted of the records. */
   readonly copies = new Map<string, { value: unknown; stamp: number }>();
@@ -23,10 +26,10 @@
   constructor(value = 16 * 1024) {
     this.store.limits.value = value;
     const part = emptyPart(3);
-    this.host = ownPart(part, { token: 5, stamp: 1 }, 0);
+    this.host = createOwnedShard(part, { token: 5, stamp: 1 }, 0);
     this.store.rows.set(keys.owner('q'), { key: keys.owner('q'), value: {}, stamp: 2 });
     const { rows } = this.store;
-    const node: AcceptingNode = {
+    const node: SubmissionWriterContext = {
       process: 'x',
       parts: ['p', 'q'],
       settings: { txnOps: 16 },
@@ -43,7 +46,7 @@
       commits: { write: (_, txn) => this.store.txn(txn), acceptMissing: () => undefined },
       requestRound: () => undefined,
     };
-    this.accepting = new Accepting(node, (id) =>
+    this.accepting = new SubmissionWriter(node, (id) =>
       Promise.resolve({ status: 200, body: { known: id } }),
     );
   }
--- a/test/leadership/authority.test.ts
+++ b/test/leadership/authority.test.ts
@@ -1,8 +1,8 @@
 /** What a node may do for a part, by its lease, its token and what peers say. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Authority, type AnswerRight } from '../../src/coordination/leadership/authority.js';
-import { ownPart } from '../../src/coordination/leadership/ownedShard.js';
+import { Authority, type HeartbeatDecision } from '../../src/coordination/leadership/authority.js';
+import { createOwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { emptyPart } from '../support/part.js';
 
 const TOKEN = 5;
@@ -49,11 +49,11 @@
   seen?: number;
   peer?: { label: string; token: number } | null;
   isLost?: boolean;
-  answers: AnswerRight;
+  answers: HeartbeatDecision;
   mayAct?: boolean;
 }[]) {
   test(`what a node may do for a part: ${name}`, () => {
-    const host = ownPart(emptyPart(3), { token: TOKEN, stamp: 1 }, 0);
+    const host = createOwnedShard(emptyPart(3), { token: TOKEN, stamp: 1 }, 0);
     host.alive = !isLost;
     const authority = new Authority({
       ownership: { valid: now < LEASE_END, until: LEASE_END },
--- a/test/leadership/shardLeadership.test.ts
+++ b/test/leadership/shardLeadership.test.ts
@@ -1,7 +1,7 @@
 /** Ownership of parts: what a node may believe to own when answers come late. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Ownership } from '../../src/coordination/leadership/shardLeadership.js';
+import { ShardLeadership } from '../../src/coordination/leadership/shardLeadership.js';
 import { keys } from '../../src/storage/records.js';
 import { until } from '../support/cluster.js';
 import { MemoryStore } from '../support/store.js';
@@ -17,7 +17,7 @@
   catchUp: () => Promise<void> = () => Promise.resolve();
   private hold = 0;
   private readonly ended = new Set<number>();
-  readonly ownership: Ownership;
+  readonly ownership: ShardLeadership;
 
   constructor() {
     const client = {
@@ -33,7 +33,7 @@
       noteRemoved: () => undefined,
       catchUp: () => this.catchUp(),
     };
-    this.ownership = new Ownership(
+    this.ownership = new ShardLeadership(
       client,
       replica,
       { now: () => this.now, wall: () => this.now },
--- a/test/leadership/shardLoader.test.ts
+++ b/test/leadership/shardLoader.test.ts
@@ -1,14 +1,17 @@
 /** Loading a part from its records: what an earlier owner may have left on machines counts, whatever became of its job. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { PartLoader, type LoadingNode } from '../../src/coordination/leadership/shardLoader.js';
+import {
+  ShardLoader,
+  type ShardLoaderContext,
+} from '../../src/coordination/leadership/shardLoader.js';
 import {
   keys,
   type BucketRecord,
   type JobRecord,
   type MachineRecord,
 } from '../../src/storage/records.js';
-import type { Stored } from '../../src/storage/stateCache.js';
+import type { CachedRecord } from '../../src/storage/stateCache.js';
 import { layoutFor } from '../support/layout.js';
 import { emptyPart, m8 } from '../support/part.js';
 import { spec } from '../support/spec.js';
@@ -16,7 +19,7 @@
 const HELD = { token: 7, stamp: 9, lostAt: 0 };
 
 /** The records of a part with one machine and one chunk of two tasks, one of which an owner has started. */
-function nodeWith(job: Partial<JobRecord>): LoadingNode {
+function nodeWith(job: Partial<JobRecord>): ShardLoaderContext {
   const task = spec({ id: 'wk-1', tasks: 2 });
   const record: JobRecord = {
     spec: task,
@@ -44,7 +47,7 @@
   };
   const entry = { task: 1, attempt: 2, machine: 'n-1', session: 1 };
   const bucket: BucketRecord = { chunks: { 'wk-1/0': { ...chunk, entries: [entry] } } };
-  const rows = new Map<string, Stored>([
+  const rows = new Map<string, CachedRecord>([
     [keys.job('wk-1'), { value: record, stamp: 5 }],
     [keys.run('p', 's1'), { value: bucket, stamp: 4 }],
   ]);
@@ -77,7 +80,7 @@
 for (const { name, job, isWanted } of cases) {
   test(`a task that an earlier owner started is counted until it is known to be over: ${name}`, () => {
     const part = emptyPart(3, new Map([['m8', m8]]));
-    new PartLoader(nodeWith(job)).load(part, HELD, 100);
+    new ShardLoader(nodeWith(job)).load(part, HELD, 100);
     assert.equal(part.teams.usedBy('crew').cpus, 2);
     const machine = part.machines.get('n-1');
     assert.equal(machine?.free.cpus, 6);
--- a/test/peers/peerRegistry.test.ts
+++ b/test/peers/peerRegistry.test.ts
@@ -1,12 +1,15 @@
 /** What is believed of peers, and what a node believes of itself after it stood still. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Ownership, type Held } from '../../src/coordination/leadership/shardLeadership.js';
-import { Peers } from '../../src/coordination/peers/peerRegistry.js';
+import {
+  ShardLeadership,
+  type Leadership,
+} from '../../src/coordination/leadership/shardLeadership.js';
+import { PeerRegistry } from '../../src/coordination/peers/peerRegistry.js';
 import type { Gossip } from '../../src/protocol/peerMessages.js';
-import type { Txn } from '../../src/protocol/stateProtocol.js';
-import { keys, type TokenRecord } from '../../src/storage/records.js';
-import type { Replica } from '../../src/storage/stateCache.js';
+import type { Transaction } from '../../src/protocol/stateProtocol.js';
+import { keys, type FencingTokenRecord } from '../../src/storage/records.js';
+import type { StateCache } from '../../src/storage/stateCache.js';
 import type { StateClient } from '../../src/storage/stateClient.js';
 import { PeerClient } from '../../src/transport/peerLink.js';
 import { MemoryStore } from '../support/store.js';
@@ -49,7 +52,7 @@
   test(`a message of a peer: ${name}`, () => {
     const clock = { now: () => 50, wall: () => 1001 };
     const client = new PeerClient('127.0.0.1:1', 1, 1);
-    const peers = new Peers(clock, REPORT, SKEW, [{ label: 'q', zone: 'a', client }]);
+    const peers = new PeerRegistry(clock, REPORT, SKEW, [{ label: 'q', zone: 'a', client }]);
     peers.note(gossip({}));
     peers.note(gossip({ ...second, lost: ['n-2'] }));
     assert.deepEqual(
@@ -59,8 +62,8 @@
   });
 }
 
-const FRESH: TokenRecord = { last: 4 };
-const histories: { name: string; tokens: TokenRecord; key?: string; lostAt: number }[] = [
+const FRESH: FencingTokenRecord = { last: 4 };
+const histories: { name: string; tokens: FencingTokenRecord; key?: string; lostAt: number }[] = [
   { name: 'nobody had it', tokens: FRESH, lostAt: 0 },
   { name: 'we had it, our key has gone', tokens: had('p'), lostAt: 0 },
   { name: 'we had it, our key is there', tokens: had('p'), key: 'p', lostAt: 0 },
@@ -71,7 +74,7 @@
   { name: 'two lost it one after the other', tokens: had('r', { q: 990 }), lostAt: 1000 },
   { name: 'another lost it long ago', tokens: had('p', { q: 100 }), lostAt: 0 },
 ];
-function had(node: string, lost: Record<string, number> = {}): TokenRecord {
+function had(node: string, lost: Record<string, number> = {}): FencingTokenRecord {
   return { last: 4, owners: { p: { node, lost } } };
 }
 for (const { name, tokens, key, lostAt } of histories) {
@@ -83,7 +86,7 @@
       const value = { node: key, token: 4, process: 'before' };
       await store.txn({ when: [], puts: [{ key: keys.owner('p'), value }], removes: [] });
     }
-    const gained: Held[] = [];
+    const gained: Leadership[] = [];
     const ownership = owner(store, (held) => gained.push(held));
     void ownership.run();
     while (gained.length === 0) await new Promise((resolve) => setTimeout(resolve, 1));
@@ -98,12 +101,12 @@
   });
 }
 
-function owner(store: MemoryStore, gained: (held: Held) => void): Ownership {
+function owner(store: MemoryStore, gained: (held: Leadership) => void): ShardLeadership {
   const client = {
     grant: () => Promise.resolve(1),
     extend: () => Promise.resolve(true),
     get: (key: string) => store.get(key),
-    txn: (txn: Txn) => store.txn(txn),
+    txn: (txn: Transaction) => store.txn(txn),
   };
   const replica = {
     loaded: true,
@@ -112,9 +115,9 @@
     note: () => undefined,
     noteRemoved: () => undefined,
   };
-  return new Ownership(
+  return new ShardLeadership(
     client as unknown as StateClient,
-    replica as unknown as Replica,
+    replica as unknown as StateCache,
     // It stands still: on a busy machine a lease of so short a time lapses between two steps.
     { now: () => 50, wall: () => 1000 },
     { label: 'p', process: 'x', parts: ['p'], ttl: 0.05, grace: 20 },
@@ -138,9 +141,9 @@
     grant: () => Promise.resolve(1),
     extend: () => new Promise<boolean>(() => undefined),
   };
-  const ownership = new Ownership(
+  const ownership = new ShardLeadership(
     client as unknown as StateClient,
-    { loaded: false } as Replica,
+    { loaded: false } as StateCache,
     clock,
     { label: 'p', process: 'x', parts: ['p'], ttl: 0.05, grace: 20 },
     {
@@ -169,9 +172,9 @@
     grant: () => Promise.resolve(1),
     extend: () => new Promise<boolean>((resolve) => hung.push(resolve)),
   };
-  const ownership = new Ownership(
+  const ownership = new ShardLeadership(
     client as unknown as StateClient,
-    { loaded: false } as Replica,
+    { loaded: false } as StateCache,
     clock,
     { label: 'p', process: 'x', parts: ['p'], ttl, grace: 20 },
     {
--- a/test/persistence/bucketWriter.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -2,19 +2,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Chunk } from '../../src/coordination/shard/chunk.js';
-import { ownPart, type OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
-import { choosePartFor } from '../../src/coordination/autoscaling/machineGroups.js';
+import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
+import { chooseShardFor } from '../../src/coordination/autoscaling/machineGroups.js';
 import { BucketWriter } from '../../src/coordination/persistence/bucketWriter.js';
 import { shareOf } from '../../src/storage/rateLimiter.js';
-import { Fleet } from '../../src/storage/machineInventory.js';
-import { keys, type GroupRecord, type BucketRecord } from '../../src/storage/records.js';
-import { Buckets } from '../../src/storage/chunkIndex.js';
+import { MachineInventory } from '../../src/storage/machineInventory.js';
+import { keys, type MachineGroupRecord, type BucketRecord } from '../../src/storage/records.js';
+import { ChunkIndex } from '../../src/storage/chunkIndex.js';
 import { layoutFor } from '../support/layout.js';
 import { emptyPart, m8 } from '../support/part.js';
 import { spec } from '../support/spec.js';
 import { MemoryStore } from '../support/store.js';
 
-const group = (part: string, ...names: string[]): GroupRecord => ({
+const group = (part: string, ...names: string[]): MachineGroupRecord => ({
   part,
   type: 'm8',
   zone: 'a',
@@ -23,8 +23,8 @@
 });
 
 test('machines come and go with the record of their rental', () => {
-  const fleet = new Fleet();
-  const steps: [string, string, GroupRecord | null, string[], string[], number][] = [
+  const fleet = new MachineInventory();
+  const steps: [string, string, MachineGroupRecord | null, string[], string[], number][] = [
     ['a rental that is being asked for has none', 'r1', { ...group('p'), asked: 2 }, [], [], 0],
     ['its machines', 'r1', group('p', 'n1', 'n2'), ['n1', 'n2'], [], 2],
     ['another rental', 'r2', group('p', 'n3'), ['n3'], [], 3],
@@ -46,7 +46,7 @@
 });
 
 test('a chunk is found where it was stored last', () => {
-  const buckets = new Buckets();
+  const buckets = new ChunkIndex();
   const chunk = new Chunk(spec(), 0, 'p', 1, 0, 4, null, 0);
   const record = { chunks: { 'wk-1/0': chunk.record() } };
   buckets.note('p', 's1', record, 1);
@@ -93,7 +93,7 @@
 class Desk {
   now = 100;
   readonly store = new MemoryStore();
-  readonly host: OwnedPart;
+  readonly host: OwnedShard;
   readonly started: string[] = [];
   private readonly bucketWriter: BucketWriter;
 
@@ -105,7 +105,7 @@
     ] as const) {
       this.store.rows.set(keys.owner(label), { key: keys.owner(label), value: {}, stamp });
     }
-    this.host = ownPart(part, { token: 5, stamp: 1 }, 0);
+    this.host = createOwnedShard(part, { token: 5, stamp: 1 }, 0);
     const { rows } = this.store;
     this.bucketWriter = new BucketWriter(
       this.store,
@@ -283,7 +283,7 @@
     ['wanted by a part of another zone', 'p', 'b', 'r'],
     ['in a zone without a part', '', 'c', 'q'],
   ];
-  const fleet = new Fleet();
+  const fleet = new MachineInventory();
   fleet.note('r1', group('p', 'n-1', 'n-2'));
   const zoneOf = new Map([
     ['p', 'a'],
@@ -293,6 +293,6 @@
   const types = new Map([['m8', { cpus: 8 }]]);
   const node = { parts: ['p', 'q', 'r'], zoneOf, types, fleet };
   for (const [name, wanted, zone, part] of cases) {
-    assert.equal(choosePartFor(node, zone, wanted), part, name);
+    assert.equal(chooseShardFor(node, zone, wanted), part, name);
   }
 });
--- a/test/persistence/jobPersistence.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -2,15 +2,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Chunk } from '../../src/coordination/shard/chunk.js';
-import { Commits } from '../../src/coordination/persistence/jobPersistence.js';
+import { JobPersistence } from '../../src/coordination/persistence/jobPersistence.js';
 import {
-  ownPart,
+  createOwnedShard,
   type HomeJob,
-  type OwnedPart,
+  type OwnedShard,
 } from '../../src/coordination/leadership/ownedShard.js';
-import { Buckets } from '../../src/storage/chunkIndex.js';
+import { ChunkIndex } from '../../src/storage/chunkIndex.js';
 import { keys, type JobRecord } from '../../src/storage/records.js';
-import { Replica } from '../../src/storage/stateCache.js';
+import { StateCache } from '../../src/storage/stateCache.js';
 import { layoutFor } from '../support/layout.js';
 import { emptyPart } from '../support/part.js';
 import { spec } from '../support/spec.js';
@@ -22,26 +22,26 @@
 /** A part with one job of three chunks of eight tasks, of which some have been cut. */
 class Home {
   readonly store = new MemoryStore();
-  readonly owned: OwnedPart;
+  readonly owned: OwnedShard;
   readonly job: HomeJob;
-  readonly commits: Commits;
+  readonly commits: JobPersistence;
   now = 100;
 
   constructor(cut: number) {
     const part = emptyPart(3);
-    this.owned = ownPart(part, { token: 5, stamp: 1 }, 0);
+    this.owned = createOwnedShard(part, { token: 5, stamp: 1 }, 0);
     this.store.rows.set(keys.owner('p'), { key: keys.owner('p'), value: {}, stamp: 1 });
     const clock = { now: () => this.now, wall: () => this.now };
     const silent = {
       range: () => Promise.reject(new Error()),
       changes: () => Promise.reject(new Error()),
     };
-    const replica = new Replica(silent, 'b/', clock, { hold: 1, pause: 1 }, () => undefined);
+    const replica = new StateCache(silent, 'b/', clock, { hold: 1, pause: 1 }, () => undefined);
     const ownedParts = new Map([['p', this.owned]]);
-    this.commits = new Commits(
+    this.commits = new JobPersistence(
       this.store,
       replica,
-      new Buckets(),
+      new ChunkIndex(),
       clock,
       {
         ownedParts,
--- a/test/persistence/recordLimits.test.ts
+++ b/test/persistence/recordLimits.test.ts
@@ -2,19 +2,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BucketWriter } from '../../src/coordination/persistence/bucketWriter.js';
-import type { Commits } from '../../src/coordination/persistence/jobPersistence.js';
-import type { OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
-import { PartLoader } from '../../src/coordination/leadership/shardLoader.js';
+import type { JobPersistence } from '../../src/coordination/persistence/jobPersistence.js';
+import type { OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
+import { ShardLoader } from '../../src/coordination/leadership/shardLoader.js';
 import { groupLimit } from '../../src/coordination/autoscaling/machineGroups.js';
-import type { RecordLayout } from '../../src/storage/recordFormat.js';
+import type { RecordFormat } from '../../src/storage/recordFormat.js';
 import {
   keys,
   type BucketRecord,
   type ChunkRecord,
-  type EntryRecord,
-  type GroupRecord,
+  type AttemptRecord,
+  type MachineGroupRecord,
   type JobRecord,
-  type TokenRecord,
+  type FencingTokenRecord,
 } from '../../src/storage/records.js';
 import { layoutFor } from '../support/layout.js';
 import { emptyPart, m8 } from '../support/part.js';
@@ -29,7 +29,7 @@
 const service = (id: string): ChunkRecord => ({
   ...{ spec: spec({ id, service: true, rank: 'prod', tasks: REPLICAS }), home: 'p', at: 5 },
   ...{ from: 0, to: REPLICAS, zone: null, next: 50, done: [], moves: 0 },
-  entries: Array.from({ length: REPLICAS }, (_, task): EntryRecord => {
+  entries: Array.from({ length: REPLICAS }, (_, task): AttemptRecord => {
     return { task, attempt: task + 1, machine: `n-${task}`, session: 1 };
   }),
 });
@@ -38,8 +38,8 @@
 class FallenLimits {
   now = 100;
   readonly store = new MemoryStore();
-  readonly layout: RecordLayout = layoutFor(LIMITS.value, TXN_OPS, true);
-  host: OwnedPart;
+  readonly layout: RecordFormat = layoutFor(LIMITS.value, TXN_OPS, true);
+  host: OwnedShard;
   private writer: BucketWriter;
   private processes = 0;
 
@@ -57,12 +57,12 @@
   }
 
   /** Loads the part from what is stored, as an adopter would. */
-  adopt(): [OwnedPart, BucketWriter] {
+  adopt(): [OwnedShard, BucketWriter] {
     const { rows } = this.store;
-    const commits: Pick<Commits, 'acceptMissing'> = { acceptMissing: () => undefined };
+    const commits: Pick<JobPersistence, 'acceptMissing'> = { acceptMissing: () => undefined };
     const machine = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0 };
     const machines = Array.from({ length: REPLICAS }, (_, i) => [`n-${i}`, machine] as const);
-    const loader = new PartLoader({
+    const loader = new ShardLoader({
       clock: { now: () => this.now, wall: () => this.now },
       fleet: { of: () => new Map(machines).entries() },
       replica: {
@@ -191,7 +191,7 @@
 });
 
 test('one chunk with more tasks than a record holds is stored in pieces and changes', async () => {
-  const entries = Array.from({ length: 150 }, (_, task): EntryRecord => {
+  const entries = Array.from({ length: 150 }, (_, task): AttemptRecord => {
     return { task, attempt: task + 1, machine: `n-${task % REPLICAS}`, session: 1 };
   });
   const large = { ...service('wk-0'), to: 150, next: 200, entries };
@@ -209,14 +209,14 @@
     `n-${String(i).padStart(9, '0')}`,
     { at: 1764637200.123, address: '10.255.255.255:65535' },
   ]);
-  const group: GroupRecord = {
+  const group: MachineGroupRecord = {
     ...{ part: 'drone-100', type: 'panyard-large', zone: 'port-of-spain', spot: true },
     machines: Object.fromEntries(machines),
   };
   const labels = Array.from({ length: 12 }, (_, i) => `drone-${i}`);
   const lost = Object.fromEntries(labels.map((label) => [label, 1764637200.123]));
   const owners = labels.map((label) => [label, { node: 'drone-11', lost: { ...lost } }]);
-  const token: TokenRecord = { last: 99_999, owners: Object.fromEntries(owners) };
+  const token: FencingTokenRecord = { last: 99_999, owners: Object.fromEntries(owners) };
   const shares = Object.fromEntries(labels.map((label) => [label, { cpus: 123456.5, gpus: 123 }]));
   const job: JobRecord = {
     ...{ spec: spec({ tasks: 100_000 }), home: 'drone-11', state: 'open', tasks: 100_000 },
--- a/test/protocol/protocol.test.ts
+++ b/test/protocol/protocol.test.ts
@@ -8,7 +8,7 @@
   encodeRequest,
 } from '../../src/protocol/peerCodec.js';
 import { defaultTuning, parseSettings, parseTuning } from '../../src/protocol/settings.js';
-import { parseReport } from '../../src/protocol/workerProtocol.js';
+import { parseHeartbeat } from '../../src/protocol/workerProtocol.js';
 import { submission } from '../support/cluster.js';
 import { productionAnswers, productionRequests } from '../support/messages.js';
 import { settingsText } from '../support/settings.js';
@@ -146,9 +146,9 @@
 });
 
 test('reports: what is no report gives null, unknown states still hold room', () => {
-  assert.equal(parseReport({ Drone: 'n-1' }), null);
-  assert.equal(parseReport(null), null);
-  const report = parseReport({
+  assert.equal(parseHeartbeat({ Drone: 'n-1' }), null);
+  assert.equal(parseHeartbeat(null), null);
+  const report = parseHeartbeat({
     Drone: 'n-1',
     Address: '127.0.0.1:9',
     Flavour: 'm8',
--- a/test/quota/quotaShares.test.ts
+++ b/test/quota/quotaShares.test.ts
@@ -2,21 +2,25 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../src/base/random.js';
-import { ownPart, type OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
-import { Quotas, reshare, type QuotaNode } from '../../src/coordination/quota/quotaShares.js';
-import type { Amount } from '../../src/coordination/quota/teamUsage.js';
+import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
+import {
+  QuotaShares,
+  reshare,
+  type QuotaContext,
+} from '../../src/coordination/quota/quotaShares.js';
+import type { TeamResources } from '../../src/coordination/quota/teamUsage.js';
 import { keys, type QuotaRecord } from '../../src/storage/records.js';
 import { emptyPart } from '../support/part.js';
 import { spec } from '../support/spec.js';
 import { MemoryStore } from '../support/store.js';
 
 const KEY = keys.quota('crew');
-const LIMIT: Amount = { cpus: 40, gpus: 10 };
+const LIMIT: TeamResources = { cpus: 40, gpus: 10 };
 
 /** One node that hosts parts, and its copy of the shares, which is as old as the test leaves it. */
 class SharingNode {
-  readonly ownedParts = new Map<string, OwnedPart>();
-  readonly quotas: Quotas;
+  readonly ownedParts = new Map<string, OwnedShard>();
+  readonly quotas: QuotaShares;
   throttledElsewhere = true;
   private readonly copies = new Map<string, { value: unknown; stamp: number }>();
 
@@ -25,7 +29,7 @@
     limit = LIMIT,
   ) {
     const team = { name: 'crew', cpus: 0, gpus: 0, cpusMax: limit.cpus, gpusMax: limit.gpus };
-    const node: QuotaNode = {
+    const node: QuotaContext = {
       settings: { teams: [team] },
       ownedParts: this.ownedParts,
       ownership: { valid: true },
@@ -41,28 +45,28 @@
       state: store,
       commits: { write: (_, txn) => store.txn(txn) },
     };
-    this.quotas = new Quotas(node);
+    this.quotas = new QuotaShares(node);
   }
 
-  host(label: string, used: Amount = { cpus: 0, gpus: 0 }): OwnedPart {
-    const host = ownPart(emptyPart(3), { token: 1, stamp: 1 }, 0);
+  host(label: string, used: TeamResources = { cpus: 0, gpus: 0 }): OwnedShard {
+    const host = createOwnedShard(emptyPart(3), { token: 1, stamp: 1 }, 0);
     this.ownedParts.set(label, host);
     this.use(label, used);
     return host;
   }
 
   /** Tasks with so much in all are placed, or, below zero, are over. */
-  use(label: string, { cpus, gpus }: Amount): void {
+  use(label: string, { cpus, gpus }: TeamResources): void {
     this.ownedParts.get(label)?.part.teams.add(spec({ team: 'crew', cpus, gpus }), 1);
   }
 
   /** A job that wants so much waits there. */
-  want(label: string, { cpus, gpus }: Amount): void {
+  want(label: string, { cpus, gpus }: TeamResources): void {
     const scheduler = this.ownedParts.get(label)?.part.scheduler;
     if (scheduler !== undefined) scheduler.wanted = () => ({ cpus, gpus });
   }
 
-  allowance(label: string): Amount {
+  allowance(label: string): TeamResources {
     return this.quotas.allowance(label, 'crew') ?? { cpus: Infinity, gpus: Infinity };
   }
 
--- a/test/reconciliation/heartbeatReconciler.test.ts
+++ b/test/reconciliation/heartbeatReconciler.test.ts
@@ -1,9 +1,9 @@
 /** What reports say: stale ones, sessions, starts in doubt, failures. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Source } from '../../src/coordination/reconciliation/heartbeatReconciler.js';
+import type { HeartbeatOrigin } from '../../src/coordination/reconciliation/heartbeatReconciler.js';
 import type { JobSpec } from '../../src/protocol/job.js';
-import type { Report, TaskReport } from '../../src/protocol/workerProtocol.js';
+import type { Heartbeat, ReportedAttempt } from '../../src/protocol/workerProtocol.js';
 import { Bench, TOKEN } from '../support/bench.js';
 import { startedRecord } from '../support/spec.js';
 
@@ -34,7 +34,7 @@
   name: string;
   seen: boolean;
   unanswered?: number;
-  report: Partial<Report>;
+  report: Partial<Heartbeat>;
   over: boolean;
 }[] = [
   { name: 'seen, now absent', seen: true, report: {}, over: true },
@@ -108,7 +108,7 @@
 });
 
 test('after a takeover, what the last owner started is settled by our token', () => {
-  const cases: [string, Partial<TaskReport>[], Partial<Report>, number][] = [
+  const cases: [string, Partial<ReportedAttempt>[], Partial<Heartbeat>, number][] = [
     ['it runs: kept', [{}], { token: 3 }, 1],
     ['absent, our token not seen: kept', [], { token: 3 }, 1],
     ['absent after our token: started anew', [], { token: TOKEN }, 0],
@@ -173,7 +173,12 @@
   }
 });
 
-const unreached: { name: string; isLost?: boolean; heard: Source[]; takesWork: boolean }[] = [
+const unreached: {
+  name: string;
+  isLost?: boolean;
+  heard: HeartbeatOrigin[];
+  takesWork: boolean;
+}[] = [
   { name: 'its reports arrive, but it answers no question', heard: ['report'], takesWork: false },
   { name: 'then it answers one', heard: ['report', 'answer'], takesWork: true },
   { name: 'then a report follows an answer of ours', heard: ['follow'], takesWork: true },
@@ -193,7 +198,7 @@
   });
 }
 
-const copies: { name: string; copy: Partial<Report>; tasks: Partial<TaskReport>[] }[] = [
+const copies: { name: string; copy: Partial<Heartbeat>; tasks: Partial<ReportedAttempt>[] }[] = [
   { name: 'from before the start', copy: { token: 1 }, tasks: [] },
   { name: 'of an earlier session', copy: { session: 0, token: 1 }, tasks: [] },
   {
--- a/test/reconciliation/unacknowledgedStart.test.ts
+++ b/test/reconciliation/unacknowledgedStart.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CommandOutcome } from '../../src/coordination/audit/auditTrail.js';
-import { ownPart } from '../../src/coordination/leadership/ownedShard.js';
-import { StartDoubt } from '../../src/coordination/reconciliation/unacknowledgedStart.js';
-import type { TaskReport } from '../../src/protocol/workerProtocol.js';
+import { createOwnedShard } from '../../src/coordination/leadership/ownedShard.js';
+import { UnacknowledgedStart } from '../../src/coordination/reconciliation/unacknowledgedStart.js';
+import type { ReportedAttempt } from '../../src/protocol/workerProtocol.js';
 import { Bench, TOKEN } from '../support/bench.js';
 import { CommandBench, type Passage } from '../support/commandBench.js';
 import { startedRecord } from '../support/spec.js';
@@ -156,7 +156,7 @@
 ];
 for (const { name, commands, open } of histories) {
   test(`whether a start may still come: ${name}`, () => {
-    const doubt = new StartDoubt();
+    const doubt = new UnacknowledgedStart();
     for (const [token, outcome] of commands) {
       doubt.noteSent(token);
       assert.ok(doubt.isOpen(token), 'while it is on its way');
@@ -215,7 +215,7 @@
 });
 
 test('of attempts of one task on a machine each is stopped, reaped or kept by itself', () => {
-  const orders: [string, Partial<TaskReport>[], string[]][] = [
+  const orders: [string, Partial<ReportedAttempt>[], string[]][] = [
     ['an earlier one still runs', [{ attempt: 1 }, { attempt: 2 }], ['halt wk-1/0 1']],
     ['in the other order', [{ attempt: 2 }, { attempt: 1 }], ['halt wk-1/0 1']],
     [
@@ -285,7 +285,7 @@
     [TOKEN + 1, undefined],
   ] as const) {
     const b = new Bench();
-    ownPart(b.part, { token: TOKEN, stamp: 1 }, b.now);
+    createOwnedShard(b.part, { token: TOKEN, stamp: 1 }, b.now);
     const machine = b.machine();
     b.running(machine);
     b.report(machine, [], { token });
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -1,35 +1,35 @@
 /** The pure parts of scheduling, with numbers worked out by hand. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { nextToAsk } from '../../src/coordination/migration/migrationInitiator.js';
+import { nextMigrationCandidates } from '../../src/coordination/migration/migrationInitiator.js';
 import { seededRandom } from '../../src/base/random.js';
 import { Chunk } from '../../src/coordination/shard/chunk.js';
 import {
   chunkRanges,
   chunkSize,
-  mayCut,
+  mayCreateChunk,
   totalChunks,
   zonesFor,
 } from '../../src/coordination/shard/chunking.js';
-import { Arrivals, RunTimes } from '../../src/coordination/scheduling/runTimes.js';
-import { choosePart, turnaround } from '../../src/coordination/migration/migrationPolicy.js';
+import { ArrivalRate, RunTimes } from '../../src/coordination/scheduling/runTimes.js';
+import { chooseShard, turnaround } from '../../src/coordination/migration/migrationPolicy.js';
 import {
-  allows,
+  satisfiesConstraints,
   bestFit,
-  sampleHosts,
+  sampleCandidates,
   victimsFor,
 } from '../../src/coordination/scheduling/placement.js';
 import { reshare } from '../../src/coordination/quota/quotaShares.js';
 import { requestSizes } from '../../src/coordination/autoscaling/scaleOut.js';
 import {
   mergePlans,
-  planRentals,
-  type RentPlan,
+  planScaleOut,
+  type ScaleOutPlan,
 } from '../../src/coordination/autoscaling/scaleOutPlan.js';
 import {
   replay,
   ReplayStart,
-  type ReplayHost,
+  type ReplayMachine,
 } from '../../src/coordination/scheduling/queueReplay.js';
 import type { JobRecord } from '../../src/storage/records.js';
 import { fromRanges, toRanges } from '../../src/storage/records.js';
@@ -41,7 +41,7 @@
   memory,
 });
 
-const host = (free: number, running: [number, number][] = [], ready = 0): ReplayHost => ({
+const host = (free: number, running: [number, number][] = [], ready = 0): ReplayMachine => ({
   type: 'm8',
   zone: 'a',
   spot: false,
@@ -58,7 +58,7 @@
     count,
     run,
   });
-  const cases: [string, ReplayHost[], ReturnType<typeof item>[], number, number][] = [
+  const cases: [string, ReplayMachine[], ReturnType<typeof item>[], number, number][] = [
     ['room now', [host(8)], [], 2, 0],
     ['the second task waits for the first of what runs', [host(4, [[7, 4]])], [], 2, 7],
     ['behind one that waits: 7 s, then its 10 s', [host(0, [[7, 4]])], [item(1, 10)], 1, 17],
@@ -83,7 +83,7 @@
   // max(wait, fetch) + run; output transfer is nothing.
   assert.equal(turnaround(12, 5, 30), 42);
   assert.equal(turnaround(3, 5, 30), 35);
-  const at = (part: string, t: number, utilisation = 0.5): Parameters<typeof choosePart>[0] => ({
+  const at = (part: string, t: number, utilisation = 0.5): Parameters<typeof chooseShard>[0] => ({
     part,
     wait: 0,
     turnaround: t,
@@ -106,7 +106,7 @@
     ['home cannot hold it', Infinity, [at('b', 500)], 'b'],
   ];
   for (const [name, home, answers, part] of cases) {
-    assert.equal(choosePart(at('home', home), answers, options), part, name);
+    assert.equal(chooseShard(at('home', home), answers, options), part, name);
   }
 });
 
@@ -162,10 +162,10 @@
   });
   // Halves of 3 and 2 tasks in chunks of 2: chunks 0 and 1 are the first half.
   assert.deepEqual(
-    [0, 1, 2].map((k) => mayCut(record([0]), k)),
+    [0, 1, 2].map((k) => mayCreateChunk(record([0]), k)),
     [true, true, false],
   );
-  assert.ok(mayCut(record([0, 1]), 2));
+  assert.ok(mayCreateChunk(record([0, 1]), 2));
 });
 
 test('chunks fit a part and a record', () => {
@@ -198,7 +198,11 @@
     [{ spot: true, types: ['m8'], zone: 'a' }, 'a', true],
   ];
   for (const [changes, zone, expected] of cases) {
-    assert.equal(allows(spec(changes), zone, machine), expected, JSON.stringify([changes, zone]));
+    assert.equal(
+      satisfiesConstraints(spec(changes), zone, machine),
+      expected,
+      JSON.stringify([changes, zone]),
+    );
   }
 });
 
@@ -225,7 +229,7 @@
   assert.equal(bestFit([live('a', 4), live('b', 2)], replica)?.name, 'b');
   assert.equal(bestFit([live('a', 0), live('b', 6)], replica)?.name, 'b');
   const many = Array.from({ length: 20 }, (_, i) => machine(`m${i}`, 8, i === 13));
-  const sampled = sampleHosts(many, 'img', 3, seededRandom(1));
+  const sampled = sampleCandidates(many, 'img', 3, seededRandom(1));
   assert.equal(sampled.length, 4);
   assert.ok(sampled.some((h) => h.name === 'm13'));
 });
@@ -256,7 +260,7 @@
 });
 
 test('arrivals: a steady stream gives its rate, and silence forgets it', () => {
-  const arrivals = new Arrivals(100);
+  const arrivals = new ArrivalRate(100);
   for (let t = 0; t < 1000; t++) arrivals.note(50, t);
   assert.ok(Math.abs(arrivals.rate(1000) - 50) < 2);
   assert.ok(arrivals.rate(1500) < 1);
@@ -299,7 +303,7 @@
     refused: (t: string, zone: string, spot: boolean) => refused.has(`${t}/${zone}/${spot}`),
     partFor: () => 'p',
     zoneOf: () => 'a',
-    coming: [] as RentPlan[],
+    coming: [] as ScaleOutPlan[],
     patience: 60,
     serviceHorizon: 600,
     promptHorizon: 60,
@@ -322,7 +326,7 @@
     run: 0,
   };
   const kinds = (d: typeof demand): string[] =>
-    planRentals([d], context).map((p) => `${p.count} ${p.type}/${p.zone}/${p.spot}`);
+    planScaleOut([d], context).map((p) => `${p.count} ${p.type}/${p.zone}/${p.spot}`);
   assert.deepEqual(kinds(demand), ['1 small/a/true']);
   assert.deepEqual(kinds({ ...demand, spot: false, count: 8 }), ['8 small/a/false']);
   assert.deepEqual(kinds({ ...demand, zone: 'b' as unknown as null }), ['1 small/b/true']);
@@ -332,7 +336,7 @@
   assert.deepEqual(kinds({ ...demand, spot: false, count: 8, urgent: true }), ['1 large/a/false']);
   // What is on its way and not counted yet is not rented once more.
   const plan = { part: 'p', type: 'large', zone: 'a', spot: true, count: 1 };
-  const coming: [string, Partial<RentPlan>, number, string[]][] = [
+  const coming: [string, Partial<ScaleOutPlan>, number, string[]][] = [
     ['holds all of it', {}, 8, []],
     ['holds some of it', {}, 10, ['2 small/a/true']],
     ['goes to another part', { part: 'q' }, 8, ['8 small/a/true']],
@@ -350,7 +354,7 @@
   assert.deepEqual(kinds(batch), []);
   assert.deepEqual(kinds({ ...batch, pressing: 8 }), ['1 large/a/false']);
   for (const kind of ['small/b/true', 'large/a/true', 'large/b/true']) refused.delete(kind);
-  const merged = mergePlans(planRentals([demand, { ...demand, count: 2 }], context));
+  const merged = mergePlans(planScaleOut([demand, { ...demand, count: 2 }], context));
   assert.equal(merged.length, 1);
 });
 
@@ -362,7 +366,7 @@
   const asked: string[] = [];
   // Rounds come three times as often as one of them may be asked for again.
   for (let now = 0; now < 8; now++) {
-    for (const chunk of nextToAsk(chunks, 2, (c) => now - c.askedAt >= 3)) {
+    for (const chunk of nextMigrationCandidates(chunks, 2, (c) => now - c.askedAt >= 3)) {
       chunk.askedAt = now;
       asked.push(chunk.spec.id);
     }
--- a/test/scheduling/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -3,11 +3,11 @@
 import { test } from 'node:test';
 import { Chunk } from '../../src/coordination/shard/chunk.js';
 import type { Machine } from '../../src/coordination/shard/machine.js';
-import { Part } from '../../src/coordination/shard/shard.js';
+import { Shard } from '../../src/coordination/shard/shard.js';
 import type { MachineType } from '../../src/protocol/cloudProtocol.js';
 import { rankOrder } from '../../src/protocol/job.js';
-import type { TaskReport } from '../../src/protocol/workerProtocol.js';
-import { singlePartView } from '../../src/coordination/quota/teamUsage.js';
+import type { ReportedAttempt } from '../../src/protocol/workerProtocol.js';
+import { singleShardView } from '../../src/coordination/quota/teamUsage.js';
 import { Bench } from '../support/bench.js';
 import { m8 } from '../support/part.js';
 import { spec } from '../support/spec.js';
@@ -94,7 +94,7 @@
       cpus: team === 'small' && mine === 2 ? 2 : 0,
       gpus: 0,
     });
-    const b = new Bench({ ...singlePartView, guarantee, usedElsewhere: elsewhere });
+    const b = new Bench({ ...singleShardView, guarantee, usedElsewhere: elsewhere });
     const machine = b.machine();
     const large = b.chunk({ id: 'wk-1', team: 'large', rank: 'high', cpus: 4, tasks: 2 });
     b.decide();
@@ -145,7 +145,7 @@
   const attempts = new Set([...gang.entries.values()].map((e) => e.attempt));
   assert.equal(attempts.size, 1, 'its tasks know each other by a common attempt');
   b.store(gang);
-  const on = (m: Machine): Partial<TaskReport>[] =>
+  const on = (m: Machine): Partial<ReportedAttempt>[] =>
     [...gang.entries.values()]
       .filter((e) => e.machine === m.name)
       .map((e) => ({ task: `wk-1/${e.task}`, attempt: e.attempt }));
@@ -202,7 +202,7 @@
   let allowance = 4;
   let starved: { team: string; at: number; rank: number } | null = null;
   const b = new Bench({
-    ...singlePartView,
+    ...singleShardView,
     allowance: () => ({ cpus: allowance, gpus: Infinity }),
     starvedElsewhere: () => starved,
   });
@@ -246,7 +246,7 @@
   assert.equal(younger.entries.size, 1);
 });
 
-const rounds: { name: string; most: number; play: (part: Part, now: number) => void }[] = [
+const rounds: { name: string; most: number; play: (part: Shard, now: number) => void }[] = [
   {
     name: 'a round of decisions',
     most: 12,
@@ -318,7 +318,7 @@
 test('a job that an urgent one needs goes first, stops nothing for that, and is not stopped for less', () => {
   const inherited = new Map<string, number>();
   const view = {
-    ...singlePartView,
+    ...singleShardView,
     inheritedRank: (job: string) => inherited.get(job) ?? -Infinity,
   };
   const b = new Bench(view);
--- a/test/scheduling/schedulingRounds.test.ts
+++ b/test/scheduling/schedulingRounds.test.ts
@@ -1,7 +1,7 @@
 /** When rounds of decisions take place. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DecisionRounds } from '../../src/coordination/scheduling/schedulingRounds.js';
+import { SchedulingRounds } from '../../src/coordination/scheduling/schedulingRounds.js';
 
 const REPORT_S = 4;
 
@@ -14,7 +14,7 @@
     let now = 0;
     let rounds = 0;
     const clock = { now: () => now, wall: () => now };
-    const decisions = new DecisionRounds(clock, REPORT_S, () => {
+    const decisions = new SchedulingRounds(clock, REPORT_S, () => {
       rounds++;
       if (rounds === 1) now += took;
     });
--- a/test/storage/compatibility.test.ts
+++ b/test/storage/compatibility.test.ts
@@ -14,8 +14,8 @@
   encodeRequest,
   encodeSpec,
 } from '../../src/protocol/peerCodec.js';
-import { NodeMarks } from '../../src/storage/nodeCapabilities.js';
-import { LAYOUT, RecordLayout } from '../../src/storage/recordFormat.js';
+import { NodeCapabilities } from '../../src/storage/nodeCapabilities.js';
+import { RECORD_FORMAT_VERSION, RecordFormat } from '../../src/storage/recordFormat.js';
 import { keys, type BucketRecord, type JobRecord } from '../../src/storage/records.js';
 import { layoutFor } from '../support/layout.js';
 import { productionAnswers, productionRequests } from '../support/messages.js';
@@ -113,7 +113,7 @@
 
 test('the compact layout waits for the marks of all nodes', async () => {
   const store = new MemoryStore();
-  const layout = new RecordLayout({ valueBytes: 2048, txnOps: 5 });
+  const layout = new RecordFormat({ valueBytes: 2048, txnOps: 5 });
   const replica = {
     loaded: false,
     get: (key: string) => store.rows.get(key),
@@ -121,17 +121,17 @@
       marks.note(key.slice(keys.node('').length), value as { layout: number });
     },
   };
-  const marks = new NodeMarks(store, replica, layout, 'n0', ['n0', 'n1', 'n2']);
+  const marks = new NodeCapabilities(store, replica, layout, 'n0', ['n0', 'n1', 'n2']);
   await marks.ensure();
   assert.equal(store.changes, 0, 'what is stored has not been read yet');
   replica.loaded = true;
   store.refuseNext = 1;
   for (let tries = 0; tries < 4; tries++) await marks.ensure();
   assert.equal(store.changes, 1, 'once');
-  marks.note('n1', { layout: LAYOUT });
-  marks.note('elsewhere', { layout: LAYOUT });
-  marks.note('n2', { layout: LAYOUT - 1 });
+  marks.note('n1', { layout: RECORD_FORMAT_VERSION });
+  marks.note('elsewhere', { layout: RECORD_FORMAT_VERSION });
+  marks.note('n2', { layout: RECORD_FORMAT_VERSION - 1 });
   assert.ok(!layout.isCompact && !marks.isUpgraded);
-  marks.note('n2', { layout: LAYOUT });
+  marks.note('n2', { layout: RECORD_FORMAT_VERSION });
   assert.ok(layout.isCompact && marks.isUpgraded);
 });
--- a/test/storage/compression.test.ts
+++ b/test/storage/compression.test.ts
@@ -3,9 +3,9 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { deflateCodec } from '../../src/storage/compression.js';
-import { joinPieces } from '../../src/storage/fragments.js';
+import { joinFragments } from '../../src/storage/fragments.js';
 import { CorruptRecordError, type CompressedValue } from '../../src/storage/recordCodec.js';
-import { formOf, RecordLayout, type StoredForm } from '../../src/storage/recordFormat.js';
+import { formOf, RecordFormat, type StoredForm } from '../../src/storage/recordFormat.js';
 import { BARRIER_KEY, keys, type JobRecord } from '../../src/storage/records.js';
 import { systemClock } from '../../src/base/clock.js';
 import { StateClient } from '../../src/storage/stateClient.js';
@@ -15,9 +15,9 @@
 
 const VALUE_BYTES = 2048;
 
-function layoutWith(mayCompress: boolean, hasCodec = true): RecordLayout {
+function layoutWith(mayCompress: boolean, hasCodec = true): RecordFormat {
   const limits = { valueBytes: VALUE_BYTES, txnOps: 16 };
-  const layout = new RecordLayout(limits, hasCodec ? deflateCodec : null, () => mayCompress);
+  const layout = new RecordFormat(limits, hasCodec ? deflateCodec : null, () => mayCompress);
   layout.useCompact();
   return layout;
 }
@@ -45,19 +45,19 @@
 const key = keys.job('wk-1');
 
 function store(
-  layout: RecordLayout,
+  layout: RecordFormat,
   value: unknown,
 ): { form: StoredForm; joined: unknown; puts: number } {
   const { puts, form } = layout.encodeValue(key, value);
   for (const put of puts) assert.ok(Buffer.byteLength(JSON.stringify(put.value)) <= VALUE_BYTES);
   const [head, ...pieces] = puts.map((put) => JSON.parse(JSON.stringify(put.value)) as unknown);
-  const joined = joinPieces(head, pieces);
+  const joined = joinFragments(head, pieces);
   assert.equal(formOf(key, head, joined), form);
   return { form, joined, puts: puts.length };
 }
 
 test('only records that would be stored in pieces are compressed, and only where that is allowed', () => {
-  const cases: [string, RecordLayout, string[], StoredForm][] = [
+  const cases: [string, RecordFormat, string[], StoredForm][] = [
     ['small', layoutWith(true), names(5), 'plain'],
     ['large', layoutWith(true), names(300), 'compressed'],
     ['large, not allowed', layoutWith(false), names(300), 'pieces'],
--- a/test/storage/fleetRecords.test.ts
+++ b/test/storage/fleetRecords.test.ts
@@ -1,16 +1,16 @@
 /** The copy of the machines' records: which part a machine is in. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Fleet } from '../../src/storage/machineInventory.js';
-import type { GroupRecord } from '../../src/storage/records.js';
+import { MachineInventory } from '../../src/storage/machineInventory.js';
+import type { MachineGroupRecord } from '../../src/storage/records.js';
 
-const group = (part: string): GroupRecord => ({
+const group = (part: string): MachineGroupRecord => ({
   part,
   ...{ type: 'm8', zone: 'a', spot: false, machines: { 'n-1': { at: 0 } } },
 });
 
 test('a machine that two groups name is in the same part for every node, whatever each heard of first', () => {
-  const [one, other] = [new Fleet(), new Fleet()];
+  const [one, other] = [new MachineInventory(), new MachineInventory()];
   one.note('rental', group('p'));
   one.note('adopted', group('q'));
   other.note('adopted', group('q'));
--- a/test/storage/fragments.test.ts
+++ b/test/storage/fragments.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import { systemClock } from '../../src/base/clock.js';
-import type { GroupRecord } from '../../src/storage/records.js';
+import type { MachineGroupRecord } from '../../src/storage/records.js';
 import { keys } from '../../src/storage/records.js';
 import { StateClient } from '../../src/storage/stateClient.js';
 import { HttpClient } from '../../src/transport/httpClient.js';
@@ -29,7 +29,7 @@
   return new StateClient(new HttpClient(10, 5), systemClock, options, layout);
 }
 
-const group = (machines: number): GroupRecord => ({
+const group = (machines: number): MachineGroupRecord => ({
   ...{ part: 'p', type: 'm8', zone: 'a', spot: true },
   machines: Object.fromEntries(
     Array.from({ length: machines }, (_, i) => [
@@ -86,7 +86,7 @@
   }
   const log = await client().changes('b/', from, 0);
   assert.deepEqual(
-    log?.changes.map((change) => Object.keys((change.value as GroupRecord).machines).length),
+    log?.changes.map((change) => Object.keys((change.value as MachineGroupRecord).machines).length),
     [50, 10, 48],
   );
   await writer.txn({ when: [], puts: [], removes: [KEY] });
@@ -108,7 +108,7 @@
   const read = await client().get(KEY);
   clearInterval(restore);
   assert.ok(state.reads.filter((key) => key === KEY).length > 1, 'it was read again');
-  assert.equal(Object.keys((read?.value as GroupRecord).machines).length, 48);
+  assert.equal(Object.keys((read?.value as MachineGroupRecord).machines).length, 48);
   await writer.txn({ when: [], puts: [], removes: [KEY] });
 });
 
--- a/test/storage/goldenBytes.test.ts
+++ b/test/storage/goldenBytes.test.ts
@@ -7,25 +7,25 @@
 import { readFileSync, writeFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { encodeAnswer, encodeRequest, encodeSpec } from '../../src/protocol/peerCodec.js';
-import { grantRequest, txnRequest } from '../../src/protocol/stateProtocol.js';
+import { leaseRequest, transactionRequest } from '../../src/protocol/stateProtocol.js';
 import {
-  helloAnswer,
-  ordersRequest,
+  heartbeatAnswer,
+  commandsRequest,
   redirectAnswer,
-  type Order,
+  type Command,
 } from '../../src/protocol/workerProtocol.js';
 import { deflateCodec } from '../../src/storage/compression.js';
-import { RecordLayout } from '../../src/storage/recordFormat.js';
+import { RecordFormat } from '../../src/storage/recordFormat.js';
 import {
   keys,
   type BucketRecord,
   type ChunkRecord,
-  type GroupRecord,
+  type MachineGroupRecord,
   type JobRecord,
-  type NodeRecord,
-  type OwnerRecord,
+  type NodeCapabilityRecord,
+  type LeaderRecord,
   type QuotaRecord,
-  type TokenRecord,
+  type FencingTokenRecord,
 } from '../../src/storage/records.js';
 import type { MachineType } from '../../src/protocol/cloudProtocol.js';
 import { productionAnswers, productionRequests } from '../support/messages.js';
@@ -86,16 +86,16 @@
   },
 };
 
-const owner: OwnerRecord = { node: 'drone-1', token: 7, process: 'x' };
+const owner: LeaderRecord = { node: 'drone-1', token: 7, process: 'x' };
 
-const tokenCounter: TokenRecord = {
+const tokenCounter: FencingTokenRecord = {
   last: 7,
   owners: { 'drone-0': { node: 'drone-1', lost: { 'drone-0': 1764637200 } } },
 };
 
-const node: NodeRecord = { layout: 2 };
+const node: NodeCapabilityRecord = { layout: 2 };
 
-const group: GroupRecord = {
+const group: MachineGroupRecord = {
   part: 'drone-0',
   type: 'm8',
   zone: 'a',
@@ -106,7 +106,7 @@
   },
 };
 
-const openRental: GroupRecord = { ...group, machines: {}, asked: 12 };
+const openRental: MachineGroupRecord = { ...group, machines: {}, asked: 12 };
 
 const quota: QuotaRecord = { 'drone-0': { cpus: 8, gpus: 0 }, 'drone-1': { cpus: 4, gpus: 1 } };
 
@@ -144,25 +144,25 @@
 ];
 
 const layouts = {
-  'format 1': () => new RecordLayout({ valueBytes: 16 * 1024, txnOps: 16 }),
+  'format 1': () => new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 }),
   'format 2': () => {
-    const layout = new RecordLayout({ valueBytes: 16 * 1024, txnOps: 16 });
+    const layout = new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 });
     layout.useCompact();
     return layout;
   },
   'format 2 in fragments': () => {
-    const layout = new RecordLayout({ valueBytes: 160, txnOps: 64 });
+    const layout = new RecordFormat({ valueBytes: 160, txnOps: 64 });
     layout.useCompact();
     return layout;
   },
   'format 2 compressed': () => {
-    const layout = new RecordLayout({ valueBytes: 160, txnOps: 64 }, deflateCodec, () => true);
+    const layout = new RecordFormat({ valueBytes: 160, txnOps: 64 }, deflateCodec, () => true);
     layout.useCompact();
     return layout;
   },
-} satisfies Record<string, () => RecordLayout>;
+} satisfies Record<string, () => RecordFormat>;
 
-const orders: Order[] = [
+const orders: Command[] = [
   { verb: 'start', task: 'wk-1/0', attempt: 1 },
   { verb: 'halt', task: 'wk-1/1', attempt: 2, wind: 4 },
   { verb: 'reap', task: 'wk-1/2', attempt: 3 },
@@ -185,14 +185,14 @@
     messages[`peer answer ${String(index)}`] = encodeAnswer(answer).toString('base64');
   });
   messages['job description in a peer request'] = encodeSpec(fullSpec);
-  messages['answer to a worker'] = JSON.stringify(helloAnswer(7, orders));
-  messages['request to a worker'] = JSON.stringify(ordersRequest(7, 2, orders));
+  messages['answer to a worker'] = JSON.stringify(heartbeatAnswer(7, orders));
+  messages['request to a worker'] = JSON.stringify(commandsRequest(7, 2, orders));
   messages['redirection of a worker'] = JSON.stringify([
     redirectAnswer('drone-1'),
     redirectAnswer(null),
   ]);
   messages['transaction'] = JSON.stringify(
-    txnRequest({
+    transactionRequest({
       when: [{ key: 'b/a', stamp: 3 }],
       puts: [
         { key: 'b/a', value: 1 },
@@ -201,7 +201,7 @@
       removes: ['b/c'],
     }),
   );
-  messages['lease'] = JSON.stringify(grantRequest(1.5));
+  messages['lease'] = JSON.stringify(leaseRequest(1.5));
   return messages;
 }
 
@@ -220,7 +220,7 @@
 });
 
 test('every stored record is read back as the record that was written', () => {
-  const layout = new RecordLayout({ valueBytes: 16 * 1024, txnOps: 16 }, deflateCodec);
+  const layout = new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 }, deflateCodec);
   for (const [key, value] of records) {
     const stored = JSON.parse(golden[`format 1: ${key}`] ?? '') as unknown;
     assert.deepEqual(layout.decode(key, stored), value, key);
--- a/test/storage/rateLimiter.test.ts
+++ b/test/storage/rateLimiter.test.ts
@@ -1,24 +1,24 @@
 /** The order in which requests get their turn at a service that limits its rate. */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
-import { Budget, shareOf, type Urgency } from '../../src/storage/rateLimiter.js';
+import { RateLimiter, shareOf, type RequestPriority } from '../../src/storage/rateLimiter.js';
 
 const RATE = 10;
 
 /** A budget on a clock of its own; `order` names those that got their turn. */
 function emptyBudget(): {
-  budget: Budget;
+  budget: RateLimiter;
   order: string[];
-  queue: (name: string, urgency: Urgency, cost?: number) => void;
+  queue: (name: string, urgency: RequestPriority, cost?: number) => void;
   pass: (seconds: number) => Promise<void>;
 } {
   mock.timers.enable({ apis: ['setTimeout'] });
   let now = 0;
-  const budget = new Budget({ now: () => now, wall: () => now }, RATE, RATE);
+  const budget = new RateLimiter({ now: () => now, wall: () => now }, RATE, RATE);
   // What was saved up is spent, so that all that follows has to wait.
   budget.charge(RATE, 'later');
   const order: string[] = [];
-  const queue = (name: string, urgency: Urgency, cost = 1): void => {
+  const queue = (name: string, urgency: RequestPriority, cost = 1): void => {
     void budget.take(cost, urgency).then(() => order.push(name));
   };
   const pass = async (seconds: number): Promise<void> => {
@@ -32,7 +32,7 @@
   return { budget, order, queue, pass };
 }
 
-const cases: { name: string; asks: [string, Urgency][]; order: string[] }[] = [
+const cases: { name: string; asks: [string, RequestPriority][]; order: string[] }[] = [
   {
     name: 'those of one urgency in the order in which they came',
     asks: [
--- a/test/storage/stateCache.test.ts
+++ b/test/storage/stateCache.test.ts
@@ -1,11 +1,16 @@
 /** The copy of the state service's records: what it asks for, and what late answers may not do. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Change } from '../../src/protocol/stateProtocol.js';
-import { Replica, type ChangeLog } from '../../src/storage/stateCache.js';
+import type { KeyValueChange } from '../../src/protocol/stateProtocol.js';
+import { StateCache, type ChangeLog } from '../../src/storage/stateCache.js';
 
-const put = (key: string, stamp: number): Change => ({ key, value: {}, stamp, removed: false });
-const remove = (key: string, stamp: number): Change => ({
+const put = (key: string, stamp: number): KeyValueChange => ({
+  key,
+  value: {},
+  stamp,
+  removed: false,
+});
+const remove = (key: string, stamp: number): KeyValueChange => ({
   key,
   value: null,
   stamp,
@@ -27,7 +32,7 @@
     },
   };
   const options = { hold: 5, pause: 0 };
-  const replica = new Replica(client, 'b/', { now: () => 0 }, options, () => undefined);
+  const replica = new StateCache(client, 'b/', { now: () => 0 }, options, () => undefined);
   await replica.load();
   asked.length = 0;
   return { replica, asked };
@@ -73,7 +78,7 @@
 
 test('without a copy all records are read', async () => {
   const fixture = await loaded([]);
-  const fresh = new Replica(
+  const fresh = new StateCache(
     {
       range: () => {
         fixture.asked.push('all');
@@ -128,7 +133,7 @@
     },
   };
   const options = { hold: 5, pause: 0 };
-  const replica = new Replica(client, 'b/', { now: () => 0 }, options, () => undefined);
+  const replica = new StateCache(client, 'b/', { now: () => 0 }, options, () => undefined);
   const slow = replica.load();
   const quick = replica.load();
   const job = { key: 'b/job/1', value: {}, stamp: 5 };
--- a/test/support/bench.ts
+++ b/test/support/bench.ts
@@ -3,11 +3,11 @@
 import { Chunk } from '../../src/coordination/shard/chunk.js';
 import { RunTimes } from '../../src/coordination/scheduling/runTimes.js';
 import type { Machine } from '../../src/coordination/shard/machine.js';
-import { Part } from '../../src/coordination/shard/shard.js';
-import type { Source } from '../../src/coordination/reconciliation/heartbeatReconciler.js';
-import { singlePartView, type ClusterView } from '../../src/coordination/quota/teamUsage.js';
+import { Shard } from '../../src/coordination/shard/shard.js';
+import type { HeartbeatOrigin } from '../../src/coordination/reconciliation/heartbeatReconciler.js';
+import { singleShardView, type ClusterView } from '../../src/coordination/quota/teamUsage.js';
 import type { JobSpec } from '../../src/protocol/job.js';
-import type { Report, TaskReport } from '../../src/protocol/workerProtocol.js';
+import type { Heartbeat, ReportedAttempt } from '../../src/protocol/workerProtocol.js';
 import { m8 } from './part.js';
 import { spec } from './spec.js';
 
@@ -19,10 +19,10 @@
   tick = 0;
   session = 1;
   types = new Map([['m8', m8]]);
-  readonly part: Part;
+  readonly part: Shard;
 
-  constructor(cluster: ClusterView = singlePartView) {
-    this.part = new Part(
+  constructor(cluster: ClusterView = singleShardView) {
+    this.part = new Shard(
       'p',
       {
         lease: 18,
@@ -56,9 +56,9 @@
 
   report(
     machine: Machine,
-    tasks: Partial<TaskReport>[],
-    changes: Partial<Report> = {},
-    from: Source = 'follow',
+    tasks: Partial<ReportedAttempt>[],
+    changes: Partial<Heartbeat> = {},
+    from: HeartbeatOrigin = 'follow',
   ): boolean {
     const full = tasks.map((t) => ({
       task: 'wk-1/0',
@@ -68,7 +68,7 @@
       saved: false,
       ...t,
     }));
-    const report: Report = {
+    const report: Heartbeat = {
       machine: machine.name,
       address: '127.0.0.1:1',
       type: 'm8',
--- a/test/support/commandBench.ts
+++ b/test/support/commandBench.ts
@@ -2,14 +2,17 @@
  * A part and its orders on a clock of its own, with workers that follow PROTOCOL behind a network that a test scripts:
  * commands arrive, are held and arrive late, or are never sent. It tells which tasks were on two machines at once.
  */
-import { Audit } from '../../src/coordination/audit/auditTrail.js';
+import { AuditTrail } from '../../src/coordination/audit/auditTrail.js';
 import type { Chunk } from '../../src/coordination/shard/chunk.js';
 import type { Machine } from '../../src/coordination/shard/machine.js';
-import { Orders, type OrdersNode } from '../../src/coordination/commands/commandDispatcher.js';
-import type { Held } from '../../src/coordination/leadership/shardLeadership.js';
-import { ownPart, type OwnedPart } from '../../src/coordination/leadership/ownedShard.js';
-import { helloAnswer, parseReport } from '../../src/protocol/workerProtocol.js';
-import { CallFailed, type Response } from '../../src/transport/httpClient.js';
+import {
+  CommandDispatcher,
+  type CommandDispatcherContext,
+} from '../../src/coordination/commands/commandDispatcher.js';
+import type { Leadership } from '../../src/coordination/leadership/shardLeadership.js';
+import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
+import { heartbeatAnswer, parseHeartbeat } from '../../src/protocol/workerProtocol.js';
+import { HttpCallError, type Response } from '../../src/transport/httpClient.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
 import { Bench, TOKEN } from './bench.js';
 import { WorkerModel, type CommandBody, type ReportOrder } from './workerModel.js';
@@ -21,12 +24,12 @@
 
 export class CommandBench {
   readonly bench = new Bench();
-  readonly host: OwnedPart;
-  readonly orders: Orders;
+  readonly host: OwnedShard;
+  readonly orders: CommandDispatcher;
   /** Tasks that were started on a machine while they were on another. */
   readonly ranTwice: string[] = [];
   /** What asking for a higher token gives, one time after the other; after that it can't be had. */
-  readonly raises: (Held | null)[] = [];
+  readonly raises: (Leadership | null)[] = [];
   /** What becomes of the commands to come, one after the other; after that all arrive. */
   readonly passages: Passage[] = [];
   /** Whether this node may start work. */
@@ -37,8 +40,8 @@
 
   constructor() {
     const { bench } = this;
-    this.host = ownPart(bench.part, { token: TOKEN, stamp: 1 }, bench.now);
-    const node: OrdersNode = {
+    this.host = createOwnedShard(bench.part, { token: TOKEN, stamp: 1 }, bench.now);
+    const node: CommandDispatcherContext = {
       settings: { report: REPORT_S, cores: 1, maxSockets: 100 },
       clock: { now: () => bench.now },
       links: { machines: { call: (...request) => this.call(request[0], request[3]) } },
@@ -48,14 +51,14 @@
         raise: () => Promise.resolve(this.raises.shift() ?? null),
       },
       authority: { mayAct: () => this.mayAct, mayEnd: () => true },
-      audit: new Audit('drone-0', () => bench.now),
+      audit: new AuditTrail('drone-0', () => bench.now),
       ownedParts: new Map([['p', this.host]]),
       requestRound: () => undefined,
     };
     const turns = new TurnQueue({ urgent: 4, ordinary: 0 }, (turn) => {
       turn();
     });
-    this.orders = new Orders(node, turns);
+    this.orders = new CommandDispatcher(node, turns);
   }
 
   /** A machine that has reported. */
@@ -84,7 +87,7 @@
 
   /** Its worker reports; the answer carries no orders. */
   hello(machine: Machine): void {
-    const report = parseReport(this.worker(machine).report());
+    const report = parseHeartbeat(this.worker(machine).report());
     if (report === null) throw new Error('malformed report');
     this.bench.part.reports.apply(machine, report, this.bench.now, 'follow');
     machine.renewed = this.bench.now;
@@ -96,7 +99,7 @@
     this.hello(machine);
     const worker = this.worker(machine);
     const orders = machine.answerOrders(this.bench.now, REPORT_S * 1.5, REPORT_S);
-    worker.answer(worker.session, helloAnswer(TOKEN, orders));
+    worker.answer(worker.session, heartbeatAnswer(TOKEN, orders));
   }
 
   /** Places what waits, and stores it. */
@@ -120,7 +123,7 @@
 
   private call(endpoint: string, body: unknown): Promise<Response> {
     const worker = this.workers.get(endpoint);
-    if (worker === undefined) return Promise.reject(new CallFailed('no such machine', true));
+    if (worker === undefined) return Promise.reject(new HttpCallError('no such machine', true));
     // What travels is what was sent, whatever becomes of its parts later.
     const sent = JSON.parse(JSON.stringify(body)) as CommandBody;
     switch (this.passages.shift() ?? 'arrives') {
@@ -130,11 +133,11 @@
         this.held.push(() => {
           worker.command(sent);
         });
-        return Promise.reject(new CallFailed('timed out', false));
+        return Promise.reject(new HttpCallError('timed out', false));
       case 'no socket':
-        return Promise.reject(new CallFailed('too many open connections', true, true));
+        return Promise.reject(new HttpCallError('too many open connections', true, true));
       case 'connection refused':
-        return Promise.reject(new CallFailed('connect ECONNREFUSED', true));
+        return Promise.reject(new HttpCallError('connect ECONNREFUSED', true));
     }
   }
 
--- a/test/support/part.ts
+++ b/test/support/part.ts
@@ -1,7 +1,7 @@
 /** An empty part with one type of machine, for tests of what works on parts. */
 import { seededRandom } from '../../src/base/random.js';
 import { RunTimes } from '../../src/coordination/scheduling/runTimes.js';
-import { Part } from '../../src/coordination/shard/shard.js';
+import { Shard } from '../../src/coordination/shard/shard.js';
 import type { MachineType } from '../../src/protocol/cloudProtocol.js';
 
 export const m8: MachineType = {
@@ -17,8 +17,8 @@
   zones: ['a'],
 };
 
-export function emptyPart(report: number, types = new Map<string, MachineType>()): Part {
+export function emptyPart(report: number, types = new Map<string, MachineType>()): Shard {
   const options = { lease: 18, report, sample: 8, zones: ['a'] };
   const pace = { patience: 30, dearPatience: 60, headroom: 1, window: 100 };
-  return new Part('p', { ...options, ...pace }, () => types, new RunTimes(), seededRandom(1));
+  return new Shard('p', { ...options, ...pace }, () => types, new RunTimes(), seededRandom(1));
 }
--- a/test/support/store.ts
+++ b/test/support/store.ts
@@ -1,17 +1,17 @@
 /** The state service in memory, for tests of what writes to it: conditions hold, answers can get lost. */
-import type { Txn, Item } from '../../src/protocol/stateProtocol.js';
-import type { RecordLayout } from '../../src/storage/recordFormat.js';
-import type { TxnResult } from '../../src/storage/stateClient.js';
+import type { Transaction, KeyValue } from '../../src/protocol/stateProtocol.js';
+import type { RecordFormat } from '../../src/storage/recordFormat.js';
+import type { TransactionResult } from '../../src/storage/stateClient.js';
 
 export class MemoryStore {
-  readonly rows = new Map<string, Item>();
+  readonly rows = new Map<string, KeyValue>();
   epoch = 0;
   changes = 0;
   /** The next transaction gets no answer and is kept back; `late` applies it. */
   loseNext = false;
   /** So many transactions are refused. */
   refuseNext = 0;
-  private kept: Txn | null = null;
+  private kept: Transaction | null = null;
   readonly writeRate = 1000;
   /** What is asked for of the changes, as a ratio to them. */
   writeLoad = 0;
@@ -41,11 +41,11 @@
     return Promise.resolve();
   }
 
-  get(key: string): Promise<Item | null> {
+  get(key: string): Promise<KeyValue | null> {
     return Promise.resolve(this.rows.get(key) ?? null);
   }
 
-  txn(txn: Txn): Promise<TxnResult> {
+  txn(txn: Transaction): Promise<TransactionResult> {
     const copy = structuredClone(txn);
     if (this.refuseNext > 0) {
       this.refuseNext--;
@@ -63,17 +63,17 @@
     return this.kept !== null;
   }
 
-  late(): TxnResult {
+  late(): TransactionResult {
     if (this.kept === null) throw new Error('nothing was kept back');
     return this.apply(this.kept);
   }
 
   /** How values are laid out, where their sizes there matter. */
-  layout: RecordLayout | null = null;
+  layout: RecordFormat | null = null;
   /** Most operations of a transaction. */
   txnOps = Infinity;
 
-  private apply(txn: Txn): TxnResult {
+  private apply(txn: Transaction): TransactionResult {
     const { layout } = this;
     const puts =
       layout === null ? txn.puts : txn.puts.flatMap((p) => layout.encodePuts(p.key, p.value));
--- a/test/transport/http.test.ts
+++ b/test/transport/http.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
-import { CallFailed, HttpClient } from '../../src/transport/httpClient.js';
+import { HttpCallError, HttpClient } from '../../src/transport/httpClient.js';
 import { HttpError, HttpParser } from '../../src/transport/httpParser.js';
 import { HttpServer } from '../../src/transport/httpServer.js';
 
@@ -268,7 +268,7 @@
     client.call(`127.0.0.1:${port}`, 'POST', '/', {}, 5, mayLeave);
   await assert.rejects(
     ask(() => false),
-    (error) => error instanceof CallFailed && error.unsent,
+    (error) => error instanceof HttpCallError && error.unsent,
   );
   assert.equal(requests, 0);
   await ask(() => true);
