--- a/src/coordination/peers/gossiper.ts
+++ b/src/coordination/peers/gossiper.ts
@@ -9,18 +9,18 @@
 import type { Shard } from '../shard/shard.js';
 import type { PeerRegistry } from './peerRegistry.js';
 
-export type Demands = ReturnType<Shard['needs']['demands']>;
+export type Demands = ReturnType<Shard['demand']['demands']>;
 
 /** What is needed of a node. */
 export interface GossipContext {
-  settings: Pick<Settings, 'label' | 'report' | 'lease' | 'teams'>;
+  settings: Pick<Settings, 'label' | 'heartbeatInterval' | 'workerLease' | 'teams'>;
   tuning: Pick<Tuning, 'idleRatio'>;
   clock: Clock;
   process: string;
-  ownedParts: ReadonlyMap<string, OwnedShard>;
-  state: Pick<StateClient, 'need' | 'share' | 'lastServed'>;
-  stateTtl: number;
-  ownership: Pick<ShardLeadership, 'valid'>;
+  ownedShards: ReadonlyMap<string, OwnedShard>;
+  stateClient: Pick<StateClient, 'demand' | 'adoptRateShare' | 'lastServed'>;
+  stateLeaseTtl: number;
+  leadership: Pick<ShardLeadership, 'isLeaseValid'>;
   peers: Pick<PeerRegistry, 'gossip' | 'needs'>;
   drain: { readonly isActive: boolean };
 }
@@ -41,55 +41,64 @@
 
   /** Sends a message to all peers if one is due. */
   sendIfDue(): void {
-    const { clock, settings, state, peers } = this.node;
+    const { clock, settings, stateClient: state, peers } = this.node;
     const now = clock.now();
-    if (now - this.lastSent < settings.report * INTERVAL) return;
+    if (now - this.lastSent < settings.heartbeatInterval * INTERVAL) return;
     this.lastSent = now;
-    state.share(peers.needs());
-    peers.gossip(this.message(now), settings.report / 2);
+    state.adoptRateShare(peers.needs());
+    peers.gossip(this.message(now), settings.heartbeatInterval / 2);
   }
 
   private message(now: number): Gossip {
-    const { settings, process, clock, state, ownership, drain } = this.node;
-    const isServed = ownership.valid;
-    if (isServed) this.demands = this.parts.flatMap((part) => part.needs.demands(now));
+    const {
+      settings,
+      process,
+      clock,
+      stateClient: state,
+      leadership: ownership,
+      drain,
+    } = this.node;
+    const isServed = ownership.isLeaseValid;
+    if (isServed) this.demands = this.shards.flatMap((shard) => shard.demand.demands(now));
     return {
       from: settings.label,
       process,
       sequence: ++this.sequence,
-      at: clock.wall(),
-      need: state.need,
+      sentAt: clock.wall(),
+      stateDemand: state.demand,
       // One that is leaving wants nothing back.
-      served: isServed && !drain.isActive,
-      hosts: this.ownedParts(),
+      isServed: isServed && !drain.isActive,
+      shards: this.ownedShards(),
       demands: isServed ? this.demands : [],
-      spare: isServed ? this.spareMachines() : [],
-      lost: isServed ? this.lostMachines() : [],
-      used: this.teamUsage(),
-      throttled: [...new Set(this.parts.flatMap((part) => [...part.scheduler.throttled]))],
-      starving: this.parts.flatMap((part) => [...part.scheduler.starving.values()]),
+      idleMachines: isServed ? this.spareMachines() : [],
+      lostMachines: isServed ? this.lostMachines() : [],
+      teamUsage: this.teamUsage(),
+      throttledTeams: [
+        ...new Set(this.shards.flatMap((shard) => [...shard.scheduler.throttledTeams])),
+      ],
+      starvedJobs: this.shards.flatMap((shard) => [...shard.scheduler.starvedJobs.values()]),
     };
   }
 
-  private get parts(): Shard[] {
-    return [...this.node.ownedParts.values()].map((host) => host.part);
+  private get shards(): Shard[] {
+    return [...this.node.ownedShards.values()].map((ownedShard) => ownedShard.shard);
   }
 
-  private ownedParts(): Gossip['hosts'] {
-    return [...this.node.ownedParts.values()].map(({ part, token }) => ({
-      part: part.label,
-      token,
-      utilisation: part.utilisation,
-      waiting: part.waiting,
-      liveRoom: part.needs.liveRoom(),
+  private ownedShards(): Gossip['shards'] {
+    return [...this.node.ownedShards.values()].map(({ shard, fencingToken }) => ({
+      shard: shard.label,
+      fencingToken,
+      utilisation: shard.utilisation,
+      waiting: shard.waitingTaskCount,
+      serviceHeadroom: shard.demand.serviceHeadroom(),
     }));
   }
 
   /** What teams with a guarantee use here. */
-  private teamUsage(): Gossip['used'] {
+  private teamUsage(): Gossip['teamUsage'] {
     const guaranteed = this.node.settings.teams.filter((team) => team.cpus > 0 || team.gpus > 0);
     return guaranteed.map(({ name: team }) => {
-      const amounts = this.parts.map((part) => part.teams.usedBy(team));
+      const amounts = this.shards.map((shard) => shard.teamUsage.usedBy(team));
       const cpus = amounts.reduce((sum, amount) => sum + amount.cpus, 0);
       const gpus = amounts.reduce((sum, amount) => sum + amount.gpus, 0);
       return { team, cpus, gpus };
@@ -99,16 +108,17 @@
   /** Machines that may be returned. */
   spareMachines(): string[] {
     const { clock, tuning } = this.node;
-    return this.parts.flatMap((part) => part.needs.spare(clock.now(), tuning.idleRatio));
+    return this.shards.flatMap((shard) => shard.demand.idleMachines(clock.now(), tuning.idleRatio));
   }
 
   /** Machines that are given up for release. */
   lostMachines(): string[] {
-    const { clock, settings, state, stateTtl } = this.node;
+    const { clock, settings, stateClient: state, stateLeaseTtl: stateTtl } = this.node;
     const now = clock.now();
     // Without a word from the state service the network may have left us, and everybody seems lost.
     if (now - state.lastServed > stateTtl / 2) return [];
-    const boot = (machine: Machine): number => machine.shape?.boot ?? settings.lease;
-    return this.parts.flatMap((part) => part.liveness.lostMachines(now, boot, clock.wall()));
+    const boot = (machine: Machine): number =>
+      machine.machineType?.bootSeconds ?? settings.workerLease;
+    return this.shards.flatMap((shard) => shard.liveness.lostMachines(now, boot, clock.wall()));
   }
 }
--- a/src/coordination/peers/peerRegistry.ts
+++ b/src/coordination/peers/peerRegistry.ts
@@ -52,15 +52,15 @@
     // A cut holds messages back and delivers them late, from earlier starts of the peer as well: what
     // they say of machines to return, of tokens and of teams is long past.
     const before = peer.gossip;
-    const stale = this.isLate(gossip.at);
+    const stale = this.isLate(gossip.sentAt);
     const behind =
       before !== null &&
       (before.process === gossip.process
         ? gossip.sequence <= before.sequence
-        : gossip.at < before.at - 2 * this.skew);
+        : gossip.sentAt < before.sentAt - 2 * this.skew);
     if (stale || behind) return;
-    if (!gossip.served || now - peer.heard > this.fresh) peer.servedSince = null;
-    if (gossip.served) peer.servedSince ??= now;
+    if (!gossip.isServed || now - peer.heard > this.fresh) peer.servedSince = null;
+    if (gossip.isServed) peer.servedSince ??= now;
     peer.gossip = gossip;
     peer.heard = now;
   }
@@ -79,7 +79,7 @@
   /** Nodes that the state service serves, as far as we know. */
   served(): string[] {
     return [...this.peers.values()]
-      .filter((p) => this.isFresh(p) && p.gossip?.served === true)
+      .filter((p) => this.isFresh(p) && p.gossip?.isServed === true)
       .map((p) => p.label);
   }
 
@@ -96,8 +96,8 @@
   }
 
   /** What the others ask of the state service. */
-  needs(): Gossip['need'][] {
-    return this.gossips().map((g) => g.need);
+  needs(): Gossip['stateDemand'][] {
+    return this.gossips().map((g) => g.stateDemand);
   }
 
   demands(): Demand[] {
@@ -105,12 +105,12 @@
   }
 
   /** Who hosts a part, by the peers' own word. */
-  hostOf(part: string): { label: string; token: number } | null {
-    let best: { label: string; token: number } | null = null;
+  hostOf(shard: string): { label: string; fencingToken: number } | null {
+    let best: { label: string; fencingToken: number } | null = null;
     for (const gossip of this.gossips()) {
-      const host = gossip.hosts.find((h) => h.part === part);
-      if (host !== undefined && host.token > (best?.token ?? -1)) {
-        best = { label: gossip.from, token: host.token };
+      const host = gossip.shards.find((h) => h.shard === shard);
+      if (host !== undefined && host.fencingToken > (best?.fencingToken ?? -1)) {
+        best = { label: gossip.from, fencingToken: host.fencingToken };
       }
     }
     return best;
@@ -163,7 +163,7 @@
     timeout: number,
     note: (found: PreparedChunk[]) => boolean,
   ): Promise<boolean> {
-    const body = encodeRequest({ PrepareCancel: { job, at: this.clock.wall() } });
+    const body = encodeRequest({ PrepareCancel: { job, sentAt: this.clock.wall() } });
     return new Promise((resolve) => {
       const calls = [...this.peers.values()].map(async ({ client }) => {
         try {
--- a/src/coordination/persistence/bucket.ts
+++ b/src/coordination/persistence/bucket.ts
@@ -9,15 +9,15 @@
 export class Bucket {
   readonly chunks = new Set<Chunk>();
   /** A transaction that changes it is on its way, or waits for its turn. */
-  busy = false;
+  isWriteInFlight = false;
   /** Its record still holds chunks that are over; nobody needs that stored in a hurry. */
-  stale = false;
+  isDirty = false;
   /**
    * A transaction that creates its record got no answer. Were the record removed, that transaction could be
    * applied late and bring back chunks that are at other parts by then. So the record stays, empty if need
    * be, for as long as the ownership that the transaction is conditional on.
    */
-  unsettled = false;
+  isUncertain = false;
   /**
    * Chunks that were here when the record turned out to be beyond the limit. It is not written again, and removed once
    * all of them are stored elsewhere.
@@ -29,8 +29,8 @@
   constructor(
     readonly name: string,
     /** The record's stamp; 0 while there is none. */
-    public stamp: number,
-    private readonly layout: RecordFormat,
+    public revision: number,
+    private readonly recordFormat: RecordFormat,
   ) {}
 
   add(chunk: Chunk): void {
@@ -41,22 +41,23 @@
   remove(chunk: Chunk): void {
     if (!this.chunks.delete(chunk)) return;
     chunk.bucket = null;
-    this.stale = true;
+    this.isDirty = true;
   }
 
   /** What its record may grow to while all tasks of all its chunks run. */
-  get potential(): number {
+  get maxStoredBytes(): number {
     let bytes = 0;
-    for (const chunk of this.chunks) bytes += maxStoredBytes(chunk, this.layout);
+    for (const chunk of this.chunks) bytes += maxStoredBytes(chunk, this.recordFormat);
     return bytes;
   }
 
   /** About what its record takes now. */
   get bytes(): number {
-    const { frame, task } = this.layout.sizes;
+    const { frame, task } = this.recordFormat.sizes;
     let bytes = 0;
-    for (const { spec, entries, done } of this.chunks) {
-      bytes += this.layout.specBytes(spec) + frame + task * entries.size + GAP_BYTES * done.size;
+    for (const { spec, attempts: entries, doneTasks: done } of this.chunks) {
+      bytes +=
+        this.recordFormat.specBytes(spec) + frame + task * entries.size + GAP_BYTES * done.size;
     }
     return bytes;
   }
@@ -64,7 +65,7 @@
   /** Chunks of it are not stored elsewhere yet, so that its record has to stay. */
   get holdsRetired(): boolean {
     for (const [chunk, version] of this.retired) {
-      if (!chunk.dropped && chunk.stored < version) return true;
+      if (!chunk.isDropped && chunk.storedVersion < version) return true;
     }
     return false;
   }
@@ -82,13 +83,13 @@
     this.retired.clear();
   }
 
-  record(): BucketRecord {
+  toRecord(): BucketRecord {
     return { chunks: Object.fromEntries([...this.chunks].map((c) => [c.id, c.record()])) };
   }
 }
 
 /** What a chunk may take of a record while all of its tasks run. */
-export function maxStoredBytes(chunk: Chunk, layout: RecordFormat): number {
-  const { frame, task } = layout.sizes;
-  return layout.specBytes(chunk.spec) + frame + task * chunk.size;
+export function maxStoredBytes(chunk: Chunk, recordFormat: RecordFormat): number {
+  const { frame, task } = recordFormat.sizes;
+  return recordFormat.specBytes(chunk.spec) + frame + task * chunk.size;
 }
--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -16,23 +16,23 @@
 import { maxStoredBytes, Bucket } from './bucket.js';
 
 export interface BucketWriterEvents {
-  valid(): boolean;
+  isLeaseValid(): boolean;
   /** An ownership key was not as we thought. */
-  verifyOwner(part: string): Promise<void>;
+  verifyLeadership(shard: string): Promise<void>;
   /** Chunks were stored: their starts may go out. */
-  stored(host: OwnedShard, chunks: Chunk[]): void;
+  stored(ownedShard: OwnedShard, chunks: Chunk[]): void;
 }
 
 /** What is needed of the state service and of our copy of the records. */
 export type Store = Pick<
   StateClient,
-  'txn' | 'get' | 'turn' | 'writeRate' | 'writeDelay' | 'writeLoad' | 'operations'
+  'transact' | 'get' | 'awaitWriteTurn' | 'writeRate' | 'writeDelay' | 'writeLoad' | 'operations'
 >;
 export type Copy = Pick<StateCache, 'get' | 'note' | 'noteRemoved'>;
 
 export interface BucketWriterOptions {
   txnOps: number;
-  layout: RecordFormat;
+  recordFormat: RecordFormat;
   /** Seconds that changes which nobody waits for are gathered. */
   linger: number;
   retry: number;
@@ -61,7 +61,7 @@
 
   constructor(
     private readonly client: Store,
-    private readonly replica: Copy,
+    private readonly stateCache: Copy,
     private readonly clock: Clock,
     private readonly host: BucketWriterEvents,
     private readonly options: BucketWriterOptions,
@@ -69,35 +69,38 @@
 
   /** Every write of a part goes through here: under its ownership, and only while that is valid. */
   async write(
-    host: OwnedShard,
-    txn: Transaction,
+    ownedShard: OwnedShard,
+    transaction: Transaction,
     urgency: RequestPriority | 'granted' = 'later',
   ): Promise<TransactionResult> {
-    if (!host.alive || !this.host.valid()) return { kind: 'refused' };
-    const owner = { key: keys.owner(host.part.label), stamp: host.stamp };
-    return this.client.txn({ ...txn, when: [owner, ...txn.when] }, urgency);
+    if (!ownedShard.isOwned || !this.host.isLeaseValid()) return { kind: 'refused' };
+    const owner = { key: keys.owner(ownedShard.shard.label), revision: ownedShard.revision };
+    return this.client.transact(
+      { ...transaction, conditions: [owner, ...transaction.conditions] },
+      urgency,
+    );
   }
 
   /** Starts the storing of what is due. */
-  pass(host: OwnedShard): void {
-    if (this.options.layout.isCompact) this.retireLargeBuckets(host);
-    for (const chunk of host.part.dirty) {
-      if (chunk.accepted && chunk.bucket === null) this.assignBucket(host, chunk);
+  writeDueBuckets(ownedShard: OwnedShard): void {
+    if (this.options.recordFormat.isCompact) this.retireLargeBuckets(ownedShard);
+    for (const chunk of ownedShard.shard.unsavedChunks) {
+      if (chunk.isJobStored && chunk.bucket === null) this.assignBucket(ownedShard, chunk);
     }
-    this.flushAll(host, this.dueBuckets(host));
+    this.flushAll(ownedShard, this.dueBuckets(ownedShard));
   }
 
   /**
    * Buckets from before the present limits, whose records may not be written any more: their chunks go to others, as
    * the state service allows (safety, V5). A single chunk that is too large is stored in pieces.
    */
-  private retireLargeBuckets(host: OwnedShard): void {
-    for (const bucket of host.buckets.values()) {
-      if (bucket.isMeasured || bucket.busy) continue;
+  private retireLargeBuckets(ownedShard: OwnedShard): void {
+    for (const bucket of ownedShard.buckets.values()) {
+      if (bucket.isMeasured || bucket.isWriteInFlight) continue;
       bucket.isMeasured = true;
-      if (bucket.chunks.size < 2 || bucket.potential <= this.room) continue;
+      if (bucket.chunks.size < 2 || bucket.maxStoredBytes <= this.room) continue;
       for (const chunk of [...bucket.chunks]) {
-        host.part.changed(chunk, this.clock.now());
+        ownedShard.shard.noteChunkChanged(chunk, this.clock.now());
         bucket.retire(chunk);
       }
     }
@@ -105,11 +108,13 @@
 
   /** What chunks may take of one record. */
   private get room(): number {
-    return Math.min(this.options.layout.valueBytes, TRANSACTION_BYTES * TXN_SHARE) * VALUE_SHARE;
+    return (
+      Math.min(this.options.recordFormat.valueBytes, TRANSACTION_BYTES * TXN_SHARE) * VALUE_SHARE
+    );
   }
 
   /** Buckets that should be stored now. */
-  private dueBuckets(host: OwnedShard): Map<Bucket, RequestPriority> {
+  private dueBuckets(ownedShard: OwnedShard): Map<Bucket, RequestPriority> {
     const now = this.clock.now();
     // Ends can wait while users and starts need the state service's changes: a crash meanwhile loses nothing
     // that the workers do not still report. A chunk whose tasks end one by one would be written for each few.
@@ -117,124 +122,128 @@
     const isBusy =
       this.client.writeDelay('later') > linger / 2 || this.client.writeLoad > BUSY_LOAD;
     const patience = linger * (isBusy ? BUSY_PATIENCE : 1);
-    const isGathering = now < host.gatherUntil;
+    const isGathering = now < ownedShard.batchStartsUntil;
     const due = new Map<Bucket, RequestPriority>();
-    for (const chunk of host.part.dirty) {
+    for (const chunk of ownedShard.shard.unsavedChunks) {
       const { bucket } = chunk;
-      if (bucket === null || bucket.busy || due.get(bucket) === 'urgent') continue;
+      if (bucket === null || bucket.isWriteInFlight || due.get(bucket) === 'urgent') continue;
       const isOld = chunk.dirtySince !== null && now - chunk.dirtySince >= patience;
-      if (isAwaited(chunk) && (chunk.spec.service || !isGathering)) due.set(bucket, 'urgent');
+      if (isAwaited(chunk) && (chunk.spec.isService || !isGathering)) due.set(bucket, 'urgent');
       else if (isOld) due.set(bucket, 'later');
     }
     if (isBusy) return due;
-    for (const bucket of host.buckets.values()) {
+    for (const bucket of ownedShard.buckets.values()) {
       const isEmpty = bucket.chunks.size === 0 && !bucket.holdsRetired;
-      if (isEmpty && bucket.stale && !bucket.busy) due.set(bucket, 'later');
+      if (isEmpty && bucket.isDirty && !bucket.isWriteInFlight) due.set(bucket, 'later');
     }
     return due;
   }
 
   /** Stores buckets, as many in one transaction as fit it. */
-  private flushAll(host: OwnedShard, due: Map<Bucket, RequestPriority>): void {
+  private flushAll(ownedShard: OwnedShard, due: Map<Bucket, RequestPriority>): void {
     const most = Math.max(1, this.options.txnOps - 1);
     let batch: Bucket[] = [];
     let bytes = 0;
     let operations = 0;
-    let urgency: RequestPriority = 'later';
+    let priority: RequestPriority = 'later';
     const send = (): void => {
       if (batch.length === 0) return;
-      void this.flush(host, batch, urgency);
-      [batch, bytes, operations, urgency] = [[], 0, 0, 'later'];
+      void this.flush(ownedShard, batch, priority);
+      [batch, bytes, operations, priority] = [[], 0, 0, 'later'];
     };
     for (const [bucket, how] of due) {
-      if (host.writing >= TRANSACTIONS) break;
+      if (ownedShard.writesInFlight >= TRANSACTIONS) break;
       const size = bucket.bytes;
-      const cost = this.operationsFor(host, bucket, size);
+      const cost = this.operationsFor(ownedShard, bucket, size);
       const isFull = operations + cost > most || bytes + size > TRANSACTION_BYTES * TXN_SHARE;
       if (batch.length > 0 && isFull) send();
       batch.push(bucket);
       bytes += size;
       operations += cost;
-      if (how === 'urgent') urgency = 'urgent';
+      if (how === 'urgent') priority = 'urgent';
     }
-    if (host.writing < TRANSACTIONS) send();
+    if (ownedShard.writesInFlight < TRANSACTIONS) send();
   }
 
   /** Puts that a bucket of this size takes: a large one is stored in pieces. */
-  private operationsFor(host: OwnedShard, bucket: Bucket, bytes: number): number {
-    const { layout } = this.options;
-    if (!layout.isCompact) return 1;
+  private operationsFor(ownedShard: OwnedShard, bucket: Bucket, bytes: number): number {
+    const { recordFormat } = this.options;
+    if (!recordFormat.isCompact) return 1;
     // The record is made when its turn comes, and may be a little larger by then.
-    const most = Math.ceil(bytes / (layout.valueBytes * VALUE_SHARE));
-    return Math.max(most, this.client.operations(this.key(host, bucket), null));
+    const most = Math.ceil(bytes / (recordFormat.valueBytes * VALUE_SHARE));
+    return Math.max(most, this.client.operations(this.key(ownedShard, bucket), null));
   }
 
   /**
    * Onto the fullest bucket of its kind that is sure to hold it, or a new one. An empty bucket whose record is still
    * stored serves as well: it takes one change, where removing it and creating another takes two.
    */
-  private assignBucket(host: OwnedShard, chunk: Chunk): void {
-    const { layout, process } = this.options;
+  private assignBucket(ownedShard: OwnedShard, chunk: Chunk): void {
+    const { recordFormat, process } = this.options;
     const { room } = this;
-    const need = maxStoredBytes(chunk, layout);
+    const need = maxStoredBytes(chunk, recordFormat);
     let best: Bucket | null = null;
     let most = -1;
-    for (const bucket of host.buckets.values()) {
-      if (bucket.busy) continue;
+    for (const bucket of ownedShard.buckets.values()) {
+      if (bucket.isWriteInFlight) continue;
       // Replicas seldom change, tasks often: apart, so that the ones are not written for the others.
       const [first] = bucket.chunks;
-      if (first !== undefined && first.spec.service !== chunk.spec.service) continue;
+      if (first !== undefined && first.spec.isService !== chunk.spec.isService) continue;
       if (bucket === chunk.retiredFrom || bucket.holdsRetired) continue;
-      const used = bucket.potential;
+      const used = bucket.maxStoredBytes;
       if (used + need <= room && used > most) [best, most] = [bucket, used];
     }
     if (best === null) {
-      best = new Bucket(`${process}-${++this.named}`, 0, layout);
-      host.buckets.set(best.name, best);
+      best = new Bucket(`${process}-${++this.named}`, 0, recordFormat);
+      ownedShard.buckets.set(best.name, best);
     }
     best.add(chunk);
   }
 
-  private key(host: OwnedShard, bucket: Bucket): string {
-    return keys.run(host.part.label, bucket.name);
+  private key(ownedShard: OwnedShard, bucket: Bucket): string {
+    return keys.run(ownedShard.shard.label, bucket.name);
   }
 
   private async flush(
-    host: OwnedShard,
+    ownedShard: OwnedShard,
     buckets: Bucket[],
-    urgency: RequestPriority,
+    priority: RequestPriority,
   ): Promise<void> {
-    host.writing++;
-    for (const bucket of buckets) bucket.busy = true;
+    ownedShard.writesInFlight++;
+    for (const bucket of buckets) bucket.isWriteInFlight = true;
     // A round of starts every so often, each with all that has come up; users have the rest.
     const pause = buckets.length / (this.client.writeRate * GATHER_SHARE);
-    host.gatherUntil = Math.max(host.gatherUntil, this.clock.now()) + pause;
+    ownedShard.batchStartsUntil = Math.max(ownedShard.batchStartsUntil, this.clock.now()) + pause;
     try {
-      await this.client.turn(buckets.length, urgency);
+      await this.client.awaitWriteTurn(buckets.length, priority);
       const stored = buckets.flatMap((s) =>
         [...s.chunks].map((c) => ({ chunk: c, at: c.version })),
       );
       const puts: Transaction['puts'] = [];
       const removes: string[] = [];
       for (const bucket of buckets) {
-        if (bucket.chunks.size > 0 || bucket.unsettled)
-          puts.push({ key: this.key(host, bucket), value: bucket.record() });
-        else if (bucket.stamp > 0) removes.push(this.key(host, bucket));
-        bucket.stale = false;
+        if (bucket.chunks.size > 0 || bucket.isUncertain)
+          puts.push({ key: this.key(ownedShard, bucket), value: bucket.toRecord() });
+        else if (bucket.revision > 0) removes.push(this.key(ownedShard, bucket));
+        bucket.isDirty = false;
       }
       for (const { chunk } of stored) chunk.dirtySince = null;
-      const when = buckets.map((s) => ({ key: this.key(host, s), stamp: s.stamp }));
-      const result = await this.write(host, { when, puts, removes }, 'granted');
+      const when = buckets.map((s) => ({ key: this.key(ownedShard, s), revision: s.revision }));
+      const result = await this.write(
+        ownedShard,
+        { conditions: when, puts, deletes: removes },
+        'granted',
+      );
       if (result.kind === 'applied') {
-        this.applied(host, buckets, stored, puts, result.stamp);
+        this.applied(ownedShard, buckets, stored, puts, result.revision);
         return;
       }
       for (const { chunk } of stored) chunk.dirtySince ??= this.clock.now();
       for (const bucket of buckets) {
-        bucket.stale = true;
-        if (result.kind === 'unknown' && bucket.stamp === 0) bucket.unsettled = true;
+        bucket.isDirty = true;
+        if (result.kind === 'unknown' && bucket.revision === 0) bucket.isUncertain = true;
       }
-      if (result.kind === 'conflict') await this.resolve(host, buckets);
+      if (result.kind === 'conflict') await this.resolve(ownedShard, buckets);
       // Sent again at once it would be refused again, and keep others from their turn.
       else if (result.kind === 'malformed') await sleep(this.options.linger);
       else await sleep(this.options.retry);
@@ -242,60 +251,61 @@
       log.debug(`store: ${describe(error)}`);
       await sleep(this.options.retry);
     } finally {
-      for (const bucket of buckets) bucket.busy = false;
-      host.writing--;
+      for (const bucket of buckets) bucket.isWriteInFlight = false;
+      ownedShard.writesInFlight--;
     }
   }
 
   private applied(
-    host: OwnedShard,
+    ownedShard: OwnedShard,
     buckets: Bucket[],
     stored: { chunk: Chunk; at: number }[],
     puts: Transaction['puts'],
-    stamp: number,
+    revision: number,
   ): void {
     for (const { chunk, at } of stored) {
-      chunk.stored = Math.max(chunk.stored, at);
+      chunk.storedVersion = Math.max(chunk.storedVersion, at);
       // Written under the stamp that a move of it would have needed: that can't be applied any more.
-      chunk.leaving = false;
-      if (chunk.version === chunk.stored) host.part.dirty.delete(chunk);
+      chunk.mayHaveMigrated = false;
+      if (chunk.version === chunk.storedVersion) ownedShard.shard.unsavedChunks.delete(chunk);
       else chunk.dirtySince ??= this.clock.now();
     }
-    for (const put of puts) this.replica.note(put.key, put.value, stamp);
+    for (const put of puts) this.stateCache.note(put.key, put.value, revision);
     for (const bucket of buckets) {
-      const key = this.key(host, bucket);
+      const key = this.key(ownedShard, bucket);
       bucket.forgetRetired();
-      if (puts.some((p) => p.key === key)) bucket.stamp = stamp;
+      if (puts.some((p) => p.key === key)) bucket.revision = revision;
       else {
-        this.replica.noteRemoved(key, stamp);
-        bucket.stamp = 0;
-        if (bucket.chunks.size === 0) host.buckets.delete(bucket.name);
+        this.stateCache.noteRemoved(key, revision);
+        bucket.revision = 0;
+        if (bucket.chunks.size === 0) ownedShard.buckets.delete(bucket.name);
       }
     }
     this.host.stored(
-      host,
+      ownedShard,
       stored.map((s) => s.chunk),
     );
   }
 
   /** Copies of ours that got no answer may have been applied: take what they left. */
-  async resolve(host: OwnedShard, buckets: Bucket[]): Promise<void> {
-    await this.host.verifyOwner(host.part.label);
+  async resolve(ownedShard: OwnedShard, buckets: Bucket[]): Promise<void> {
+    await this.host.verifyLeadership(ownedShard.shard.label);
     for (const bucket of buckets) {
-      const item = await this.client.get(this.key(host, bucket));
-      if (!host.alive) return;
-      const stamp = item?.stamp ?? 0;
-      if (stamp === bucket.stamp) continue;
+      const item = await this.client.get(this.key(ownedShard, bucket));
+      if (!ownedShard.isOwned) return;
+      const revision = item?.revision ?? 0;
+      if (revision === bucket.revision) continue;
       const record = item?.value as BucketRecord | undefined;
       for (const chunk of [...bucket.chunks]) {
-        if (!chunk.leaving) continue;
+        if (!chunk.mayHaveMigrated) continue;
         // Its move was applied after all, or never will be, since the stamp has changed.
-        if (record?.chunks[chunk.id] === undefined) host.part.sendAway(chunk, this.clock.now());
-        else chunk.leaving = false;
+        if (record?.chunks[chunk.id] === undefined)
+          ownedShard.shard.migrateAway(chunk, this.clock.now());
+        else chunk.mayHaveMigrated = false;
       }
-      bucket.stamp = stamp;
-      if (item !== null) this.replica.note(item.key, item.value, item.stamp);
-      else this.replica.noteRemoved(this.key(host, bucket), Infinity);
+      bucket.revision = revision;
+      if (item !== null) this.stateCache.note(item.key, item.value, item.revision);
+      else this.stateCache.noteRemoved(this.key(ownedShard, bucket), Infinity);
     }
   }
 
@@ -304,77 +314,82 @@
    * changes that belong to it: its home notes that it has left.
    */
   async move(
-    host: OwnedShard,
+    ownedShard: OwnedShard,
     chunk: Chunk,
     to: string,
-    extra: Pick<Transaction, 'when' | 'puts'>,
+    extra: Pick<Transaction, 'conditions' | 'puts'>,
   ): Promise<TransactionResult> {
     const { bucket } = chunk;
-    const owner = this.replica.get(keys.owner(to));
-    if (bucket === null || owner === undefined || !chunk.movable) return { kind: 'refused' };
-    const name = `${chunk.id.replace('/', '-')}-${chunk.moves + 1}`;
+    const owner = this.stateCache.get(keys.owner(to));
+    if (bucket === null || owner === undefined || !chunk.isMigratable) return { kind: 'refused' };
+    const name = `${chunk.id.replace('/', '-')}-${chunk.migrationCount + 1}`;
     const key = keys.run(to, name);
-    bucket.busy = true;
-    host.writing++;
+    bucket.isWriteInFlight = true;
+    ownedShard.writesInFlight++;
     try {
-      await this.client.turn(2 + extra.puts.length, 'later');
-      if (chunk.entries.size > 0 || chunk.dropped || chunk.unwanted) return { kind: 'refused' };
-      chunk.moving = true;
+      await this.client.awaitWriteTurn(2 + extra.puts.length, 'later');
+      if (chunk.attempts.size > 0 || chunk.isDropped || chunk.isCancelRequested)
+        return { kind: 'refused' };
+      chunk.isMigrating = true;
       const value: BucketRecord = {
-        chunks: { [chunk.id]: { ...chunk.record(), moves: chunk.moves + 1 } },
+        chunks: { [chunk.id]: { ...chunk.record(), migrationCount: chunk.migrationCount + 1 } },
       };
       const others = [...bucket.chunks]
         .filter((other) => other !== chunk)
         .map((other) => ({ chunk: other, at: other.version }));
-      const { puts, removes } = this.withoutChunk(host, bucket, chunk);
-      const when = [
-        { key: this.key(host, bucket), stamp: bucket.stamp },
-        { key: keys.owner(to), stamp: owner.stamp },
-        { key, stamp: 0 },
-        ...extra.when,
+      const { puts, deletes } = this.withoutChunk(ownedShard, bucket, chunk);
+      const conditions = [
+        { key: this.key(ownedShard, bucket), revision: bucket.revision },
+        { key: keys.owner(to), revision: owner.revision },
+        { key, revision: 0 },
+        ...extra.conditions,
       ];
-      const txn = { when, puts: [{ key, value }, ...puts, ...extra.puts], removes };
-      const result = await this.write(host, txn, 'granted');
+      const transaction = {
+        conditions,
+        puts: [{ key, value }, ...puts, ...extra.puts],
+        deletes,
+      };
+      const result = await this.write(ownedShard, transaction, 'granted');
       if (result.kind === 'applied') {
-        host.part.sendAway(chunk, this.clock.now());
-        this.applied(host, [bucket], others, puts, result.stamp);
-        this.replica.note(key, value, result.stamp);
-      } else if (result.kind === 'conflict') await this.resolve(host, [bucket]);
+        ownedShard.shard.migrateAway(chunk, this.clock.now());
+        this.applied(ownedShard, [bucket], others, puts, result.revision);
+        this.stateCache.note(key, value, result.revision);
+      } else if (result.kind === 'conflict') await this.resolve(ownedShard, [bucket]);
       // Until its bucket is written again it may have gone, and nothing of it can be started.
       else if (result.kind === 'unknown') {
-        chunk.leaving = true;
-        bucket.stale = true;
+        chunk.mayHaveMigrated = true;
+        bucket.isDirty = true;
       }
       return result;
     } finally {
-      chunk.moving = false;
-      bucket.busy = false;
-      host.writing--;
+      chunk.isMigrating = false;
+      bucket.isWriteInFlight = false;
+      ownedShard.writesInFlight--;
     }
   }
 
   /** The change of a bucket that loses a chunk; one that is empty then goes, unless it may be created late. */
   private withoutChunk(
-    host: OwnedShard,
+    ownedShard: OwnedShard,
     bucket: Bucket,
     chunk: Chunk,
-  ): Pick<Transaction, 'puts' | 'removes'> {
-    const key = this.key(host, bucket);
-    if (bucket.chunks.size === 1 && !bucket.unsettled) return { puts: [], removes: [key] };
-    const others = Object.entries(bucket.record().chunks).filter(([id]) => id !== chunk.id);
+  ): Pick<Transaction, 'puts' | 'deletes'> {
+    const key = this.key(ownedShard, bucket);
+    if (bucket.chunks.size === 1 && !bucket.isUncertain) return { puts: [], deletes: [key] };
+    const others = Object.entries(bucket.toRecord().chunks).filter(([id]) => id !== chunk.id);
     const value: BucketRecord = { chunks: Object.fromEntries(others) };
-    return { puts: [{ key, value }], removes: [] };
+    return { puts: [{ key, value }], deletes: [] };
   }
 }
 
 /** Starts or the end of its job wait for it to be stored. */
 const isAwaited = (chunk: Chunk): boolean =>
-  hasStarts(chunk) || (chunk.complete && !chunk.cancelled);
+  hasStarts(chunk) || (chunk.isComplete && !chunk.isCancelled);
 
 /** Placements of it are not stored yet, and their starts wait for that. */
 function hasStarts(chunk: Chunk): boolean {
-  for (const entry of chunk.entries.values()) {
-    if (entry.version > chunk.stored && entry.stop === null) return true;
+  for (const attempt of chunk.attempts.values()) {
+    if (attempt.chunkVersion > chunk.storedVersion && attempt.stop === null) return true;
   }
   return false;
 }
--- a/src/coordination/persistence/jobPersistence.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -21,11 +21,11 @@
 } from './bucketWriter.js';
 
 export interface JobPersistenceContext extends BucketWriterEvents {
-  ownedParts: ReadonlyMap<string, OwnedShard>;
+  ownedShards: ReadonlyMap<string, OwnedShard>;
   /** The job is about to be cancelled. */
   isBeingCancelled(job: string): boolean;
   /** The job waits for others: it has no chunks before these are done. */
-  isHeld(job: string): boolean;
+  isBlockedOnDependencies(job: string): boolean;
   /** A stored record of chunks cannot be read: what it holds may run, though nobody knows of it. */
   readonly hasUnreadableChunks: boolean;
 }
@@ -35,13 +35,13 @@
 
   constructor(
     private readonly client: Store,
-    private readonly replica: Copy,
-    private readonly buckets: Pick<ChunkIndex, 'entries'>,
+    private readonly stateCache: Copy,
+    private readonly chunkIndex: Pick<ChunkIndex, 'entries'>,
     private readonly clock: Clock,
     private readonly host: JobPersistenceContext,
     private readonly options: BucketWriterOptions,
   ) {
-    this.bucketWriter = new BucketWriter(client, replica, clock, host, options);
+    this.bucketWriter = new BucketWriter(client, stateCache, clock, host, options);
   }
 
   get write(): BucketWriter['write'] {
@@ -49,148 +49,160 @@
   }
 
   /** One pass over all owned parts; starts what is due and returns. */
-  pass(): void {
-    if (!this.host.valid()) return;
-    for (const host of this.host.ownedParts.values()) {
-      for (const chunk of [...host.part.settled]) this.settle(host, chunk);
-      this.bucketWriter.pass(host);
+  writeDueBuckets(): void {
+    if (!this.host.isLeaseValid()) return;
+    for (const ownedShard of this.host.ownedShards.values()) {
+      for (const chunk of [...ownedShard.shard.finishedChunks]) this.settle(ownedShard, chunk);
+      this.bucketWriter.writeDueBuckets(ownedShard);
     }
   }
 
   /** Looks at all jobs of the owned parts, in case a change was missed. */
   review(): void {
-    if (!this.host.valid()) return;
-    for (const [id, { part, record }] of this.buckets.entries()) {
-      const { done, from, to, home: label } = record;
+    if (!this.host.isLeaseValid()) return;
+    for (const [id, { shard, record }] of this.chunkIndex.entries()) {
+      const { doneTasks: done, firstTask: from, endTask: to, homeShard: label } = record;
       if (done.length !== 2 || done[0] !== from || done[1] !== to) continue;
-      const home = this.host.ownedParts.get(label);
+      const home = this.host.ownedShards.get(label);
       const job = home?.jobs.get(record.spec.id);
-      if (home === undefined || job === undefined || this.host.ownedParts.has(part)) continue;
+      if (home === undefined || job === undefined || this.host.ownedShards.has(shard)) continue;
       void this.finish(home, job, Number(id.slice(id.lastIndexOf('/') + 1)));
     }
-    for (const host of this.host.ownedParts.values()) {
-      for (const job of host.jobs.values()) this.cutMore(host, job);
+    for (const ownedShard of this.host.ownedShards.values()) {
+      for (const job of ownedShard.jobs.values()) this.createMoreChunks(ownedShard, job);
     }
   }
 
-  private settle(host: OwnedShard, chunk: Chunk): void {
-    if (chunk.cancelled) {
+  private settle(ownedShard: OwnedShard, chunk: Chunk): void {
+    if (chunk.isCancelled) {
       // Its job's record says that it is cancelled, so nobody will ever start anything of it again.
-      if (chunk.entries.size === 0) host.part.dropChunk(chunk);
-      else host.part.settled.delete(chunk);
+      if (chunk.attempts.size === 0) ownedShard.shard.dropChunk(chunk);
+      else ownedShard.shard.finishedChunks.delete(chunk);
       return;
     }
-    if (!chunk.accepted) return;
-    const home = this.host.ownedParts.get(chunk.home);
+    if (!chunk.isJobStored) return;
+    const home = this.host.ownedShards.get(chunk.homeShard);
     const job = home?.jobs.get(chunk.spec.id);
     if (home !== undefined && job !== undefined) {
       void this.finish(home, job, chunk.index).then((gone) => {
-        if (gone) host.part.dropChunk(chunk);
+        if (gone) ownedShard.shard.dropChunk(chunk);
       });
-    } else if (chunk.stored < chunk.version) {
+    } else if (chunk.storedVersion < chunk.version) {
       // Its home is elsewhere and learns from the record that it is complete.
-      host.part.dirty.add(chunk);
+      ownedShard.shard.unsavedChunks.add(chunk);
     }
   }
 
   /** Hands a chunk, of which nothing is on any machine, to another part. */
-  async move(host: OwnedShard, chunk: Chunk, to: string): Promise<void> {
-    if (chunk.home !== host.part.label) {
-      await this.bucketWriter.move(host, chunk, to, { when: [], puts: [] });
+  async move(ownedShard: OwnedShard, chunk: Chunk, to: string): Promise<void> {
+    if (chunk.homeShard !== ownedShard.shard.label) {
+      await this.bucketWriter.move(ownedShard, chunk, to, { conditions: [], puts: [] });
       return;
     }
-    const job = host.jobs.get(chunk.spec.id);
-    if (job === undefined || job.busy) return;
-    job.busy = true;
+    const job = ownedShard.jobs.get(chunk.spec.id);
+    if (job === undefined || job.isWriteInFlight) return;
+    job.isWriteInFlight = true;
     try {
       const key = keys.job(job.id);
-      const away = [...new Set([...job.record.away, chunk.index])];
-      const value: JobRecord = { ...job.record, away };
-      const when = [{ key, stamp: job.stamp }];
-      const result = await this.bucketWriter.move(host, chunk, to, {
-        when,
+      const away = [...new Set([...job.record.migratedChunks, chunk.index])];
+      const value: JobRecord = { ...job.record, migratedChunks: away };
+      const when = [{ key, revision: job.revision }];
+      const result = await this.bucketWriter.move(ownedShard, chunk, to, {
+        conditions: when,
         puts: [{ key, value }],
       });
-      if (result.kind === 'applied') this.applyJob(host, job, value, result.stamp);
+      if (result.kind === 'applied') this.applyJob(ownedShard, job, value, result.revision);
       else if (result.kind === 'conflict') {
-        await this.reread(host, job, job.unsettled === true);
+        await this.reread(ownedShard, job, job.isUncertain === true);
       }
     } finally {
-      job.busy = false;
+      job.isWriteInFlight = false;
     }
   }
 
   // ---- Jobs ----
 
   /** Notes a complete chunk in its job, and the job as done with the last one. True when stored. */
-  private async finish(home: OwnedShard, job: HomeJob, index: number): Promise<boolean> {
-    if (job.busy) return false;
+  private async finish(homeShard: OwnedShard, job: HomeJob, index: number): Promise<boolean> {
+    if (job.isWriteInFlight) return false;
     const { record } = job;
-    if (record.state !== 'open' || record.finished.includes(index)) return true;
-    job.busy = true;
+    if (record.state !== 'open' || record.doneChunks.includes(index)) return true;
+    job.isWriteInFlight = true;
     try {
-      const finished = [...record.finished, index];
+      const finished = [...record.doneChunks, index];
       const next: JobRecord =
         finished.length >= totalChunks(record)
-          ? { ...record, spec: null, state: 'done', zones: [], finished: [], away: [] }
-          : { ...record, finished, away: record.away.filter((k) => !finished.includes(k)) };
-      await this.writeJob(home, job, next);
+          ? { ...record, spec: null, state: 'done', zones: [], doneChunks: [], migratedChunks: [] }
+          : {
+              ...record,
+              doneChunks: finished,
+              migratedChunks: record.migratedChunks.filter((k) => !finished.includes(k)),
+            };
+      await this.writeJob(homeShard, job, next);
       // By the record: the change that a conflict was with may have been another one.
-      return job.record.state !== 'open' || job.record.finished.includes(index);
+      return job.record.state !== 'open' || job.record.doneChunks.includes(index);
     } catch (error) {
       log.debug(`finish: ${describe(error)}`);
       return false;
     } finally {
-      job.busy = false;
+      job.isWriteInFlight = false;
     }
   }
 
   /** Stores a job's record as it is, so that it takes the form that is written now. True when stored. */
-  async rewrite(home: OwnedShard, job: HomeJob): Promise<boolean> {
-    if (job.busy || job.record.state !== 'open') return false;
-    job.busy = true;
+  async rewrite(homeShard: OwnedShard, job: HomeJob): Promise<boolean> {
+    if (job.isWriteInFlight || job.record.state !== 'open') return false;
+    job.isWriteInFlight = true;
     try {
-      return await this.writeJob(home, job, job.record);
+      return await this.writeJob(homeShard, job, job.record);
     } finally {
-      job.busy = false;
+      job.isWriteInFlight = false;
     }
   }
 
   /** Stores a job's new record; in memory it changes only after that. */
-  private async writeJob(home: OwnedShard, job: HomeJob, next: JobRecord): Promise<boolean> {
+  private async writeJob(homeShard: OwnedShard, job: HomeJob, next: JobRecord): Promise<boolean> {
     const key = keys.job(job.id);
-    const when = [{ key, stamp: job.stamp }];
-    const txn: Transaction = { when, puts: [{ key, value: next }], removes: [] };
-    await this.client.turn(1, 'urgent');
-    const wasUnsettled = job.unsettled === true;
+    const when = [{ key, revision: job.revision }];
+    const transaction: Transaction = {
+      conditions: when,
+      puts: [{ key, value: next }],
+      deletes: [],
+    };
+    await this.client.awaitWriteTurn(1, 'urgent');
+    const wasUnsettled = job.isUncertain === true;
     // From now on others may read a final state and tell users of it, before its answer gets here.
-    if (next.state !== 'open') job.unsettled = true;
-    const result = await this.write(home, txn, 'granted');
+    if (next.state !== 'open') job.isUncertain = true;
+    const result = await this.write(homeShard, transaction, 'granted');
     if (result.kind === 'applied') {
-      this.applyJob(home, job, next, result.stamp);
+      this.applyJob(homeShard, job, next, result.revision);
       return true;
     }
     if (result.kind === 'conflict') {
       // Somebody has changed the record, or an earlier copy of ours did: others may know more than this node.
-      job.unsettled = true;
-      await this.host.verifyOwner(home.part.label);
-      return this.reread(home, job, wasUnsettled);
+      job.isUncertain = true;
+      await this.host.verifyLeadership(homeShard.shard.label);
+      return this.reread(homeShard, job, wasUnsettled);
     }
-    job.unsettled = wasUnsettled || result.kind === 'unknown';
+    job.isUncertain = wasUnsettled || result.kind === 'unknown';
     await sleep(this.options.retry);
     return false;
   }
 
   /** True when the stored record was not as we thought, and is now. */
-  private async reread(home: OwnedShard, job: HomeJob, wasUnsettled: boolean): Promise<boolean> {
+  private async reread(
+    homeShard: OwnedShard,
+    job: HomeJob,
+    wasUnsettled: boolean,
+  ): Promise<boolean> {
     const item = await this.client.get(keys.job(job.id));
-    if (!home.alive || item === null) return false;
-    if (item.stamp === job.stamp) {
-      job.unsettled = wasUnsettled;
+    if (!homeShard.isOwned || item === null) return false;
+    if (item.revision === job.revision) {
+      job.isUncertain = wasUnsettled;
       return false;
     }
-    this.applyJob(home, job, item.value as JobRecord, item.stamp);
-    this.acceptMissing(home, job);
+    this.applyJob(homeShard, job, item.value as JobRecord, item.revision);
+    this.acceptMissing(homeShard, job);
     return true;
   }
 
@@ -198,81 +210,99 @@
    * Takes up the chunks of a home job that are neither here nor stored: nothing of them was started. So it is where a
    * part is loaded, where a change that cut a chunk got no answer, and where a job no longer waits for others.
    */
-  acceptMissing(home: OwnedShard, job: HomeJob): void {
-    if (!home.alive || this.host.isHeld(job.id) || this.host.hasUnreadableChunks) return;
+  acceptMissing(homeShard: OwnedShard, job: HomeJob): void {
+    if (
+      !homeShard.isOwned ||
+      this.host.isBlockedOnDependencies(job.id) ||
+      this.host.hasUnreadableChunks
+    )
+      return;
     const now = this.clock.now();
-    const isReleased = (job.record.spec?.waitsOn.length ?? 0) > 0;
-    for (const chunk of missingChunks(job.id, job.record, home.part.chunks, now)) {
+    const isReleased = (job.record.spec?.dependencies.length ?? 0) > 0;
+    for (const chunk of missingChunks(job.id, job.record, homeShard.shard.chunks, now)) {
       chunk.isNewlyReleased = isReleased;
-      home.part.accept(chunk, now);
-      if (this.host.isBeingCancelled(job.id)) home.part.prepareCancel(chunk, now);
+      homeShard.shard.acceptNewChunk(chunk, now);
+      if (this.host.isBeingCancelled(job.id)) homeShard.shard.prepareCancel(chunk, now);
     }
   }
 
-  private applyJob(home: OwnedShard, job: HomeJob, record: JobRecord, stamp: number): void {
+  private applyJob(homeShard: OwnedShard, job: HomeJob, record: JobRecord, revision: number): void {
     job.record = record;
-    job.stamp = stamp;
-    job.unsettled = false;
-    if (record.state !== 'open') home.jobs.delete(job.id);
-    this.replica.note(keys.job(job.id), record, stamp);
+    job.revision = revision;
+    job.isUncertain = false;
+    if (record.state !== 'open') homeShard.jobs.delete(job.id);
+    this.stateCache.note(keys.job(job.id), record, revision);
   }
 
   /** Stores a cancellation. Gives the job's state afterwards, or null when it isn't known. */
   async cancel(
-    home: OwnedShard,
+    homeShard: OwnedShard,
     job: HomeJob,
     deadline: number,
   ): Promise<JobRecord['state'] | null> {
-    while (this.clock.now() < deadline && home.alive && this.host.valid()) {
+    while (this.clock.now() < deadline && homeShard.isOwned && this.host.isLeaseValid()) {
       if (job.record.state !== 'open') return job.record.state;
-      if (job.busy) {
+      if (job.isWriteInFlight) {
         await sleep(this.options.retry / 4);
         continue;
       }
-      job.busy = true;
+      job.isWriteInFlight = true;
       try {
         const over = { spec: null, state: 'cancelled' as const, finished: [], away: [] };
-        await this.writeJob(home, job, { ...job.record, ...over });
+        await this.writeJob(homeShard, job, { ...job.record, ...over });
       } catch (error) {
         log.debug(`cancel: ${describe(error)}`);
       } finally {
-        job.busy = false;
+        job.isWriteInFlight = false;
       }
     }
     return job.record.state === 'open' ? null : job.record.state;
   }
 
   /** Large jobs are cut step by step, so that no part holds more of them than it can run. */
-  private cutMore(home: OwnedShard, job: HomeJob): void {
+  private createMoreChunks(homeShard: OwnedShard, job: HomeJob): void {
     const { record } = job;
-    if (job.busy || record.spec === null || record.state !== 'open') return;
-    if (this.host.isHeld(job.id)) return;
-    const open = record.cut - record.finished.length;
-    if (open >= 4 || record.cut >= totalChunks(record) || !mayCreateChunk(record, record.cut))
+    if (job.isWriteInFlight || record.spec === null || record.state !== 'open') return;
+    if (this.host.isBlockedOnDependencies(job.id)) return;
+    const open = record.createdChunks - record.doneChunks.length;
+    if (
+      open >= 4 ||
+      record.createdChunks >= totalChunks(record) ||
+      !mayCreateChunk(record, record.createdChunks)
+    )
       return;
     if (this.host.isBeingCancelled(job.id)) return;
-    const next = chunkRanges(record.spec.tasks, record.size, record.zones)[record.cut];
+    const next = chunkRanges(record.spec.taskCount, record.chunkSize, record.zones)[
+      record.createdChunks
+    ];
     if (next === undefined) return;
     const spec = record.spec;
-    const { label } = home.part;
-    const { at, cut } = record;
+    const { label } = homeShard.shard;
+    const { submittedAt: at, createdChunks: cut } = record;
     const now = this.clock.now();
-    const chunk = new Chunk(spec, cut, label, at, next.from, next.to, next.zone, now);
-    void this.addCut(home, job, chunk);
+    const chunk = new Chunk(spec, cut, label, at, next.firstTask, next.endTask, next.zone, now);
+    void this.recordCreatedChunk(homeShard, job, chunk);
   }
 
-  private async addCut(home: OwnedShard, job: HomeJob, chunk: Chunk): Promise<void> {
-    job.busy = true;
+  private async recordCreatedChunk(
+    homeShard: OwnedShard,
+    job: HomeJob,
+    chunk: Chunk,
+  ): Promise<void> {
+    job.isWriteInFlight = true;
     try {
-      const next = { ...job.record, cut: job.record.cut + 1 };
-      if (!(await this.writeJob(home, job, next))) return;
-      const isCut = job.record.state === 'open' && job.record.cut === next.cut;
-      if (!isCut || !home.alive || home.part.chunks.has(chunk.id)) return;
-      home.part.accept(chunk, this.clock.now());
+      const next: JobRecord = {
+        ...job.record,
+        createdChunks: job.record.createdChunks + 1,
+      };
+      if (!(await this.writeJob(homeShard, job, next))) return;
+      const isCut = job.record.state === 'open' && job.record.createdChunks === next.createdChunks;
+      if (!isCut || !homeShard.isOwned || homeShard.shard.chunks.has(chunk.id)) return;
+      homeShard.shard.acceptNewChunk(chunk, this.clock.now());
     } catch (error) {
       log.debug(`cut: ${describe(error)}`);
     } finally {
-      job.busy = false;
+      job.isWriteInFlight = false;
     }
   }
 }
--- a/src/coordination/persistence/missingChunks.ts
+++ b/src/coordination/persistence/missingChunks.ts
@@ -10,13 +10,22 @@
   present: { has(chunk: string): boolean },
   now: number,
 ): Chunk[] {
-  const { spec, size, zones, cut, finished, away, at, home } = record;
+  const {
+    spec,
+    chunkSize: size,
+    zones,
+    createdChunks: cut,
+    doneChunks: finished,
+    migratedChunks: away,
+    submittedAt: at,
+    homeShard,
+  } = record;
   if (spec === null || record.state !== 'open') return [];
-  return chunkRanges(spec.tasks, size, zones)
+  return chunkRanges(spec.taskCount, size, zones)
     .slice(0, cut)
-    .flatMap(({ from, to, zone }, index) => {
+    .flatMap(({ firstTask: from, endTask: to, zone }, index) => {
       const isElsewhere = finished.includes(index) || away.includes(index);
       if (isElsewhere || present.has(`${id}/${index}`)) return [];
-      return [new Chunk(spec, index, home, at, from, to, zone, now)];
+      return [new Chunk(spec, index, homeShard, at, from, to, zone, now)];
     });
 }
--- a/src/coordination/pipelines/dependencyAdmission.ts
+++ b/src/coordination/pipelines/dependencyAdmission.ts
@@ -25,12 +25,12 @@
 ): Promise<DependencyCheck> {
   const pending: string[] = [];
   let isCancelled = false;
-  for (const need of spec.waitsOn) {
+  for (const need of spec.dependencies) {
     if (need === spec.id) return { kind: 'refused', reason: 'it waits for itself' };
     const record = lookup.copyOf(need) ?? (await lookup.stored(need));
     if (record === undefined) return { kind: 'unavailable' };
     if (record === null) return { kind: 'refused', reason: `no job ${need} to wait for` };
-    if (record.spec?.service === true) {
+    if (record.spec?.isService === true) {
       return { kind: 'refused', reason: `${need} is a service and is never done` };
     }
     if (record.state === 'open') pending.push(need);
--- a/src/coordination/pipelines/dependencyGraph.ts
+++ b/src/coordination/pipelines/dependencyGraph.ts
@@ -14,16 +14,16 @@
   /** Its own rank; larger goes first. */
   readonly rank: number;
   /** Steady time at which it was found to need a cancelled job; null: it does not. */
-  doomedAt: number | null;
+  dependencyCancelledAt: number | null;
 }
 
 export interface DependencyEvents {
   /** All jobs that it needs are done. */
-  released(job: string): void;
+  onReleased(job: string): void;
   /** It needs a cancelled job, directly or through others. */
-  doomed(job: string): void;
+  onDependencyCancelled(job: string): void;
   /** The highest rank of those that need it has changed. */
-  ranked(job: string): void;
+  onRankChanged(job: string): void;
 }
 
 export class DependencyGraph {
@@ -32,7 +32,7 @@
   private readonly waiters = new Map<string, Set<string>>();
   /** By a job that is not done: the highest rank of those that need it, directly or through others. */
   private readonly inherited = new Map<string, number>();
-  private readonly doomed = new Set<string>();
+  private readonly jobsWithCancelledDependency = new Set<string>();
 
   constructor(
     private readonly stateOf: (job: string) => StoredState | undefined,
@@ -40,18 +40,18 @@
   ) {}
 
   /** It may not start: it waits for others, or is cancelled with one of them. */
-  isHeld(job: string): boolean {
+  isBlockedOnDependencies(job: string): boolean {
     return this.dependents.has(job);
   }
 
   /** Steady time at which it was found to need a cancelled job; null: it does not. */
-  doomedAt(job: string): number | null {
-    return this.dependents.get(job)?.doomedAt ?? null;
+  dependencyCancelledAt(job: string): number | null {
+    return this.dependents.get(job)?.dependencyCancelledAt ?? null;
   }
 
   /** Open jobs that need a cancelled one. */
-  get doomedJobs(): ReadonlySet<string> {
-    return this.doomed;
+  get withCancelledDependency(): ReadonlySet<string> {
+    return this.jobsWithCancelledDependency;
   }
 
   /** The jobs that it waits for. */
@@ -78,21 +78,21 @@
       const state = this.stateOf(need);
       if (state === 'done') continue;
       pending.add(need);
-      isDoomed ||= state === 'cancelled' || this.doomed.has(need);
+      isDoomed ||= state === 'cancelled' || this.jobsWithCancelledDependency.has(need);
     }
     if (pending.size === 0) return;
-    this.dependents.set(job, { pending, rank, doomedAt: null });
+    this.dependents.set(job, { pending, rank, dependencyCancelledAt: null });
     for (const need of pending) {
       const waiters = this.waiters.get(need) ?? new Set<string>();
       this.waiters.set(need, waiters.add(job));
     }
-    if (isDoomed) this.doom([job], now);
+    if (isDoomed) this.noteDependencyCancelled([job], now);
     else this.rerank(pending);
   }
 
   private finish(job: string, state: 'done' | 'cancelled', now: number): void {
     const waiters = this.waiters.get(job) ?? new Set<string>();
-    if (state === 'cancelled') this.doom(waiters, now);
+    if (state === 'cancelled') this.noteDependencyCancelled(waiters, now);
     this.waiters.delete(job);
     this.inherited.delete(job);
     this.remove(job);
@@ -105,9 +105,9 @@
     const dependent = this.dependents.get(job);
     if (dependent === undefined) return;
     dependent.pending.delete(need);
-    if (dependent.pending.size > 0 || dependent.doomedAt !== null) return;
+    if (dependent.pending.size > 0 || dependent.dependencyCancelledAt !== null) return;
     this.dependents.delete(job);
-    this.events.released(job);
+    this.events.onReleased(job);
   }
 
   /** It is over itself, and needs nothing any more. */
@@ -115,7 +115,7 @@
     const dependent = this.dependents.get(job);
     if (dependent === undefined) return;
     this.dependents.delete(job);
-    this.doomed.delete(job);
+    this.jobsWithCancelledDependency.delete(job);
     for (const need of dependent.pending) {
       const waiters = this.waiters.get(need);
       if (waiters?.delete(job) === true && waiters.size === 0) this.waiters.delete(need);
@@ -124,14 +124,14 @@
   }
 
   /** They, and all that need them, are cancelled with a job that they need. */
-  private doom(jobs: Iterable<string>, now: number): void {
+  private noteDependencyCancelled(jobs: Iterable<string>, now: number): void {
     const open = [...jobs];
     for (let job = open.pop(); job !== undefined; job = open.pop()) {
       const dependent = this.dependents.get(job);
-      if (dependent === undefined || dependent.doomedAt !== null) continue;
-      dependent.doomedAt = now;
-      this.doomed.add(job);
-      this.events.doomed(job);
+      if (dependent === undefined || dependent.dependencyCancelledAt !== null) continue;
+      dependent.dependencyCancelledAt = now;
+      this.jobsWithCancelledDependency.add(job);
+      this.events.onDependencyCancelled(job);
       open.push(...(this.waiters.get(job) ?? []));
       this.rerank(dependent.pending);
     }
@@ -149,14 +149,14 @@
       if (highest === before) continue;
       if (highest === -Infinity) this.inherited.delete(job);
       else this.inherited.set(job, highest);
-      this.events.ranked(job);
+      this.events.onRankChanged(job);
       open.push(...(this.dependents.get(job)?.pending ?? []));
     }
   }
 
   private effectiveRank(job: string): number {
     const dependent = this.dependents.get(job);
-    if (dependent === undefined || dependent.doomedAt !== null) return -Infinity;
+    if (dependent === undefined || dependent.dependencyCancelledAt !== null) return -Infinity;
     return Math.max(dependent.rank, this.inheritedRank(job));
   }
 }
--- a/src/coordination/pipelines/pipelines.ts
+++ b/src/coordination/pipelines/pipelines.ts
@@ -18,12 +18,12 @@
 
 /** What is needed of a node. */
 export interface PipelineContext {
-  settings: { cancel: number };
+  settings: { cancellationTimeout: number };
   clock: Pick<Clock, 'now'>;
-  ownedParts: ReadonlyMap<string, OwnedShard>;
-  replica: Pick<StateCache, 'get' | 'loaded' | 'syncedAt'>;
-  commits: Pick<JobPersistence, 'acceptMissing' | 'cancel'>;
-  requestRound(): void;
+  ownedShards: ReadonlyMap<string, OwnedShard>;
+  stateCache: Pick<StateCache, 'get' | 'loaded' | 'syncedAt'>;
+  persistence: Pick<JobPersistence, 'acceptMissing' | 'cancel'>;
+  requestSchedulingRound(): void;
 }
 
 export class Pipelines {
@@ -33,35 +33,35 @@
 
   constructor(private readonly node: PipelineContext) {
     this.graph = new DependencyGraph((job) => this.recordOf(job)?.state, {
-      released: (job) => {
+      onReleased: (job) => {
         this.release(job);
       },
-      doomed: () => {
-        this.node.requestRound();
+      onDependencyCancelled: () => {
+        this.node.requestSchedulingRound();
       },
-      ranked: (job) => {
+      onRankChanged: (job) => {
         this.rerank(job);
       },
     });
   }
 
   private recordOf(job: string): JobRecord | undefined {
-    return this.node.replica.get(keys.job(job))?.value as JobRecord | undefined;
+    return this.node.stateCache.get(keys.job(job))?.value as JobRecord | undefined;
   }
 
   /** Follows the copy of the records. */
   note(job: string, record: JobRecord): void {
-    const { replica, clock } = this.node;
+    const { stateCache: replica, clock } = this.node;
     const { spec, state } = record;
     const rank = spec === null ? -Infinity : inheritableRank(spec);
     // What the first reading finds may have been cancelled long ago.
     const learnedAt = replica.loaded ? clock.now() : -Infinity;
-    this.graph.note(job, state, spec?.waitsOn ?? [], rank, learnedAt);
+    this.graph.note(job, state, spec?.dependencies ?? [], rank, learnedAt);
   }
 
   /** Nothing of it may start: it waits for others, or needs one that is cancelled. */
-  isHeld(job: string): boolean {
-    return this.graph.isHeld(job);
+  isBlockedOnDependencies(job: string): boolean {
+    return this.graph.isBlockedOnDependencies(job);
   }
 
   /** The highest rank of those that need it; batch work never ranks as a live service. */
@@ -74,18 +74,18 @@
    * that it has been cancelled with one of them.
    */
   mayCallOpen(job: string): boolean {
-    if (!this.isHeld(job)) return true;
-    const patience = this.node.settings.cancel * CANCEL_SHARE;
+    if (!this.isBlockedOnDependencies(job)) return true;
+    const patience = this.node.settings.cancellationTimeout * CANCEL_SHARE;
     const now = this.node.clock.now();
-    const doomedAt = this.graph.doomedAt(job);
+    const doomedAt = this.graph.dependencyCancelledAt(job);
     if (doomedAt !== null && now - doomedAt > patience) return false;
-    return now - this.node.replica.syncedAt <= patience;
+    return now - this.node.stateCache.syncedAt <= patience;
   }
 
   /** Why it waits, in words for the phone. */
   reason(job: string): string | null {
-    if (!this.isHeld(job)) return null;
-    if (this.graph.doomedAt(job) !== null) {
+    if (!this.isBlockedOnDependencies(job)) return null;
+    if (this.graph.dependencyCancelledAt(job) !== null) {
       return 'A job that it needs was cancelled, so it is being cancelled too.';
     }
     const blockers = this.graph.blockersOf(job);
@@ -95,29 +95,29 @@
   }
 
   private release(job: string): void {
-    for (const host of this.node.ownedParts.values()) {
-      const known = host.jobs.get(job);
-      if (known !== undefined) this.node.commits.acceptMissing(host, known);
+    for (const ownedShard of this.node.ownedShards.values()) {
+      const known = ownedShard.jobs.get(job);
+      if (known !== undefined) this.node.persistence.acceptMissing(ownedShard, known);
     }
-    this.node.requestRound();
+    this.node.requestSchedulingRound();
   }
 
   private rerank(job: string): void {
-    for (const { part } of this.node.ownedParts.values()) part.rerank(job);
+    for (const { shard } of this.node.ownedShards.values()) shard.updateRank(job);
   }
 
   /** Stores jobs that need a cancelled one as cancelled, where this node is their home's owner. */
-  cancelDoomed(patience: number): void {
-    for (const id of this.graph.doomedJobs) {
+  cancelDependents(patience: number): void {
+    for (const id of this.graph.withCancelledDependency) {
       if (this.writing.size >= MOST_WRITES) return;
       if (this.writing.has(id)) continue;
-      const home = this.recordOf(id)?.home;
-      const host = home === undefined ? undefined : this.node.ownedParts.get(home);
-      const job = host?.jobs.get(id);
-      if (host === undefined || job === undefined) continue;
+      const home = this.recordOf(id)?.homeShard;
+      const ownedShard = home === undefined ? undefined : this.node.ownedShards.get(home);
+      const job = ownedShard?.jobs.get(id);
+      if (ownedShard === undefined || job === undefined) continue;
       this.writing.add(id);
-      void this.node.commits
-        .cancel(host, job, this.node.clock.now() + patience)
+      void this.node.persistence
+        .cancel(ownedShard, job, this.node.clock.now() + patience)
         .finally(() => this.writing.delete(id));
     }
   }
--- a/src/coordination/quota/clusterTotals.ts
+++ b/src/coordination/quota/clusterTotals.ts
@@ -5,7 +5,7 @@
 
 export class ClusterTotals {
   constructor(
-    private readonly ownedParts: ReadonlyMap<string, OwnedShard>,
+    private readonly ownedShards: ReadonlyMap<string, OwnedShard>,
     private readonly peers: Pick<PeerRegistry, 'gossips'>,
     /** The zone of each part's node. */
     private readonly zoneOf: ReadonlyMap<string, string>,
@@ -18,10 +18,10 @@
       used.cpus += amount.cpus;
       used.gpus += amount.gpus;
     };
-    for (const { part } of this.ownedParts.values()) {
-      if (part.label !== except) add(part.teams.usedBy(team));
+    for (const { shard } of this.ownedShards.values()) {
+      if (shard.label !== except) add(shard.teamUsage.usedBy(team));
     }
-    for (const { used: entries } of this.peers.gossips()) {
+    for (const { teamUsage: entries } of this.peers.gossips()) {
       for (const entry of entries) if (entry.team === team) add(entry);
     }
     return used;
@@ -29,10 +29,10 @@
 
   /** The first in the queue's order of a team's starved jobs, of all parts but one. */
   starvedElsewhere(team: string, except: string): StarvedJob | null {
-    const here = [...this.ownedParts.values()].flatMap(({ part }) =>
-      part.label === except ? [] : [...part.scheduler.starving.values()],
+    const here = [...this.ownedShards.values()].flatMap(({ shard }) =>
+      shard.label === except ? [] : [...shard.scheduler.starvedJobs.values()],
     );
-    const there = this.peers.gossips().flatMap((gossip) => gossip.starving);
+    const there = this.peers.gossips().flatMap((gossip) => gossip.starvedJobs);
     let first: StarvedJob | null = null;
     for (const candidate of [...here, ...there]) {
       if (candidate.team !== team) continue;
@@ -42,15 +42,15 @@
   }
 
   /** Processors for live services in the parts of a zone. */
-  liveRoomIn(zone: string): number {
-    const isThere = (part: string): boolean => this.zoneOf.get(part) === zone;
+  serviceHeadroomIn(zone: string): number {
+    const isThere = (shard: string): boolean => this.zoneOf.get(shard) === zone;
     let cpus = 0;
-    for (const { part } of this.ownedParts.values()) {
-      if (isThere(part.label)) cpus += part.needs.liveRoom();
+    for (const { shard } of this.ownedShards.values()) {
+      if (isThere(shard.label)) cpus += shard.demand.serviceHeadroom();
     }
     for (const gossip of this.peers.gossips()) {
-      for (const host of gossip.hosts) {
-        if (isThere(host.part) && !this.ownedParts.has(host.part)) cpus += host.liveRoom;
+      for (const host of gossip.shards) {
+        if (isThere(host.shard) && !this.ownedShards.has(host.shard)) cpus += host.serviceHeadroom;
       }
     }
     return cpus;
@@ -58,5 +58,5 @@
 }
 
 function isAhead(one: StarvedJob, other: StarvedJob): boolean {
-  return one.rank > other.rank || (one.rank === other.rank && one.at < other.at);
+  return one.rank > other.rank || (one.rank === other.rank && one.submittedAt < other.submittedAt);
 }
--- a/src/coordination/quota/quotaShares.ts
+++ b/src/coordination/quota/quotaShares.ts
@@ -29,38 +29,40 @@
  */
 export function reshare(
   shares: QuotaRecord,
-  part: string,
+  shard: string,
   used: TeamResources,
   want: TeamResources,
   limit: TeamResources,
 ): QuotaRecord {
-  const before = shares[part] ?? noTeamResources();
+  const before = shares[shard] ?? noTeamResources();
   const mine = noTeamResources();
   for (const kind of LIMITS) {
     if (!Number.isFinite(limit[kind])) continue;
     let others = 0;
-    for (const [label, share] of Object.entries(shares)) if (label !== part) others += share[kind];
+    for (const [label, share] of Object.entries(shares)) if (label !== shard) others += share[kind];
     const kept = Math.min(used[kind], before[kind]);
     mine[kind] = Math.max(kept, Math.min(limit[kind] - others, used[kind] + want[kind]));
   }
-  return { ...shares, [part]: mine };
+  return { ...shares, [shard]: mine };
 }
 
 /** A smaller share that may be stored already: binds until the record has a higher stamp than `stamp`. */
 interface PendingReduction {
   share: TeamResources;
-  stamp: number;
+  revision: number;
 }
 
 /** What is needed of a node. */
 export interface QuotaContext {
   settings: Pick<Settings, 'teams'>;
-  ownedParts: ReadonlyMap<string, OwnedShard>;
-  ownership: Pick<ShardLeadership, 'valid'>;
-  peers: { gossips(): Pick<Gossip, 'throttled'>[] };
-  replica: Pick<StateCache, 'get' | 'note'>;
-  state: Pick<StateClient, 'get'>;
-  commits: { write(host: OwnedShard, txn: Transaction): Promise<TransactionResult> };
+  ownedShards: ReadonlyMap<string, OwnedShard>;
+  leadership: Pick<ShardLeadership, 'isLeaseValid'>;
+  peers: { gossips(): Pick<Gossip, 'throttledTeams'>[] };
+  stateCache: Pick<StateCache, 'get' | 'note'>;
+  stateClient: Pick<StateClient, 'get'>;
+  persistence: {
+    write(ownedShard: OwnedShard, transaction: Transaction): Promise<TransactionResult>;
+  };
 }
 
 export class QuotaShares {
@@ -71,12 +73,12 @@
   constructor(private readonly node: QuotaContext) {}
 
   /** How much of a team's limit a part may use; null: there is no limit. */
-  allowance(part: string, name: string): TeamResources | null {
+  allowance(shard: string, name: string): TeamResources | null {
     const team = this.node.settings.teams.find((t) => t.name === name);
     if (team === undefined) return null;
     const limit = limitOf(team);
     if (!isLimited(limit)) return null;
-    const share = this.usableShare(part, name);
+    const share = this.usableShare(shard, name);
     return {
       cpus: Number.isFinite(limit.cpus) ? share.cpus : Infinity,
       gpus: Number.isFinite(limit.gpus) ? share.gpus : Infinity,
@@ -84,23 +86,24 @@
   }
 
   /** The stored share, or less where a reduction of it is on its way. */
-  private usableShare(part: string, team: string): TeamResources {
-    const stored = this.node.replica.get(keys.quota(team));
-    const share = (stored?.value as QuotaRecord | undefined)?.[part] ?? noTeamResources();
-    const reduction = this.reductions.get(reductionKey(part, team));
-    if (reduction === undefined || (stored?.stamp ?? 0) > reduction.stamp) return share;
+  private usableShare(shard: string, team: string): TeamResources {
+    const stored = this.node.stateCache.get(keys.quota(team));
+    const share = (stored?.value as QuotaRecord | undefined)?.[shard] ?? noTeamResources();
+    const reduction = this.reductions.get(reductionKey(shard, team));
+    if (reduction === undefined || (stored?.revision ?? 0) > reduction.revision) return share;
     return smaller(share, reduction.share);
   }
 
   /** Takes share for what waits here, and gives back what others are short of. */
   async balance(): Promise<void> {
-    if (this.busy || !this.node.ownership.valid) return;
+    if (this.busy || !this.node.leadership.isLeaseValid) return;
     this.busy = true;
     try {
       for (const team of this.node.settings.teams) {
         const limit = limitOf(team);
         if (!isLimited(limit)) continue;
-        for (const label of this.node.ownedParts.keys()) await this.balanceTeam(team, label, limit);
+        for (const label of this.node.ownedShards.keys())
+          await this.balanceTeam(team, label, limit);
       }
     } catch (error) {
       log.debug(`quotas: ${describe(error)}`);
@@ -110,15 +113,15 @@
   }
 
   private async balanceTeam(team: Team, label: string, limit: TeamResources): Promise<void> {
-    const host = this.node.ownedParts.get(label);
-    if (host === undefined) return;
-    const { part } = host;
+    const ownedShard = this.node.ownedShards.get(label);
+    if (ownedShard === undefined) return;
+    const { shard } = ownedShard;
     const key = keys.quota(team.name);
-    const stored = this.node.replica.get(key);
-    const stamp = stored?.stamp ?? 0;
+    const stored = this.node.stateCache.get(key);
+    const revision = stored?.revision ?? 0;
     const shares = (stored?.value ?? {}) as QuotaRecord;
-    const used = part.teams.usedBy(team.name);
-    const want = part.scheduler.wanted(team.name);
+    const used = shard.teamUsage.usedBy(team.name);
+    const want = shard.scheduler.wanted(team.name);
     const wanted = reshare(shares, label, used, want, limit);
     const before = this.usableShare(label, team.name);
     const after = wanted[label] ?? before;
@@ -126,30 +129,33 @@
     const isLess = after.cpus < before.cpus || after.gpus < before.gpus;
     if (!isMore && !(isLess && this.isThrottledElsewhere(team.name))) return;
     // What shrinks binds at once, before it is stored; what grows may be used only once it is stored.
-    this.reductions.set(reductionKey(label, team.name), { share: smaller(before, after), stamp });
-    const txn: Transaction = {
-      when: [{ key, stamp }],
+    this.reductions.set(reductionKey(label, team.name), {
+      share: smaller(before, after),
+      revision,
+    });
+    const transaction: Transaction = {
+      conditions: [{ key, revision }],
       puts: [{ key, value: wanted }],
-      removes: [],
+      deletes: [],
     };
-    const result = await this.node.commits.write(host, txn);
+    const result = await this.node.persistence.write(ownedShard, transaction);
     if (result.kind === 'applied') {
-      this.node.replica.note(key, wanted, result.stamp);
+      this.node.stateCache.note(key, wanted, result.revision);
       return;
     }
-    const item = await this.node.state.get(key);
-    if (item !== null) this.node.replica.note(key, item.value, item.stamp);
+    const item = await this.node.stateClient.get(key);
+    if (item !== null) this.node.stateCache.note(key, item.value, item.revision);
   }
 
   private isThrottledElsewhere(team: string): boolean {
-    return this.node.peers.gossips().some((gossip) => gossip.throttled.includes(team));
+    return this.node.peers.gossips().some((gossip) => gossip.throttledTeams.includes(team));
   }
 }
 
 const isLimited = (limit: TeamResources): boolean =>
   Number.isFinite(limit.cpus) || Number.isFinite(limit.gpus);
 
-const reductionKey = (part: string, team: string): string => `${part} ${team}`;
+const reductionKey = (shard: string, team: string): string => `${shard} ${team}`;
 
 const smaller = (one: TeamResources, other: TeamResources): TeamResources => ({
   cpus: Math.min(one.cpus, other.cpus),
--- a/src/coordination/quota/teamUsage.ts
+++ b/src/coordination/quota/teamUsage.ts
@@ -25,7 +25,7 @@
 export interface StarvedJob {
   team: string;
   /** Time of day of its submission, and its rank: the order of the queue. */
-  at: number;
+  submittedAt: number;
   rank: number;
 }
 
--- a/src/coordination/reconciliation/attemptTermination.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -28,46 +28,52 @@
   ) {}
 
   /** By the newest report of its machine, which has been taken in already; null: it may still be there, or come. */
-  static byReport(
+  static byHeartbeat(
     machine: Machine,
-    { chunk, entry }: Placement,
+    { chunk, attempt }: Placement,
     now: number,
   ): AttemptTermination | null {
     // The worker killed everything when its lease ran out; nothing of that session comes back.
-    if (machine.session > entry.session) return new AttemptTermination('new-session', now);
-    const report = machine.tasks.find(chunk.taskName(entry.task), entry.attempt);
-    if (report !== undefined) {
-      return report.state === 'ended' ? new AttemptTermination('ended', now) : null;
+    if (machine.agentEpoch > attempt.agentEpoch) return new AttemptTermination('new-session', now);
+    const reportedAttempt = machine.reportedAttempts.find(
+      chunk.taskName(attempt.task),
+      attempt.attemptNumber,
+    );
+    if (reportedAttempt !== undefined) {
+      return reportedAttempt.state === 'ended' ? new AttemptTermination('ended', now) : null;
     }
     // It was here and is no more.
-    const mayCome = entry.doubt.isOpen(machine.seenToken);
-    if (entry.seen) return mayCome ? null : new AttemptTermination('absent', now);
+    const mayCome = attempt.unacknowledgedStart.mayStillExecute(machine.highestFencingToken);
+    if (attempt.wasReported) return mayCome ? null : new AttemptTermination('absent', now);
     // It never came and is not to be started any longer.
-    const isUnwanted = entry.stop !== null || entry.isAdopted;
-    return isUnwanted && !mayCome && !entry.sentInAnswer
+    const isUnwanted = attempt.stop !== null || attempt.isInherited;
+    return isUnwanted && !mayCome && !attempt.startSentInAnswer
       ? new AttemptTermination('unwanted-absent', now)
       : null;
   }
 
   /** By the worker's lease: all that ran there was killed by the worker itself. */
-  static byLease(
+  static byLeaseExpiry(
     machine: Machine,
-    { lease, report }: { lease: number; report: number },
+    { workerLease, heartbeatInterval }: { workerLease: number; heartbeatInterval: number },
     now: number,
   ): AttemptTermination | null {
-    const limit = lease * (1 + DRIFT) + report / 2;
-    if (now - machine.renewed <= limit) return null;
-    return new AttemptTermination('lease-over', machine.renewed);
+    const limit = workerLease * (1 + DRIFT) + heartbeatInterval / 2;
+    if (now - machine.leaseRenewedAt <= limit) return null;
+    return new AttemptTermination('lease-over', machine.leaseRenewedAt);
   }
 
   /** The record of its machine was removed, which happens only after the cloud has confirmed the release. */
-  static byRemoval(now: number): AttemptTermination {
+  static byMachineRemoval(now: number): AttemptTermination {
     return new AttemptTermination('machine-gone', now);
   }
 
   /** No start was sent, so nothing can come of it; null: one was, or is on its way. */
-  static asNeverSent(machine: Machine, entry: Attempt, now: number): AttemptTermination | null {
-    const mayCome = entry.seen || entry.sentInAnswer || entry.doubt.isOpen(machine.seenToken);
-    return mayCome || machine.inFlight ? null : new AttemptTermination('never-sent', now);
+  static asNeverSent(machine: Machine, attempt: Attempt, now: number): AttemptTermination | null {
+    const mayCome =
+      attempt.wasReported ||
+      attempt.startSentInAnswer ||
+      attempt.unacknowledgedStart.mayStillExecute(machine.highestFencingToken);
+    return mayCome || machine.hasCommandInFlight ? null : new AttemptTermination('never-sent', now);
   }
 }
--- a/src/coordination/reconciliation/heartbeatEndpoint.ts
+++ b/src/coordination/reconciliation/heartbeatEndpoint.ts
@@ -15,8 +15,8 @@
 
 /** How a report came: passed on by a peer, or after an answer on the same connection. */
 export interface HeartbeatArrival {
-  relayed: boolean;
-  follows: boolean;
+  isRelayed: boolean;
+  isFollowUp: boolean;
 }
 
 /**
@@ -25,18 +25,21 @@
  * connection, which proves as much. After a takeover hundreds do, and a question to each would cost more
  * than answering them.
  */
-function needsProbe(machine: Machine, report: Heartbeat, token: number): boolean {
-  if (machine.missed > 0) return true;
-  return !machine.up && (report.tasks.length === 0 || report.token >= token);
+function needsProbe(machine: Machine, heartbeat: Heartbeat, fencingToken: number): boolean {
+  if (machine.missedProbes > 0) return true;
+  return (
+    !machine.isUp &&
+    (heartbeat.attempts.length === 0 || heartbeat.highestFencingToken >= fencingToken)
+  );
 }
 
 export class HeartbeatEndpoint {
   /** Workers that were sent on, and when: those that come back can't reach the owner. */
-  readonly sentOn = new Map<string, number>();
+  readonly redirectedAt = new Map<string, number>();
 
   constructor(private readonly node: Controller) {}
 
-  async hello(body: string, arrival: HeartbeatArrival): Promise<Reply> {
+  async handle(body: string, arrival: HeartbeatArrival): Promise<Reply> {
     const reply = await this.decide(body, arrival);
     if (reply.status !== 200) {
       const name = /"Drone": ?"([^"]*)"/.exec(body)?.[1] ?? '?';
@@ -45,72 +48,84 @@
     return reply;
   }
 
-  private async decide(body: string, { relayed, follows }: HeartbeatArrival): Promise<Reply> {
-    let report: Heartbeat | null = null;
+  private async decide(body: string, { isRelayed, isFollowUp }: HeartbeatArrival): Promise<Reply> {
+    let heartbeat: Heartbeat | null = null;
     try {
-      report = parseHeartbeat(JSON.parse(body));
+      heartbeat = parseHeartbeat(JSON.parse(body));
     } catch {
       // Not JSON: answered like any other malformed report.
     }
-    if (report === null) return { status: 400, body: { error: 'malformed report' } };
+    if (heartbeat === null) return { status: 400, body: { error: 'malformed report' } };
     const { node } = this;
     // A machine that has no part yet gets one from the provisioner, by the cloud's list: a report may
     // be a late copy from a machine that is gone, and must not bring it back.
-    const part = node.fleet.get(report.machine)?.part;
+    const part = node.inventory.get(heartbeat.machine)?.shard;
     if (part === undefined) return elsewhere(null);
-    const host = node.ownedParts.get(part);
-    if (host !== undefined) return this.answer(host, report, follows);
-    if (relayed) return elsewhere(null);
-    return this.sendOn(part, report, body);
+    const ownedShard = node.ownedShards.get(part);
+    if (ownedShard !== undefined) return this.answer(ownedShard, heartbeat, isFollowUp);
+    if (isRelayed) return elsewhere(null);
+    return this.forwardOrRedirect(part, heartbeat, body);
   }
 
-  private answer(host: OwnedShard, report: Heartbeat, follows: boolean): Reply {
+  private answer(ownedShard: OwnedShard, heartbeat: Heartbeat, isFollowUp: boolean): Reply {
     const { node } = this;
     const now = node.clock.now();
-    const right = node.authority.toAnswer(host, report.token);
+    const right = node.authority.decideHeartbeat(ownedShard, heartbeat.highestFencingToken);
     if (right.kind === 'deposed') {
-      void node.ownership.verifyOwner(host.part.label).catch(() => undefined);
+      void node.leadership.verifyLeadership(ownedShard.shard.label).catch(() => undefined);
     }
     if (right.kind !== 'answer') return elsewhere(right.kind === 'adopted' ? right.owner : null);
-    const machine = host.part.machines.get(report.machine);
+    const machine = ownedShard.shard.machines.get(heartbeat.machine);
     if (machine === undefined) return elsewhere(null);
-    const says = host.part.reports.apply(machine, report, now, follows ? 'follow' : 'report');
+    const says = ownedShard.shard.heartbeats.apply(
+      machine,
+      heartbeat,
+      now,
+      isFollowUp ? 'follow' : 'report',
+    );
     const newer = says !== 'older';
-    if (needsProbe(machine, report, host.token)) void node.orders.probe(host, machine);
-    const mayAct = node.authority.mayAct(host);
-    const { report: reportTime } = node.settings;
-    const orders =
-      newer && mayAct ? machine.answerOrders(now, reportTime * 1.5, reportTime) : machine.endings();
-    for (const order of orders) {
-      const placed = order.verb === 'start' ? machine.entries.get(order.task) : undefined;
-      if (placed !== undefined) placed.entry.sentInAnswer = true;
+    if (needsProbe(machine, heartbeat, ownedShard.fencingToken))
+      void node.commands.probe(ownedShard, machine);
+    const mayAct = node.authority.mayAct(ownedShard);
+    const { heartbeatInterval: reportTime } = node.settings;
+    const commands =
+      newer && mayAct
+        ? machine.commandsForAnswer(now, reportTime * 1.5, reportTime)
+        : machine.cancellationStops();
+    for (const command of commands) {
+      const placement = command.verb === 'start' ? machine.placements.get(command.task) : undefined;
+      if (placement !== undefined) placement.attempt.startSentInAnswer = true;
     }
     // Also when an answer to a question of ours has overtaken this report: the worker's lease counts from
     // it all the same, and its tasks are not over before that.
-    machine.renewed = Math.max(machine.renewed, now);
-    if (says === 'news') node.requestRound();
-    if (orders.length > 0) node.orders.noteSent(host, machine, orders, 'answer');
-    return { status: 200, body: heartbeatAnswer(host.token, orders) };
+    machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
+    if (says === 'news') node.requestSchedulingRound();
+    if (commands.length > 0) node.commands.noteSent(ownedShard, machine, commands, 'answer');
+    return { status: 200, body: heartbeatAnswer(ownedShard.fencingToken, commands) };
   }
 
-  private async sendOn(part: string, report: Heartbeat, body: string): Promise<Reply> {
+  private async forwardOrRedirect(
+    shard: string,
+    heartbeat: Heartbeat,
+    body: string,
+  ): Promise<Reply> {
     const { node } = this;
     const now = node.clock.now();
-    const owner = node.ownerOf(part);
+    const owner = node.leaderOf(shard);
     if (owner === null || owner === node.settings.label) return elsewhere(null);
     this.forget(now);
-    const before = this.sentOn.get(report.machine);
+    const before = this.redirectedAt.get(heartbeat.machine);
     // Set anew each time, so that the names stand in the order in which they are forgotten.
-    this.sentOn.delete(report.machine);
+    this.redirectedAt.delete(heartbeat.machine);
     if (before === undefined) {
-      this.sentOn.set(report.machine, now);
+      this.redirectedAt.set(heartbeat.machine, now);
       return elsewhere(owner);
     }
     // It came back, so it can't reach the owner, or the owner it was sent to has changed.
     const relay = { method: 'POST', target: '/hello', body };
-    const answer = await node.peers.relay(owner, relay, node.settings.report / 2);
+    const answer = await node.peers.relay(owner, relay, node.settings.heartbeatInterval / 2);
     if (answer?.status === 200) {
-      this.sentOn.set(report.machine, now);
+      this.redirectedAt.set(heartbeat.machine, now);
       return { status: 200, body: JSON.parse(answer.body) as unknown };
     }
     return elsewhere(null);
@@ -118,9 +133,9 @@
 
   /** Names would be kept of all machines that ever were. */
   private forget(now: number): void {
-    for (const [name, at] of this.sentOn) {
-      if (now - at <= this.node.settings.lease) return;
-      this.sentOn.delete(name);
+    for (const [name, at] of this.redirectedAt) {
+      if (now - at <= this.node.settings.workerLease) return;
+      this.redirectedAt.delete(name);
     }
   }
 }
--- a/src/coordination/reconciliation/heartbeatReconciler.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -29,11 +29,17 @@
 
 export class HeartbeatReconciler {
   constructor(
-    private readonly part: Pick<
+    private readonly shard: Pick<
       Shard,
-      'chunks' | 'chunksOf' | 'changed' | 'pendingCommands' | 'release' | 'stop' | 'strangers'
+      | 'chunks'
+      | 'chunksOf'
+      | 'noteChunkChanged'
+      | 'pendingCommands'
+      | 'terminateAttempt'
+      | 'requestStop'
+      | 'unknownAttempts'
     >,
-    private readonly options: Pick<ShardOptions, 'lease' | 'report'>,
+    private readonly options: Pick<ShardOptions, 'workerLease' | 'heartbeatInterval'>,
     private readonly runTimes: RunTimes,
   ) {}
 
@@ -41,105 +47,130 @@
    * Takes a worker's report. Most say nothing new, and nothing has to be decided anew for them: with
    * hundreds of machines that would be most of a node's work.
    */
-  apply(machine: Machine, report: Heartbeat, now: number, from: HeartbeatOrigin): HeartbeatEffect {
-    if (!machine.isNewer(report)) return 'older';
-    const before = machine.usable(now);
-    const isHello = from !== 'answer';
-    const newSession = report.session > machine.session && machine.heard !== null;
-    const isFirstOfSession = newSession || machine.heard === null;
+  apply(
+    machine: Machine,
+    heartbeat: Heartbeat,
+    now: number,
+    from: HeartbeatOrigin,
+  ): HeartbeatEffect {
+    if (!machine.isNewer(heartbeat)) return 'older';
+    const before = machine.isSchedulable(now);
+    const isUnsolicited = from !== 'answer';
+    const newSession =
+      heartbeat.agentEpoch > machine.agentEpoch && machine.lastHeartbeatAt !== null;
+    const isFirstOfSession = newSession || machine.lastHeartbeatAt === null;
     // The first that is known stays: a late copy must not send orders elsewhere.
-    if (machine.address === '') machine.address = report.address;
-    machine.session = report.session;
-    machine.tick = report.tick;
-    machine.seenToken = Math.max(machine.seenToken, report.token);
-    machine.heard = now;
+    if (machine.address === '') machine.address = heartbeat.address;
+    machine.agentEpoch = heartbeat.agentEpoch;
+    machine.heartbeatSequence = heartbeat.heartbeatSequence;
+    machine.highestFencingToken = Math.max(
+      machine.highestFencingToken,
+      heartbeat.highestFencingToken,
+    );
+    machine.lastHeartbeatAt = now;
     // At once, not with the next sweep: a machine that has just come up is waited for.
-    if (isHello) [machine.reportedAt, machine.cutOff] = [now, false];
-    if (from !== 'report') machine.noteReached(now);
-    machine.goneBy = report.warning === null ? null : now + report.warning;
-    const changed = machine.noteTasks(report.tasks);
-    if (newSession) machine.leftovers.clear();
-    this.reviewLeftovers(machine, isHello);
-    for (const placed of [...machine.entries.values()]) {
-      this.settle(machine, placed, isHello, now);
+    if (isUnsolicited) [machine.lastUnsolicitedHeartbeatAt, machine.isPartitioned] = [now, false];
+    if (from !== 'report') machine.markReached(now);
+    machine.preemptionDeadline =
+      heartbeat.preemptionWarning === null ? null : now + heartbeat.preemptionWarning;
+    const changed = machine.updateReportedAttempts(heartbeat.attempts);
+    if (newSession) machine.endedAttempts.clear();
+    this.reviewEndedAttempts(machine, isUnsolicited);
+    for (const placement of [...machine.placements.values()]) {
+      this.reconcileAttempt(machine, placement, isUnsolicited, now);
     }
-    if (changed) this.part.strangers.note(machine);
-    this.claimOrphans(machine, now);
+    if (changed) this.shard.unknownAttempts.note(machine);
+    this.claimOrphanedResults(machine, now);
     // A worker's lease counts from when its session began, also one that reaches no controller and only answers.
-    if (isFirstOfSession && machine.entries.size === 0)
-      machine.renewed = Math.max(machine.renewed, now);
-    if (machine.goneBy !== null) this.drain(machine, now);
-    if (machine.entries.size > 0) machine.idleSince = now;
-    const news = changed || newSession || before !== machine.usable(now);
+    if (isFirstOfSession && machine.placements.size === 0)
+      machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
+    if (machine.preemptionDeadline !== null) this.checkpointBeforePreemption(machine, now);
+    if (machine.placements.size > 0) machine.idleSince = now;
+    const news = changed || newSession || before !== machine.isSchedulable(now);
     return news ? 'news' : 'as before';
   }
 
   /** Ended attempts that the worker has forgotten; the others wait for what a start of them may still do. */
-  private reviewLeftovers(machine: Machine, isHello: boolean): void {
-    if (machine.leftovers.size === 0) return;
-    const reported = new Set(machine.tasks.all.map((t) => attemptKey(t.task, t.attempt)));
-    for (const [key, leftover] of machine.leftovers) {
-      if (!reported.has(key)) machine.leftovers.delete(key);
-      else if (isHello) leftover.sentInAnswer = false;
+  private reviewEndedAttempts(machine: Machine, isUnsolicited: boolean): void {
+    if (machine.endedAttempts.size === 0) return;
+    const reported = new Set(
+      machine.reportedAttempts.all.map((t) => attemptKey(t.task, t.attemptNumber)),
+    );
+    for (const [key, endedAttempt] of machine.endedAttempts) {
+      if (!reported.has(key)) machine.endedAttempts.delete(key);
+      else if (isUnsolicited) endedAttempt.startSentInAnswer = false;
     }
   }
 
   /** What a newer report says of one attempt. */
-  private settle(machine: Machine, placed: Placement, isHello: boolean, now: number): void {
-    const { chunk, entry } = placed;
-    if (isHello) entry.sentInAnswer = false;
-    const over = AttemptTermination.byReport(machine, placed, now);
-    const report = machine.tasks.find(chunk.taskName(entry.task), entry.attempt);
-    if (report === undefined || over?.rule === 'new-session') {
-      if (over !== null) this.part.release(machine, placed, over, now);
-    } else if (over === null) this.progress(machine, placed, report, now);
-    else this.end(machine, placed, report, over, now);
+  private reconcileAttempt(
+    machine: Machine,
+    placement: Placement,
+    isUnsolicited: boolean,
+    now: number,
+  ): void {
+    const { chunk, attempt } = placement;
+    if (isUnsolicited) attempt.startSentInAnswer = false;
+    const termination = AttemptTermination.byHeartbeat(machine, placement, now);
+    const reportedAttempt = machine.reportedAttempts.find(
+      chunk.taskName(attempt.task),
+      attempt.attemptNumber,
+    );
+    if (reportedAttempt === undefined || termination?.rule === 'new-session') {
+      if (termination !== null) this.shard.terminateAttempt(machine, placement, termination, now);
+    } else if (termination === null) this.noteProgress(machine, placement, reportedAttempt, now);
+    else this.endAttempt(machine, placement, reportedAttempt, termination, now);
   }
 
   /** It is there, and not over. */
-  private progress(
+  private noteProgress(
     machine: Machine,
-    { chunk, entry }: Placement,
-    report: ReportedAttempt,
+    { chunk, attempt }: Placement,
+    reportedAttempt: ReportedAttempt,
     now: number,
   ): void {
-    entry.seen = true;
-    if (report.state === 'running' && entry.state !== 'running') {
-      entry.runningSince = now;
+    attempt.wasReported = true;
+    if (reportedAttempt.state === 'running' && attempt.state !== 'running') {
+      attempt.runningSince = now;
       machine.noteImage(chunk.spec.image, chunk.spec.imageGb);
     }
-    entry.state = report.state;
+    attempt.state = reportedAttempt.state;
   }
 
   /** The worker says that it has ended, and why. */
-  private end(
+  private endAttempt(
     machine: Machine,
-    placed: Placement,
-    report: ReportedAttempt,
-    over: AttemptTermination,
+    placement: Placement,
+    reportedAttempt: ReportedAttempt,
+    termination: AttemptTermination,
     now: number,
   ): void {
-    const { chunk, entry } = placed;
-    entry.seen = true;
-    if (report.cause === 'done') this.finish(machine, placed, over, now);
+    const { chunk, attempt } = placement;
+    attempt.wasReported = true;
+    if (reportedAttempt.cause === 'done') this.completeTask(machine, placement, termination, now);
     else {
-      if (report.cause === 'error') this.noteFailure(machine, chunk, now);
-      if (report.cause === 'no_room' || report.cause === 'busy') {
-        machine.shunnedUntil = now + this.options.report;
+      if (reportedAttempt.cause === 'error') this.noteFailure(machine, chunk, now);
+      if (reportedAttempt.cause === 'no_room' || reportedAttempt.cause === 'busy') {
+        machine.quarantinedUntil = now + this.options.heartbeatInterval;
       }
       // The description is on its way, or the user never sent it: try again, but not at once.
-      if (report.cause === 'unknown') this.backOff(chunk, now);
-      this.part.release(machine, placed, over, now);
+      if (reportedAttempt.cause === 'unknown') this.backOff(chunk, now);
+      this.shard.terminateAttempt(machine, placement, termination, now);
     }
-    this.leave(machine, chunk, entry, now);
+    this.rememberEndedAttempt(machine, chunk, attempt, now);
   }
 
-  private finish(machine: Machine, placed: Placement, over: AttemptTermination, now: number): void {
-    const { chunk, entry } = placed;
-    if (entry.runningSince !== null) {
-      const actual = now - entry.runningSince;
-      const expected = this.runTimes.expected(chunk.spec.jobClass, chunk.spec.expect);
-      this.runTimes.note(chunk.spec.jobClass, chunk.spec.expect, actual);
+  private completeTask(
+    machine: Machine,
+    placement: Placement,
+    termination: AttemptTermination,
+    now: number,
+  ): void {
+    const { chunk, attempt } = placement;
+    if (attempt.runningSince !== null) {
+      const actual = now - attempt.runningSince;
+      const expected = this.runTimes.expected(chunk.spec.jobClass, chunk.spec.expectedRunSeconds);
+      this.runTimes.note(chunk.spec.jobClass, chunk.spec.expectedRunSeconds, actual);
       // A machine's own pace, slowly followed.
       if (expected > 0) {
         machine.slowness +=
@@ -147,80 +178,92 @@
       }
     }
     machine.failedJobs.clear();
-    chunk.failures = 0;
-    chunk.failedOn.clear();
-    chunk.done.add(entry.task);
-    this.part.release(machine, placed, over, now);
+    chunk.failureCount = 0;
+    chunk.failedMachines.clear();
+    chunk.doneTasks.add(attempt.task);
+    this.shard.terminateAttempt(machine, placement, termination, now);
   }
 
   /** The attempt's end stays in the worker's reports until it may be forgotten. */
-  private leave(machine: Machine, chunk: Chunk, entry: Attempt, now: number): void {
+  private rememberEndedAttempt(
+    machine: Machine,
+    chunk: Chunk,
+    attempt: Attempt,
+    now: number,
+  ): void {
     const version = chunk.version;
-    const { attempt, task, doubt, sentInAnswer } = entry;
-    const leftover = {
-      since: now,
-      sentInAnswer,
-      isInDoubt: (): boolean => doubt.isOpen(machine.seenToken),
+    const { attemptNumber, task, unacknowledgedStart, startSentInAnswer } = attempt;
+    const endedAttempt = {
+      endedAt: now,
+      startSentInAnswer,
+      hasUnacknowledgedStart: (): boolean =>
+        unacknowledgedStart.mayStillExecute(machine.highestFencingToken),
       // Its end must be stored first; and a start that may still come would run it once more.
-      mayReap: (): boolean =>
-        (chunk.stored >= version || chunk.dropped) &&
-        !leftover.isInDoubt() &&
-        !leftover.sentInAnswer,
+      mayAcknowledge: (): boolean =>
+        (chunk.storedVersion >= version || chunk.isDropped) &&
+        !endedAttempt.hasUnacknowledgedStart() &&
+        !endedAttempt.startSentInAnswer,
     };
-    machine.leftovers.set(attemptKey(chunk.taskName(task), attempt), leftover);
+    machine.endedAttempts.set(attemptKey(chunk.taskName(task), attemptNumber), endedAttempt);
   }
 
   private noteFailure(machine: Machine, chunk: Chunk, now: number): void {
     machine.failedJobs.add(chunk.spec.id);
-    chunk.failures++;
-    chunk.failedOn.add(machine.name);
+    chunk.failureCount++;
+    chunk.failedMachines.add(machine.name);
     // Several jobs failing on one machine point at the machine; one job failing on several machines
     // points at the job. Neither takes the other's good name with it.
-    const jobIsBad = chunk.failedOn.size >= FAULTY_JOB_MACHINES;
+    const jobIsBad = chunk.failedMachines.size >= FAULTY_JOB_MACHINES;
     if (jobIsBad) machine.failedJobs.delete(chunk.spec.id);
     if (machine.failedJobs.size >= FAULTY_MACHINE_JOBS) {
-      machine.shunnedUntil = now + this.options.lease * machine.failedJobs.size;
+      machine.quarantinedUntil = now + this.options.workerLease * machine.failedJobs.size;
     }
     this.backOff(chunk, now);
   }
 
   private backOff(chunk: Chunk, now: number): void {
-    const steps = Math.min(5, chunk.failedOn.size);
-    chunk.notBefore = now + (this.options.report / 4) * 2 ** steps;
+    const steps = Math.min(5, chunk.failedMachines.size);
+    chunk.retryNotBefore = now + (this.options.heartbeatInterval / 4) * 2 ** steps;
   }
 
   /** A done attempt of ours that an earlier owner started and we hold no entry for. */
-  private claimOrphans(machine: Machine, now: number): void {
-    for (const { task, attempt, state, cause } of machine.tasks.all) {
+  private claimOrphanedResults(machine: Machine, now: number): void {
+    for (const { task, attemptNumber, state, cause } of machine.reportedAttempts.all) {
       if (state !== 'ended' || cause !== 'done') continue;
-      const key = attemptKey(task, attempt);
-      if (machine.entries.has(task) || machine.leftovers.has(key)) continue;
+      const key = attemptKey(task, attemptNumber);
+      if (machine.placements.has(task) || machine.endedAttempts.has(key)) continue;
       const slash = task.lastIndexOf('/');
       const number = Number(task.slice(slash + 1));
-      for (const chunk of this.part.chunksOf(task.slice(0, slash))) {
-        if (number < chunk.from || number >= chunk.to || chunk.done.has(number)) continue;
-        if (chunk.entries.has(number)) continue;
-        chunk.done.add(number);
-        this.part.changed(chunk, now);
+      for (const chunk of this.shard.chunksOf(task.slice(0, slash))) {
+        if (number < chunk.firstTask || number >= chunk.endTask || chunk.doneTasks.has(number))
+          continue;
+        if (chunk.attempts.has(number)) continue;
+        chunk.doneTasks.add(number);
+        this.shard.noteChunkChanged(chunk, now);
         const version = chunk.version;
-        machine.leftovers.set(key, {
-          since: now,
-          sentInAnswer: false,
-          isInDoubt: () => false,
-          mayReap: () => chunk.stored >= version || chunk.dropped,
+        machine.endedAttempts.set(key, {
+          endedAt: now,
+          startSentInAnswer: false,
+          hasUnacknowledgedStart: () => false,
+          mayAcknowledge: () => chunk.storedVersion >= version || chunk.isDropped,
         });
       }
     }
   }
 
-  private drain(machine: Machine, now: number): void {
-    for (const { chunk, entry } of machine.entries.values()) {
-      if (entry.stop !== null || chunk.unwanted) continue;
-      const left = (machine.goneBy ?? now) - now;
-      const { service, checkpoint, save } = chunk.spec;
+  private checkpointBeforePreemption(machine: Machine, now: number): void {
+    for (const { chunk, attempt } of machine.placements.values()) {
+      if (attempt.stop !== null || chunk.isCancelRequested) continue;
+      const left = (machine.preemptionDeadline ?? now) - now;
+      const {
+        isService: service,
+        checkpointInterval: checkpoint,
+        checkpointDuration: save,
+      } = chunk.spec;
       // Without a checkpoint stopping gains nothing, save that a replica's successor starts sooner.
-      const worth = service || (checkpoint > 0 && left <= save + 2 * this.options.report);
-      if (worth) this.part.stop(machine, entry, checkpoint > 0 ? save : 0);
+      const worth =
+        service || (checkpoint > 0 && left <= save + 2 * this.options.heartbeatInterval);
+      if (worth) this.shard.requestStop(machine, attempt, checkpoint > 0 ? save : 0);
     }
   }
 }
--- a/src/coordination/reconciliation/machineLiveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -8,20 +8,22 @@
   private mostSilentAt = -Infinity;
 
   constructor(
-    private readonly part: Pick<Shard, 'audit' | 'label' | 'machines' | 'release'>,
-    private readonly options: Pick<ShardOptions, 'lease' | 'report'>,
+    private readonly shard: Pick<Shard, 'audit' | 'label' | 'machines' | 'terminateAttempt'>,
+    private readonly options: Pick<ShardOptions, 'workerLease' | 'heartbeatInterval'>,
   ) {}
 
   /** Silent machines: what ran there is over once nobody can have renewed the lease that long. */
   sweep(now: number): void {
-    for (const machine of this.part.machines.values()) {
-      machine.cutOff = now - (machine.reportedAt ?? machine.created) > this.options.lease / 2;
-      if (machine.entries.size === 0) continue;
-      const over = AttemptTermination.byLease(machine, this.options, now);
-      if (over === null) continue;
-      machine.lost = true;
-      for (const placed of [...machine.entries.values()]) {
-        this.part.release(machine, placed, over, now);
+    for (const machine of this.shard.machines.values()) {
+      machine.isPartitioned =
+        now - (machine.lastUnsolicitedHeartbeatAt ?? machine.firstSeenAt) >
+        this.options.workerLease / 2;
+      if (machine.placements.size === 0) continue;
+      const termination = AttemptTermination.byLeaseExpiry(machine, this.options, now);
+      if (termination === null) continue;
+      machine.isLost = true;
+      for (const placement of [...machine.placements.values()]) {
+        this.shard.terminateAttempt(machine, placement, termination, now);
       }
     }
   }
@@ -35,10 +37,10 @@
   lostMachines(now: number, bootOf: (machine: Machine) => number, wall: number): string[] {
     if (this.mostAreSilent()) this.mostSilentAt = now;
     const lost: string[] = [];
-    for (const machine of this.part.machines.values()) {
+    for (const machine of this.shard.machines.values()) {
       // Its last owner may be alive and answer it: that we can't reach it says nothing of the machine.
-      if (machine.reached === null && machine.renewed > now) continue;
-      const isNew = machine.reached === null && machine.missedSince === null;
+      if (machine.lastReachedAt === null && machine.leaseRenewedAt > now) continue;
+      const isNew = machine.lastReachedAt === null && machine.firstMissedProbeAt === null;
       const isLost = isNew
         ? this.neverCame(machine, now, wall, bootOf(machine))
         : this.isLost(machine, now);
@@ -50,21 +52,21 @@
   }
 
   private noteGivenUp(machine: Machine, now: number): void {
-    if (machine.isGivenUp) return;
-    machine.isGivenUp = true;
-    this.part.audit.note({
+    if (machine.isReleaseRequested) return;
+    machine.isReleaseRequested = true;
+    this.shard.audit.note({
       event: 'machine-given-up',
-      part: this.part.label,
+      shard: this.shard.label,
       machine: machine.name,
-      tasks: machine.entries.size,
-      silentFor: now - (machine.reached ?? machine.created),
+      tasks: machine.placements.size,
+      silentFor: now - (machine.lastReachedAt ?? machine.firstSeenAt),
     });
   }
 
   private mostAreSilent(): boolean {
     let asked = 0;
     let silent = 0;
-    for (const { reached, missed } of this.part.machines.values()) {
+    for (const { lastReachedAt: reached, missedProbes: missed } of this.shard.machines.values()) {
       if (reached === null && missed === 0) continue;
       asked++;
       if (missed > 0) silent++;
@@ -77,21 +79,22 @@
    * takeover every worker first has to find us; one that has tasks was up before.
    */
   private neverCame(machine: Machine, now: number, wall: number, boot: number): boolean {
-    const { report } = this.options;
-    const isOverdue = wall - machine.rentedAt > boot * 1.6 + report * 2;
-    const isWatched = now - machine.created > report * 5;
-    return isOverdue && isWatched && machine.entries.size === 0;
+    const { heartbeatInterval } = this.options;
+    const isOverdue = wall - machine.launchedAt > boot * 1.6 + heartbeatInterval * 2;
+    const isWatched = now - machine.firstSeenAt > heartbeatInterval * 5;
+    return isOverdue && isWatched && machine.placements.size === 0;
   }
 
   private isLost(machine: Machine, now: number): boolean {
-    const { report } = this.options;
-    const silentFor = now - (machine.reached ?? machine.created);
-    const since = machine.missedSince;
-    if (since === null || machine.missed < 2 || silentFor < report * 0.8) return false;
+    const { heartbeatInterval } = this.options;
+    const silentFor = now - (machine.lastReachedAt ?? machine.firstSeenAt);
+    const since = machine.firstMissedProbeAt;
+    if (since === null || machine.missedProbes < 2 || silentFor < heartbeatInterval * 0.8)
+      return false;
     const { answering, silent } = this.othersSince(machine, since);
-    const isAlone = answering === 0 && silent === 0 && silentFor > report * 3;
+    const isAlone = answering === 0 && silent === 0 && silentFor > heartbeatInterval * 3;
     // When a cut ends most answer at once. The others have not been asked since, and were released as lost.
-    const askedSince = machine.askedAt >= this.mostSilentAt;
+    const askedSince = machine.lastProbeAt >= this.mostSilentAt;
     return isAlone || (answering > silent && askedSince);
   }
 
@@ -99,10 +102,10 @@
   private othersSince(machine: Machine, since: number): { answering: number; silent: number } {
     let answering = 0;
     let silent = 0;
-    for (const other of this.part.machines.values()) {
-      if (other === machine || other.lost) continue;
-      if (other.reached !== null && other.reached > since) answering++;
-      else if (other.missed > 0) silent++;
+    for (const other of this.shard.machines.values()) {
+      if (other === machine || other.isLost) continue;
+      if (other.lastReachedAt !== null && other.lastReachedAt > since) answering++;
+      else if (other.missedProbes > 0) silent++;
     }
     return { answering, silent };
   }
--- a/src/coordination/reconciliation/unacknowledgedStart.ts
+++ b/src/coordination/reconciliation/unacknowledgedStart.ts
@@ -9,34 +9,34 @@
 
 export class UnacknowledgedStart {
   /** The token of the command that is on its way. There is one at a time for a machine. */
-  private awaited = NO_TOKEN;
+  private tokenInFlight = NO_TOKEN;
 
   /** `unanswered`: the highest token of a command that got no answer. */
-  constructor(private unanswered = NO_TOKEN) {}
+  constructor(private unansweredToken = NO_TOKEN) {}
 
   /** A worker that has seen a token carries out nothing that was sent under a lower one. */
-  isOpen(seenToken: number): boolean {
-    return Math.max(this.awaited, this.unanswered) >= seenToken;
+  mayStillExecute(seenToken: number): boolean {
+    return Math.max(this.tokenInFlight, this.unansweredToken) >= seenToken;
   }
 
   /** A command with the start leaves under this token. */
-  noteSent(token: number): void {
-    this.awaited = token;
+  noteSent(fencingToken: number): void {
+    this.tokenInFlight = fencingToken;
   }
 
-  noteOutcome(token: number, outcome: CommandOutcome): void {
-    this.awaited = NO_TOKEN;
+  noteOutcome(fencingToken: number, outcome: CommandOutcome): void {
+    this.tokenInFlight = NO_TOKEN;
     switch (outcome) {
       case 'unanswered':
-        this.unanswered = Math.max(this.unanswered, token);
+        this.unansweredToken = Math.max(this.unansweredToken, fencingToken);
         return;
       case 'refused':
         // The worker is past the token or the session, and so past those of all earlier commands.
-        this.unanswered = NO_TOKEN;
+        this.unansweredToken = NO_TOKEN;
         return;
       case 'executed':
         // The worker has seen this token. A copy under the same one is carried out all the same.
-        if (this.unanswered < token) this.unanswered = NO_TOKEN;
+        if (this.unansweredToken < fencingToken) this.unansweredToken = NO_TOKEN;
         return;
       case 'unsent':
         return;
--- a/src/coordination/reconciliation/unknownAttempts.ts
+++ b/src/coordination/reconciliation/unknownAttempts.ts
@@ -11,7 +11,7 @@
   /** Takes in what the machine's worker has just reported. */
   note(machine: Machine): void {
     this.forget(machine);
-    const tasks = machine.strangers.map(({ task }) => task);
+    const tasks = machine.unknownAttempts.map(({ task }) => task);
     if (tasks.length === 0) return;
     this.tasksOn.set(machine, tasks);
     for (const task of tasks) {
--- a/src/coordination/rollout/drain.ts
+++ b/src/coordination/rollout/drain.ts
@@ -6,21 +6,24 @@
   isActive = false;
 
   constructor(
-    private readonly ownership: Pick<ShardLeadership, 'release' | 'reclaim' | 'isIdle'>,
+    private readonly leadership: Pick<
+      ShardLeadership,
+      'relinquishAll' | 'resumeClaiming' | 'isIdle'
+    >,
   ) {}
 
   /** Nothing is owned any more, and nothing on its way to be given up. */
   get isDone(): boolean {
-    return this.isActive && this.ownership.isIdle;
+    return this.isActive && this.leadership.isIdle;
   }
 
   begin(): void {
     this.isActive = true;
-    this.ownership.release();
+    this.leadership.relinquishAll();
   }
 
   cancel(): void {
     this.isActive = false;
-    this.ownership.reclaim();
+    this.leadership.resumeClaiming();
   }
 }
--- a/src/coordination/rollout/health.ts
+++ b/src/coordination/rollout/health.ts
@@ -4,19 +4,19 @@
 import type { Controller } from '../controller/controller.js';
 
 export function healthOf(node: Controller): ControllerHealth {
-  const parts = [...node.ownedParts.values()].map(({ part }) => part);
-  const chunks = parts.flatMap((part) => [...part.chunks.values()]);
-  const services = chunks.filter((chunk) => chunk.spec.service);
+  const shards = [...node.ownedShards.values()].map(({ shard }) => shard);
+  const chunks = shards.flatMap((shard) => [...shard.chunks.values()]);
+  const services = chunks.filter((chunk) => chunk.spec.isService);
   return {
     label: node.settings.label,
     process: node.process,
     version: VERSION,
-    isReady: node.ready,
+    isReady: node.isReady,
     isDraining: node.drain.isActive,
     isDrained: node.drain.isDone,
-    parts: parts.map((part) => part.label),
-    liveReplicas: services.reduce((sum, chunk) => sum + chunk.running, 0),
-    waitingTasks: parts.reduce((sum, part) => sum + part.waiting, 0),
+    parts: shards.map((shard) => shard.label),
+    liveReplicas: services.reduce((sum, chunk) => sum + chunk.runningCount, 0),
+    waitingTasks: shards.reduce((sum, shard) => sum + shard.waitingTaskCount, 0),
     refusedRequests: node.refusedRequests,
   };
 }
--- a/src/coordination/rollout/migratedShards.ts
+++ b/src/coordination/rollout/migratedShards.ts
@@ -15,13 +15,13 @@
 /** What is needed of a node. */
 export interface MigrationContext {
   clock: Clock;
-  settings: { report: number };
-  parts: string[];
-  ownedParts: ReadonlyMap<string, OwnedShard>;
-  ownership: Pick<ShardLeadership, 'get' | 'valid'>;
-  replica: Pick<StateCache, 'get' | 'note'>;
-  state: Pick<StateClient, 'get' | 'txn' | 'keysOfForm' | 'unreadable'>;
-  commits: Pick<JobPersistence, 'rewrite'>;
+  settings: { heartbeatInterval: number };
+  shards: string[];
+  ownedShards: ReadonlyMap<string, OwnedShard>;
+  leadership: Pick<ShardLeadership, 'get' | 'isLeaseValid'>;
+  stateCache: Pick<StateCache, 'get' | 'note'>;
+  stateClient: Pick<StateClient, 'get' | 'transact' | 'keysOfForm' | 'unreadable'>;
+  persistence: Pick<JobPersistence, 'rewrite'>;
 }
 
 /** How long a record's own write is waited for, as a ratio to the time between reports. */
@@ -40,27 +40,27 @@
   /** Parts that this node may convert; whoever rents the machines has what belongs to no part. */
   owned(): MigratedPart[] {
     const { node } = this;
-    const parts = [...node.ownedParts.keys()];
-    if (node.ownership.get(AUTOSCALER_DUTY) !== undefined) parts.push(AUTOSCALER_DUTY);
-    return parts.map((label) => ({
+    const shards = [...node.ownedShards.keys()];
+    if (node.leadership.get(AUTOSCALER_DUTY) !== undefined) shards.push(AUTOSCALER_DUTY);
+    return shards.map((label) => ({
       label,
-      ownership: () => this.ownership(label),
+      ownership: () => this.leadership(label),
       outdated: (after, most) => this.outdated(label, after, most),
       convert: (key) => this.convert(label, key),
     }));
   }
 
-  private ownership(part: string): Condition | null {
-    const held = this.node.ownership.get(part);
-    if (held === undefined || !this.node.ownership.valid) return null;
-    return { key: keys.owner(part), stamp: held.stamp };
+  private leadership(shard: string): Condition | null {
+    const leadership = this.node.leadership.get(shard);
+    if (leadership === undefined || !this.node.leadership.isLeaseValid) return null;
+    return { key: keys.owner(shard), revision: leadership.revision };
   }
 
-  private outdated(part: string, after: string, most: number): string[] {
-    const { state } = this.node;
+  private outdated(shard: string, after: string, most: number): string[] {
+    const { stateClient: state } = this.node;
     const all = [...state.keysOfForm(this.outdatedForm()), ...state.unreadable.keys()];
     return all
-      .filter((key) => key > after && this.partOf(key) === part)
+      .filter((key) => key > after && this.partOf(key) === shard)
       .sort()
       .slice(0, most);
   }
@@ -68,72 +68,72 @@
   /** Who converts a record: the owner of its part, else the lease holder. */
   private partOf(key: string): string {
     const part = key.startsWith(BUCKETS) ? key.split('/')[2] : this.homeOf(key);
-    return part !== undefined && this.node.parts.includes(part) ? part : AUTOSCALER_DUTY;
+    return part !== undefined && this.node.shards.includes(part) ? part : AUTOSCALER_DUTY;
   }
 
   private homeOf(key: string): string | undefined {
     if (!key.startsWith(JOBS)) return undefined;
-    return (this.node.replica.get(key)?.value as JobRecord | undefined)?.home;
+    return (this.node.stateCache.get(key)?.value as JobRecord | undefined)?.homeShard;
   }
 
   private isOutdated(key: string): boolean {
-    return this.node.state.keysOfForm(this.outdatedForm()).includes(key);
+    return this.node.stateClient.keysOfForm(this.outdatedForm()).includes(key);
   }
 
-  private async convert(part: string, key: string): Promise<Conversion> {
-    const reason = this.node.state.unreadable.get(key);
+  private async convert(shard: string, key: string): Promise<Conversion> {
+    const reason = this.node.stateClient.unreadable.get(key);
     if (reason !== undefined) return { kind: 'failed', reason };
     if (!this.isOutdated(key)) return { kind: 'needless' };
-    const host = this.node.ownedParts.get(part);
-    if (host === undefined) return this.rewriteDirectly(part, key);
-    if (key.startsWith(BUCKETS)) return this.rewriteBucket(host, key);
-    return this.rewriteJob(host, key);
+    const ownedShard = this.node.ownedShards.get(shard);
+    if (ownedShard === undefined) return this.rewriteDirectly(shard, key);
+    if (key.startsWith(BUCKETS)) return this.rewriteBucket(ownedShard, key);
+    return this.rewriteJob(ownedShard, key);
   }
 
   /** Its chunks count as changed, so that the part stores it with its next change. */
-  private async rewriteBucket(host: OwnedShard, key: string): Promise<Conversion> {
-    const name = key.slice(keys.runs(host.part.label).length);
-    const bucket = host.buckets.get(name);
+  private async rewriteBucket(ownedShard: OwnedShard, key: string): Promise<Conversion> {
+    const name = key.slice(keys.runs(ownedShard.shard.label).length);
+    const bucket = ownedShard.buckets.get(name);
     if (bucket === undefined) return { kind: 'later' };
     const [chunk] = bucket.chunks;
-    if (chunk === undefined) bucket.stale = true;
-    else host.part.changed(chunk, this.node.clock.now());
+    if (chunk === undefined) bucket.isDirty = true;
+    else ownedShard.shard.noteChunkChanged(chunk, this.node.clock.now());
     return this.waitFor(key);
   }
 
   private async waitFor(key: string): Promise<Conversion> {
     const { clock, settings } = this.node;
-    const deadline = clock.now() + settings.report * PATIENCE;
+    const deadline = clock.now() + settings.heartbeatInterval * PATIENCE;
     while (this.isOutdated(key)) {
       if (clock.now() >= deadline) return { kind: 'later' };
-      await sleep(settings.report * LOOK);
+      await sleep(settings.heartbeatInterval * LOOK);
     }
     return { kind: 'converted' };
   }
 
-  private async rewriteJob(host: OwnedShard, key: string): Promise<Conversion> {
-    const job = host.jobs.get(key.slice(JOBS.length));
+  private async rewriteJob(ownedShard: OwnedShard, key: string): Promise<Conversion> {
+    const job = ownedShard.jobs.get(key.slice(JOBS.length));
     // The job is over: nobody but a migration changes its record any more.
-    if (job === undefined) return this.rewriteDirectly(host.part.label, key);
-    const isWritten = await this.node.commits.rewrite(host, job);
+    if (job === undefined) return this.rewriteDirectly(ownedShard.shard.label, key);
+    const isWritten = await this.node.persistence.rewrite(ownedShard, job);
     return isWritten ? { kind: 'converted' } : { kind: 'later' };
   }
 
   /** Stores what is stored once more, under the ownership that entitles to it. */
-  private async rewriteDirectly(part: string, key: string): Promise<Conversion> {
-    const { state, replica } = this.node;
-    const owner = this.ownership(part);
+  private async rewriteDirectly(shard: string, key: string): Promise<Conversion> {
+    const { stateClient: state, stateCache: replica } = this.node;
+    const owner = this.leadership(shard);
     const item = await state.get(key);
     if (owner === null) return { kind: 'later' };
     if (item === null) return { kind: 'needless' };
-    const { value, stamp } = item;
-    const when = [owner, { key, stamp }];
-    const result = await state.txn({ when, puts: [{ key, value }], removes: [] });
+    const { value, revision } = item;
+    const when = [owner, { key, revision: revision }];
+    const result = await state.transact({ conditions: when, puts: [{ key, value }], deletes: [] });
     if (result.kind === 'malformed') {
       return { kind: 'failed', reason: 'its conversion is beyond the limits of a transaction' };
     }
     if (result.kind !== 'applied') return { kind: 'later' };
-    replica.note(key, value, result.stamp);
+    replica.note(key, value, result.revision);
     return { kind: 'converted' };
   }
 }
--- a/src/coordination/rollout/rolloutRoutes.ts
+++ b/src/coordination/rollout/rolloutRoutes.ts
@@ -62,7 +62,7 @@
 
   private read(rollout: RolloutService, name: string): Reply {
     if (name === '') return { status: 200, body: rollout.status() };
-    if (name === '/driver') return { status: 200, body: rollout.driver() };
+    if (name === '/driver') return driverAnswer(rollout);
     if (name === '/health') return { status: 200, body: healthOf(this.node) };
     return NOT_FOUND;
   }
@@ -85,7 +85,7 @@
       throw error;
     }
     const outcome = await rollout.writeDriver(parsed.stamp, record);
-    if (outcome.kind === 'applied') return { status: 200, body: { stamp: outcome.stamp } };
+    if (outcome.kind === 'applied') return { status: 200, body: { stamp: outcome.revision } };
     if (outcome.kind === 'conflict') return rejected('the record has changed meanwhile');
     return unavailable('the state service has not confirmed it');
   }
@@ -101,6 +101,12 @@
   }
 }
 
+/** The stored driver, under the names of the interface. */
+function driverAnswer(rollout: RolloutService): Reply {
+  const { record, revision } = rollout.driver();
+  return { status: 200, body: { record, stamp: revision } };
+}
+
 function parseOperation(name: string, body: string): Operation | 'unknown' | null {
   switch (name) {
     case '/hold': {
--- a/src/coordination/rollout/rolloutService.ts
+++ b/src/coordination/rollout/rolloutService.ts
@@ -56,15 +56,15 @@
 export interface RolloutContext extends MigrationContext {
   clock: Clock;
   process: string;
-  settings: { label: string; report: number };
-  ownership: ShardLeadership;
+  settings: { label: string; heartbeatInterval: number };
+  leadership: ShardLeadership;
   peers: Pick<PeerRegistry, 'processOf'>;
-  marks: { readonly isUpgraded: boolean };
-  replica: MigrationContext['replica'] & {
+  nodeCapabilities: { readonly isUpgraded: boolean };
+  stateCache: MigrationContext['stateCache'] & {
     readonly loaded: boolean;
-    under(prefix: string): Iterable<[string, { value: unknown; stamp: number }]>;
+    entriesWithPrefix(prefix: string): Iterable<[string, { value: unknown; revision: number }]>;
   };
-  state: StateClient;
+  stateClient: StateClient;
 }
 
 export class RolloutService {
@@ -72,7 +72,7 @@
   private readonly participant: Participant;
   private readonly coordinator: VersionCoordinator;
   private readonly migrator: Migrator;
-  private readonly parts: MigratedShards;
+  private readonly shards: MigratedShards;
   private readonly history = new BlockerHistory();
   private readonly store: RecordStore;
   private readonly range = { min: featureTable.lowest, max: featureTable.highest };
@@ -88,11 +88,11 @@
     private readonly setup: RolloutSetup,
   ) {
     this.tracker = new VersionTracker(featureTable, this.range, MARKED_LEVEL);
-    this.store = { txn: (change) => node.state.txn(change, 'urgent') };
-    this.parts = new MigratedShards(node, () => this.outdatedForm);
+    this.store = { transact: (change) => node.stateClient.transact(change, 'urgent') };
+    this.shards = new MigratedShards(node, () => this.outdatedForm);
     this.participant = this.createParticipant();
     this.coordinator = this.createCoordinator();
-    this.migrator = new Migrator(this.store, node.replica, {
+    this.migrator = new Migrator(this.store, node.stateCache, {
       operations: STEP_OPERATIONS,
       quarantineNames: QUARANTINE_NAMES,
       mayWrite: () => this.mayMigrate,
@@ -106,10 +106,10 @@
     const { node, tracker } = this;
     return new Participant(
       this.store,
-      node.replica,
+      node.stateCache,
       {
         get hold() {
-          return node.ownership.valid ? node.ownership.lease : null;
+          return node.leadership.isLeaseValid ? node.leadership.leaseId : null;
         },
         get version() {
           return tracker.current;
@@ -126,15 +126,15 @@
   }
 
   private createCoordinator(): VersionCoordinator {
-    const { ownership, replica, state } = this.node;
+    const { leadership: ownership, stateCache: replica, stateClient: state } = this.node;
     const lease = {
       condition: () => {
-        const held = ownership.get(AUTOSCALER_DUTY);
-        if (held === undefined || !ownership.valid) return null;
-        return { key: keys.owner(AUTOSCALER_DUTY), stamp: held.stamp };
+        const leadership = ownership.get(AUTOSCALER_DUTY);
+        if (leadership === undefined || !ownership.isLeaseValid) return null;
+        return { key: keys.owner(AUTOSCALER_DUTY), revision: leadership.revision };
       },
       get token() {
-        return ownership.get(AUTOSCALER_DUTY)?.token ?? 0;
+        return ownership.get(AUTOSCALER_DUTY)?.fencingToken ?? 0;
       },
     };
     return new VersionCoordinator(this.store, replica, lease, () => this.snapshot(), {
@@ -181,7 +181,7 @@
   }
 
   private publishedProcess(label: string): string | null {
-    return viewNode(this.node.replica, label, null).presence?.value.process ?? null;
+    return viewNode(this.node.stateCache, label, null).presence?.value.process ?? null;
   }
 
   // ---- Following and reconciling ----
@@ -198,7 +198,7 @@
 
   /** One step of all that is under way. */
   async reconcile(): Promise<void> {
-    const { replica, marks } = this.node;
+    const { stateCache: replica, nodeCapabilities: marks } = this.node;
     // Before all nodes have marked themselves there is nothing to be raised (safety, V2).
     if (!replica.loaded || !marks.isUpgraded || this.tracker.refusal !== null) return;
     try {
@@ -217,14 +217,14 @@
    */
   private async comply(version: ClusterVersion): Promise<boolean> {
     if (version.phase !== 'lowering') return true;
-    const { ownership, ownedParts } = this.node;
-    for (const part of ownership.heldParts) {
-      const host = ownedParts.get(part);
+    const { leadership: ownership, ownedShards: ownedParts } = this.node;
+    for (const shard of ownership.ledShards) {
+      const ownedShard = ownedParts.get(shard);
       const isDone =
-        host === undefined
-          ? (await ownership.raise(part)) !== null
-          : await advanceFencingToken(ownership, host);
-      if (!isDone && ownership.get(part) !== undefined) return false;
+        ownedShard === undefined
+          ? (await ownership.advanceFencingToken(shard)) !== null
+          : await advanceFencingToken(ownership, ownedShard);
+      if (!isDone && ownership.get(shard) !== undefined) return false;
     }
     return true;
   }
@@ -234,8 +234,10 @@
   }
 
   private get mayMigrate(): boolean {
-    const { state, settings } = this.node;
-    return state.writeLoad < MIGRATION_LOAD && state.writeDelay('later') < settings.report;
+    const { stateClient: state, settings } = this.node;
+    return (
+      state.writeLoad < MIGRATION_LOAD && state.writeDelay('later') < settings.heartbeatInterval
+    );
   }
 
   private async migrate(): Promise<void> {
@@ -243,7 +245,7 @@
     if (walk === 0 || this.isMigrating) return;
     this.isMigrating = true;
     try {
-      const due = this.parts.owned().filter((part) => !this.isWalked(part, walk));
+      const due = this.shards.owned().filter((part) => !this.isWalked(part, walk));
       for (const part of due) await this.migrator.step(part, walk);
     } finally {
       this.isMigrating = false;
@@ -251,30 +253,30 @@
   }
 
   private isWalked({ label }: MigratedPart, walk: number): boolean {
-    return readProgress(this.node.replica, label, walk).isFinished;
+    return readProgress(this.node.stateCache, label, walk).isFinished;
   }
 
   private snapshot(): ClusterSnapshot {
-    const { replica, parts, peers, settings, process } = this.node;
+    const { stateCache: replica, shards, peers, settings, process } = this.node;
     const service = {
-      nodes: parts,
+      nodes: shards,
       parts: this.allParts,
       heardProcess: (label: string) =>
         label === settings.label ? process : peers.processOf(label),
-      owner: (part: string) => this.ownerOf(part),
+      owner: (shard: string) => this.ownerOf(shard),
     };
     return viewCluster(replica, service, this.tracker.current, this.tracker.damage);
   }
 
   private get allParts(): string[] {
-    return [...this.node.parts, AUTOSCALER_DUTY];
+    return [...this.node.shards, AUTOSCALER_DUTY];
   }
 
-  private ownerOf(part: string): OwnerView {
-    const key = keys.owner(part);
-    const stored = this.node.replica.get(key);
+  private ownerOf(shard: string): OwnerView {
+    const key = keys.owner(shard);
+    const stored = this.node.stateCache.get(key);
     const owner = (stored?.value ?? null) as LeaderRecord | null;
-    return { part, key, stamp: stored?.stamp ?? 0, owner };
+    return { part: shard, key, revision: stored?.revision ?? 0, owner };
   }
 
   // ---- Operators ----
@@ -287,7 +289,7 @@
 
   status(): RolloutStatus {
     return rolloutStatus({
-      copy: this.node.replica,
+      copy: this.node.stateCache,
       snapshot: this.snapshot(),
       features: featureTable,
       parts: this.allParts,
@@ -296,22 +298,22 @@
   }
 
   /** The stored state of the rollout of controllers. */
-  driver(): { record: DriverRecord | null; stamp: number } {
-    const stored = this.node.replica.get(rolloutKeys.driver);
-    if (stored === undefined) return { record: null, stamp: 0 };
+  driver(): { record: DriverRecord | null; revision: number } {
+    const stored = this.node.stateCache.get(rolloutKeys.driver);
+    if (stored === undefined) return { record: null, revision: 0 };
     try {
-      return { record: decodeDriver(rolloutKeys.driver, stored.value), stamp: stored.stamp };
+      return { record: decodeDriver(rolloutKeys.driver, stored.value), revision: stored.revision };
     } catch (error) {
-      if (error instanceof DamagedRecordError) return { record: null, stamp: stored.stamp };
+      if (error instanceof DamagedRecordError) return { record: null, revision: stored.revision };
       throw error;
     }
   }
 
-  writeDriver(stamp: number, record: DriverRecord): Promise<ChangeOutcome> {
-    return applyChange(this.store, this.node.replica, {
-      when: [{ key: rolloutKeys.driver, stamp }],
+  writeDriver(revision: number, record: DriverRecord): Promise<ChangeOutcome> {
+    return applyChange(this.store, this.node.stateCache, {
+      conditions: [{ key: rolloutKeys.driver, revision }],
       puts: [{ key: rolloutKeys.driver, value: record }],
-      removes: [],
+      deletes: [],
     });
   }
 
@@ -332,7 +334,7 @@
   }
 
   operate(operation: Operation): Promise<OperationResult> {
-    const { replica, clock } = this.node;
+    const { stateCache: replica, clock } = this.node;
     const cluster = {
       version: this.tracker.current,
       versionCondition: unchanged(replica, rolloutKeys.version),
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -5,7 +5,7 @@
 export interface Resources {
   cpus: number;
   gpus: number;
-  memory: number;
+  memoryGb: number;
 }
 
 export interface CandidateMachine {
@@ -17,16 +17,16 @@
   /** Time per unit of work against the usual; 1 is usual, 2 is half as fast. */
   slowness: number;
   /** Processors that live services have there. */
-  live: number;
+  serviceCpus: number;
   hasImage(image: string): boolean;
 }
 
 const EPSILON = 1e-6;
 
-export const fits = (room: Resources, need: Resources): boolean =>
-  room.cpus + EPSILON >= need.cpus &&
-  room.gpus + EPSILON >= need.gpus &&
-  room.memory + EPSILON >= need.memory;
+export const fits = (resources: Resources, need: Resources): boolean =>
+  resources.cpus + EPSILON >= need.cpus &&
+  resources.gpus + EPSILON >= need.gpus &&
+  resources.memoryGb + EPSILON >= need.memoryGb;
 
 /** Whether a job's constraints allow a machine, whatever room it has. */
 export function satisfiesConstraints(
@@ -35,10 +35,10 @@
   host: { type: string; zone: string; spot: boolean },
 ): boolean {
   return (
-    (spec.types === null || spec.types.includes(host.type)) &&
+    (spec.machineTypes === null || spec.machineTypes.includes(host.type)) &&
     (spec.zone === null || spec.zone === host.zone) &&
     (zone === null || zone === host.zone) &&
-    (spec.spot || !host.spot)
+    (spec.allowsSpot || !host.spot)
   );
 }
 
@@ -48,18 +48,20 @@
 export function shapeOf(spec: JobSpec, zone: string | null): string {
   let shape = shapes.get(spec);
   if (shape === undefined) {
-    const { cpus, gpus, memory, types, spot } = spec;
-    shape = [cpus, gpus, memory, types?.join(',') ?? '*', spec.zone ?? '*', spot].join(' ');
+    const { cpus, gpus, memoryGb, machineTypes, allowsSpot: spot } = spec;
+    shape = [cpus, gpus, memoryGb, machineTypes?.join(',') ?? '*', spec.zone ?? '*', spot].join(
+      ' ',
+    );
     shapes.set(spec, shape);
   }
   return zone === null ? shape : `${shape} ${zone}`;
 }
 
 /** Takes room away, or gives it back with -1. */
-export function subtractResources(room: Resources, need: Resources, times = 1): void {
-  room.cpus -= times * need.cpus;
-  room.gpus -= times * need.gpus;
-  room.memory -= times * need.memory;
+export function subtractResources(resources: Resources, need: Resources, times = 1): void {
+  resources.cpus -= times * need.cpus;
+  resources.gpus -= times * need.gpus;
+  resources.memoryGb -= times * need.memoryGb;
 }
 
 /** Samples a few of the machines that have room; those that hold the image are always looked at. */
@@ -88,11 +90,11 @@
   let best: T | null = null;
   let bestScore = Infinity;
   for (const host of hosts) {
-    const left = host.free.cpus - spec.cpus + (host.free.memory - spec.memory) / 1e3;
-    const spotFirst = spec.spot && !host.spot ? 1e3 : 0;
+    const left = host.free.cpus - spec.cpus + (host.free.memoryGb - spec.memoryGb) / 1e3;
+    const spotFirst = spec.allowsSpot && !host.spot ? 1e3 : 0;
     // Live services keep apart: the loss of one machine should take few of them.
     // But one more machine with a live service on it can't be returned once batch work is through.
-    const apart = spec.service ? (host.live > 0 ? 10 * host.live : 1e3) : 0;
+    const apart = spec.isService ? (host.serviceCpus > 0 ? 10 * host.serviceCpus : 1e3) : 0;
     const imageFirst = host.hasImage(spec.image) ? 0 : 1e4;
     const slow = host.slowness > 1.5 ? 1e6 * host.slowness : 0;
     const score = left + spotFirst + apart + imageFirst + slow;
@@ -117,7 +119,7 @@
  */
 export function victimsFor<T extends Victim>(
   free: Resources,
-  need: Resources,
+  resources: Resources,
   running: T[],
   rank: number,
 ): T[] | null {
@@ -126,11 +128,11 @@
   const room = { ...free };
   const chosen: T[] = [];
   for (const victim of candidates) {
-    if (fits(room, need)) break;
+    if (fits(room, resources)) break;
     room.cpus += victim.need.cpus;
     room.gpus += victim.need.gpus;
-    room.memory += victim.need.memory;
+    room.memoryGb += victim.need.memoryGb;
     chosen.push(victim);
   }
-  return fits(room, need) ? chosen : null;
+  return fits(room, resources) ? chosen : null;
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -25,10 +25,10 @@
 
 export class Preemption {
   constructor(
-    private readonly part: Pick<Shard, 'machines' | 'chunks' | 'stop'>,
+    private readonly shard: Pick<Shard, 'machines' | 'chunks' | 'requestStop'>,
     private readonly teams: TeamUsage,
     /** Seconds between two reports of a worker. */
-    private readonly report: number,
+    private readonly heartbeatInterval: number,
   ) {}
 
   /** Stops lower-ranked work on the machines where that costs least. */
@@ -43,8 +43,8 @@
     const offers = new Map<string, Heap<Offer>>();
     for (const chunk of claimants) {
       // One task's room at a time for each that waits; more would stop work for nothing.
-      const left = Math.max(0, chunk.pending - making);
-      making = Math.max(0, making - chunk.pending);
+      const left = Math.max(0, chunk.pendingCount - making);
+      making = Math.max(0, making - chunk.pendingCount);
       if (left === 0) continue;
       if (outOfTime()) return;
       const claim = claimOf(chunk);
@@ -53,7 +53,7 @@
       let heap = offers.get(shape);
       if (heap === undefined) {
         heap = new Heap<Offer>((a, b) => a.loss - b.loss);
-        for (const machine of this.part.machines.values()) this.offer(heap, machine, chunk, now);
+        for (const machine of this.shard.machines.values()) this.offer(heap, machine, chunk, now);
         offers.set(shape, heap);
       }
       this.stopFor(chunk, left, heap, now);
@@ -64,11 +64,11 @@
   private running(): { lowestRank: number; ending: number } {
     let ending = 0;
     let lowestRank = Infinity;
-    for (const chunk of this.part.chunks.values()) {
-      if (chunk.entries.size === 0) continue;
+    for (const chunk of this.shard.chunks.values()) {
+      if (chunk.attempts.size === 0) continue;
       lowestRank = Math.min(lowestRank, chunk.rank);
-      if (chunk.cancelled) continue;
-      for (const entry of chunk.entries.values()) if (entry.stop !== null) ending++;
+      if (chunk.isCancelled) continue;
+      for (const attempt of chunk.attempts.values()) if (attempt.stop !== null) ending++;
     }
     return { lowestRank, ending };
   }
@@ -80,11 +80,11 @@
       const best = offers.pop();
       if (best === undefined) return;
       // Another shape may have been given some of it meanwhile.
-      if (!best.victims.some((v) => v.placed.entry.stop !== null)) {
+      if (!best.victims.some((v) => v.placed.attempt.stop !== null)) {
         left--;
-        for (const { placed } of best.victims) {
-          const { checkpoint, save } = placed.chunk.spec;
-          this.part.stop(best.machine, placed.entry, checkpoint > 0 ? save : 0);
+        for (const { placed: placement } of best.victims) {
+          const { checkpointInterval: checkpoint, checkpointDuration: save } = placement.chunk.spec;
+          this.shard.requestStop(best.machine, placement.attempt, checkpoint > 0 ? save : 0);
         }
       }
       this.offer(offers, best.machine, chunk, now);
@@ -92,7 +92,8 @@
   }
 
   private offer(heap: Heap<Offer>, machine: Machine, chunk: Chunk, now: number): void {
-    if (!machine.usable(now) || !satisfiesConstraints(chunk.spec, chunk.zone, machine)) return;
+    if (!machine.isSchedulable(now) || !satisfiesConstraints(chunk.spec, chunk.zone, machine))
+      return;
     const victims = victimsFor(
       machine.free,
       chunk.spec,
@@ -108,11 +109,12 @@
     const list: Victims = [];
     const entitled = this.teams.isEntitled(claimant.spec);
     const borrowed = new Map<string, TeamResources>();
-    for (const placed of machine.entries.values()) {
-      const { chunk, entry } = placed;
-      if (entry.stop !== null) continue;
-      const ran = entry.runningSince === null ? 0 : now - entry.runningSince;
-      const loss = chunk.spec.checkpoint > 0 ? Math.min(ran, chunk.spec.save) : ran;
+    for (const placement of machine.placements.values()) {
+      const { chunk, attempt } = placement;
+      if (attempt.stop !== null) continue;
+      const ran = attempt.runningSince === null ? 0 : now - attempt.runningSince;
+      const loss =
+        chunk.spec.checkpointInterval > 0 ? Math.min(ran, chunk.spec.checkpointDuration) : ran;
       let { rank } = chunk;
       if (entitled && chunk.spec.team !== claimant.spec.team) {
         // Work of any rank that another team runs beyond its own guarantee gives way.
@@ -125,7 +127,7 @@
           rank = -1;
         }
       }
-      list.push({ rank, need: chunk.spec, loss, placed });
+      list.push({ rank, need: chunk.spec, loss, placed: placement });
     }
     return list;
   }
@@ -135,25 +137,27 @@
    * full of lower-ranked work: that work makes room, and the replica waits the moment it takes.
    */
   makeRoomAtImage(chunk: Chunk, now: number): boolean {
-    if (chunk.pending === 0) return false;
+    if (chunk.pendingCount === 0) return false;
     const { spec } = chunk;
-    const patience = this.report / 6;
-    if (chunk.clearingSince !== null && now - chunk.clearingSince > patience) return false;
+    const patience = this.heartbeatInterval / 6;
+    if (chunk.preemptingSince !== null && now - chunk.preemptingSince > patience) return false;
     const stoppable: { machine: Machine; victims: Victims; loss: number }[] = [];
-    for (const machine of this.part.machines.values()) {
-      if (!machine.usable(now) || !satisfiesConstraints(spec, chunk.zone, machine)) continue;
+    for (const machine of this.shard.machines.values()) {
+      if (!machine.isSchedulable(now) || !satisfiesConstraints(spec, chunk.zone, machine)) continue;
       if (!machine.hasImage(spec.image) || machine.slowness > 1.5) continue;
       if (fits(machine.free, spec)) return false;
       const running = this.stoppable(machine, chunk, now);
       const victims = victimsFor(machine.free, spec, running, chunk.rank);
-      if (victims === null || victims.some((v) => v.placed.chunk.spec.checkpoint > 0)) continue;
+      if (victims === null || victims.some((v) => v.placed.chunk.spec.checkpointInterval > 0))
+        continue;
       stoppable.push({ machine, victims, loss: victims.reduce((n, v) => n + v.loss, 0) });
     }
-    if (chunk.clearingSince !== null) return true;
+    if (chunk.preemptingSince !== null) return true;
     const best = stoppable.sort((a, b) => a.loss - b.loss)[0];
     if (best === undefined || best.victims.length === 0) return false;
-    chunk.clearingSince = now;
-    for (const { placed } of best.victims) this.part.stop(best.machine, placed.entry, 0);
+    chunk.preemptingSince = now;
+    for (const { placed: placement } of best.victims)
+      this.shard.requestStop(best.machine, placement.attempt, 0);
     return true;
   }
 }
--- a/src/coordination/scheduling/queueReplay.ts
+++ b/src/coordination/scheduling/queueReplay.ts
@@ -55,7 +55,7 @@
   head: number;
 }
 
-const NOTHING: Resources = { cpus: 0, gpus: 0, memory: 0 };
+const NOTHING: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 /** The queue by shapes: of those that want the same, only the first has to be looked at. */
 function lanesOf(items: ReplayItem[]): Lane[] {
@@ -126,20 +126,21 @@
   const ends = new Ends(start.ends);
   let own = candidate.count;
   /** Starts what this machine has room for, first come first served, later work filling in behind. */
-  const fill = (host: ReplayMachine, index: number, room: Resources, now: number): void => {
+  const fill = (host: ReplayMachine, index: number, resources: Resources, now: number): void => {
     for (;;) {
       let first: Lane | null = null;
       let order = Infinity;
       for (const lane of lanes) {
         const next = lane.waiting[lane.head];
         if (next === undefined || next.order > order) continue;
-        if (!fits(room, lane.spec) || !satisfiesConstraints(lane.spec, lane.zone, host)) continue;
+        if (!fits(resources, lane.spec) || !satisfiesConstraints(lane.spec, lane.zone, host))
+          continue;
         [first, order] = [lane, next.order];
       }
       const next = first?.waiting[first.head];
       if (first === null || next === undefined) return;
       const { spec: need, run } = next.item;
-      subtractResources(room, need);
+      subtractResources(resources, need);
       if (Number.isFinite(run)) ends.add({ at: now + run, host: index, need });
       if (next.item === candidate) own--;
       if (--next.left > 0) continue;
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -31,52 +31,59 @@
   /** Shapes of work for which no machine has room. */
   full: Set<string>;
   /** Shapes of work that no machine will ever have room for. */
-  hopeless: Set<string>;
+  unschedulable: Set<string>;
   /** Teams whose limit holds up the first of their work. */
-  capped: Set<string>;
+  throttledTeams: Set<string>;
   /** What was found out of each team's work that starves at other parts. */
-  starved: Map<string, StarvedJob | null>;
+  starvedJobs: Map<string, StarvedJob | null>;
 }
 
 export class Scheduler {
   /** Teams that were kept waiting by their share of the limit in the last round. */
-  readonly throttled = new Set<string>();
+  readonly throttledTeams = new Set<string>();
   /** The first of each team that its limit has kept waiting for long. */
-  readonly starving = new Map<string, StarvedJob>();
+  readonly starvedJobs = new Map<string, StarvedJob>();
   /** The chunk at which the last round ran out of time. */
   private resumeAfter: string | null = null;
   private readonly preemption: Preemption;
 
   constructor(
-    private readonly part: Pick<
+    private readonly shard: Pick<
       Shard,
-      'chunks' | 'machines' | 'label' | 'teams' | 'estimates' | 'queue' | 'changed' | 'stop'
+      | 'chunks'
+      | 'machines'
+      | 'label'
+      | 'teamUsage'
+      | 'waitEstimates'
+      | 'queuedChunks'
+      | 'noteChunkChanged'
+      | 'requestStop'
     >,
-    private readonly options: Pick<ShardOptions, 'report' | 'sample'>,
+    private readonly options: Pick<ShardOptions, 'heartbeatInterval' | 'sample'>,
     private readonly runTimes: RunTimes,
     private readonly random: Random,
     private readonly cluster: ClusterView,
   ) {
-    this.preemption = new Preemption(part, part.teams, options.report);
+    this.preemption = new Preemption(shard, shard.teamUsage, options.heartbeatInterval);
   }
 
   /**
    * One round: places what fits, first come first served within a rank, later work filling in
    * behind. Stops at the deadline; the next round goes on where this one stopped.
    */
-  decide(now: number, outOfTime: () => boolean): void {
-    const queue = this.part.queue();
-    this.throttled.clear();
+  runRound(now: number, outOfTime: () => boolean): void {
+    const queue = this.shard.queuedChunks();
+    this.throttledTeams.clear();
     const start = queue.findIndex((c) => c.id === this.resumeAfter);
     this.resumeAfter = null;
-    this.starving.clear();
+    this.starvedJobs.clear();
     const round: Round = {
       withRoom: this.machinesWithRoom(now),
       reserved: null,
       full: new Set(),
-      hopeless: new Set(),
-      capped: new Set(),
-      starved: new Map(),
+      unschedulable: new Set(),
+      throttledTeams: new Set(),
+      starvedJobs: new Map(),
     };
     const blocked: Chunk[] = [];
     for (let i = 0; i < queue.length; i++) {
@@ -88,23 +95,23 @@
         this.resumeAfter = chunk.id;
         break;
       }
-      if (chunk.notBefore > now) continue;
-      if (chunk.spec.service && this.preemption.makeRoomAtImage(chunk, now)) continue;
-      const before = chunk.entries.size;
+      if (chunk.retryNotBefore > now) continue;
+      if (chunk.spec.isService && this.preemption.makeRoomAtImage(chunk, now)) continue;
+      const before = chunk.attempts.size;
       const waits = this.placeChunk(chunk, round, now);
-      if (chunk.spec.gang && chunk.entries.size > before) chunk.next++;
+      if (chunk.spec.isGang && chunk.attempts.size > before) chunk.nextAttemptNumber++;
       if (!waits) {
         chunk.blockedSince = null;
         continue;
       }
       chunk.blockedSince ??= now;
       // Room would be kept in vain for one that its team's limit holds up.
-      if (round.capped.has(chunk.spec.team)) continue;
+      if (round.throttledTeams.has(chunk.spec.team)) continue;
       blocked.push(chunk);
       const shape = shapeOf(chunk.spec, chunk.zone);
-      if (round.reserved === null && !round.hopeless.has(shape)) {
+      if (round.reserved === null && !round.unschedulable.has(shape)) {
         round.reserved = this.shadow(chunk, now);
-        if (round.reserved === null) round.hopeless.add(shape);
+        if (round.reserved === null) round.unschedulable.add(shape);
       }
     }
     this.preemption.makeRoom(blocked, now, outOfTime);
@@ -113,9 +120,9 @@
   /** Rooms only shrink within a round, so the machines that are full at its start need not be looked at again. */
   private machinesWithRoom(now: number): Machine[] {
     const found: Machine[] = [];
-    for (const machine of this.part.machines.values()) {
+    for (const machine of this.shard.machines.values()) {
       // Every task takes some processor, but not every one takes memory.
-      if (machine.free.cpus > 0 && machine.usable(now)) found.push(machine);
+      if (machine.free.cpus > 0 && machine.isSchedulable(now)) found.push(machine);
     }
     return found;
   }
@@ -124,18 +131,19 @@
   private placeChunk(chunk: Chunk, round: Round, now: number): boolean {
     const { spec } = chunk;
     if (this.mustYield(chunk, round)) return true;
-    if (spec.gang && !this.gangFits(chunk, round, now)) return true;
+    if (spec.isGang && !this.gangFits(chunk, round, now)) return true;
     const kept = this.keptFrom(chunk, round, now);
     // Rooms only shrink within a round: what found none leaves none for others of its shape.
     const shape = shapeOf(spec, chunk.zone);
     const behind = `${shape} behind`;
     if (round.full.has(shape) || (kept !== undefined && round.full.has(behind))) return true;
     // A job that has failed on some machines goes to others, as long as there are any.
-    const isChoosy = chunk.failedOn.size > 0 && chunk.failedOn.size < this.part.machines.size;
+    const isChoosy =
+      chunk.failedMachines.size > 0 && chunk.failedMachines.size < this.shard.machines.size;
     let hosts: Machine[] | null = null;
-    while (chunk.pending > 0) {
-      if (!this.part.teams.withinAllowance(spec)) {
-        this.noteCapped(chunk, round, now);
+    while (chunk.pendingCount > 0) {
+      if (!this.shard.teamUsage.withinAllowance(spec)) {
+        this.noteThrottled(chunk, round, now);
         return true;
       }
       hosts ??= candidates(round.withRoom, chunk, kept, isChoosy);
@@ -155,9 +163,9 @@
 
   /** The machine that is reserved for the first that waits, if work of this chunk would delay that. */
   private keptFrom({ spec }: Chunk, { reserved }: Round, now: number): Machine | undefined {
-    if (reserved === null || spec.gang) return undefined;
-    const run = this.runTimes.expected(spec.jobClass, spec.expect);
-    return spec.service || now + run > reserved.at ? reserved.machine : undefined;
+    if (reserved === null || spec.isGang) return undefined;
+    const run = this.runTimes.expected(spec.jobClass, spec.expectedRunSeconds);
+    return spec.isService || now + run > reserved.at ? reserved.machine : undefined;
   }
 
   /**
@@ -166,18 +174,19 @@
    */
   private mustYield(chunk: Chunk, round: Round): boolean {
     const { team } = chunk.spec;
-    if (chunk.pending === 0) return false;
-    if (round.capped.has(team)) return true;
-    let first = round.starved.get(team);
-    if (first === undefined) round.starved.set(team, (first = this.cluster.starvedElsewhere(team)));
+    if (chunk.pendingCount === 0) return false;
+    if (round.throttledTeams.has(team)) return true;
+    let first = round.starvedJobs.get(team);
+    if (first === undefined)
+      round.starvedJobs.set(team, (first = this.cluster.starvedElsewhere(team)));
     if (!this.isBehind(chunk, first)) return false;
-    round.capped.add(team);
+    round.throttledTeams.add(team);
     return true;
   }
 
   private isBehind(chunk: Chunk, first: StarvedJob | null): boolean {
     if (first === null || chunk.rank > first.rank) return false;
-    return chunk.rank < first.rank || chunk.at > first.at;
+    return chunk.rank < first.rank || chunk.submittedAt > first.submittedAt;
   }
 
   /**
@@ -187,36 +196,39 @@
   wanted(team: string): TeamResources {
     const want = noTeamResources();
     const first = this.cluster.starvedElsewhere(team);
-    for (const chunk of this.part.chunks.values()) {
+    for (const chunk of this.shard.chunks.values()) {
       if (chunk.spec.team !== team || this.isBehind(chunk, first)) continue;
-      want.cpus += chunk.pending * chunk.spec.cpus;
-      want.gpus += chunk.pending * chunk.spec.gpus;
+      want.cpus += chunk.pendingCount * chunk.spec.cpus;
+      want.gpus += chunk.pendingCount * chunk.spec.gpus;
     }
     return want;
   }
 
-  private noteCapped(chunk: Chunk, round: Round, now: number): void {
+  private noteThrottled(chunk: Chunk, round: Round, now: number): void {
     const { team } = chunk.spec;
-    this.throttled.add(team);
-    round.capped.add(team);
+    this.throttledTeams.add(team);
+    round.throttledTeams.add(team);
     const since = chunk.blockedSince ?? now;
-    if (now - since > this.options.report * 2) {
-      this.starving.set(team, { team, at: chunk.at, rank: chunk.rank });
+    if (now - since > this.options.heartbeatInterval * 2) {
+      this.starvedJobs.set(team, { team, submittedAt: chunk.submittedAt, rank: chunk.rank });
     }
   }
 
   /** A gang starts whole: nothing of it is left running, and there is room for all that is not done. */
   private gangFits(chunk: Chunk, round: Round, now: number): boolean {
-    if (chunk.entries.size > 0) return false;
+    if (chunk.attempts.size > 0) return false;
     const { spec } = chunk;
-    if (!this.part.teams.withinAllowance(spec, chunk.pending)) {
-      this.noteCapped(chunk, round, now);
+    if (!this.shard.teamUsage.withinAllowance(spec, chunk.pendingCount)) {
+      this.noteThrottled(chunk, round, now);
       return false;
     }
-    let left = chunk.pending;
-    for (const machine of this.part.machines.values()) {
-      if (!machine.usable(now) || !satisfiesConstraints(spec, chunk.zone, machine)) continue;
-      if (chunk.failedOn.has(machine.name) && chunk.failedOn.size < this.part.machines.size)
+    let left = chunk.pendingCount;
+    for (const machine of this.shard.machines.values()) {
+      if (!machine.isSchedulable(now) || !satisfiesConstraints(spec, chunk.zone, machine)) continue;
+      if (
+        chunk.failedMachines.has(machine.name) &&
+        chunk.failedMachines.size < this.shard.machines.size
+      )
         continue;
       const room = { ...machine.free };
       while (left > 0 && fits(room, spec)) {
@@ -228,46 +240,47 @@
   }
 
   private place(chunk: Chunk, task: number, machine: Machine, now: number): void {
-    const entry: Attempt = {
+    const attempt: Attempt = {
       task,
       // The tasks of a gang know each other by a common attempt.
-      attempt: chunk.spec.gang ? chunk.next : chunk.next++,
+      attemptNumber: chunk.spec.isGang ? chunk.nextAttemptNumber : chunk.nextAttemptNumber++,
       machine: machine.name,
-      session: machine.session,
-      version: chunk.version + 1,
-      seen: false,
-      isAdopted: false,
+      agentEpoch: machine.agentEpoch,
+      chunkVersion: chunk.version + 1,
+      wasReported: false,
+      isInherited: false,
       state: 'fetching',
       placedAt: now,
       runningSince: null,
-      doubt: new UnacknowledgedStart(),
-      sentInAnswer: false,
+      unacknowledgedStart: new UnacknowledgedStart(),
+      startSentInAnswer: false,
       stop: null,
     };
-    chunk.entries.set(task, entry);
-    this.part.teams.add(chunk.spec, 1);
-    machine.put({ chunk, entry });
-    this.part.estimates.invalidate();
+    chunk.attempts.set(task, attempt);
+    this.shard.teamUsage.add(chunk.spec, 1);
+    machine.place({ chunk, attempt });
+    this.shard.waitEstimates.invalidate();
     log.debug(
-      `${this.part.label} places ${chunk.taskName(task)} (${chunk.spec.jobClass}) on ${machine.name}, ` +
+      `${this.shard.label} places ${chunk.taskName(task)} (${chunk.spec.jobClass}) on ${machine.name}, ` +
         `image ${machine.hasImage(chunk.spec.image) ? 'there' : 'missing'}, ` +
         `after ${(now - chunk.queuedAt).toFixed(1)} s`,
     );
-    this.part.changed(chunk, now);
+    this.shard.noteChunkChanged(chunk, now);
   }
 
   /** Where and when the first that waits will find room: that room is kept for it. */
   private shadow(chunk: Chunk, now: number): { machine: Machine; at: number } | null {
     let best: { machine: Machine; at: number } | null = null;
-    for (const machine of this.part.machines.values()) {
-      if (!machine.usable(now) || !satisfiesConstraints(chunk.spec, chunk.zone, machine)) continue;
-      if (!fits(machine.size, chunk.spec)) continue;
+    for (const machine of this.shard.machines.values()) {
+      if (!machine.isSchedulable(now) || !satisfiesConstraints(chunk.spec, chunk.zone, machine))
+        continue;
+      if (!fits(machine.capacity, chunk.spec)) continue;
       // Nothing ends there sooner than what is found already: most machines are passed over so.
       const roomNow = fits(machine.free, chunk.spec);
       if (best !== null && !roomNow && this.soonest(machine, now) >= best.at) continue;
       const room = { ...machine.free };
-      const ends = [...machine.entries.values()]
-        .map((p) => ({ at: this.part.estimates.endOf(p, now), need: p.chunk.spec }))
+      const ends = [...machine.placements.values()]
+        .map((p) => ({ at: this.shard.waitEstimates.endOf(p, now), need: p.chunk.spec }))
         .sort((a, b) => a.at - b.at);
       let at = now;
       for (const end of ends) {
@@ -282,8 +295,8 @@
 
   private soonest(machine: Machine, now: number): number {
     let first = Infinity;
-    for (const placed of machine.entries.values())
-      first = Math.min(first, this.part.estimates.endOf(placed, now));
+    for (const placement of machine.placements.values())
+      first = Math.min(first, this.shard.waitEstimates.endOf(placement, now));
     return first;
   }
 }
@@ -295,7 +308,7 @@
   kept: Machine | undefined,
   isChoosy: boolean,
 ): Machine[] {
-  const { spec, zone, failedOn } = chunk;
+  const { spec, zone, failedMachines: failedOn } = chunk;
   return machines.filter((machine) => {
     if (machine === kept || !fits(machine.free, spec) || !satisfiesConstraints(spec, zone, machine))
       return false;
--- a/src/coordination/scheduling/schedulingRounds.ts
+++ b/src/coordination/scheduling/schedulingRounds.ts
@@ -33,15 +33,15 @@
   constructor(
     private readonly clock: Clock,
     /** Seconds between two reports of a worker. */
-    private readonly report: number,
-    private readonly round: () => void,
+    private readonly heartbeatInterval: number,
+    private readonly runRound: () => void,
   ) {}
 
   /** Something has changed: a round soon, gathered with what else comes meanwhile. */
   request(): void {
     if (this.isRequested) return;
     this.isRequested = true;
-    const delay = Math.max(this.report * GATHER, this.restLeft);
+    const delay = Math.max(this.heartbeatInterval * GATHER, this.restLeft);
     setTimeout(() => {
       this.isRequested = false;
       this.perform();
@@ -50,7 +50,7 @@
 
   /** Goes on until `stop`. */
   async run(): Promise<void> {
-    const pause = this.report * PAUSE;
+    const pause = this.heartbeatInterval * PAUSE;
     while (!this.isStopped) {
       const isDue = this.clock.now() - this.lastEnd >= pause && this.restLeft <= 0;
       if (isDue) this.perform();
@@ -64,7 +64,7 @@
 
   /** Seconds until the next round may begin, whoever asks for it. */
   private get restLeft(): number {
-    const rest = Math.min(this.duration * REST, this.report * LONGEST_REST);
+    const rest = Math.min(this.duration * REST, this.heartbeatInterval * LONGEST_REST);
     return this.lastEnd + rest - this.clock.now();
   }
 
@@ -72,7 +72,7 @@
     if (this.isStopped) return;
     const began = this.clock.now();
     try {
-      this.round();
+      this.runRound();
     } catch (error) {
       log.error(`round: ${error instanceof Error ? (error.stack ?? '') : String(error)}`);
     }
--- a/src/coordination/scheduling/waitEstimates.ts
+++ b/src/coordination/scheduling/waitEstimates.ts
@@ -25,10 +25,10 @@
   private readonly snapshots = new Map<number, Snapshot>();
 
   constructor(
-    private readonly part: Pick<Shard, 'machines' | 'queue'>,
+    private readonly shard: Pick<Shard, 'machines' | 'queuedChunks'>,
     private readonly runTimes: RunTimes,
     /** Seconds between two reports of a worker. */
-    private readonly report: number,
+    private readonly heartbeatInterval: number,
   ) {}
 
   /** A task has been placed, or a machine has come or gone. */
@@ -37,28 +37,28 @@
   }
 
   /** Steady time at which a placed task should end; services never do. */
-  endOf({ chunk, entry }: Placement, now: number): number {
-    if (chunk.spec.service) return Infinity;
+  endOf({ chunk, attempt }: Placement, now: number): number {
+    if (chunk.spec.isService) return Infinity;
     const run = this.expectedRun(chunk.spec);
-    return Math.max(now, (entry.runningSince ?? now) + run);
+    return Math.max(now, (attempt.runningSince ?? now) + run);
   }
 
   /** Run time of one task, corrected by what was seen of its class. */
   expectedRun(spec: JobSpec): number {
-    return this.runTimes.expected(spec.jobClass, spec.expect);
+    return this.runTimes.expected(spec.jobClass, spec.expectedRunSeconds);
   }
 
   /** The wait that a candidate would see here, by replaying the queue. */
   waitFor(candidate: ReplayItem, now: number, self?: Chunk): number {
     const rank = rankOrder[candidate.spec.rank];
-    const queue = this.part
-      .queue()
+    const queue = this.shard
+      .queuedChunks()
       .filter((c) => c !== self && c.rank >= rank && (self === undefined || isAhead(c, self)))
       .map((c) => ({
         spec: c.spec,
         zone: c.zone,
-        count: c.pending,
-        run: c.spec.service ? Infinity : this.expectedRun(c.spec),
+        count: c.pendingCount,
+        run: c.spec.isService ? Infinity : this.expectedRun(c.spec),
       }));
     if (queue.length === 0 && this.hasRoomNow(candidate, now)) return 0;
     const { start, at } = this.snapshot(rank, now);
@@ -67,7 +67,7 @@
 
   private snapshot(rank: number, now: number): Snapshot {
     const known = this.snapshots.get(rank);
-    if (known !== undefined && now - known.at < this.report * SNAPSHOT_AGE) return known;
+    if (known !== undefined && now - known.at < this.heartbeatInterval * SNAPSHOT_AGE) return known;
     const snapshot = { start: new ReplayStart(this.replayHosts(rank, now)), at: now };
     this.snapshots.set(rank, snapshot);
     return snapshot;
@@ -76,21 +76,21 @@
   /** The machines as the replay begins; work below the rank would be stopped for the candidate. */
   private replayHosts(rank: number, now: number): ReplayMachine[] {
     const hosts: ReplayMachine[] = [];
-    for (const machine of this.part.machines.values()) {
+    for (const machine of this.shard.machines.values()) {
       const { type, zone, spot } = machine;
-      if (machine.shape === undefined || machine.leaving || machine.lost) continue;
-      const boot = machine.created + machine.shape.boot - now;
-      const ready = machine.up ? Math.max(0, machine.shunnedUntil - now) : Math.max(1, boot);
+      if (machine.machineType === undefined || machine.isCordoned || machine.isLost) continue;
+      const boot = machine.firstSeenAt + machine.machineType.bootSeconds - now;
+      const ready = machine.isUp ? Math.max(0, machine.quarantinedUntil - now) : Math.max(1, boot);
       const running: ReplayMachine['running'] = [];
       const free = { ...machine.free };
-      for (const placed of machine.entries.values()) {
-        const need = placed.chunk.spec;
-        if (placed.chunk.rank < rank) {
+      for (const placement of machine.placements.values()) {
+        const need = placement.chunk.spec;
+        if (placement.chunk.rank < rank) {
           // It would be stopped for the candidate.
           subtractResources(free, need, -1);
           continue;
         }
-        const ends = this.endOf(placed, now) - now;
+        const ends = this.endOf(placement, now) - now;
         if (Number.isFinite(ends)) running.push({ ends, need });
       }
       hosts.push({ type, zone, spot, free, ready, running });
@@ -101,16 +101,20 @@
   /** The short cut of the replay: nothing is ahead and there is room for all of it. */
   private hasRoomNow({ spec, zone, count }: ReplayItem, now: number): boolean {
     let left = count;
-    for (const machine of this.part.machines.values()) {
+    for (const machine of this.shard.machines.values()) {
       const { free } = machine;
-      if (!fits(free, spec) || !machine.usable(now) || !satisfiesConstraints(spec, zone, machine))
+      if (
+        !fits(free, spec) ||
+        !machine.isSchedulable(now) ||
+        !satisfiesConstraints(spec, zone, machine)
+      )
         continue;
       const by = (have: number, need: number): number =>
         need > 0 ? Math.floor(have / need + 1e-9) : Infinity;
       left -= Math.min(
         by(free.cpus, spec.cpus),
         by(free.gpus, spec.gpus),
-        by(free.memory, spec.memory),
+        by(free.memoryGb, spec.memoryGb),
       );
       if (left <= 0) return true;
     }
@@ -120,7 +124,7 @@
   /** Room for work of this rank: what is free, and what lower ranks would give up. */
   private roomFor(machine: Machine, spec: JobSpec): Resources {
     const room = { ...machine.free };
-    for (const { chunk } of machine.entries.values()) {
+    for (const { chunk } of machine.placements.values()) {
       if (chunk.rank >= rankOrder[spec.rank]) continue;
       subtractResources(room, chunk.spec, -1);
     }
@@ -130,10 +134,13 @@
   /** Seconds to fetch an image here: nothing when a machine with room already has it. */
   fetchFor(spec: JobSpec, zone: string | null): number {
     let best = Infinity;
-    for (const machine of this.part.machines.values()) {
-      if (machine.shape === undefined || !satisfiesConstraints(spec, zone, machine)) continue;
+    for (const machine of this.shard.machines.values()) {
+      if (machine.machineType === undefined || !satisfiesConstraints(spec, zone, machine)) continue;
       const warm = machine.hasImage(spec.image) && fits(this.roomFor(machine, spec), spec);
-      best = Math.min(best, warm ? 0 : spec.imageGb / Math.max(1e-3, machine.shape.fetchRate));
+      best = Math.min(
+        best,
+        warm ? 0 : spec.imageGb / Math.max(1e-3, machine.machineType.fetchGbPerSecond),
+      );
     }
     return Number.isFinite(best) ? best : 0;
   }
--- a/src/coordination/shard/chunk.ts
+++ b/src/coordination/shard/chunk.ts
@@ -7,62 +7,62 @@
 /** One attempt of one task that is, or may be, on a machine. */
 export interface Attempt {
   task: number;
-  attempt: number;
+  attemptNumber: number;
   machine: string;
-  session: number;
+  agentEpoch: number;
   /** The chunk's version that first held it; once that is stored, the start may be sent. */
-  version: number;
-  seen: boolean;
+  chunkVersion: number;
+  wasReported: boolean;
   /**
    * It was loaded from a record: whether its start was ever sent is not known, and the last owner may have known it
    * to be over and given its room away. It is never started here; what is not on its machine is placed anew.
    */
-  isAdopted: boolean;
+  isInherited: boolean;
   state: TaskState;
   placedAt: number;
   runningSince: number | null;
   /** Whether a start sent straight to the worker may still be carried out. */
-  readonly doubt: UnacknowledgedStart;
+  readonly unacknowledgedStart: UnacknowledgedStart;
   /** A start rides in the answer to a report; the worker's next report settles it. */
-  sentInAnswer: boolean;
-  stop: { wind: number; sentAt: number | null } | null;
+  startSentInAnswer: boolean;
+  stop: { gracePeriod: number; sentAt: number | null } | null;
 }
 
 export class Chunk {
-  readonly done: Set<number>;
-  readonly entries = new Map<number, Attempt>();
-  next: number;
+  readonly doneTasks: Set<number>;
+  readonly attempts = new Map<number, Attempt>();
+  nextAttemptNumber: number;
   /** Rises with each change; `stored` is the version that the state service has. */
   version = 1;
-  stored = 0;
+  storedVersion = 0;
   /** Its job is stored: it may be stored too, and started after that. */
-  accepted = false;
+  isJobStored = false;
   /** Where it is stored, or is about to be. */
   bucket: Bucket | null = null;
   /** A move to another part got no answer: until its bucket is written again it may have gone. */
-  leaving = false;
+  mayHaveMigrated = false;
   /** A record beyond the limit that it was in before, which still has a copy of it. */
   retiredFrom: Bucket | null = null;
   /** It has been released and its peers are to be asked for it, as at a submission. */
   isNewlyReleased = false;
   dirtySince: number | null = null;
-  cancelled = false;
+  isCancelled = false;
   /** Steady time at which its job's cancellation was announced; null: nobody wants it cancelled. */
-  cancelPreparedAt: number | null = null;
+  cancellationPreparedAt: number | null = null;
   /** A transaction that hands it to another part is on its way. */
-  moving = false;
+  isMigrating = false;
   /** Set once its record is gone from this part. */
-  dropped = false;
+  isDropped = false;
   /** Nothing is started before this time, after failures. */
-  notBefore = 0;
-  failures = 0;
-  readonly failedOn = new Set<string>();
+  retryNotBefore = 0;
+  failureCount = 0;
+  readonly failedMachines = new Set<string>();
   readonly queuedAt: number;
-  moves = 0;
+  migrationCount = 0;
   /** Steady time of the last question to the peers. */
-  askedAt = -Infinity;
+  peersAskedAt = -Infinity;
   /** Since when lower-ranked work has been making room for it where its image is. */
-  clearingSince: number | null = null;
+  preemptingSince: number | null = null;
   /** Since when there was room nowhere; null when all is placed. */
   blockedSince: number | null = null;
   readonly id: string;
@@ -73,68 +73,69 @@
   constructor(
     readonly spec: JobSpec,
     readonly index: number,
-    readonly home: string,
-    readonly at: number,
-    readonly from: number,
-    readonly to: number,
+    readonly homeShard: string,
+    readonly submittedAt: number,
+    readonly firstTask: number,
+    readonly endTask: number,
     readonly zone: string | null,
     now: number,
   ) {
-    this.done = new Set();
-    this.next = 1;
-    this.cursor = from;
+    this.doneTasks = new Set();
+    this.nextAttemptNumber = 1;
+    this.cursor = firstTask;
     this.queuedAt = now;
     this.id = `${spec.id}/${index}`;
     this.rank = rankOrder[spec.rank];
   }
 
-  static load(index: number, record: ChunkRecord, now: number): Chunk {
-    const { spec, home, at, from, to, zone } = record;
-    const chunk = new Chunk(spec, index, home, at, from, to, zone, now);
-    chunk.next = record.next;
-    chunk.moves = record.moves;
-    chunk.accepted = true;
-    chunk.stored = chunk.version;
-    for (const task of fromRanges(record.done)) chunk.done.add(task);
+  static load(index: number, toRecord: ChunkRecord, now: number): Chunk {
+    const { spec, homeShard, submittedAt: at, firstTask: from, endTask: to, zone } = toRecord;
+    const chunk = new Chunk(spec, index, homeShard, at, from, to, zone, now);
+    chunk.nextAttemptNumber = toRecord.nextAttemptNumber;
+    chunk.migrationCount = toRecord.migrationCount;
+    chunk.isJobStored = true;
+    chunk.storedVersion = chunk.version;
+    for (const task of fromRanges(toRecord.doneTasks)) chunk.doneTasks.add(task);
     return chunk;
   }
 
   get size(): number {
-    return this.to - this.from;
+    return this.endTask - this.firstTask;
   }
-  get pending(): number {
-    return this.unwanted ? 0 : this.size - this.done.size - this.entries.size;
+  get pendingCount(): number {
+    return this.isCancelRequested ? 0 : this.size - this.doneTasks.size - this.attempts.size;
   }
-  get complete(): boolean {
-    return this.done.size === this.size;
+  get isComplete(): boolean {
+    return this.doneTasks.size === this.size;
   }
   /** Its user has asked to cancel it: what its tasks do is of no use to anybody. */
-  get unwanted(): boolean {
-    return this.cancelled || this.cancelPreparedAt !== null;
+  get isCancelRequested(): boolean {
+    return this.isCancelled || this.cancellationPreparedAt !== null;
   }
-  get running(): number {
+  get runningCount(): number {
     let count = 0;
-    for (const entry of this.entries.values()) if (entry.state === 'running') count++;
+    for (const attempt of this.attempts.values()) if (attempt.state === 'running') count++;
     return count;
   }
 
   /** Stored as it is here, with nothing of it on any machine or on its way. */
-  get movable(): boolean {
+  get isMigratable(): boolean {
     const { bucket } = this;
-    const settled = bucket !== null && !bucket.busy && bucket.stamp > 0 && this.stored > 0;
-    const isFree = !this.leaving && this.retiredFrom === null && !this.unwanted;
-    return settled && this.accepted && isFree && this.entries.size === 0;
+    const settled =
+      bucket !== null && !bucket.isWriteInFlight && bucket.revision > 0 && this.storedVersion > 0;
+    const isFree = !this.mayHaveMigrated && this.retiredFrom === null && !this.isCancelRequested;
+    return settled && this.isJobStored && isFree && this.attempts.size === 0;
   }
 
   taskName(task: number): string {
     return `${this.spec.id}/${task}`;
   }
 
-  isDurable(entry: Attempt): boolean {
-    return this.stored >= entry.version;
+  isDurable(attempt: Attempt): boolean {
+    return this.storedVersion >= attempt.chunkVersion;
   }
 
-  touch(now: number): void {
+  markChanged(now: number): void {
     this.version++;
     this.dirtySince ??= now;
   }
@@ -143,8 +144,8 @@
   nextPending(): number | null {
     for (let i = 0; i < this.size; i++) {
       const task = this.cursor;
-      this.cursor = this.cursor + 1 >= this.to ? this.from : this.cursor + 1;
-      if (!this.done.has(task) && !this.entries.has(task)) return task;
+      this.cursor = this.cursor + 1 >= this.endTask ? this.firstTask : this.cursor + 1;
+      if (!this.doneTasks.has(task) && !this.attempts.has(task)) return task;
     }
     return null;
   }
@@ -152,27 +153,27 @@
   record(): ChunkRecord {
     return {
       spec: this.spec,
-      home: this.home,
-      at: this.at,
-      from: this.from,
-      to: this.to,
+      homeShard: this.homeShard,
+      submittedAt: this.submittedAt,
+      firstTask: this.firstTask,
+      endTask: this.endTask,
       zone: this.zone,
-      next: this.next,
-      done: toRanges([...this.done].sort((a, b) => a - b)),
-      entries: [...this.entries.values()].map((e) => ({
-        task: e.task,
-        attempt: e.attempt,
-        machine: e.machine,
-        session: e.session,
+      nextAttemptNumber: this.nextAttemptNumber,
+      doneTasks: toRanges([...this.doneTasks].sort((a, b) => a - b)),
+      attempts: [...this.attempts.values()].map((attempt) => ({
+        task: attempt.task,
+        attemptNumber: attempt.attemptNumber,
+        machine: attempt.machine,
+        agentEpoch: attempt.agentEpoch,
       })),
-      moves: this.moves,
+      migrationCount: this.migrationCount,
     };
   }
 }
 
 /** The order of the queue: rank before arrival. */
 export const compareByQueueOrder = (a: Chunk, b: Chunk): number =>
-  b.rank - a.rank || a.at - b.at || (a.id < b.id ? -1 : 1);
+  b.rank - a.rank || a.submittedAt - b.submittedAt || (a.id < b.id ? -1 : 1);
 
 /** Whether a chunk is looked at before another. */
 export const isAhead = (a: Chunk, b: Chunk): boolean => compareByQueueOrder(a, b) < 0;
--- a/src/coordination/shard/chunking.ts
+++ b/src/coordination/shard/chunking.ts
@@ -3,8 +3,8 @@
 import type { JobRecord } from '../../storage/records.js';
 
 export interface ChunkRange {
-  from: number;
-  to: number;
+  firstTask: number;
+  endTask: number;
   zone: string | null;
 }
 
@@ -21,17 +21,17 @@
     [half, tasks, zones[1] ?? null],
   ] as const) {
     for (let from = start; from < end; from += size) {
-      ranges.push({ from, to: Math.min(end, from + size), zone });
+      ranges.push({ firstTask: from, endTask: Math.min(end, from + size), zone });
     }
   }
   return ranges;
 }
 
 /** How many ranges `chunkRanges` gives, without making them: it is asked of every job in each review. */
-export function totalChunks({ spec, size, zones }: JobRecord): number {
+export function totalChunks({ spec, chunkSize: size, zones }: JobRecord): number {
   if (spec === null) return 0;
-  const half = zones.length > 1 ? Math.ceil(spec.tasks / 2) : spec.tasks;
-  return Math.ceil(half / size) + Math.ceil((spec.tasks - half) / size);
+  const half = zones.length > 1 ? Math.ceil(spec.taskCount / 2) : spec.taskCount;
+  return Math.ceil(half / size) + Math.ceil((spec.taskCount - half) / size);
 }
 
 /**
@@ -39,22 +39,22 @@
  * until then a task of it would be one too many in that zone.
  */
 export function mayCreateChunk(record: JobRecord, index: number): boolean {
-  const { spec, size, zones, finished } = record;
+  const { spec, chunkSize: size, zones, doneChunks: finished } = record;
   if (spec === null || zones.length < 2 || zones[0] !== zones[1]) return true;
-  const firstHalf = Math.ceil(Math.ceil(spec.tasks / 2) / size);
+  const firstHalf = Math.ceil(Math.ceil(spec.taskCount / 2) / size);
   if (index < firstHalf) return true;
   return finished.filter((k) => k < firstHalf).length === firstHalf;
 }
 
 /** Zones that a job is held to from the start; empty when any will do. */
 export function zonesFor(spec: JobSpec, byRoom: string[]): string[] {
-  if (spec.gang && !spec.oneZone && !spec.spread) return [];
+  if (spec.isGang && !spec.sameZone && !spec.spreadZones) return [];
   const allowed = spec.zone === null ? byRoom : byRoom.filter((z) => z === spec.zone);
   const first = allowed[0];
   if (first === undefined) return [];
   // Sharing one zone and being spread over several leaves half of the tasks, in one zone.
-  if (spec.spread) return [first, spec.oneZone ? first : (allowed[1] ?? first)];
-  if (spec.oneZone) return [first];
+  if (spec.spreadZones) return [first, spec.sameZone ? first : (allowed[1] ?? first)];
+  if (spec.sameZone) return [first];
   return [];
 }
 
@@ -68,12 +68,12 @@
   partCpus: number,
   /** The most tasks whose entries a record holds. */
   mostTasks: number,
-  parts: number,
+  shards: number,
 ): number {
   // A gang starts whole, so one part must hold it whole.
-  if (spec.gang) return spec.tasks;
-  const fits = partCpus > 0 ? Math.floor(partCpus / spec.cpus) : spec.tasks;
-  const least = Math.max(8, Math.ceil(spec.tasks / (2 * parts)));
+  if (spec.isGang) return spec.taskCount;
+  const fits = partCpus > 0 ? Math.floor(partCpus / spec.cpus) : spec.taskCount;
+  const least = Math.max(8, Math.ceil(spec.taskCount / (2 * shards)));
   const most = Math.max(8, mostTasks);
   return Math.max(1, Math.min(Math.max(fits, least), most));
 }
