--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -12,109 +12,110 @@
 /** An ended attempt that the worker still reports, and from when on it may be forgotten. */
 export interface EndedAttempt {
   /** Steady time at which its end was heard of. */
-  since: number;
+  endedAt: number;
   /** A start of it rides in the answer to a report: the worker's next report settles that. */
-  sentInAnswer: boolean;
-  mayReap: () => boolean;
+  startSentInAnswer: boolean;
+  mayAcknowledge: () => boolean;
   /** A start of it may still be carried out. */
-  isInDoubt: () => boolean;
+  hasUnacknowledgedStart: () => boolean;
 }
 
 /** One attempt of one task. */
-export const attemptKey = (task: string, attempt: number): string => `${task}#${attempt}`;
+export const attemptKey = (task: string, attemptNumber: number): string =>
+  `${task}#${attemptNumber}`;
 
 export interface Placement {
   chunk: Chunk;
-  entry: Attempt;
+  attempt: Attempt;
 }
 
 interface Occupancy {
-  shape: MachineType | undefined;
+  machineType: MachineType | undefined;
   free: Resources;
-  live: number;
-  taken: number;
+  serviceCpus: number;
+  allocatedCpus: number;
 }
 
-const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memory: 0 };
+const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 /** One machine of a part, as its worker last reported it. */
 export class Machine implements CandidateMachine {
   address = '';
-  session = 0;
-  tick = -1;
-  seenToken = 0;
+  agentEpoch = 0;
+  heartbeatSequence = -1;
+  highestFencingToken = 0;
   /** Steady time of the last report; null before the first one. */
-  heard: number | null = null;
+  lastHeartbeatAt: number | null = null;
   /**
    * Steady time of the last proof that something of ours arrived there. Being heard is not being
    * reachable: a report may be a late copy, or come from a machine that gets no answer.
    */
-  reached: number | null = null;
+  lastReachedAt: number | null = null;
   /** Until when, at most, its worker's lease may have been renewed by an answer: ours or another's. */
-  renewed: number;
+  leaseRenewedAt: number;
   /** Steady time at which the cloud will take it; null without a notice. */
-  goneBy: number | null = null;
-  private reported = new ReportedAttempts();
-  private readonly placed = new Map<string, Placement>();
+  preemptionDeadline: number | null = null;
+  private latestReport = new ReportedAttempts();
+  private readonly placementsByTask = new Map<string, Placement>();
   /** What `free` and `live` were last worked out from; placement asks for them far more often than they change. */
-  private room: Occupancy | null = null;
+  private cachedOccupancy: Occupancy | null = null;
   /** By `attemptKey`: a task may have ended here more than once. */
-  readonly leftovers = new Map<string, EndedAttempt>();
+  readonly endedAttempts = new Map<string, EndedAttempt>();
   /** Images seen here, oldest use first. */
   private readonly images = new Map<string, number>();
   slowness = 1;
   /** Distinct jobs whose tasks failed here in a row. */
   readonly failedJobs = new Set<string>();
   /** Nothing is placed before this time. */
-  shunnedUntil = 0;
+  quarantinedUntil = 0;
   /** Offered back to the cloud: nothing is placed here any more. */
-  leaving = false;
+  isCordoned = false;
   /** Given up as lost; release is asked for. */
-  lost = false;
+  isLost = false;
   /** That its release is asked for was noted in the audit trail. */
-  isGivenUp = false;
+  isReleaseRequested = false;
   idleSince: number;
-  inFlight = false;
+  hasCommandInFlight = false;
   /** Steady time of the last report that its worker sent by itself. */
-  reportedAt: number | null = null;
+  lastUnsolicitedHeartbeatAt: number | null = null;
   /**
    * It answers, but its worker reaches no controller: answers do not renew its lease, so whatever starts there
    * is killed within one.
    */
-  cutOff = false;
+  isPartitioned = false;
   /** Questions in a row that it has not answered. */
-  missed = 0;
+  missedProbes = 0;
   /** When the first of them was sent. */
-  missedSince: number | null = null;
-  probing = false;
+  firstMissedProbeAt: number | null = null;
+  isProbeInFlight = false;
   /** When it was last asked a question. */
-  askedAt = -Infinity;
+  lastProbeAt = -Infinity;
   /** Since when a start sent here is without an answer. */
-  inDoubtSince: number | null = null;
+  unacknowledgedStartSince: number | null = null;
 
   constructor(
     readonly name: string,
     private record: MachineRecord,
-    private readonly types: () => Map<string, MachineType>,
+    private readonly machineTypes: () => Map<string, MachineType>,
     now: number,
     /** Whether a start of the task may leave. */
     private readonly mayStart: (task: string, now: number) => boolean = () => true,
   ) {
-    this.renewed = now;
+    this.leaseRenewedAt = now;
     this.address = record.address ?? '';
     this.idleSince = now;
-    this.created = now;
+    this.firstSeenAt = now;
   }
 
-  readonly created: number;
+  readonly firstSeenAt: number;
 
   /** Time of day at which it was rented, or first heard of. */
-  get rentedAt(): number {
-    return this.record.at;
+  get launchedAt(): number {
+    return this.record.launchedAt;
   }
 
   /** Its record has changed: an address has come. */
-  learn(record: MachineRecord): void {
+  updateRecord(record: MachineRecord): void {
     this.record = record;
     if (this.address === '') this.address = record.address ?? '';
   }
@@ -123,8 +124,8 @@
    * Looked up each time: after a restart machines are loaded before the cloud has told its types, and
    * a machine that kept "unknown" would never be given work again.
    */
-  get shape(): MachineType | undefined {
-    return this.types().get(this.record.type);
+  get machineType(): MachineType | undefined {
+    return this.machineTypes().get(this.record.type);
   }
 
   get type(): string {
@@ -136,43 +137,43 @@
   get spot(): boolean {
     return this.record.spot;
   }
-  get up(): boolean {
-    return this.reached !== null && !this.lost;
+  get isUp(): boolean {
+    return this.lastReachedAt !== null && !this.isLost;
   }
   /** It reports, perhaps, but does not answer: its lease is running out, and it gets no work. */
   get isUnresponsive(): boolean {
-    return this.missed >= 2;
+    return this.missedProbes >= 2;
   }
 
-  get size(): Resources {
-    return this.shape ?? NO_RESOURCES;
+  get capacity(): Resources {
+    return this.machineType ?? NO_RESOURCES;
   }
 
   /** The attempts of ours that are, or may be, here. */
-  get entries(): ReadonlyMap<string, Placement> {
-    return this.placed;
+  get placements(): ReadonlyMap<string, Placement> {
+    return this.placementsByTask;
   }
 
-  put(placed: Placement): void {
-    this.placed.set(placed.chunk.taskName(placed.entry.task), placed);
-    this.room = null;
+  place(placement: Placement): void {
+    this.placementsByTask.set(placement.chunk.taskName(placement.attempt.task), placement);
+    this.cachedOccupancy = null;
   }
 
-  drop(task: string): void {
-    this.placed.delete(task);
-    this.room = null;
+  removePlacement(task: string): void {
+    this.placementsByTask.delete(task);
+    this.cachedOccupancy = null;
   }
 
   /** All tasks that the worker last reported. */
-  get tasks(): ReportedAttempts {
-    return this.reported;
+  get reportedAttempts(): ReportedAttempts {
+    return this.latestReport;
   }
 
   /** Gives false when nothing has changed, as in most reports. */
-  noteTasks(tasks: ReportedAttempt[]): boolean {
-    if (this.reported.isSameAs(tasks)) return false;
-    this.reported = new ReportedAttempts(tasks);
-    this.room = null;
+  updateReportedAttempts(tasks: ReportedAttempt[]): boolean {
+    if (this.latestReport.isSameAs(tasks)) return false;
+    this.latestReport = new ReportedAttempts(tasks);
+    this.cachedOccupancy = null;
     return true;
   }
 
@@ -182,70 +183,76 @@
   }
 
   /** Processors that live services have here. */
-  get live(): number {
-    return this.occupancy.live;
+  get serviceCpus(): number {
+    return this.occupancy.serviceCpus;
   }
 
   /** Processors that tasks of ours have here. */
-  get taken(): number {
-    return this.occupancy.taken;
+  get allocatedCpus(): number {
+    return this.occupancy.allocatedCpus;
   }
 
   private get occupancy(): Occupancy {
-    const { shape } = this;
-    if (this.room !== null && this.room.shape === shape) return this.room;
-    let free = { ...this.size };
-    let live = 0;
-    let taken = 0;
-    for (const { chunk } of this.placed.values()) {
+    const { machineType: shape } = this;
+    if (this.cachedOccupancy !== null && this.cachedOccupancy.machineType === shape)
+      return this.cachedOccupancy;
+    let free = { ...this.capacity };
+    let serviceCpus = 0;
+    let allocatedCpus = 0;
+    for (const { chunk } of this.placementsByTask.values()) {
       subtractResources(free, chunk.spec);
-      taken += chunk.spec.cpus;
-      if (chunk.spec.service) live += chunk.spec.cpus;
+      allocatedCpus += chunk.spec.cpus;
+      if (chunk.spec.isService) serviceCpus += chunk.spec.cpus;
     }
     // A stranger (an attempt we know nothing of) takes room that we can't measure.
-    if (this.reported.all.some((report) => this.isStranger(report))) free = NO_RESOURCES;
-    this.room = { shape, free, live, taken };
-    return this.room;
+    if (this.latestReport.all.some((reportedAttempt) => this.isUnknownAttempt(reportedAttempt)))
+      free = NO_RESOURCES;
+    this.cachedOccupancy = { machineType: shape, free, serviceCpus, allocatedCpus };
+    return this.cachedOccupancy;
   }
 
   /**
    * Something can't go on before the doubt of a start here is settled: an attempt that no report shows can't be given up,
    * or one that ended before `leftSince` can't be reaped.
    */
-  waitsForDoubt(leftSince: number): boolean {
-    for (const [task, { entry }] of this.placed) {
-      const isGone = this.tasks.find(task, entry.attempt) === undefined;
-      if (!isGone || (!entry.seen && entry.stop === null)) continue;
-      if (entry.doubt.isOpen(this.seenToken)) return true;
+  isBlockedByUnacknowledgedStart(leftSince: number): boolean {
+    for (const [task, { attempt }] of this.placementsByTask) {
+      const isGone = this.reportedAttempts.find(task, attempt.attemptNumber) === undefined;
+      if (!isGone || (!attempt.wasReported && attempt.stop === null)) continue;
+      if (attempt.unacknowledgedStart.mayStillExecute(this.highestFencingToken)) return true;
     }
-    for (const leftover of this.leftovers.values()) {
-      if (leftover.since < leftSince && leftover.isInDoubt()) return true;
+    for (const endedAttempt of this.endedAttempts.values()) {
+      if (endedAttempt.endedAt < leftSince && endedAttempt.hasUnacknowledgedStart()) return true;
     }
     return false;
   }
 
   /** Attempts that run here, and of which the part knows nothing. */
-  get strangers(): ReportedAttempt[] {
-    return this.reported.all.filter((report) => this.isStranger(report));
+  get unknownAttempts(): ReportedAttempt[] {
+    return this.latestReport.all.filter((reportedAttempt) =>
+      this.isUnknownAttempt(reportedAttempt),
+    );
   }
 
   /** An attempt that is there, and not by our word. */
-  private isStranger({ task, attempt, state }: ReportedAttempt): boolean {
-    return state !== 'ended' && this.placed.get(task)?.entry.attempt !== attempt;
+  private isUnknownAttempt({ task, attemptNumber, state }: ReportedAttempt): boolean {
+    return (
+      state !== 'ended' && this.placementsByTask.get(task)?.attempt.attemptNumber !== attemptNumber
+    );
   }
 
   /** Something of ours has arrived there: it is trusted, whatever was thought of it. */
-  noteReached(now: number): void {
-    this.reached = now;
-    this.lost = false;
-    this.isGivenUp = false;
-    this.missed = 0;
-    this.missedSince = null;
+  markReached(now: number): void {
+    this.lastReachedAt = now;
+    this.isLost = false;
+    this.isReleaseRequested = false;
+    this.missedProbes = 0;
+    this.firstMissedProbeAt = null;
   }
 
-  usable(now: number): boolean {
-    const able = this.up && !this.isUnresponsive && !this.cutOff && !this.leaving;
-    return able && this.goneBy === null && this.shunnedUntil <= now;
+  isSchedulable(now: number): boolean {
+    const able = this.isUp && !this.isUnresponsive && !this.isPartitioned && !this.isCordoned;
+    return able && this.preemptionDeadline === null && this.quarantinedUntil <= now;
   }
 
   hasImage(image: string): boolean {
@@ -258,15 +265,17 @@
     let total = 0;
     for (const size of this.images.values()) total += size;
     for (const [old, size] of this.images) {
-      if (total <= (this.shape?.cache ?? Infinity) || this.images.size === 1) break;
+      if (total <= (this.machineType?.cacheGb ?? Infinity) || this.images.size === 1) break;
       this.images.delete(old);
       total -= size;
     }
   }
 
-  isNewer(report: Heartbeat): boolean {
+  isNewer(heartbeat: Heartbeat): boolean {
     return (
-      report.session > this.session || (report.session === this.session && report.tick > this.tick)
+      heartbeat.agentEpoch > this.agentEpoch ||
+      (heartbeat.agentEpoch === this.agentEpoch &&
+        heartbeat.heartbeatSequence > this.heartbeatSequence)
     );
   }
 
@@ -274,76 +283,84 @@
    * Ends of tasks whose users have asked to cancel them. Whoever answers the worker gives these, with every
    * answer, whatever else it may not do: an answer without them would only keep such tasks alive.
    */
-  endings(): Command[] {
-    const orders: Command[] = [];
-    for (const [task, { chunk, entry }] of this.entries) {
-      const { attempt } = entry;
-      const report = this.tasks.find(task, attempt);
-      if (!chunk.unwanted || report === undefined) continue;
-      if (report.state !== 'ended') orders.push({ verb: 'halt', task, attempt, wind: 0 });
+  cancellationStops(): Command[] {
+    const commands: Command[] = [];
+    for (const [task, { chunk, attempt }] of this.placements) {
+      const { attemptNumber } = attempt;
+      const reportedAttempt = this.reportedAttempts.find(task, attemptNumber);
+      if (!chunk.isCancelRequested || reportedAttempt === undefined) continue;
+      if (reportedAttempt.state !== 'ended')
+        commands.push({ verb: 'halt', task, attemptNumber, gracePeriod: 0 });
     }
-    return orders;
+    return commands;
   }
 
   /**
    * Whether something should be sent to the worker at once. Reaps are not worth a command of their own: they
    * go along with others or with the answer to a report.
    */
-  needsCommand(now: number, again: number): boolean {
-    return this.commands(now, again).next().done !== true;
+  hasDueCommand(now: number, again: number): boolean {
+    return this.dueStopsAndStarts(now, again).next().done !== true;
   }
 
   /**
    * Orders for the answer to a report. A reap changes what the worker reports, so one that has no company costs
    * another report: reaps wait for other orders, but no longer than `patience`.
    */
-  answerOrders(now: number, again: number, patience: number): Command[] {
-    const orders = this.orders(true, now, again);
-    if (orders.some((order) => order.verb !== 'reap')) return orders;
-    const isOld = ({ task, attempt }: Command): boolean => {
-      const leftover = this.leftovers.get(attemptKey(task, attempt));
-      return leftover === undefined || now - leftover.since >= patience;
+  commandsForAnswer(now: number, again: number, patience: number): Command[] {
+    const commands = this.dueCommands(true, now, again);
+    if (commands.some((command) => command.verb !== 'reap')) return commands;
+    const isOld = ({ task, attemptNumber }: Command): boolean => {
+      const endedAttempt = this.endedAttempts.get(attemptKey(task, attemptNumber));
+      return endedAttempt === undefined || now - endedAttempt.endedAt >= patience;
     };
-    return orders.some(isOld) ? orders : [];
+    return commands.some(isOld) ? commands : [];
   }
 
   /** Stops, starts and reaps that the worker should carry out now. Stops count as sent. */
-  orders(mayStart: boolean, now: number, again: number): Command[] {
-    const commands = [...this.commands(now, again)].filter(
-      ({ order }) => mayStart || order.verb !== 'start',
+  dueCommands(mayStart: boolean, now: number, again: number): Command[] {
+    const commands = [...this.dueStopsAndStarts(now, again)].filter(
+      ({ command }) => mayStart || command.verb !== 'start',
     );
     for (const { firstStop } of commands) if (firstStop !== null) firstStop.sentAt = now;
-    return [...this.reaps(), ...commands.map(({ order }) => order)];
+    return [...this.acknowledgements(), ...commands.map(({ command }) => command)];
   }
 
   /** Ended attempts that the worker may forget. */
-  private *reaps(): Generator<Command> {
-    for (const { task, state, attempt } of this.tasks.all) {
+  private *acknowledgements(): Generator<Command> {
+    for (const { task, state, attemptNumber } of this.reportedAttempts.all) {
       if (state !== 'ended') continue;
-      const leftover = this.leftovers.get(attemptKey(task, attempt));
+      const endedAttempt = this.endedAttempts.get(attemptKey(task, attemptNumber));
       // Nothing of ours: an attempt that was given up before; nobody waits for it.
-      const mayReap = leftover?.mayReap() ?? this.entries.get(task)?.entry.attempt !== attempt;
-      if (mayReap) yield { verb: 'reap', task, attempt };
+      const mayReap =
+        endedAttempt?.mayAcknowledge() ??
+        this.placements.get(task)?.attempt.attemptNumber !== attemptNumber;
+      if (mayReap) yield { verb: 'reap', task, attemptNumber };
     }
   }
 
   /** Ends of what is not ours, stops and starts that are due; one without effect is repeated after `again`. */
-  private *commands(now: number, again: number): Generator<DueCommand> {
-    for (const report of this.tasks.all) {
-      if (!this.isStranger(report)) continue;
-      const { task, attempt } = report;
-      yield { order: { verb: 'halt', task, attempt, wind: 0 }, firstStop: null };
+  private *dueStopsAndStarts(now: number, again: number): Generator<DueCommand> {
+    for (const reportedAttempt of this.reportedAttempts.all) {
+      if (!this.isUnknownAttempt(reportedAttempt)) continue;
+      const { task, attemptNumber } = reportedAttempt;
+      yield { command: { verb: 'halt', task, attemptNumber, gracePeriod: 0 }, firstStop: null };
     }
-    for (const [task, { chunk, entry }] of this.entries) {
-      const { attempt, stop } = entry;
-      const here = this.tasks.find(task, attempt);
+    for (const [task, { chunk, attempt }] of this.placements) {
+      const { attemptNumber, stop } = attempt;
+      const here = this.reportedAttempts.find(task, attemptNumber);
       if (stop !== null) {
         const due = dueStop(stop, here, now, again);
         if (due === null) continue;
-        const order: Command = { verb: 'halt', task, attempt, wind: due.wind };
-        yield { order, firstStop: due.isLate ? null : stop };
-      } else if (here === undefined && isStartDue(chunk, entry) && this.mayStart(task, now)) {
-        yield { order: { verb: 'start', task, attempt }, firstStop: null };
+        const command: Command = {
+          verb: 'halt',
+          task,
+          attemptNumber,
+          gracePeriod: due.gracePeriod,
+        };
+        yield { command, firstStop: due.isLate ? null : stop };
+      } else if (here === undefined && isStartDue(chunk, attempt) && this.mayStart(task, now)) {
+        yield { command: { verb: 'start', task, attemptNumber }, firstStop: null };
       }
     }
   }
@@ -352,12 +369,12 @@
 type PendingStop = NonNullable<Attempt['stop']>;
 
 /** It is stored, and by us; no report has shown it yet. */
-const isStartDue = (chunk: Chunk, entry: Attempt): boolean =>
-  chunk.isDurable(entry) && !entry.seen && !entry.isAdopted;
+const isStartDue = (chunk: Chunk, attempt: Attempt): boolean =>
+  chunk.isDurable(attempt) && !attempt.wasReported && !attempt.isInherited;
 
 /** An order that is due now. */
 interface DueCommand {
-  order: Command;
+  command: Command;
   /** The stop that counts as sent with it; the end of a task that saves for too long is sent with each message. */
   firstStop: PendingStop | null;
 }
@@ -368,14 +385,14 @@
   here: ReportedAttempt | undefined,
   now: number,
   again: number,
-): { wind: number; isLate: boolean } | null {
+): { gracePeriod: number; isLate: boolean } | null {
   if (here === undefined || here.state === 'ended') return null;
-  const { sentAt, wind } = stop;
+  const { sentAt, gracePeriod } = stop;
   if (here.state === 'saving') {
     // A second halt would end a task that is still saving; only after its time is up.
-    const isLate = sentAt !== null && now - sentAt > wind + again;
-    return isLate ? { wind: 0, isLate } : null;
+    const isLate = sentAt !== null && now - sentAt > gracePeriod + again;
+    return isLate ? { gracePeriod: 0, isLate } : null;
   }
   const isDue = sentAt === null || now - sentAt > again;
-  return isDue ? { wind, isLate: false } : null;
+  return isDue ? { gracePeriod, isLate: false } : null;
 }
--- a/src/coordination/shard/reportedAttempts.ts
+++ b/src/coordination/shard/reportedAttempts.ts
@@ -10,13 +10,15 @@
   private furtherOf: Map<string, ReportedAttempt[]> | null = null;
 
   constructor(readonly all: readonly ReportedAttempt[] = []) {
-    for (const report of all) this.add(report);
+    for (const reportedAttempt of all) this.add(reportedAttempt);
   }
 
-  find(task: string, attempt: number): ReportedAttempt | undefined {
+  find(task: string, attemptNumber: number): ReportedAttempt | undefined {
     const first = this.firstOf.get(task);
-    if (first === undefined || first.attempt === attempt) return first;
-    return this.furtherOf?.get(task)?.find((report) => report.attempt === attempt);
+    if (first === undefined || first.attemptNumber === attemptNumber) return first;
+    return this.furtherOf
+      ?.get(task)
+      ?.find((reportedAttempt) => reportedAttempt.attemptNumber === attemptNumber);
   }
 
   /** Whether a later report says the same. */
@@ -24,19 +26,25 @@
     return tasks.length === this.all.length && tasks.every((task) => this.isKnown(task));
   }
 
-  private add(report: ReportedAttempt): void {
-    if (!this.firstOf.has(report.task)) {
-      this.firstOf.set(report.task, report);
+  private add(reportedAttempt: ReportedAttempt): void {
+    if (!this.firstOf.has(reportedAttempt.task)) {
+      this.firstOf.set(reportedAttempt.task, reportedAttempt);
       return;
     }
     this.furtherOf ??= new Map();
-    const further = this.furtherOf.get(report.task) ?? [];
-    this.furtherOf.set(report.task, [...further, report]);
+    const further = this.furtherOf.get(reportedAttempt.task) ?? [];
+    this.furtherOf.set(reportedAttempt.task, [...further, reportedAttempt]);
   }
 
-  private isKnown({ task, attempt, state, cause, saved }: ReportedAttempt): boolean {
-    const known = this.find(task, attempt);
+  private isKnown({
+    task,
+    attemptNumber,
+    state,
+    cause,
+    hasCheckpoint: saved,
+  }: ReportedAttempt): boolean {
+    const known = this.find(task, attemptNumber);
     if (known === undefined || known.state !== state) return false;
-    return known.cause === cause && known.saved === saved;
+    return known.cause === cause && known.hasCheckpoint === saved;
   }
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -85,8 +85,8 @@
   const { maxSockets } = settings;
   // Apart, so that machines which hang cannot use up what the state service is reached by.
   const links = {
-    services: new HttpClient(Math.floor(maxSockets / 24), settings.report * 4),
-    machines: new HttpClient(Math.floor(maxSockets / 6), settings.report * 4),
+    services: new HttpClient(Math.floor(maxSockets / 24), settings.heartbeatInterval * 4),
+    machines: new HttpClient(Math.floor(maxSockets / 6), settings.heartbeatInterval * 4),
   };
   const rollout = await setUpRollout(features, refuse);
   const node = new Controller(settings, tuning, systemClock, random, links, run, rollout);
@@ -98,7 +98,7 @@
     maxInFlight: Math.floor(maxSockets / 10),
     requestTimeout: 10,
     // Workers report several times in a lease, users and health checks ask more often than that.
-    idleTimeout: settings.lease,
+    idleTimeout: settings.workerLease,
     essential: isEssential,
   });
   const peers = new PeerServer((body) => gateway.peer(body));
--- a/src/protocol/cloudProtocol.ts
+++ b/src/protocol/cloudProtocol.ts
@@ -5,13 +5,13 @@
   name: string;
   cpus: number;
   gpus: number;
-  memory: number;
-  fetchRate: number;
+  memoryGb: number;
+  fetchGbPerSecond: number;
   /** Room for cached images, in GB. */
-  cache: number;
+  cacheGb: number;
   price: number;
   spotPrice: number;
-  boot: number;
+  bootSeconds: number;
   zones: string[];
 }
 
@@ -49,12 +49,12 @@
     name: t.Label,
     cpus: t.Cores,
     gpus: t.Accelerators,
-    memory: t.MemoryGb,
-    fetchRate: t.PullGbPerS,
-    cache: t.LocalGb,
+    memoryGb: t.MemoryGb,
+    fetchGbPerSecond: t.PullGbPerS,
+    cacheGb: t.LocalGb,
     price: t.Hourly,
     spotPrice: t.SpotPrice ?? t.Hourly,
-    boot: t.BootS,
+    bootSeconds: t.BootS,
     zones: t.Yards,
   }));
 }
--- a/src/protocol/job.ts
+++ b/src/protocol/job.ts
@@ -15,27 +15,27 @@
   id: string;
   jobClass: string;
   team: string;
-  service: boolean;
+  isService: boolean;
   /** All tasks start together, or none. */
-  gang: boolean;
+  isGang: boolean;
   rank: Rank;
-  tasks: number;
+  taskCount: number;
   cpus: number;
   gpus: number;
-  memory: number;
-  types: string[] | null;
+  memoryGb: number;
+  machineTypes: string[] | null;
   zone: string | null;
-  oneZone: boolean;
-  spread: boolean;
-  spot: boolean;
+  sameZone: boolean;
+  spreadZones: boolean;
+  allowsSpot: boolean;
   image: string;
   imageGb: number;
-  expect: number;
-  checkpoint: number;
-  save: number;
-  due: number | null;
+  expectedRunSeconds: number;
+  checkpointInterval: number;
+  checkpointDuration: number;
+  deadline: number | null;
   /** Jobs that have to be done before any task of this one starts. */
-  waitsOn: string[];
+  dependencies: string[];
 }
 
 const LIMIT = 1e12;
@@ -92,25 +92,25 @@
       id: w.Uid,
       jobClass: w.Jobclass,
       team: w.Owner,
-      service: w.Shape === 'daemon',
-      gang: w.Shape === 'ensemble',
+      isService: w.Shape === 'daemon',
+      isGang: w.Shape === 'ensemble',
       rank: w.Rank,
-      tasks: w.Pieces,
+      taskCount: w.Pieces,
       cpus: w.Cores,
       gpus: w.Accelerators,
-      memory: w.MemoryGb,
-      types: w.Flavours ?? null,
+      memoryGb: w.MemoryGb,
+      machineTypes: w.Flavours ?? null,
       zone: w.Yard ?? null,
-      oneZone: w.SamePlace,
-      spread: w.Apart,
-      spot: w.Loaners,
+      sameZone: w.SamePlace,
+      spreadZones: w.Apart,
+      allowsSpot: w.Loaners,
       image: w.Bundle,
       imageGb: w.PullGb,
-      expect: w.ExpectS,
-      checkpoint: w.SnapshotS,
-      save: w.FlushS,
-      due: w.DueS ?? null,
-      waitsOn: [...new Set(w.WaitsOn)],
+      expectedRunSeconds: w.ExpectS,
+      checkpointInterval: w.SnapshotS,
+      checkpointDuration: w.FlushS,
+      deadline: w.DueS ?? null,
+      dependencies: [...new Set(w.WaitsOn)],
     },
   };
 }
--- a/src/protocol/peerCodec.ts
+++ b/src/protocol/peerCodec.ts
@@ -27,7 +27,7 @@
   if ('Gossip' in request) return encodeWireRequest({ Gossip: toWireGossip(request.Gossip) });
   if ('Ask' in request) return encodeWireRequest({ Ask: toWireAsk(request.Ask) });
   if ('PrepareCancel' in request) {
-    const { job, at } = request.PrepareCancel;
+    const { job, sentAt: at } = request.PrepareCancel;
     return encodeWireRequest({ PrepareCancel: { job, at } });
   }
   const { method, target, body } = request.Relay;
@@ -39,6 +39,10 @@
   const request = decodeWireRequest(bytes);
   if ('Gossip' in request) return { Gossip: fromWireGossip(request.Gossip) };
   if ('Ask' in request) return { Ask: fromWireAsk(request.Ask) };
+  if ('PrepareCancel' in request) {
+    const { job, at } = request.PrepareCancel;
+    return { PrepareCancel: { job, sentAt: at } };
+  }
   return request;
 }
 
@@ -68,7 +72,7 @@
 
 /** A job's description as questions to peers hold it; what it depends on is done by the time that anybody is asked. */
 export const encodeSpec = (spec: JobSpec): string =>
-  JSON.stringify(toStoredSpec({ ...spec, waitsOn: [] }));
+  JSON.stringify(toStoredSpec({ ...spec, dependencies: [] }));
 
 /** The description that a peer's question holds. */
 export const decodeSpec = (text: string): JobSpec =>
@@ -79,22 +83,26 @@
     from: gossip.from,
     process: gossip.process,
     sequence: gossip.sequence,
-    at: gossip.at,
-    need: gossip.need,
-    served: gossip.served,
-    hosts: gossip.hosts.map((host) => ({
-      part: host.part,
-      token: host.token,
+    at: gossip.sentAt,
+    need: gossip.stateDemand,
+    served: gossip.isServed,
+    hosts: gossip.shards.map((host) => ({
+      part: host.shard,
+      token: host.fencingToken,
       utilisation: host.utilisation,
       waiting: host.waiting,
-      liveRoom: host.liveRoom,
+      liveRoom: host.serviceHeadroom,
     })),
     demands: gossip.demands.map(toWireDemand),
-    spare: gossip.spare,
-    lost: gossip.lost,
-    used: gossip.used,
-    throttled: gossip.throttled,
-    starving: gossip.starving.map(({ team, at, rank }) => ({ team, at, rank })),
+    spare: gossip.idleMachines,
+    lost: gossip.lostMachines,
+    used: gossip.teamUsage,
+    throttled: gossip.throttledTeams,
+    starving: gossip.starvedJobs.map(({ team, submittedAt, rank }) => ({
+      team,
+      at: submittedAt,
+      rank,
+    })),
   };
 }
 
@@ -103,62 +111,62 @@
     from: gossip.from,
     process: gossip.process,
     sequence: gossip.sequence,
-    at: gossip.at,
-    need: gossip.need,
-    served: gossip.served,
-    hosts: gossip.hosts.map((host) => ({
-      part: host.part,
-      token: host.token,
+    sentAt: gossip.at,
+    stateDemand: gossip.need,
+    isServed: gossip.served,
+    shards: gossip.hosts.map((host) => ({
+      shard: host.part,
+      fencingToken: host.token,
       utilisation: host.utilisation,
       waiting: host.waiting,
-      liveRoom: host.liveRoom,
+      serviceHeadroom: host.liveRoom,
     })),
     demands: gossip.demands.map(fromWireDemand),
-    spare: gossip.spare,
-    lost: gossip.lost,
-    used: gossip.used,
-    throttled: gossip.throttled,
-    starving: gossip.starving.map(({ team, at, rank }) => ({ team, at, rank })),
+    idleMachines: gossip.spare,
+    lostMachines: gossip.lost,
+    teamUsage: gossip.used,
+    throttledTeams: gossip.throttled,
+    starvedJobs: gossip.starving.map(({ team, at, rank }) => ({ team, submittedAt: at, rank })),
   };
 }
 
 function toWireDemand(demand: Demand): WireDemand {
   return {
-    part: demand.part,
+    part: demand.shard,
     cpus: demand.cpus,
     gpus: demand.gpus,
-    memory: demand.memory,
-    types: demand.types,
+    memory: demand.memoryGb,
+    types: demand.machineTypes,
     zone: demand.zone,
-    spot: demand.spot,
+    spot: demand.allowsSpot,
     rank: demand.rank,
-    service: demand.service,
+    service: demand.isService,
     image: demand.image,
     imageGb: demand.imageGb,
     count: demand.count,
-    urgent: demand.urgent,
-    pressing: demand.pressing,
-    run: demand.run,
+    urgent: demand.isUrgent,
+    pressing: demand.onDemandCount,
+    run: demand.expectedRunSeconds,
   };
 }
 
 function fromWireDemand(demand: WireDemand): Demand {
   return {
-    part: demand.part,
+    shard: demand.part,
     cpus: demand.cpus,
     gpus: demand.gpus,
-    memory: demand.memory,
-    types: demand.types,
+    memoryGb: demand.memory,
+    machineTypes: demand.types,
     zone: demand.zone,
-    spot: demand.spot,
+    allowsSpot: demand.spot,
     rank: demand.rank,
-    service: demand.service,
+    isService: demand.service,
     image: demand.image,
     imageGb: demand.imageGb,
     count: demand.count,
-    urgent: demand.urgent,
-    pressing: demand.pressing,
-    run: demand.run,
+    isUrgent: demand.urgent,
+    onDemandCount: demand.pressing,
+    expectedRunSeconds: demand.run,
   };
 }
 
@@ -175,14 +183,14 @@
 });
 
 const toWireEstimate = (estimate: TurnaroundEstimate): WireEstimate => ({
-  part: estimate.part,
+  part: estimate.shard,
   wait: estimate.wait,
   turnaround: estimate.turnaround,
   utilisation: estimate.utilisation,
 });
 
 const fromWireEstimate = (estimate: WireEstimate): TurnaroundEstimate => ({
-  part: estimate.part,
+  shard: estimate.part,
   wait: estimate.wait,
   turnaround: estimate.turnaround,
   utilisation: estimate.utilisation,
@@ -190,12 +198,12 @@
 
 const toWirePreparedChunk = (chunk: PreparedChunk): WirePreparedChunk => ({
   index: chunk.index,
-  part: chunk.part,
-  token: chunk.token,
+  part: chunk.shard,
+  token: chunk.fencingToken,
 });
 
 const fromWirePreparedChunk = (chunk: WirePreparedChunk): PreparedChunk => ({
   index: chunk.index,
-  part: chunk.part,
-  token: chunk.token,
+  shard: chunk.part,
+  fencingToken: chunk.token,
 });
--- a/src/protocol/peerMessages.ts
+++ b/src/protocol/peerMessages.ts
@@ -2,24 +2,24 @@
 
 /** Work of one shape that a part cannot place now. */
 export interface Demand {
-  part: string;
+  shard: string;
   cpus: number;
   gpus: number;
-  memory: number;
-  types: string[] | null;
+  memoryGb: number;
+  machineTypes: string[] | null;
   zone: string | null;
-  spot: boolean;
+  allowsSpot: boolean;
   rank: string;
-  service: boolean;
+  isService: boolean;
   image: string;
   imageGb: number;
   count: number;
   /** Replicas wait for it: what boots soon is worth its price. */
-  urgent: boolean;
+  isUrgent: boolean;
   /** Tasks of batch work that could not be through in time otherwise: dear machines may be rented. */
-  pressing: number;
+  onDemandCount: number;
   /** Expected run time of one task, corrected. */
-  run: number;
+  expectedRunSeconds: number;
 }
 
 export interface Gossip {
@@ -29,30 +29,30 @@
   /** Rises with each message of a process. */
   sequence: number;
   /** Time of day at which it was sent: a cut may hold it back for minutes. */
-  at: number;
+  sentAt: number;
   /** What the sender asks of the state service, a second. */
-  need: { requests: number; writes: number };
+  stateDemand: { requests: number; writes: number };
   /** True while the sender's lease at the state service is valid by its own clock. */
-  served: boolean;
-  hosts: {
-    part: string;
-    token: number;
+  isServed: boolean;
+  shards: {
+    shard: string;
+    fencingToken: number;
     utilisation: number;
     waiting: number;
     /** Processors on ordinary machines that live services have not taken. */
-    liveRoom: number;
+    serviceHeadroom: number;
   }[];
   demands: Demand[];
   /** Machines that may be returned. */
-  spare: string[];
+  idleMachines: string[];
   /** Machines that are silent and should be ended, so that their tasks are known to be over. */
-  lost: string[];
+  lostMachines: string[];
   /** What teams' tasks take at the sender's parts. */
-  used: { team: string; cpus: number; gpus: number }[];
+  teamUsage: { team: string; cpus: number; gpus: number }[];
   /** Teams whose share of the limit is too small for what waits here. */
-  throttled: string[];
+  throttledTeams: string[];
   /** The first job of each team that its limit has kept waiting for long. */
-  starving: { team: string; at: number; rank: number }[];
+  starvedJobs: { team: string; submittedAt: number; rank: number }[];
 }
 
 export interface EstimateRequest {
@@ -62,7 +62,7 @@
 }
 
 export interface TurnaroundEstimate {
-  part: string;
+  shard: string;
   wait: number;
   turnaround: number;
   utilisation: number;
@@ -72,14 +72,14 @@
 export interface CancellationNotice {
   job: string;
   /** Time of day at which it was sent: a cut may hold it back for minutes. */
-  at: number;
+  sentAt: number;
 }
 
 /** A chunk that runs no more, at the owner of its part. */
 export interface PreparedChunk {
   index: number;
-  part: string;
-  token: number;
+  shard: string;
+  fencingToken: number;
 }
 
 /** A request of a user or a worker, passed on to the node that can answer it. */
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -95,19 +95,19 @@
   cloudEndpoint: string;
   stateEndpoint: string;
   zones: string[];
-  skew: number;
+  clockSkew: number;
   teams: Team[];
   objectives: Objective[];
-  report: number;
-  lease: number;
-  cancel: number;
+  heartbeatInterval: number;
+  workerLease: number;
+  cancellationTimeout: number;
   /** Limits of the state service: of those in force and those to come, the smaller. */
-  stateRate: number;
+  stateRequestRate: number;
   stateWriteRate: number;
   valueBytes: number;
   txnOps: number;
   cloudRate: number;
-  listLag: number;
+  cloudListLag: number;
   maxSockets: number;
   cores: number;
 }
@@ -139,7 +139,7 @@
     cloudEndpoint: top.services.cloud,
     stateEndpoint: top.services.state,
     zones: s.zones,
-    skew: s.skew_ms / 1000,
+    clockSkew: s.skew_ms / 1000,
     teams: s.teams.map((t) => ({
       name: t.name,
       cpus: t.cpus,
@@ -153,15 +153,15 @@
       within: o.within_s,
       share: o.share,
     })),
-    report: s.workers.report_s,
-    lease: s.workers.lease_s,
-    cancel: s.workers.cancel_s,
-    stateRate: smaller(s.state.rps, s.state.next.rps),
+    heartbeatInterval: s.workers.report_s,
+    workerLease: s.workers.lease_s,
+    cancellationTimeout: s.workers.cancel_s,
+    stateRequestRate: smaller(s.state.rps, s.state.next.rps),
     stateWriteRate: smaller(s.state.write_rps, s.state.next.write_rps),
     valueBytes: smaller(s.state.value_kb, s.state.next.value_kb) * 1024,
     txnOps: smaller(s.state.txn_ops, s.state.next.txn_ops),
     cloudRate: s.cloud.rps,
-    listLag: s.cloud.list_lag_s,
+    cloudListLag: s.cloud.list_lag_s,
     maxSockets: s.limits.fd_limit,
     cores: s.limits.cores,
   };
--- a/src/protocol/stateProtocol.ts
+++ b/src/protocol/stateProtocol.ts
@@ -4,27 +4,27 @@
 export interface KeyValue {
   key: string;
   value: unknown;
-  stamp: number;
+  revision: number;
 }
 
-export type KeyValueChange = { key: string; value: unknown; stamp: number; removed: boolean };
+export type KeyValueChange = { key: string; value: unknown; revision: number; removed: boolean };
 
 export interface Transaction {
   /** Keys and the stamps they must have; 0: must not exist. */
-  when: { key: string; stamp: number }[];
-  puts: { key: string; value: unknown; hold?: number }[];
-  removes: string[];
+  conditions: { key: string; revision: number }[];
+  puts: { key: string; value: unknown; leaseId?: number }[];
+  deletes: string[];
 }
 
-export const transactionRequest = (txn: Transaction): Record<string, unknown> => ({
-  When: txn.when.map((c) => ({ K: c.key, Stamp: c.stamp })),
+export const transactionRequest = (transaction: Transaction): Record<string, unknown> => ({
+  When: transaction.conditions.map((c) => ({ K: c.key, Stamp: c.revision })),
   Then: [
-    ...txn.puts.map((p) => ({
+    ...transaction.puts.map((p) => ({
       Put: p.key,
       Value: p.value,
-      ...(p.hold === undefined ? {} : { Hold: p.hold }),
+      ...(p.leaseId === undefined ? {} : { Hold: p.leaseId }),
     })),
-    ...txn.removes.map((key) => ({ Remove: key })),
+    ...transaction.deletes.map((key) => ({ Remove: key })),
   ],
 });
 
@@ -49,19 +49,19 @@
 export function parseItem(raw: unknown): KeyValue | null {
   const result = v.safeParse(itemSchema, raw);
   if (!result.success) return null;
-  return { key: result.output.K, value: result.output.Value, stamp: result.output.Stamp };
+  return { key: result.output.K, value: result.output.Value, revision: result.output.Stamp };
 }
 
 export function parseRange(
   raw: unknown,
-): { items: KeyValue[]; more: boolean; epoch: number } | null {
+): { items: KeyValue[]; more: boolean; revision: number } | null {
   const result = v.safeParse(rangeSchema, raw);
   if (!result.success) return null;
   const { Rows, More, Epoch } = result.output;
   return {
-    items: Rows.map((r) => ({ key: r.K, value: r.Value, stamp: r.Stamp })),
+    items: Rows.map((r) => ({ key: r.K, value: r.Value, revision: r.Stamp })),
     more: More,
-    epoch: Epoch,
+    revision: Epoch,
   };
 }
 
@@ -88,15 +88,15 @@
   return result.success ? result.output.Hold : null;
 }
 
-export function parseLog(raw: unknown): { epoch: number; changes: KeyValueChange[] } | null {
+export function parseLog(raw: unknown): { revision: number; changes: KeyValueChange[] } | null {
   const result = v.safeParse(logSchema, raw);
   if (!result.success) return null;
   return {
-    epoch: result.output.Epoch,
+    revision: result.output.Epoch,
     changes: result.output.Log.map((c) => ({
       key: c.Put ?? c.Remove ?? '',
       value: c.Value ?? null,
-      stamp: c.Stamp,
+      revision: c.Stamp,
       removed: c.Put === undefined,
     })),
   };
--- a/src/protocol/storedJobSpec.ts
+++ b/src/protocol/storedJobSpec.ts
@@ -56,9 +56,37 @@
 
 /** Fields that this version does not know are kept, since a later version may have written them. */
 export function toStoredSpec(spec: JobSpec): StoredJobSpec {
-  const { id, jobClass, team, service, gang, rank, tasks, cpus, gpus, memory, ...placement } = spec;
-  const { types, zone, oneZone, spread, spot, image, imageGb, ...timing } = placement;
-  const { expect, checkpoint, save, due, waitsOn, ...unknownFields } = timing;
+  const {
+    id,
+    jobClass,
+    team,
+    isService: service,
+    isGang: gang,
+    rank,
+    taskCount: tasks,
+    cpus,
+    gpus,
+    memoryGb: memory,
+    ...placement
+  } = spec;
+  const {
+    machineTypes: types,
+    zone,
+    sameZone: oneZone,
+    spreadZones: spread,
+    allowsSpot: spot,
+    image,
+    imageGb,
+    ...timing
+  } = placement;
+  const {
+    expectedRunSeconds: expect,
+    checkpointInterval: checkpoint,
+    checkpointDuration: save,
+    deadline: due,
+    dependencies: waitsOn,
+    ...unknownFields
+  } = timing;
   return {
     id,
     jobClass,
@@ -100,25 +128,25 @@
     id,
     jobClass,
     team,
-    service,
-    gang,
+    isService: service,
+    isGang: gang,
     rank,
-    tasks,
+    taskCount: tasks,
     cpus,
     gpus,
-    memory,
-    types,
+    memoryGb: memory,
+    machineTypes: types,
     zone,
-    oneZone,
-    spread,
-    spot,
+    sameZone: oneZone,
+    spreadZones: spread,
+    allowsSpot: spot,
     image,
     imageGb,
-    expect,
-    checkpoint,
-    save,
-    due,
-    waitsOn,
+    expectedRunSeconds: expect,
+    checkpointInterval: checkpoint,
+    checkpointDuration: save,
+    deadline: due,
+    dependencies: waitsOn,
     ...unknownFields,
   };
 }
--- a/src/protocol/workerProtocol.ts
+++ b/src/protocol/workerProtocol.ts
@@ -5,10 +5,10 @@
 
 export interface ReportedAttempt {
   task: string;
-  attempt: number;
+  attemptNumber: number;
   state: TaskState;
   cause: string | null;
-  saved: boolean;
+  hasCheckpoint: boolean;
 }
 
 export interface Heartbeat {
@@ -17,13 +17,13 @@
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  tick: number;
+  agentEpoch: number;
+  heartbeatSequence: number;
   /** Highest token that the worker has seen. */
-  token: number;
+  highestFencingToken: number;
   /** Seconds until the cloud takes the machine away, or null. */
-  warning: number | null;
-  tasks: ReportedAttempt[];
+  preemptionWarning: number | null;
+  attempts: ReportedAttempt[];
 }
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
@@ -70,31 +70,31 @@
     type: w.Flavour,
     zone: w.Yard,
     spot: w.Loaners,
-    session: w.Shift,
-    tick: w.Tick,
-    token: w.Baton,
-    warning: w.WarningS ?? null,
-    tasks: (w.Pieces ?? []).map((p) => ({
+    agentEpoch: w.Shift,
+    heartbeatSequence: w.Tick,
+    highestFencingToken: w.Baton,
+    preemptionWarning: w.WarningS ?? null,
+    attempts: (w.Pieces ?? []).map((p) => ({
       task: p.Piece,
-      attempt: p.Try,
+      attemptNumber: p.Try,
       // A state we don't know still holds its room.
       state: states[p.Status] ?? 'running',
       cause: p.Cause ?? null,
-      saved: p.Kept ?? false,
+      hasCheckpoint: p.Kept ?? false,
     })),
   };
 }
 
 export type Command =
-  | { verb: 'start'; task: string; attempt: number }
-  | { verb: 'halt'; task: string; attempt: number; wind: number }
-  | { verb: 'reap'; task: string; attempt: number };
+  | { verb: 'start'; task: string; attemptNumber: number }
+  | { verb: 'halt'; task: string; attemptNumber: number; gracePeriod: number }
+  | { verb: 'reap'; task: string; attemptNumber: number };
 
 const toWireCommand = (order: Command): Record<string, unknown> => ({
   Verb: order.verb,
   Piece: order.task,
-  Try: order.attempt,
-  ...(order.verb === 'halt' ? { WindDownS: order.wind } : {}),
+  Try: order.attemptNumber,
+  ...(order.verb === 'halt' ? { WindDownS: order.gracePeriod } : {}),
 });
 
 export const heartbeatAnswer = (token: number, orders: Command[]): Record<string, unknown> => ({
--- a/src/storage/chunkIndex.ts
+++ b/src/storage/chunkIndex.ts
@@ -5,11 +5,11 @@
 import type { ChunkRecord, BucketRecord } from './records.js';
 
 export interface IndexedChunk {
-  part: string;
+  shard: string;
   bucket: string;
   record: ChunkRecord;
   /** The revision of the bucket's record. */
-  stamp: number;
+  revision: number;
 }
 
 export class ChunkIndex {
@@ -26,12 +26,12 @@
   }
 
   /** Follows one bucket's record; null: it has been removed. */
-  note(part: string, bucket: string, value: BucketRecord | null, stamp: number): void {
-    const key = `${part}/${bucket}`;
+  note(shard: string, bucket: string, value: BucketRecord | null, revision: number): void {
+    const key = `${shard}/${bucket}`;
     for (const id of this.members.get(key) ?? []) {
       const known = this.chunks.get(id);
       // It may stand on another bucket by now, at this part or another.
-      const here = known?.part === part && known.bucket === bucket;
+      const here = known?.shard === shard && known.bucket === bucket;
       if (here && value?.chunks[id] === undefined) this.chunks.delete(id);
     }
     if (value === null) {
@@ -42,8 +42,8 @@
     for (const [id, record] of Object.entries(value.chunks)) {
       const known = this.chunks.get(id);
       // A record beyond the limit keeps old copies of chunks until it is removed (safety, V5).
-      const isOlder = known?.part === part && known.stamp > stamp;
-      if (!isOlder) this.chunks.set(id, { part, bucket, record, stamp });
+      const isOlder = known?.shard === shard && known.revision > revision;
+      if (!isOlder) this.chunks.set(id, { shard, bucket, record, revision });
     }
   }
 }
--- a/src/storage/compactRecords.ts
+++ b/src/storage/compactRecords.ts
@@ -67,7 +67,18 @@
 }
 
 export function compactJob(record: JobRecord): CompactJob {
-  const { spec, home, state, tasks, at, size, zones, cut, finished, away } = record;
+  const {
+    spec,
+    homeShard: home,
+    state,
+    taskCount: tasks,
+    submittedAt: at,
+    chunkSize: size,
+    zones,
+    createdChunks: cut,
+    doneChunks: finished,
+    migratedChunks: away,
+  } = record;
   return {
     v: 2,
     ...(spec === null ? {} : { spec: compactSpec(spec) }),
@@ -90,15 +101,15 @@
   const { spec, home, state, tasks, at, size, zones, cut, finished, away } = stored as CompactJob;
   return {
     spec: spec === undefined ? null : fromStoredSpec(spec),
-    home,
+    homeShard: home,
     state: state ?? 'open',
-    tasks,
-    at,
-    size,
+    taskCount: tasks,
+    submittedAt: at,
+    chunkSize: size,
     zones: zones ?? [],
-    cut,
-    finished: [...fromRanges(finished ?? [])],
-    away: [...fromRanges(away ?? [])],
+    createdChunks: cut,
+    doneChunks: [...fromRanges(finished ?? [])],
+    migratedChunks: [...fromRanges(away ?? [])],
   };
 }
 
@@ -108,10 +119,21 @@
 });
 
 function compactChunk(record: ChunkRecord): CompactChunk {
-  const { spec, home, at, from, to, zone, next, done, entries, moves } = record;
+  const {
+    spec,
+    homeShard: home,
+    submittedAt: at,
+    firstTask: from,
+    endTask: to,
+    zone,
+    nextAttemptNumber: next,
+    doneTasks: done,
+    attempts: entries,
+    migrationCount: moves,
+  } = record;
   return {
     // Only the job's own record tells what it waits for: what is stored of a chunk has been released.
-    spec: compactSpec({ ...spec, waitsOn: [] }),
+    spec: compactSpec({ ...spec, dependencies: [] }),
     home,
     at,
     from,
@@ -126,7 +148,7 @@
 
 function compactEntries(entries: AttemptRecord[]): CompactEntries[] {
   const groups = new Map<string, CompactEntries>();
-  for (const { task, attempt, machine, session } of entries) {
+  for (const { task, attemptNumber: attempt, machine, agentEpoch: session } of entries) {
     const group = groups.get(`${machine} ${session}`) ?? [machine, session];
     groups.set(`${machine} ${session}`, group);
     group.push(task, attempt);
@@ -139,7 +161,7 @@
     const entries: AttemptRecord[] = [];
     for (let i = 0; i + 1 < numbers.length; i += 2) {
       const [task = 0, attempt = 0] = numbers.slice(i, i + 2);
-      entries.push({ task, attempt, machine, session });
+      entries.push({ task, attemptNumber: attempt, machine, agentEpoch: session });
     }
     return entries;
   });
@@ -154,15 +176,15 @@
 
 const decodeChunk = (stored: CompactChunk): ChunkRecord => ({
   spec: fromStoredSpec(stored.spec),
-  home: stored.home,
-  at: stored.at,
-  from: stored.from,
-  to: stored.to,
+  homeShard: stored.home,
+  submittedAt: stored.at,
+  firstTask: stored.from,
+  endTask: stored.to,
   zone: stored.zone ?? null,
-  next: stored.next,
-  done: stored.done ?? [],
-  entries: decodeEntries(stored.on ?? []),
-  moves: stored.moves ?? 0,
+  nextAttemptNumber: stored.next,
+  doneTasks: stored.done ?? [],
+  attempts: decodeEntries(stored.on ?? []),
+  migrationCount: stored.moves ?? 0,
 });
 
 const sorted = (numbers: number[]): number[] => [...numbers].sort((a, b) => a - b);
--- a/src/storage/machineInventory.ts
+++ b/src/storage/machineInventory.ts
@@ -32,13 +32,14 @@
     return this.machines.get(name)?.group;
   }
 
-  *of(part: string): IterableIterator<[string, MachineRecord]> {
-    for (const [name, { record }] of this.machines) if (record.part === part) yield [name, record];
+  *of(shard: string): IterableIterator<[string, MachineRecord]> {
+    for (const [name, { record }] of this.machines)
+      if (record.shard === shard) yield [name, record];
   }
 
   /** The group is a rental that has not been answered yet. */
   isIntention(group: string): boolean {
-    return this.groups.get(group)?.asked !== undefined;
+    return this.groups.get(group)?.requestedCount !== undefined;
   }
 
   entries(): IterableIterator<[string, MachineGroupRecord]> {
@@ -46,8 +47,8 @@
   }
 
   /** How many machines of each type a part has. */
-  countsOf(part: string): ReadonlyMap<string, number> {
-    return this.counts.get(part) ?? new Map<string, number>();
+  countsOf(shard: string): ReadonlyMap<string, number> {
+    return this.counts.get(shard) ?? new Map<string, number>();
   }
 
   /** Follows one group's record; null: it has been removed. */
@@ -65,12 +66,12 @@
       change.gone.push(name);
     }
     if (value === null) return change;
-    const { part, type, zone, spot } = value;
+    const { shard, type, zone, spot } = value;
     for (const [name, machine] of Object.entries(value.machines)) {
       const known = this.machines.get(name);
       if (known !== undefined && known.group !== group) continue;
       if (known !== undefined) this.count(known.record, -1);
-      const record: MachineRecord = { part, type, zone, spot, ...machine };
+      const record: MachineRecord = { shard, type, zone, spot, ...machine };
       this.count(record, 1);
       this.machines.set(name, { group, record });
       change.present.push([name, record]);
@@ -78,9 +79,9 @@
     return change;
   }
 
-  private count({ part, type }: MachineRecord, by: number): void {
-    const types = this.counts.get(part) ?? new Map<string, number>();
-    this.counts.set(part, types);
+  private count({ shard, type }: MachineRecord, by: number): void {
+    const types = this.counts.get(shard) ?? new Map<string, number>();
+    this.counts.set(shard, types);
     types.set(type, (types.get(type) ?? 0) + by);
   }
 }
--- a/src/storage/nodeCapabilities.ts
+++ b/src/storage/nodeCapabilities.ts
@@ -13,9 +13,9 @@
   private isWriting = false;
 
   constructor(
-    private readonly client: Pick<StateClient, 'txn'>,
-    private readonly replica: Pick<StateCache, 'get' | 'note' | 'loaded'>,
-    private readonly layout: RecordFormat,
+    private readonly client: Pick<StateClient, 'transact'>,
+    private readonly stateCache: Pick<StateCache, 'get' | 'note' | 'loaded'>,
+    private readonly recordFormat: RecordFormat,
     private readonly label: string,
     /** All nodes of the settings. */
     labels: string[],
@@ -30,25 +30,32 @@
 
   /** Follows the marks in the copy of the records. */
   note(label: string, record: NodeCapabilityRecord): void {
-    if (record.layout < RECORD_FORMAT_VERSION || !this.unmarked.delete(label)) return;
+    if (record.recordFormat < RECORD_FORMAT_VERSION || !this.unmarked.delete(label)) return;
     if (!this.isUpgraded) return;
-    this.layout.useCompact();
+    this.recordFormat.useCompact();
     log.info('every node can read the present layout of records; it is used from now on');
   }
 
   /** Marks this node, unless the copy of the records shows that it is marked. */
   async ensure(): Promise<void> {
     const key = keys.node(this.label);
-    const stored = this.replica.get(key);
+    const stored = this.stateCache.get(key);
     const known = stored?.value as NodeCapabilityRecord | undefined;
-    if (!this.replica.loaded || this.isWriting || (known?.layout ?? 0) >= RECORD_FORMAT_VERSION)
+    if (
+      !this.stateCache.loaded ||
+      this.isWriting ||
+      (known?.recordFormat ?? 0) >= RECORD_FORMAT_VERSION
+    )
       return;
     this.isWriting = true;
     try {
-      const value: NodeCapabilityRecord = { layout: RECORD_FORMAT_VERSION };
-      const when = [{ key, stamp: stored?.stamp ?? 0 }];
-      const result = await this.client.txn({ when, puts: [{ key, value }], removes: [] }, 'urgent');
-      if (result.kind === 'applied') this.replica.note(key, value, result.stamp);
+      const value: NodeCapabilityRecord = { recordFormat: RECORD_FORMAT_VERSION };
+      const when = [{ key, revision: stored?.revision ?? 0 }];
+      const result = await this.client.transact(
+        { conditions: when, puts: [{ key, value }], deletes: [] },
+        'urgent',
+      );
+      if (result.kind === 'applied') this.stateCache.note(key, value, result.revision);
     } catch (error) {
       log.debug(`mark of this node: ${describe(error)}`);
     } finally {
--- a/src/storage/plainRecords.ts
+++ b/src/storage/plainRecords.ts
@@ -35,15 +35,15 @@
 export function toPlainJob(record: JobRecord): StoredJobRecord {
   return {
     spec: record.spec === null ? null : toStoredSpec(record.spec),
-    home: record.home,
+    home: record.homeShard,
     state: record.state,
-    tasks: record.tasks,
-    at: record.at,
-    size: record.size,
+    tasks: record.taskCount,
+    at: record.submittedAt,
+    size: record.chunkSize,
     zones: record.zones,
-    cut: record.cut,
-    finished: record.finished,
-    away: record.away,
+    cut: record.createdChunks,
+    finished: record.doneChunks,
+    away: record.migratedChunks,
   };
 }
 
@@ -51,15 +51,15 @@
 export function fromPlainJob(stored: StoredJobRecord): JobRecord {
   return {
     spec: stored.spec === null ? null : fromStoredSpec(stored.spec),
-    home: stored.home,
+    homeShard: stored.home,
     state: stored.state,
-    tasks: stored.tasks,
-    at: stored.at,
-    size: stored.size,
+    taskCount: stored.tasks,
+    submittedAt: stored.at,
+    chunkSize: stored.size,
     zones: stored.zones,
-    cut: stored.cut,
-    finished: stored.finished,
-    away: stored.away,
+    createdChunks: stored.cut,
+    doneChunks: stored.finished,
+    migratedChunks: stored.away,
   };
 }
 
@@ -76,120 +76,124 @@
 function toPlainChunk(record: ChunkRecord): StoredChunkRecord {
   return {
     spec: toStoredSpec(record.spec),
-    home: record.home,
-    at: record.at,
-    from: record.from,
-    to: record.to,
+    home: record.homeShard,
+    at: record.submittedAt,
+    from: record.firstTask,
+    to: record.endTask,
     zone: record.zone,
-    next: record.next,
-    done: record.done,
-    entries: record.entries.map(toPlainEntry),
-    moves: record.moves,
+    next: record.nextAttemptNumber,
+    done: record.doneTasks,
+    entries: record.attempts.map(toPlainEntry),
+    moves: record.migrationCount,
   };
 }
 
 function fromPlainChunk(stored: StoredChunkRecord): ChunkRecord {
   return {
     spec: fromStoredSpec(stored.spec),
-    home: stored.home,
-    at: stored.at,
-    from: stored.from,
-    to: stored.to,
+    homeShard: stored.home,
+    submittedAt: stored.at,
+    firstTask: stored.from,
+    endTask: stored.to,
     zone: stored.zone,
-    next: stored.next,
-    done: stored.done,
-    entries: stored.entries.map(fromPlainEntry),
-    moves: stored.moves,
+    nextAttemptNumber: stored.next,
+    doneTasks: stored.done,
+    attempts: stored.entries.map(fromPlainEntry),
+    migrationCount: stored.moves,
   };
 }
 
 const toPlainEntry = (record: AttemptRecord): StoredEntryRecord => ({
   task: record.task,
-  attempt: record.attempt,
+  attempt: record.attemptNumber,
   machine: record.machine,
-  session: record.session,
+  session: record.agentEpoch,
 });
 
 const fromPlainEntry = (stored: StoredEntryRecord): AttemptRecord => ({
   task: stored.task,
-  attempt: stored.attempt,
+  attemptNumber: stored.attempt,
   machine: stored.machine,
-  session: stored.session,
+  agentEpoch: stored.session,
 });
 
 /** The counter of fencing tokens as it is stored. */
 export const toStoredTokens = (record: FencingTokenRecord): StoredTokenRecord => ({
-  last: record.last,
-  ...(record.owners === undefined ? {} : { owners: mapValues(record.owners, toStoredLastOwner) }),
+  last: record.lastToken,
+  ...(record.lastLeaders === undefined
+    ? {}
+    : { owners: mapValues(record.lastLeaders, toStoredLastOwner) }),
 });
 
 /** The counter of fencing tokens that was stored. */
 export const fromStoredTokens = (stored: StoredTokenRecord): FencingTokenRecord => ({
-  last: stored.last,
-  ...(stored.owners === undefined ? {} : { owners: mapValues(stored.owners, fromStoredLastOwner) }),
+  lastToken: stored.last,
+  ...(stored.owners === undefined
+    ? {}
+    : { lastLeaders: mapValues(stored.owners, fromStoredLastOwner) }),
 });
 
 const toStoredLastOwner = (record: LastLeader): StoredLastOwner => ({
   node: record.node,
-  lost: record.lost,
+  lost: record.lostAtByNode,
 });
 
 const fromStoredLastOwner = (stored: StoredLastOwner): LastLeader => ({
   node: stored.node,
-  lost: stored.lost,
+  lostAtByNode: stored.lost,
 });
 
 /** A leader's key as it is stored. */
 export const toStoredOwner = (record: LeaderRecord): StoredOwnerRecord => ({
   node: record.node,
-  token: record.token,
+  token: record.fencingToken,
   process: record.process,
 });
 
 /** A leader's key that was stored. */
 export const fromStoredOwner = (stored: StoredOwnerRecord): LeaderRecord => ({
   node: stored.node,
-  token: stored.token,
+  fencingToken: stored.token,
   process: stored.process,
 });
 
 /** What a node can read, as it is stored. */
 export const toStoredNode = (record: NodeCapabilityRecord): StoredNodeRecord => ({
-  layout: record.layout,
+  layout: record.recordFormat,
 });
 
 /** What a node can read, as it was stored. */
 export const fromStoredNode = (stored: StoredNodeRecord): NodeCapabilityRecord => ({
-  layout: stored.layout,
+  recordFormat: stored.layout,
 });
 
 /** The machines of one rental as they are stored. */
 export const toStoredGroup = (record: MachineGroupRecord): StoredGroupRecord => ({
-  part: record.part,
+  part: record.shard,
   type: record.type,
   zone: record.zone,
   spot: record.spot,
   machines: mapValues(record.machines, toStoredGroupMachine),
-  ...(record.asked === undefined ? {} : { asked: record.asked }),
+  ...(record.requestedCount === undefined ? {} : { asked: record.requestedCount }),
 });
 
 /** The machines of one rental that were stored. */
 export const fromStoredGroup = (stored: StoredGroupRecord): MachineGroupRecord => ({
-  part: stored.part,
+  shard: stored.part,
   type: stored.type,
   zone: stored.zone,
   spot: stored.spot,
   machines: mapValues(stored.machines, fromStoredGroupMachine),
-  ...(stored.asked === undefined ? {} : { asked: stored.asked }),
+  ...(stored.asked === undefined ? {} : { requestedCount: stored.asked }),
 });
 
 const toStoredGroupMachine = (record: GroupMachine): StoredGroupMachine => ({
-  at: record.at,
+  at: record.launchedAt,
   ...(record.address === undefined ? {} : { address: record.address }),
 });
 
 const fromStoredGroupMachine = (stored: StoredGroupMachine): GroupMachine => ({
-  at: stored.at,
+  launchedAt: stored.at,
   ...(stored.address === undefined ? {} : { address: stored.address }),
 });
 
@@ -198,12 +202,12 @@
   name: type.name,
   cpus: type.cpus,
   gpus: type.gpus,
-  memory: type.memory,
-  fetchRate: type.fetchRate,
-  cache: type.cache,
+  memory: type.memoryGb,
+  fetchRate: type.fetchGbPerSecond,
+  cache: type.cacheGb,
   price: type.price,
   spotPrice: type.spotPrice,
-  boot: type.boot,
+  boot: type.bootSeconds,
   zones: type.zones,
 });
 
@@ -212,11 +216,11 @@
   name: stored.name,
   cpus: stored.cpus,
   gpus: stored.gpus,
-  memory: stored.memory,
-  fetchRate: stored.fetchRate,
-  cache: stored.cache,
+  memoryGb: stored.memory,
+  fetchGbPerSecond: stored.fetchRate,
+  cacheGb: stored.cache,
   price: stored.price,
   spotPrice: stored.spotPrice,
-  boot: stored.boot,
+  bootSeconds: stored.boot,
   zones: stored.zones,
 });
--- a/src/storage/rateLimiter.ts
+++ b/src/storage/rateLimiter.ts
@@ -29,11 +29,11 @@
 
 /** A bucket of tokens, refilled at a rate; callers wait their turn. */
 export class RateLimiter {
-  private level: number;
-  private filled: number;
+  private tokens: number;
+  private refilledAt: number;
   /** Cost asked for lately, a second; forgets over a few seconds. */
-  private asked = 0;
-  private askedAt: number;
+  private demandRate = 0;
+  private demandRateAt: number;
   /** What is left of each share; below zero, they queue like other urgent work. */
   private readonly shareLevels = new Map<RequestPriority, number>();
   private readonly queue: { cost: number; order: number; go: () => void }[] = [];
@@ -41,39 +41,39 @@
 
   constructor(
     private readonly clock: Clock,
-    private rate: number,
+    private refillRate: number,
     private burst: number,
   ) {
-    this.level = burst;
-    for (const [urgency, share] of SHARES) this.shareLevels.set(urgency, burst * share);
-    this.filled = clock.now();
-    this.askedAt = this.filled;
+    this.tokens = burst;
+    for (const [priority, share] of SHARES) this.shareLevels.set(priority, burst * share);
+    this.refilledAt = clock.now();
+    this.demandRateAt = this.refilledAt;
   }
 
   /** Cost a second that is being asked for, what waits included. */
-  get need(): number {
+  get demand(): number {
     this.forget();
     let waiting = 0;
     for (const { cost } of this.queue) waiting += cost;
-    return this.asked + waiting / MEMORY;
+    return this.demandRate + waiting / MEMORY;
   }
 
   /** Bursts of a second's worth are allowed, so the burst follows the rate. */
   setRate(rate: number): void {
     this.refill();
-    this.rate = rate;
+    this.refillRate = rate;
     this.burst = rate;
-    this.level = Math.min(this.level, rate);
+    this.tokens = Math.min(this.tokens, rate);
   }
 
   private forget(): void {
     const now = this.clock.now();
-    this.asked *= Math.exp(-(now - this.askedAt) / MEMORY);
-    this.askedAt = now;
+    this.demandRate *= Math.exp(-(now - this.demandRateAt) / MEMORY);
+    this.demandRateAt = now;
   }
 
-  get pace(): number {
-    return this.rate;
+  get rate(): number {
+    return this.refillRate;
   }
 
   get waiting(): number {
@@ -81,20 +81,20 @@
   }
 
   /** Seconds until something of this urgency would get its turn. */
-  delay(urgency: RequestPriority): number {
+  delay(priority: RequestPriority): number {
     this.refill();
     let ahead = 0;
-    const own = this.orderOf(urgency);
+    const own = this.orderOf(priority);
     for (const { cost, order } of this.queue) if (order <= own) ahead += cost;
-    return Math.max(0, (ahead - this.level) / this.rate);
+    return Math.max(0, (ahead - this.tokens) / this.refillRate);
   }
 
-  take(cost: number, urgency: RequestPriority): Promise<void> {
+  acquire(cost: number, priority: RequestPriority): Promise<void> {
     this.forget();
     this.refill();
-    this.asked += cost / MEMORY;
-    const order = this.orderOf(urgency);
-    if (order === ORDER[urgency]) this.spendShare(urgency, cost);
+    this.demandRate += cost / MEMORY;
+    const order = this.orderOf(priority);
+    if (order === ORDER[priority]) this.spendShare(priority, cost);
     return new Promise((go) => {
       const entry = { cost, order, go };
       const at = this.queue.findIndex((e) => e.order > order);
@@ -104,40 +104,40 @@
     });
   }
 
-  private orderOf(urgency: RequestPriority): number {
-    const isBeyondShare = (this.shareLevels.get(urgency) ?? 0) < 0;
-    return ORDER[isBeyondShare ? 'urgent' : urgency];
+  private orderOf(priority: RequestPriority): number {
+    const isBeyondShare = (this.shareLevels.get(priority) ?? 0) < 0;
+    return ORDER[isBeyondShare ? 'urgent' : priority];
   }
 
-  private spendShare(urgency: RequestPriority, cost: number): void {
-    const level = this.shareLevels.get(urgency);
-    if (level !== undefined) this.shareLevels.set(urgency, level - cost);
+  private spendShare(priority: RequestPriority, cost: number): void {
+    const level = this.shareLevels.get(priority);
+    if (level !== undefined) this.shareLevels.set(priority, level - cost);
   }
 
   /** What goes along with somebody whose turn it is; the next wait for it. */
-  charge(cost: number, urgency: RequestPriority): void {
+  charge(cost: number, priority: RequestPriority): void {
     this.refill();
-    this.level -= cost;
-    this.spendShare(urgency, cost);
+    this.tokens -= cost;
+    this.spendShare(priority, cost);
     this.forget();
-    this.asked += cost / MEMORY;
+    this.demandRate += cost / MEMORY;
   }
 
   /** The other side says that the rate was passed: the others use more than we thought. */
-  punish(): void {
+  backOff(): void {
     this.refill();
-    this.level = Math.min(this.level, 0);
+    this.tokens = Math.min(this.tokens, 0);
   }
 
   private refill(): void {
     const now = this.clock.now();
-    const gained = (now - this.filled) * this.rate;
-    this.level = Math.min(this.burst, this.level + gained);
-    for (const [urgency, share] of SHARES) {
-      const level = this.shareLevels.get(urgency) ?? 0;
-      this.shareLevels.set(urgency, Math.min(this.burst * share, level + gained * share));
+    const gained = (now - this.refilledAt) * this.refillRate;
+    this.tokens = Math.min(this.burst, this.tokens + gained);
+    for (const [priority, share] of SHARES) {
+      const level = this.shareLevels.get(priority) ?? 0;
+      this.shareLevels.set(priority, Math.min(this.burst * share, level + gained * share));
     }
-    this.filled = now;
+    this.refilledAt = now;
   }
 
   private drain(): void {
@@ -147,18 +147,18 @@
       if (head === undefined) return;
       // A request larger than the burst goes when the bucket is full, and leaves a debt.
       const need = Math.min(head.cost, this.burst);
-      if (this.level + 1e-9 < need) {
+      if (this.tokens + 1e-9 < need) {
         this.timer ??= setTimeout(
           () => {
             this.timer = null;
             this.drain();
           },
-          Math.ceil(((need - this.level) / this.rate) * 1000) + 1,
+          Math.ceil(((need - this.tokens) / this.refillRate) * 1000) + 1,
         );
         return;
       }
       this.queue.shift();
-      this.level -= head.cost;
+      this.tokens -= head.cost;
       head.go();
     }
   }
--- a/src/storage/recordFormat.ts
+++ b/src/storage/recordFormat.ts
@@ -152,7 +152,7 @@
   specBytes(spec: JobSpec): number {
     const known = this.descriptions.get(spec);
     if (known !== undefined) return known;
-    const { waitsOn } = spec;
+    const { dependencies: waitsOn } = spec;
     const stored = this.isCompact ? compactSpec(spec) : { ...toStoredSpec(spec), waitsOn };
     const bytes = bytesOf(stored);
     this.descriptions.set(spec, bytes);
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -29,10 +29,10 @@
 export const keys = {
   token: 'b/token',
   types: 'b/types',
-  owner: (part: string): string => `${OWNERS}${part}`,
+  owner: (shard: string): string => `${OWNERS}${shard}`,
   job: (id: string): string => `${JOBS}${id}`,
-  run: (part: string, bucket: string): string => `${BUCKETS}${part}/${bucket}`,
-  runs: (part: string): string => `${BUCKETS}${part}/`,
+  run: (shard: string, bucket: string): string => `${BUCKETS}${shard}/${bucket}`,
+  runs: (shard: string): string => `${BUCKETS}${shard}/`,
   group: (ask: string): string => `${GROUPS}${ask}`,
   quota: (team: string): string => `b/quota/${team}`,
   node: (label: string): string => `${NODES}${label}`,
@@ -58,70 +58,70 @@
  * An owner's key goes with its lease; that another node may still answer a part's workers must outlast it.
  */
 export interface FencingTokenRecord {
-  last: number;
-  owners?: Record<string, LastLeader>;
+  lastToken: number;
+  lastLeaders?: Record<string, LastLeader>;
 }
 
 export interface LastLeader {
   node: string;
   /** Nodes that lost the part to another, and the time of day at which they did: they may not know it. */
-  lost: Record<string, number>;
+  lostAtByNode: Record<string, number>;
 }
 
 export interface LeaderRecord {
   node: string;
-  token: number;
+  fencingToken: number;
   /** Tells one start of a process from the next. */
   process: string;
 }
 
 /** Tells that a node has the version that it names, or a later one. */
 export interface NodeCapabilityRecord {
-  layout: number;
+  recordFormat: number;
 }
 
 export interface JobRecord {
   /** Dropped once the job is over, so that final states, which are kept for good, stay small. */
   spec: JobSpec | null;
-  home: string;
+  homeShard: string;
   state: 'open' | 'done' | 'cancelled';
-  tasks: number;
+  taskCount: number;
   /** Time of day of the submission; orders the queues. */
-  at: number;
+  submittedAt: number;
   /** Tasks a chunk, and the zones that a spread job's two halves are held to. */
-  size: number;
+  chunkSize: number;
   zones: string[];
   /** Chunks that have been made so far, and those of them that are done. */
-  cut: number;
-  finished: number[];
+  createdChunks: number;
+  doneChunks: number[];
   /**
    * Chunks that have ever left the home part. Any other that is neither done nor on a bucket of the home
    * part has not been stored yet: nothing of it was started, and its home has it.
    */
-  away: number[];
+  migratedChunks: number[];
 }
 
 export interface AttemptRecord {
   task: number;
-  attempt: number;
+  attemptNumber: number;
   machine: string;
-  session: number;
+  agentEpoch: number;
 }
 
 export interface ChunkRecord {
   spec: JobSpec;
-  home: string;
-  at: number;
-  from: number;
-  to: number;
+  homeShard: string;
+  submittedAt: number;
+  firstTask: number;
+  endTask: number;
   zone: string | null;
   /** The next attempt number of any of its tasks; it only rises. */
-  next: number;
+  nextAttemptNumber: number;
   /** Done tasks as ranges: first, one past the last, first, … */
-  done: number[];
-  entries: AttemptRecord[];
+  doneTasks: number[];
+  attempts: AttemptRecord[];
   /** How often it has been sent on. */
-  moves: number;
+  migrationCount: number;
 }
 
 /** Chunks by their ids. */
@@ -131,30 +131,30 @@
 
 /** One machine, as its group's record tells of it. */
 export interface MachineRecord {
-  part: string;
+  shard: string;
   type: string;
   zone: string;
   spot: boolean;
   /** Time of day at which it was rented, or first heard of. */
-  at: number;
+  launchedAt: number;
   /** Once the cloud has listed it: a restarted owner can ask it before it has found its way back. */
   address?: string;
 }
 
 /** Machines of one kind and part that came together. */
 export interface MachineGroupRecord {
-  part: string;
+  shard: string;
   type: string;
   zone: string;
   spot: boolean;
   machines: Record<string, GroupMachine>;
   /** How many are being asked for; absent once the cloud has answered. */
-  asked?: number;
+  requestedCount?: number;
 }
 
 /** One machine of a group, without what all of the group have in common. */
 export interface GroupMachine {
-  at: number;
+  launchedAt: number;
   address?: string;
 }
 
--- a/src/storage/stateCache.ts
+++ b/src/storage/stateCache.ts
@@ -6,13 +6,13 @@
 
 /** Changes after a revision, up to `epoch`. */
 export interface ChangeLog {
-  epoch: number;
+  revision: number;
   changes: KeyValueChange[];
 }
 
 export interface CachedRecord {
   value: unknown;
-  stamp: number;
+  revision: number;
 }
 
 /**
@@ -22,7 +22,7 @@
 export class StateCache {
   /** By kind (`b/job/`, `b/run/`, …): final jobs are kept for good, and nobody should walk past them. */
   private readonly kinds = new Map<string, Map<string, CachedRecord>>();
-  private epoch = -1;
+  private syncedRevision = -1;
   /**
    * Removals that are known here ahead of the watch, by key: until it has caught up, its answers still tell of the
    * record as it was before.
@@ -34,7 +34,7 @@
   syncedAt = -Infinity;
 
   constructor(
-    private readonly client: Pick<StateClient, 'range' | 'changes'>,
+    private readonly client: Pick<StateClient, 'readRange' | 'readChanges'>,
     private readonly prefix: string,
     private readonly clock: Pick<Clock, 'now'>,
     private readonly options: { hold: number; pause: number },
@@ -43,7 +43,7 @@
 
   /** The revision up to which it holds everything. */
   get revision(): number {
-    return this.epoch;
+    return this.syncedRevision;
   }
 
   get(key: string): CachedRecord | undefined {
@@ -51,7 +51,7 @@
   }
 
   /** All of one kind, or those of it that begin with `prefix`. */
-  *under(prefix: string): IterableIterator<[string, CachedRecord]> {
+  *entriesWithPrefix(prefix: string): IterableIterator<[string, CachedRecord]> {
     const kind = kindOf(prefix);
     const items = this.kinds.get(kind);
     if (items === undefined) return;
@@ -70,21 +70,23 @@
    * Notes a change that we made or read ourselves, ahead of the watch. The copy holds all up to its revision: what
    * it does not have of that time has been removed since, and the answer that tells of it was overtaken.
    */
-  note(key: string, value: unknown, stamp: number): void {
+  note(key: string, value: unknown, revision: number): void {
     const items = this.of(key);
     const known = items.get(key);
-    if (stamp <= Math.max(known?.stamp ?? this.epoch, this.removals.get(key) ?? -1)) return;
-    items.set(key, { value, stamp });
-    this.changed({ key, value, stamp, removed: false });
+    if (revision <= Math.max(known?.revision ?? this.syncedRevision, this.removals.get(key) ?? -1))
+      return;
+    items.set(key, { value, revision });
+    this.changed({ key, value, revision, removed: false });
   }
 
-  noteRemoved(key: string, stamp: number): void {
+  noteRemoved(key: string, revision: number): void {
     const items = this.of(key);
     const known = items.get(key);
-    if (known === undefined || known.stamp > stamp) return;
+    if (known === undefined || known.revision > revision) return;
     items.delete(key);
-    if (Number.isFinite(stamp) && stamp > this.epoch) this.removals.set(key, stamp);
-    this.changed({ key, value: null, stamp, removed: true });
+    if (Number.isFinite(revision) && revision > this.syncedRevision)
+      this.removals.set(key, revision);
+    this.changed({ key, value: null, revision, removed: true });
   }
 
   /**
@@ -92,10 +94,10 @@
    * Reading all records again would cost a second of a small processor's time after each restart.
    */
   async catchUp(revision: number): Promise<void> {
-    if (this.epoch >= 0) {
+    if (this.syncedRevision >= 0) {
       const sent = this.clock.now();
-      const log = await this.client.changes(this.prefix, this.epoch, 0);
-      if (log !== null && log.epoch >= revision) {
+      const log = await this.client.readChanges(this.prefix, this.syncedRevision, 0);
+      if (log !== null && log.revision >= revision) {
         this.follow(log, sent);
         return;
       }
@@ -106,37 +108,37 @@
   /** Takes up an answer with changes, which may have been overtaken by a newer one. */
   private follow(log: ChangeLog, sent: number): void {
     for (const change of log.changes) {
-      if (change.stamp <= this.epoch) continue;
-      if (change.removed) this.noteRemoved(change.key, change.stamp);
-      else this.note(change.key, change.value, change.stamp);
+      if (change.revision <= this.syncedRevision) continue;
+      if (change.removed) this.noteRemoved(change.key, change.revision);
+      else this.note(change.key, change.value, change.revision);
     }
-    this.reach(log.epoch);
+    this.reach(log.revision);
     this.syncedAt = Math.max(this.syncedAt, sent);
   }
 
   /** The copy holds all up to this revision. */
-  private reach(epoch: number): void {
-    this.epoch = Math.max(this.epoch, epoch);
-    for (const [key, stamp] of this.removals) {
-      if (stamp <= this.epoch) this.removals.delete(key);
+  private reach(revision: number): void {
+    this.syncedRevision = Math.max(this.syncedRevision, revision);
+    for (const [key, revision] of this.removals) {
+      if (revision <= this.syncedRevision) this.removals.delete(key);
     }
   }
 
   async load(): Promise<void> {
     const sent = this.clock.now();
-    const { items, epoch } = await this.client.range(this.prefix);
+    const { items, revision } = await this.client.readRange(this.prefix);
     const present = new Set<string>();
     for (const item of items) {
       present.add(item.key);
-      this.note(item.key, item.value, item.stamp);
+      this.note(item.key, item.value, item.revision);
     }
     for (const items of this.kinds.values()) {
       for (const [key, stored] of [...items]) {
-        if (!present.has(key) && stored.stamp <= epoch) this.noteRemoved(key, epoch);
+        if (!present.has(key) && stored.revision <= revision) this.noteRemoved(key, revision);
       }
     }
     // Another reading, or the watch, may have gone further meanwhile.
-    this.reach(epoch);
+    this.reach(revision);
     this.loaded = true;
     this.syncedAt = Math.max(this.syncedAt, sent);
   }
@@ -144,11 +146,15 @@
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
-        if (this.epoch < 0) await this.load();
+        if (this.syncedRevision < 0) await this.load();
         const sent = this.clock.now();
-        const changes = await this.client.changes(this.prefix, this.epoch, this.options.hold);
+        const changes = await this.client.readChanges(
+          this.prefix,
+          this.syncedRevision,
+          this.options.hold,
+        );
         if (changes === null) {
-          this.epoch = -1;
+          this.syncedRevision = -1;
           continue;
         }
         this.follow(changes, sent);
--- a/src/storage/stateClient.ts
+++ b/src/storage/stateClient.ts
@@ -13,7 +13,7 @@
 export class StateServiceUnavailableError extends Error {}
 
 export type TransactionResult =
-  | { kind: 'applied'; stamp: number }
+  | { kind: 'applied'; revision: number }
   | { kind: 'conflict'; failed: string[] }
   /** No answer: it may have been applied, or may still be. */
   | { kind: 'unknown' }
@@ -35,7 +35,7 @@
 /** A record as a transaction puts it. */
 interface WrittenRecord {
   key: string;
-  pieces: number;
+  fragments: number;
   form: StoredForm;
 }
 
@@ -56,7 +56,7 @@
   /** Steady time of the last refusal or silence. */
   lastFailed = -Infinity;
   /** How many pieces each record had when it was last read or written, if any. */
-  private readonly pieces = new Map<string, number>();
+  private readonly fragmentCounts = new Map<string, number>();
   /** How records that are not stored plainly are stored, as they were last read or written. */
   private readonly forms = new Map<string, StoredForm>();
   /** Records that could not be read, and why. */
@@ -66,7 +66,7 @@
     private readonly http: Pick<HttpClient, 'call'>,
     private readonly clock: Clock,
     private readonly options: StateClientOptions,
-    private readonly layout: RecordFormat,
+    private readonly recordFormat: RecordFormat,
   ) {
     const { rate, writeRate, sharers } = options;
     this.requests = new RateLimiter(clock, rate / sharers, rate / sharers);
@@ -74,12 +74,12 @@
   }
 
   /** What this node asks of the service, a second. */
-  get need(): { requests: number; writes: number } {
-    return { requests: this.requests.need, writes: this.writes.need };
+  get demand(): { requests: number; writes: number } {
+    return { requests: this.requests.demand, writes: this.writes.demand };
   }
 
   /** Takes what the others leave; `needs` are those that have been heard of lately. */
-  share(needs: { requests: number; writes: number }[]): void {
+  adoptRateShare(needs: { requests: number; writes: number }[]): void {
     const { rate, writeRate, sharers } = this.options;
     const requests = needs.map((n) => n.requests);
     const writes = needs.map((n) => n.writes);
@@ -89,17 +89,17 @@
 
   /** Changes a second that are ours just now. */
   get writeRate(): number {
-    return this.writes.pace;
+    return this.writes.rate;
   }
 
   /** What this node asks of its share of the changes, as a ratio to it. */
   get writeLoad(): number {
-    return this.writes.need / this.writes.pace;
+    return this.writes.demand / this.writes.rate;
   }
 
   /** Seconds that a change of this urgency would wait for its turn. */
-  writeDelay(urgency: RequestPriority): number {
-    return this.writes.delay(urgency);
+  writeDelay(priority: RequestPriority): number {
+    return this.writes.delay(priority);
   }
 
   /** Requests and changes that wait for their turn. */
@@ -107,7 +107,7 @@
     return this.requests.waiting + this.writes.waiting;
   }
 
-  get healthy(): boolean {
+  get isHealthy(): boolean {
     return this.lastServed > this.lastFailed;
   }
 
@@ -136,7 +136,7 @@
     timeout?: number,
   ): Promise<Response> {
     for (let tries = 0; ; tries++) {
-      await this.requests.take(1, method === 'POST' ? 'ownership' : 'urgent');
+      await this.requests.acquire(1, method === 'POST' ? 'ownership' : 'urgent');
       let response: Response;
       try {
         response = await this.call(method, target, body, timeout);
@@ -147,7 +147,7 @@
       }
       if (response.status === 503) throw new StateServiceUnavailableError('state service refuses');
       if (response.status !== 429) return response;
-      this.requests.punish();
+      this.requests.backOff();
       if (tries >= 3) throw new StateServiceUnavailableError('state service is over its rate');
       await sleep(0.1 * (tries + 1));
     }
@@ -180,20 +180,20 @@
     head: wire.KeyValue,
     pieces: (wire.KeyValue | null | undefined)[],
   ): wire.KeyValue | null {
-    const { key, stamp } = head;
-    if (pieces.some((piece) => piece?.stamp !== stamp)) return null;
+    const { key, revision } = head;
+    if (pieces.some((piece) => piece?.revision !== revision)) return null;
     const joined = joinFragments(
       head.value,
       pieces.map((piece) => piece?.value),
     );
     this.notePieces(key, pieces.length);
     this.noteForm(key, formOf(key, head.value, joined));
-    return { key, value: this.decode(key, joined), stamp };
+    return { key, value: this.decode(key, joined), revision };
   }
 
   private decode(key: string, joined: unknown): unknown {
     try {
-      const value = this.layout.decode(key, joined);
+      const value = this.recordFormat.decode(key, joined);
       this.unreadable.delete(key);
       return value;
     } catch (error) {
@@ -214,8 +214,8 @@
   }
 
   private notePieces(key: string, count: number): void {
-    if (count > 0) this.pieces.set(key, count);
-    else this.pieces.delete(key);
+    if (count > 0) this.fragmentCounts.set(key, count);
+    else this.fragmentCounts.delete(key);
   }
 
   private noteForm(key: string, form: StoredForm): void {
@@ -231,14 +231,14 @@
   }
 
   /** All items below a prefix, with a revision not newer than any of them was read at. */
-  async range(prefix: string): Promise<{ items: wire.KeyValue[]; epoch: number }> {
-    const { rows, epoch } = await this.readRows(prefix);
-    return { items: await this.joinAll(rows), epoch };
+  async readRange(prefix: string): Promise<{ items: wire.KeyValue[]; revision: number }> {
+    const { rows, revision } = await this.readRows(prefix);
+    return { items: await this.joinAll(rows), revision };
   }
 
   private async readRows(
     prefix: string,
-  ): Promise<{ rows: Map<string, wire.KeyValue>; epoch: number }> {
+  ): Promise<{ rows: Map<string, wire.KeyValue>; revision: number }> {
     const rows = new Map<string, wire.KeyValue>();
     let epoch: number | null = null;
     for (let after = '', more = true; more;) {
@@ -248,12 +248,12 @@
       if (response.status !== 200 || page === null)
         throw new StateServiceUnavailableError('odd answer');
       for (const item of page.items) rows.set(item.key, item);
-      epoch ??= page.epoch;
+      epoch ??= page.revision;
       const last = page.items[page.items.length - 1];
       more = page.more && last !== undefined;
       after = last?.key ?? '';
     }
-    return { rows, epoch: epoch ?? 0 };
+    return { rows, revision: epoch ?? 0 };
   }
 
   /** Records that the store holds in a form, read from it and not from what is known here; in the order of their keys. */
@@ -264,7 +264,7 @@
       if (isFragmentKey(row.key)) continue;
       const pieces = fragmentsOf(row, (key) => rows.get(key));
       // Written between two pages of the reading: what it is now is asked for by itself.
-      const isTorn = pieces.some((piece) => piece?.stamp !== row.stamp);
+      const isTorn = pieces.some((piece) => piece?.revision !== row.revision);
       if (isTorn) await this.get(row.key);
       const now = isTorn ? (this.forms.get(row.key) ?? 'plain') : formOfRows(row, pieces);
       if (now === form) found.push(row.key);
@@ -301,26 +301,26 @@
   }
 
   /** Waits for the turn of a transaction that will be made, with `granted`, from what is known then. */
-  turn(cost: number, urgency: RequestPriority): Promise<void> {
-    return this.writes.take(cost, urgency);
+  awaitWriteTurn(cost: number, priority: RequestPriority): Promise<void> {
+    return this.writes.acquire(cost, priority);
   }
 
   /** More changes go with a turn that was given. */
-  charge(cost: number, urgency: RequestPriority): void {
-    this.writes.charge(cost, urgency);
+  chargeWrites(cost: number, priority: RequestPriority): void {
+    this.writes.charge(cost, priority);
   }
 
-  async txn(
-    txn: wire.Transaction,
-    urgency: RequestPriority | 'granted' = 'later',
+  async transact(
+    transaction: wire.Transaction,
+    priority: RequestPriority | 'granted' = 'later',
   ): Promise<TransactionResult> {
-    const { stored, written } = this.encodeTxn(txn);
-    const cost = stored.puts.length + stored.removes.length;
-    if (cost > 0 && urgency !== 'granted') await this.writes.take(cost, urgency);
+    const { stored, written } = this.encodeTxn(transaction);
+    const cost = stored.puts.length + stored.deletes.length;
+    if (cost > 0 && priority !== 'granted') await this.writes.acquire(cost, priority);
     // Pieces are not part of the turn that was waited for.
-    const extra = cost - txn.puts.length - txn.removes.length;
-    if (extra > 0 && urgency === 'granted') this.writes.charge(extra, 'urgent');
-    await this.requests.take(1, urgency === 'granted' ? 'ownership' : urgency);
+    const extra = cost - transaction.puts.length - transaction.deletes.length;
+    if (extra > 0 && priority === 'granted') this.writes.charge(extra, 'urgent');
+    await this.requests.acquire(1, priority === 'granted' ? 'ownership' : priority);
     let response: Response;
     try {
       response = await this.call('POST', wire.paths.txn, wire.transactionRequest(stored));
@@ -329,38 +329,42 @@
       return { kind: 'unknown' };
     }
     const result = this.resultOf(response);
-    if (result.kind === 'applied') this.noteWritten(written, txn.removes);
+    if (result.kind === 'applied') this.noteWritten(written, transaction.deletes);
     if (result.kind === 'malformed') logMalformed(stored);
     return result;
   }
 
   /** The transaction as it is sent: values in their layout, large ones in pieces. */
-  private encodeTxn(txn: wire.Transaction): { stored: wire.Transaction; written: WrittenRecord[] } {
+  private encodeTxn(transaction: wire.Transaction): {
+    stored: wire.Transaction;
+    written: WrittenRecord[];
+  } {
     const puts: wire.Transaction['puts'] = [];
-    const removes = [...txn.removes];
+    const removes = [...transaction.deletes];
     const written: WrittenRecord[] = [];
     const removePieces = (key: string, from: number): void => {
-      for (let i = from; i <= (this.pieces.get(key) ?? 0); i++) removes.push(keys.piece(key, i));
+      for (let i = from; i <= (this.fragmentCounts.get(key) ?? 0); i++)
+        removes.push(keys.piece(key, i));
     };
-    for (const { key, value, hold } of txn.puts) {
-      const { puts: encoded, form } = this.layout.encodeValue(key, value);
+    for (const { key, value, leaseId: hold } of transaction.puts) {
+      const { puts: encoded, form } = this.recordFormat.encodeValue(key, value);
       const [head, ...pieces] = encoded;
-      puts.push(hold === undefined ? head : { ...head, hold }, ...pieces);
+      puts.push(hold === undefined ? head : { ...head, leaseId: hold }, ...pieces);
       removePieces(key, pieces.length + 1);
-      written.push({ key, pieces: pieces.length, form });
+      written.push({ key, fragments: pieces.length, form });
     }
-    for (const key of txn.removes) removePieces(key, 1);
-    return { stored: { when: txn.when, puts, removes }, written };
+    for (const key of transaction.deletes) removePieces(key, 1);
+    return { stored: { conditions: transaction.conditions, puts, deletes: removes }, written };
   }
 
   /** Operations that a change of one record takes, those on its pieces included; null: its removal. */
   operations(key: string, value: unknown): number {
-    const before = 1 + (this.pieces.get(key) ?? 0);
-    return value === null ? before : Math.max(before, this.layout.operations(key, value));
+    const before = 1 + (this.fragmentCounts.get(key) ?? 0);
+    return value === null ? before : Math.max(before, this.recordFormat.operations(key, value));
   }
 
   private noteWritten(written: WrittenRecord[], removed: string[]): void {
-    for (const { key, pieces, form } of written) {
+    for (const { key, fragments: pieces, form } of written) {
       this.notePieces(key, pieces);
       this.noteForm(key, form);
       this.unreadable.delete(key);
@@ -369,14 +373,14 @@
   }
 
   private forget(key: string): void {
-    this.pieces.delete(key);
+    this.fragmentCounts.delete(key);
     this.forms.delete(key);
     this.unreadable.delete(key);
   }
 
   private resultOf(response: Response): TransactionResult {
     if (response.status === 200) {
-      return { kind: 'applied', stamp: wire.parseEpoch(response.body) ?? 0 };
+      return { kind: 'applied', revision: wire.parseEpoch(response.body) ?? 0 };
     }
     if (response.status === 409) {
       return { kind: 'conflict', failed: wire.parseFailed(response.body) };
@@ -386,13 +390,13 @@
       return { kind: isLease ? 'no-lease' : 'malformed' };
     }
     if (response.status === 429) {
-      this.writes.punish();
-      this.requests.punish();
+      this.writes.backOff();
+      this.requests.backOff();
     }
     return { kind: 'refused' };
   }
 
-  async grant(ttl: number): Promise<number> {
+  async grantLease(ttl: number): Promise<number> {
     const response = await this.ask('POST', wire.paths.grants, wire.leaseRequest(ttl));
     const hold = wire.parseLease(response.body);
     if (hold === null) throw new StateServiceUnavailableError('odd answer');
@@ -400,7 +404,7 @@
   }
 
   /** Gives false when the lease has ended. Not queued: a renewal that waits is worth nothing. */
-  async extend(hold: number, timeout: number): Promise<boolean> {
+  async renewLease(hold: number, timeout: number): Promise<boolean> {
     let response: Response;
     try {
       response = await this.call('POST', wire.paths.extend(hold), undefined, timeout);
@@ -414,26 +418,26 @@
   }
 
   /** Changes after a revision; null when that revision is too old. */
-  async changes(
+  async readChanges(
     prefix: string,
     from: number,
     hold: number,
-  ): Promise<{ epoch: number; changes: wire.KeyValueChange[] } | null> {
+  ): Promise<{ revision: number; changes: wire.KeyValueChange[] } | null> {
     const target = wire.paths.changes(prefix, from, hold);
     const response = await this.ask('GET', target, undefined, hold + this.options.timeout);
     if (response.status === 410) return null;
     const told = wire.parseLog(response.body);
     if (response.status !== 200 || told === null)
       throw new StateServiceUnavailableError('odd answer');
-    return { epoch: told.epoch, changes: await this.joinChanges(told.changes) };
+    return { revision: told.revision, changes: await this.joinChanges(told.changes) };
   }
 
   /** A head and its pieces are changed together, so a log that has the one has the others. */
   private async joinChanges(changes: wire.KeyValueChange[]): Promise<wire.KeyValueChange[]> {
     const pieces = new Map<string, wire.KeyValue>();
-    const versioned = (key: string, stamp: number): string => `${key}@${stamp}`;
+    const versioned = (key: string, revision: number): string => `${key}@${revision}`;
     for (const change of changes) {
-      if (isFragmentKey(change.key)) pieces.set(versioned(change.key, change.stamp), change);
+      if (isFragmentKey(change.key)) pieces.set(versioned(change.key, change.revision), change);
     }
     const joined: wire.KeyValueChange[] = [];
     for (const change of changes) {
@@ -443,7 +447,7 @@
         joined.push(change);
         continue;
       }
-      const found = fragmentsOf(change, (key) => pieces.get(versioned(key, change.stamp)));
+      const found = fragmentsOf(change, (key) => pieces.get(versioned(key, change.revision)));
       const item = await this.joinOrRead(change, found);
       if (item !== null) joined.push({ ...item, removed: false });
     }
@@ -468,7 +472,7 @@
     ),
   );
 
-function logMalformed({ puts, removes }: wire.Transaction): void {
+function logMalformed({ puts, deletes: removes }: wire.Transaction): void {
   const sizes = puts.map(({ key, value }) => `${key} ${JSON.stringify(value).length}`);
   log.error(
     `the state service calls a change malformed: ${puts.length + removes.length} operations, ` +
--- a/test/audit/auditTrail.test.ts
+++ b/test/audit/auditTrail.test.ts
@@ -7,17 +7,17 @@
 test('a line names time, node and event, and quotes what has spaces', () => {
   const line = formatAuditEvent('drone-0', 12.5, {
     event: 'orders-sent',
-    part: 'drone-1',
-    token: 7,
+    shard: 'drone-1',
+    fencingToken: 7,
     machine: 'n-1',
-    session: 1,
+    agentEpoch: 1,
     route: 'command',
     orders: 'start wk-1/0#1',
     leaseLeft: 1.25,
   });
   assert.equal(
     line,
-    'audit at=12.500 node=drone-0 event=orders-sent part=drone-1 token=7 machine=n-1 session=1 ' +
+    'audit at=12.500 node=drone-0 event=orders-sent shard=drone-1 fencingToken=7 machine=n-1 agentEpoch=1 ' +
       'route=command orders="start wk-1/0#1" leaseLeft=1.250',
   );
 });
@@ -37,7 +37,7 @@
   {
     name: 'its worker has a newer session',
     rule: 'new-session',
-    end: (b: Bench) => b.report(b.machineOf('n-1'), [], { session: 2 }),
+    end: (b: Bench) => b.report(b.machineOf('n-1'), [], { agentEpoch: 2 }),
   },
   {
     name: 'nobody can have renewed the lease',
@@ -66,7 +66,7 @@
 test('broken invariants are counted by their kind', () => {
   const audit = new AuditTrail('drone-0', () => 0);
   const detail = 'seen by a test';
-  audit.note({ event: 'invariant-broken', invariant: 'attempt-vanished', part: 'p', detail });
-  audit.note({ event: 'part-lost', part: 'p', token: 1 });
+  audit.note({ event: 'invariant-broken', invariant: 'attempt-vanished', shard: 'p', detail });
+  audit.note({ event: 'part-lost', shard: 'p', fencingToken: 1 });
   assert.deepEqual(audit.counters, { 'invariant-broken.attempt-vanished': 1, 'part-lost': 1 });
 });
--- a/test/cluster/cluster.test.ts
+++ b/test/cluster/cluster.test.ts
@@ -130,8 +130,8 @@
 
 test('a bucket that its owner missed is taken up', () =>
   withCluster({ nodes: 1, runs: brief }, async (cluster) => {
-    const spec = jobSpec({ id: 'wk-000081', tasks: 2 });
-    const shared = { spec, home: 'drone-0', at: 1 };
+    const spec = jobSpec({ id: 'wk-000081', taskCount: 2 });
+    const shared = { spec, homeShard: 'drone-0', submittedAt: 1 };
     const job = {
       ...shared,
       state: 'open',
@@ -164,8 +164,8 @@
       );
     await accept(cluster, 'drone-0', submission('wk-000075'));
     const job = (): boolean | undefined =>
-      cluster.nodes.get('drone-0')?.controller.ownedParts.get('drone-0')?.jobs.get('wk-000075')
-        ?.unsettled;
+      cluster.nodes.get('drone-0')?.controller.ownedShards.get('drone-0')?.jobs.get('wk-000075')
+        ?.isUncertain;
     await until('its end got no answer', () => job() === true);
     cluster.state.refused.add('drone-0');
     assert.equal((await cluster.call('drone-0', 'GET', '/v1/jobs/wk-000075')).status, 503);
@@ -194,13 +194,13 @@
     if (worker !== undefined) worker.hanging = true;
     await until('it runs on another machine', () => on() !== undefined && on() !== first);
     await until('nobody believes in the first any more', () =>
-      [...cluster.nodes.values()].every((n) => n.controller.fleet.get(first) === undefined),
+      [...cluster.nodes.values()].every((n) => n.controller.inventory.get(first) === undefined),
     );
     assert.deepEqual(lost.sort(), ['POST /rentals', 'POST /rentals/release']);
     // The repeated rental gave the machines of the first; all that are there are known.
     const known = (): boolean =>
       [...cloud.workers.keys()].every((name) =>
-        [...cluster.nodes.values()].every((n) => n.controller.fleet.get(name) !== undefined),
+        [...cluster.nodes.values()].every((n) => n.controller.inventory.get(name) !== undefined),
       );
     await until('no machine is paid for unknown', known);
   }));
--- a/test/cluster/outages.test.ts
+++ b/test/cluster/outages.test.ts
@@ -170,11 +170,13 @@
     if (worker !== undefined) worker.hanging = true;
     await until('it is ended', () => cloud.released.includes(gone ?? ''));
     await until('every node knows that it has gone', () =>
-      [...cluster.nodes.values()].every((n) => n.controller.fleet.get(gone ?? '') === undefined),
+      [...cluster.nodes.values()].every(
+        (n) => n.controller.inventory.get(gone ?? '') === undefined,
+      ),
     );
     await tell();
     for (const node of cluster.nodes.values()) {
-      assert.equal(node.controller.fleet.get(gone ?? ''), undefined, 'the machine came back');
+      assert.equal(node.controller.inventory.get(gone ?? ''), undefined, 'the machine came back');
     }
     await until('all run', async () => {
       return (await status(cluster, 'drone-1', 'wk-000095')).running === 3;
@@ -188,15 +190,15 @@
       return (await status(cluster, 'drone-0', 'wk-000098')).running === 1;
     });
     const [worker] = cluster.cloud.workers.values();
-    const part = cluster.nodes.get('drone-0')?.controller.ownedParts.get('drone-0')?.part;
+    const part = cluster.nodes.get('drone-0')?.controller.ownedShards.get('drone-0')?.shard;
     const machine = part?.machines.get(worker?.name ?? '');
     if (worker === undefined || machine === undefined) throw new Error('no machine');
     worker.hanging = true;
     await pause(0.5);
-    machine.renewed = 0;
+    machine.leaseRenewedAt = 0;
     const copy = JSON.parse(worker.sent[0] ?? '') as unknown;
     const answer = await cluster.call('drone-0', 'POST', '/hello', copy);
     // Its sender's lease may count from it, so the machine's tasks are not over before that.
     assert.equal(answer.status, 200);
-    assert.ok(machine.renewed > 0);
+    assert.ok(machine.leaseRenewedAt > 0);
   }));
--- a/test/cluster/overlappingRequests.test.ts
+++ b/test/cluster/overlappingRequests.test.ts
@@ -281,5 +281,5 @@
 /** Whether a stored bucket, in either layout, tells of ended tasks of a chunk. */
 function hasDone(key: string, value: unknown, chunk: string): boolean {
   const { chunks } = layoutFor().decode(key, value) as BucketRecord;
-  return (chunks[chunk]?.done.length ?? 0) > 0;
+  return (chunks[chunk]?.doneTasks.length ?? 0) > 0;
 }
--- a/test/commands/commandDispatcher.test.ts
+++ b/test/commands/commandDispatcher.test.ts
@@ -20,15 +20,26 @@
 function fixture(count: number, call: (endpoint: string) => Promise<Response>) {
   const part = emptyPart(4);
   for (let i = 0; i < count; i++) {
-    const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0, address: `h:${i}` };
-    part.addMachine(`n-${i}`, record, 0).noteReached(0);
+    const record = {
+      shard: 'p',
+      type: 'm8',
+      zone: 'a',
+      spot: false,
+      launchedAt: 0,
+      address: `h:${i}`,
+    };
+    part.addMachine(`n-${i}`, record, 0).markReached(0);
   }
-  const host = createOwnedShard(part, { token: 1, stamp: 1 }, 0);
+  const host = createOwnedShard(part, { fencingToken: 1, revision: 1 }, 0);
   const asked: string[] = [];
   const clock = { at: 100, now: () => clock.at };
-  const ownership = { valid: true, until: Infinity, raise: () => Promise.resolve(null) };
+  const ownership = {
+    isLeaseValid: true,
+    leaseExpiresAt: Infinity,
+    advanceFencingToken: () => Promise.resolve(null),
+  };
   const node: CommandDispatcherContext = {
-    settings: { report: 4, cores: 1, maxSockets: SOCKETS },
+    settings: { heartbeatInterval: 4, cores: 1, maxSockets: SOCKETS },
     clock,
     links: {
       machines: {
@@ -38,11 +49,16 @@
         },
       },
     },
-    ownership,
+    leadership: ownership,
     audit: new AuditTrail('drone-0', () => 0),
-    authority: new Authority({ ownership, peers: { hostOf: () => null }, clock, grace: 36 }),
-    ownedParts: new Map([['p', host]]),
-    requestRound: () => undefined,
+    authority: new Authority({
+      leadership: ownership,
+      peers: { hostOf: () => null },
+      clock,
+      leaderGracePeriod: 36,
+    }),
+    ownedShards: new Map([['p', host]]),
+    requestSchedulingRound: () => undefined,
   };
   // Turns of the event loop that follow each other at once.
   const turns = new TurnQueue({ urgent: 4, ordinary: 0 }, (turn) => {
@@ -54,15 +70,15 @@
 test('machines that are silent hold half of the sockets for machines, and take turns', async () => {
   const pending: ((error: Error) => void)[] = [];
   const { part, orders, asked } = fixture(40, () => new Promise((_, no) => pending.push(no)));
-  for (const machine of part.machines.values()) machine.missed = 1;
+  for (const machine of part.machines.values()) machine.missedProbes = 1;
   const most = SOCKETS / 12;
   orders.sweep();
   assert.equal(asked.length, most);
   // A healthy one is asked all the same.
   const [healthy] = part.machines.values();
   if (healthy === undefined) throw new Error('no machine');
-  healthy.missed = 0;
-  healthy.probing = false;
+  healthy.missedProbes = 0;
+  healthy.isProbeInFlight = false;
   orders.sweep();
   assert.equal(asked.filter((a) => a === 'h:0').length, 2);
   for (let turn = 0; turn < 4; turn++) {
@@ -77,11 +93,11 @@
   const { part, orders, asked, clock } = fixture(1000, () => new Promise(() => undefined));
   // Before the leases that an earlier owner gave have run out.
   clock.at = 1;
-  for (const machine of part.machines.values()) machine.reached = null;
-  const live = spec({ id: 'wk-1', tasks: 1, service: true });
+  for (const machine of part.machines.values()) machine.lastReachedAt = null;
+  const live = spec({ id: 'wk-1', taskCount: 1, isService: true });
   const record = new Chunk(live, 0, 'p', 0, 0, 1, null, 0).record();
-  const entries = [{ task: 0, attempt: 1, machine: 'n-999', session: 1 }];
-  part.loadChunk(0, { ...record, entries }, 1, 0);
+  const entries = [{ task: 0, attemptNumber: 1, machine: 'n-999', agentEpoch: 1 }];
+  part.loadChunk(0, { ...record, attempts: entries }, 1, 0);
   orders.sweep();
   assert.equal(asked[0], 'h:999');
   // One core may ask 120 a second, here for the time between two reports.
@@ -108,13 +124,13 @@
     orders.sweep();
     await new Promise((resolve) => setImmediate(resolve));
     await new Promise((resolve) => setImmediate(resolve));
-    assert.equal(part.machines.get('n-0')?.missed, missed);
+    assert.equal(part.machines.get('n-0')?.missedProbes, missed);
   });
 }
 
 test('without a valid lease nothing is asked or ordered', () => {
   const { part, orders, asked, ownership } = fixture(3, () => new Promise(() => undefined));
-  ownership.valid = false;
+  ownership.isLeaseValid = false;
   for (const machine of part.machines.values()) part.pendingCommands.add(machine);
   orders.send();
   orders.sweep();
@@ -123,18 +139,25 @@
 
 test('without a valid lease what users have asked to cancel is ended all the same, and nothing else', () => {
   const { part, orders, asked, ownership } = fixture(3, () => new Promise(() => undefined));
-  ownership.valid = false;
-  const record = new Chunk(spec({ tasks: 2 }), 0, 'p', 0, 0, 2, null, 0).record();
-  const entries = [0, 1].map((n) => ({ task: n, attempt: 1, machine: `n-${n}`, session: 1 }));
+  ownership.isLeaseValid = false;
+  const record = new Chunk(spec({ taskCount: 2 }), 0, 'p', 0, 0, 2, null, 0).record();
+  const entries = [0, 1].map((n) => ({
+    task: n,
+    attemptNumber: 1,
+    machine: `n-${n}`,
+    agentEpoch: 1,
+  }));
   const ids = ['wk-1', 'wk-2'];
   const chunks = entries.map((entry, n) => {
-    const of = { ...record, spec: spec({ id: ids[n] ?? '', tasks: 2 }), entries: [entry] };
+    const of = { ...record, spec: spec({ id: ids[n] ?? '', taskCount: 2 }), attempts: [entry] };
     return part.loadChunk(0, of, 1, 0);
   });
   for (const [n, { task }] of entries.entries()) {
     const machine = part.machines.get(`n-${n}`);
     const name = `${ids[n] ?? ''}/${task}`;
-    machine?.noteTasks([{ task: name, attempt: 1, state: 'running', cause: null, saved: false }]);
+    machine?.updateReportedAttempts([
+      { task: name, attemptNumber: 1, state: 'running', cause: null, hasCheckpoint: false },
+    ]);
   }
   const [unwanted] = chunks;
   if (unwanted === undefined) throw new Error('no chunk');
--- a/test/commands/costs.test.ts
+++ b/test/commands/costs.test.ts
@@ -7,6 +7,7 @@
 import { Machine } from '../../src/coordination/shard/machine.js';
 import { CommandDispatcher } from '../../src/coordination/commands/commandDispatcher.js';
 import type { Shard } from '../../src/coordination/shard/shard.js';
+import type { JobRecord } from '../../src/storage/records.js';
 import type { ReportedAttempt } from '../../src/protocol/workerProtocol.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
 import { submission, until } from '../support/cluster.js';
@@ -20,35 +21,51 @@
 function partWith(count: number): { part: Shard; machines: Machine[] } {
   const part = emptyPart(REPORT, new Map([['m8', m8]]));
   const machines = Array.from({ length: count }, (_, i) => {
-    const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0, address: `h:${i}` };
+    const record = {
+      shard: 'p',
+      type: 'm8',
+      zone: 'a',
+      spot: false,
+      launchedAt: 0,
+      address: `h:${i}`,
+    };
     const machine = part.addMachine(`n-${i}`, record, 0);
-    machine.noteReached(0);
+    machine.markReached(0);
     return machine;
   });
   return { part, machines };
 }
 
 function addChunk(part: Shard, id: string, memory = 4): Chunk {
-  const chunk = new Chunk(spec({ id, tasks: 1, cpus: 8, memory }), 0, 'p', 0, 0, 1, null, 0);
-  part.accept(chunk, 0);
+  const chunk = new Chunk(
+    spec({ id, taskCount: 1, cpus: 8, memoryGb: memory }),
+    0,
+    'p',
+    0,
+    0,
+    1,
+    null,
+    0,
+  );
+  part.acceptNewChunk(chunk, 0);
   return chunk;
 }
 
 function report(part: Shard, machine: Machine, now: number, tasks: ReportedAttempt[]): void {
-  const { name, address, type, zone, spot, session } = machine;
-  const tick = machine.tick + 1;
+  const { name, address, type, zone, spot, agentEpoch: agentEpoch } = machine;
+  const heartbeatSequence = machine.heartbeatSequence + 1;
   const whole = {
     machine: name,
     address,
     type,
     zone,
     spot,
-    session,
-    tick,
-    token: 1,
-    warning: null,
+    agentEpoch: agentEpoch,
+    heartbeatSequence: heartbeatSequence,
+    highestFencingToken: 1,
+    preemptionWarning: null,
   };
-  part.reports.apply(machine, { ...whole, tasks }, now, 'follow');
+  part.heartbeats.apply(machine, { ...whole, attempts: tasks }, now, 'follow');
 }
 
 /** A machine with one task that has ended, and whose end is stored. */
@@ -57,29 +74,29 @@
   const [machine] = machines;
   if (machine === undefined) throw new Error('no machine');
   const chunk = addChunk(part, 'wk-1');
-  part.scheduler.decide(now, () => false);
-  const task = { task: 'wk-1/0', attempt: 1, cause: null, saved: false };
+  part.scheduler.runRound(now, () => false);
+  const task = { task: 'wk-1/0', attemptNumber: 1, cause: null, hasCheckpoint: false };
   report(part, machine, now, [{ ...task, state: 'running' }]);
   report(part, machine, now, [{ ...task, state: 'ended', cause: 'done' }]);
-  chunk.stored = chunk.version;
+  chunk.storedVersion = chunk.version;
   return { part, machine };
 }
 
 test('a reap alone is no reason for a command, and waits for company in the answers to reports', () => {
   const { part, machine } = withLeftover(1);
-  assert.equal(machine.needsCommand(1, AGAIN), false);
-  assert.deepEqual(machine.answerOrders(1 + REPORT / 2, AGAIN, REPORT), []);
-  const alone = machine.answerOrders(1 + REPORT, AGAIN, REPORT);
+  assert.equal(machine.hasDueCommand(1, AGAIN), false);
+  assert.deepEqual(machine.commandsForAnswer(1 + REPORT / 2, AGAIN, REPORT), []);
+  const alone = machine.commandsForAnswer(1 + REPORT, AGAIN, REPORT);
   assert.deepEqual(
     alone.map((order) => order.verb),
     ['reap'],
   );
   const next = addChunk(part, 'wk-2');
-  part.scheduler.decide(2, () => false);
-  assert.equal(machine.needsCommand(2, AGAIN), false, 'its placement is not stored');
-  next.stored = next.version;
-  assert.equal(machine.needsCommand(2, AGAIN), true);
-  const together = machine.answerOrders(2, AGAIN, REPORT);
+  part.scheduler.runRound(2, () => false);
+  assert.equal(machine.hasDueCommand(2, AGAIN), false, 'its placement is not stored');
+  next.storedVersion = next.version;
+  assert.equal(machine.hasDueCommand(2, AGAIN), true);
+  const together = machine.commandsForAnswer(2, AGAIN, REPORT);
   assert.deepEqual(
     together.map((order) => order.verb),
     ['reap', 'start'],
@@ -93,15 +110,18 @@
     name: 'a stop that has just been sent',
     strike: (part: Shard, machine: Machine) => {
       stopAll(part, machine);
-      machine.orders(true, 2, AGAIN);
+      machine.dueCommands(true, 2, AGAIN);
     },
     due: false,
   },
   {
     name: 'a task that is not ours',
     strike: (_: Shard, machine: Machine) => {
-      const stranger = { task: 'wk-9/0', attempt: 1, cause: null, saved: false };
-      machine.noteTasks([...machine.tasks.all, { ...stranger, state: 'running' }]);
+      const stranger = { task: 'wk-9/0', attemptNumber: 1, cause: null, hasCheckpoint: false };
+      machine.updateReportedAttempts([
+        ...machine.reportedAttempts.all,
+        { ...stranger, state: 'running' },
+      ]);
     },
     due: true,
   },
@@ -111,17 +131,17 @@
     const [machine] = machines;
     if (machine === undefined) throw new Error('no machine');
     addChunk(part, 'wk-1');
-    part.scheduler.decide(1, () => false);
-    const running = { task: 'wk-1/0', attempt: 1, cause: null, saved: false };
+    part.scheduler.runRound(1, () => false);
+    const running = { task: 'wk-1/0', attemptNumber: 1, cause: null, hasCheckpoint: false };
     report(part, machine, 1, [{ ...running, state: 'running' }]);
     strike(part, machine);
-    assert.equal(machine.needsCommand(3, AGAIN), due);
-    assert.equal(machine.orders(true, 3, AGAIN).length > 0, due);
+    assert.equal(machine.hasDueCommand(3, AGAIN), due);
+    assert.equal(machine.dueCommands(true, 3, AGAIN).length > 0, due);
   });
 }
 
 function stopAll(part: Shard, machine: Machine): void {
-  for (const { entry } of machine.entries.values()) part.stop(machine, entry, 0);
+  for (const { attempt: entry } of machine.placements.values()) part.requestStop(machine, entry, 0);
 }
 
 test('a round of commands to many machines goes out a few in each turn of the event loop', () => {
@@ -133,20 +153,24 @@
     return new Promise(() => undefined);
   };
   const node = {
-    settings: { report: REPORT, cores: 1, maxSockets: 1000 },
+    settings: { heartbeatInterval: REPORT, cores: 1, maxSockets: 1000 },
     clock: { now: () => 1 },
     links: { machines: { call } },
     audit: new AuditTrail('drone-0', () => 0),
     authority: { mayAct: () => true, mayEnd: () => true },
-    ownership: { valid: true, until: Infinity, raise: () => Promise.resolve(null) },
-    ownedParts: new Map([['p', createOwnedShard(part, { token: 1, stamp: 1 }, 0)]]),
-    requestRound: () => undefined,
+    leadership: {
+      isLeaseValid: true,
+      leaseExpiresAt: Infinity,
+      advanceFencingToken: () => Promise.resolve(null),
+    },
+    ownedShards: new Map([['p', createOwnedShard(part, { fencingToken: 1, revision: 1 }, 0)]]),
+    requestSchedulingRound: () => undefined,
   };
   const turns = new TurnQueue({ urgent: 4, ordinary: 0 }, (turn) => deferred.push(turn));
   const orders = new CommandDispatcher(node, turns);
   const chunks = machines.map((_, i) => addChunk(part, `wk-${i}`));
-  part.scheduler.decide(1, () => false);
-  for (const chunk of chunks) chunk.stored = chunk.version;
+  part.scheduler.runRound(1, () => false);
+  for (const chunk of chunks) chunk.storedVersion = chunk.version;
   for (const machine of machines) part.pendingCommands.add(machine);
   orders.send();
   const perTurn: number[] = [];
@@ -184,24 +208,24 @@
   // The queue is not empty, so every question is answered by a replay.
   addChunk(part, 'wk-0', 1000);
   const asked = { spec: spec({ id: 'wk-x', cpus: 8 }), zone: null, count: 200, run: 20 };
-  const ask = (now: number): number => part.estimates.waitFor(asked, now);
+  const ask = (now: number): number => part.waitEstimates.waitFor(asked, now);
   const visits = countFree(() => {
     for (let i = 0; i < 30; i++) assert.equal(ask(1 + i / 1000), 0);
   });
   assert.ok(visits <= 2 * machines.length, `${visits} visits`);
   addChunk(part, 'wk-1');
-  part.scheduler.decide(1.03, () => false);
+  part.scheduler.runRound(1.03, () => false);
   assert.ok(ask(1.03) > 0, 'the room that was just taken was promised again');
 });
 
 test('machines that are full when a round begins are not looked at for each job that waits', () => {
   const { part, machines } = partWith(200);
   for (const [i] of machines.entries()) addChunk(part, `wk-${i}`);
-  part.scheduler.decide(1, () => false);
+  part.scheduler.runRound(1, () => false);
   // Each of a shape of its own, so that nothing is known of one from the others.
   for (let i = 0; i < 50; i++) addChunk(part, `wk-9${i}`, 5 + i / 10);
   const visits = countFree(() => {
-    part.scheduler.decide(2, () => false);
+    part.scheduler.runRound(2, () => false);
   });
   // Once for the list of those with room, and for the machine kept for the first that waits.
   assert.ok(visits <= 4 * machines.length, `${visits} visits`);
@@ -220,27 +244,27 @@
     await accept('wk-000701', 8);
     await until(
       'it has a machine',
-      () => (controller.ownedParts.get('drone-0')?.part.cpus ?? 0) > 0,
+      () => (controller.ownedShards.get('drone-0')?.shard.cpus ?? 0) > 0,
     );
     let questions = 0;
-    const { sender } = controller;
+    const { migration: sender } = controller;
     const choose = sender.choose.bind(sender);
     sender.choose = (home, ofJob, zone, count, queued) => {
       if (ofJob.id === 'wk-000702' && queued === undefined) questions++;
       return choose(home, ofJob, zone, count, queued);
     };
     await accept('wk-000702', 640);
-    const record = controller.replica.get('b/job/wk-000702')?.value as { cut: number };
-    assert.ok(record.cut >= 3, `${record.cut} chunks`);
+    const record = controller.stateCache.get('b/job/wk-000702')?.value as JobRecord;
+    assert.ok(record.createdChunks >= 3, `${record.createdChunks} chunks`);
     assert.equal(questions, 1);
   }));
 
 test('a job is stored by one request: nothing is read before it', () =>
   withCluster({ nodes: 1, runs: () => Infinity }, async (cluster) => {
-    const state = cluster.nodes.get('drone-0')?.controller.state;
+    const state = cluster.nodes.get('drone-0')?.controller.stateClient;
     if (state === undefined) throw new Error('no node');
     // A busy machine may have kept an answer of the stand-in waiting, which looks like an outage.
-    Object.defineProperty(state, 'healthy', { value: true });
+    Object.defineProperty(state, 'isHealthy', { value: true });
     await accept(cluster, 'drone-0', submission('wk-000711'));
     assert.deepEqual(
       cluster.state.reads.filter((key) => key === 'b/job/wk-000711'),
--- a/test/jobs/cancellationPreparations.test.ts
+++ b/test/jobs/cancellationPreparations.test.ts
@@ -5,7 +5,8 @@
 import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { CancellationPreparations } from '../../src/coordination/jobs/cancellationPreparations.js';
 import type { PreparedChunk } from '../../src/protocol/peerMessages.js';
-import { keys, type JobRecord } from '../../src/storage/records.js';
+import { toPlainBucket, toPlainJob } from '../../src/storage/plainRecords.js';
+import { keys, type ChunkRecord, type JobRecord } from '../../src/storage/records.js';
 import { until, type Cluster } from '../support/cluster.js';
 import { emptyPart } from '../support/part.js';
 import { spec as jobSpec } from '../support/spec.js';
@@ -15,18 +16,28 @@
 
 /** A service of two replicas, at home at drone-1, that runs on machines of drone-0's part. */
 async function awayFromHome(cluster: Cluster): Promise<void> {
-  const spec = jobSpec({ id: ID, tasks: 2, service: true, rank: 'prod', cpus: 2, memory: 4 });
-  const shared = { spec, home: 'drone-1', at: 1 };
+  const spec = jobSpec({
+    id: ID,
+    taskCount: 2,
+    isService: true,
+    rank: 'prod',
+    cpus: 2,
+    memoryGb: 4,
+  });
+  const shared = { spec, homeShard: 'drone-1', submittedAt: 1 };
   const job: JobRecord = {
-    ...{ ...shared, state: 'open', tasks: 2, size: 8 },
-    ...{ zones: [], cut: 1, finished: [], away: [0] },
+    ...{ ...shared, state: 'open', taskCount: 2, chunkSize: 8 },
+    ...{ zones: [], createdChunks: 1, doneChunks: [], migratedChunks: [0] },
+  };
+  const chunk: ChunkRecord = {
+    ...{ ...shared, firstTask: 0, endTask: 2, zone: null, nextAttemptNumber: 1 },
+    ...{ doneTasks: [], attempts: [], migrationCount: 1 },
   };
-  const chunk = { from: 0, to: 2, zone: null, next: 1, done: [], entries: [], moves: 1 };
-  const bucket = { chunks: { [`${ID}/0`]: { ...shared, ...chunk } } };
+  const bucket = { chunks: { [`${ID}/0`]: chunk } };
   const answer = cluster.state.apply({
     Then: [
-      { Put: keys.job(ID), Value: job },
-      { Put: keys.run('drone-0', 's1'), Value: bucket },
+      { Put: keys.job(ID), Value: toPlainJob(job) },
+      { Put: keys.run('drone-0', 's1'), Value: toPlainBucket(bucket) },
     ],
   });
   assert.equal(answer.status, 200);
@@ -121,7 +132,7 @@
     cluster.state.refused.add('drone-1');
     const node = cluster.nodes.get('drone-0')?.controller;
     // As announced by a home that dies before it has stored anything.
-    assert.equal(node?.cancelPreparations.prepare(ID).length, 1);
+    assert.equal(node?.cancellationPreparations.prepare(ID).length, 1);
     cluster.crash('drone-1');
     await gone(cluster);
     await until('it runs again', () => running(cluster).length === 2, 20);
@@ -130,25 +141,30 @@
 // ---- Who may say that a chunk is prepared for its cancellation ----
 
 const NOW = 1000;
-const settings = { report: 4, lease: 18, cancel: 43 };
+const settings = { heartbeatInterval: 4, workerLease: 18, cancellationTimeout: 43 };
 
 function node(previousOwnerUntil: number, seenToken: number) {
   const part = emptyPart(4);
-  const host: OwnedShard = createOwnedShard(part, { token: 7, stamp: 1 }, NOW, previousOwnerUntil);
-  const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0 };
+  const host: OwnedShard = createOwnedShard(
+    part,
+    { fencingToken: 7, revision: 1 },
+    NOW,
+    previousOwnerUntil,
+  );
+  const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
   const machine = part.addMachine('n-1', record, NOW);
-  machine.seenToken = seenToken;
-  const entry = { task: 0, attempt: 1, machine: 'n-1', session: 1 };
-  const stored = new Chunk(jobSpec({ id: ID, tasks: 1 }), 0, 'q', 1, 0, 1, null, NOW).record();
-  const chunk = part.loadChunk(0, { ...stored, entries: [entry] }, 7, NOW);
+  machine.highestFencingToken = seenToken;
+  const entry = { task: 0, attemptNumber: 1, machine: 'n-1', agentEpoch: 1 };
+  const stored = new Chunk(jobSpec({ id: ID, taskCount: 1 }), 0, 'q', 1, 0, 1, null, NOW).record();
+  const chunk = part.loadChunk(0, { ...stored, attempts: [entry] }, 7, NOW);
   const cancelPreparations = new CancellationPreparations({
     settings,
     clock: { now: () => NOW },
-    ownedParts: new Map([['p', host]]),
-    replica: { get: () => undefined, syncedAt: NOW },
+    ownedShards: new Map([['p', host]]),
+    stateCache: { get: () => undefined, syncedAt: NOW },
     peers: { prepareCancel: () => Promise.resolve(false) },
-    isHeld: () => false,
-    requestRound: () => undefined,
+    isBlockedOnDependencies: () => false,
+    requestSchedulingRound: () => undefined,
   });
   return { cancelPreparations, chunk };
 }
@@ -174,9 +190,9 @@
 for (const { name, previousOwnerUntil, seen, moving, yes } of claims) {
   test(`a chunk is known to be prepared for its cancellation: ${name}`, () => {
     const { cancelPreparations, chunk } = node(previousOwnerUntil, seen);
-    chunk.moving = moving ?? false;
+    chunk.isMigrating = moving ?? false;
     assert.equal(cancelPreparations.prepare(ID).length, yes ? 1 : 0);
-    assert.equal(chunk.pending, 0);
+    assert.equal(chunk.pendingCount, 0);
   });
 }
 
@@ -188,7 +204,7 @@
   { name: 'the missing one is done', cut: 1, found: [], enough: true },
 ];
 function at(index: number, part: string, token: number): PreparedChunk {
-  return { index, part, token };
+  return { index, shard: part, fencingToken: token };
 }
 for (const { name, cut, found, enough } of answers) {
   test(`a cancellation may be confirmed: ${name}`, async () => {
@@ -196,20 +212,20 @@
     const cancelPreparations = new CancellationPreparations({
       settings,
       clock: { now: () => NOW },
-      ownedParts: new Map(),
-      replica: {
-        get: (key) => ({ value: { node: 'x', token: tokens[key], process: '' }, stamp: 1 }),
+      ownedShards: new Map(),
+      stateCache: {
+        get: (key) => ({ value: { node: 'x', fencingToken: tokens[key], process: '' }, revision: 1 }),
         syncedAt: NOW,
       },
       peers: {
         prepareCancel: (_job, _timeout, note) =>
           Promise.resolve(found.map(note).some((done) => done)),
       },
-      isHeld: () => false,
-      requestRound: () => undefined,
+      isBlockedOnDependencies: () => false,
+      requestSchedulingRound: () => undefined,
     });
-    const finished = name.endsWith('is done') ? [0] : [];
-    const record = { cut, finished } as unknown as JobRecord;
+    const doneChunks = name.endsWith('is done') ? [0] : [];
+    const record = { createdChunks: cut, doneChunks } as unknown as JobRecord;
     assert.equal(await cancelPreparations.prepareEverywhere(ID, record), enough);
   });
 }
--- a/test/jobs/jobService.test.ts
+++ b/test/jobs/jobService.test.ts
@@ -5,6 +5,7 @@
 import { Controller } from '../../src/coordination/controller/controller.js';
 import { JobService } from '../../src/coordination/jobs/jobService.js';
 import { defaultTuning, parseSettings } from '../../src/protocol/settings.js';
+import { toPlainJob } from '../../src/storage/plainRecords.js';
 import { keys, type JobRecord } from '../../src/storage/records.js';
 import type { Response } from '../../src/transport/httpClient.js';
 import type { Reply } from '../../src/transport/httpServer.js';
@@ -20,15 +21,15 @@
 
 const record = (state: JobRecord['state']): JobRecord => ({
   spec: state === 'open' ? spec({ id: ID }) : null,
-  home: 'q',
+  homeShard: 'q',
   state,
-  tasks: 3,
-  at: 1,
-  size: 8,
+  taskCount: 3,
+  submittedAt: 1,
+  chunkSize: 8,
   zones: [],
-  cut: 0,
-  finished: [],
-  away: [],
+  createdChunks: 0,
+  doneChunks: [],
+  migratedChunks: [],
 });
 
 /** A node whose reads of the state service are answered when the test says so, and which hears a peer. */
@@ -46,17 +47,17 @@
     const clock = { now: () => 100, wall: () => 1000 };
     const links = { services: { call }, machines: { call } };
     this.node = new Controller(SETTINGS, defaultTuning, clock, seededRandom(1), links, 'x');
-    Object.defineProperty(this.node, 'isolated', { value: false });
-    Object.defineProperty(this.node.ownership, 'valid', { value: true });
+    Object.defineProperty(this.node, 'isIsolated', { value: false });
+    Object.defineProperty(this.node.leadership, 'isLeaseValid', { value: true });
     this.node.peers.relay = () => new Promise((resolve) => this.relays.push(resolve));
     this.users = new JobService(this.node);
-    if (state !== null) this.node.replica.note(keys.job(ID), record(state), 5);
-    this.node.replica.note(keys.owner('q'), { node: 'q', token: 1, process: 'y' }, 1);
+    if (state !== null) this.node.stateCache.note(keys.job(ID), record(state), 5);
+    this.node.stateCache.note(keys.owner('q'), { node: 'q', fencingToken: 1, process: 'y' }, 1);
   }
 
   /** Meanwhile the record of the job's end reaches this node. */
   hearEnd(state: JobRecord['state']): void {
-    this.node.replica.note(keys.job(ID), record(state), 9);
+    this.node.stateCache.note(keys.job(ID), record(state), 9);
   }
 }
 
@@ -88,7 +89,7 @@
       const reply = ask(asked.users);
       await until(() => asked.reads.length + asked.relays.length > 0);
       asked.hearEnd(end);
-      const item = { K: keys.job(ID), Value: record('open'), Stamp: 5 };
+      const item = { K: keys.job(ID), Value: toPlainJob(record('open')), Stamp: 5 };
       const body = JSON.stringify({ Uid: ID, Status: 'running', done: 0, running: 3 });
       asked.reads[0]?.({ status: 200, body: item, retryAfter: null });
       asked.relays[0]?.({ status: 200, body, retryAfter: null });
@@ -112,7 +113,7 @@
   const reply = asked.users.cancel(ID, true);
   await until(() => asked.reads.length > 0);
   asked.hearEnd('done');
-  const item = { K: keys.job(ID), Value: record('open'), Stamp: 5 };
+  const item = { K: keys.job(ID), Value: toPlainJob(record('open')), Stamp: 5 };
   asked.reads[0]?.({ status: 200, body: item, retryAfter: null });
   assert.equal(statusOf(await reply), 'done');
 });
--- a/test/jobs/submissionWriter.test.ts
+++ b/test/jobs/submissionWriter.test.ts
@@ -21,30 +21,31 @@
   readonly accepting: SubmissionWriter;
   readonly answers = new Map<string, Reply>();
   /** What this node has noted of the records. */
-  readonly copies = new Map<string, { value: unknown; stamp: number }>();
+  readonly copies = new Map<string, { value: unknown; revision: number }>();
 
   constructor(value = 16 * 1024) {
     this.store.limits.value = value;
     const part = emptyPart(3);
-    this.host = createOwnedShard(part, { token: 5, stamp: 1 }, 0);
-    this.store.rows.set(keys.owner('q'), { key: keys.owner('q'), value: {}, stamp: 2 });
+    this.host = createOwnedShard(part, { fencingToken: 5, revision: 1 }, 0);
+    this.store.rows.set(keys.owner('q'), { key: keys.owner('q'), value: {}, revision: 2 });
     const { rows } = this.store;
     const node: SubmissionWriterContext = {
       process: 'x',
-      parts: ['p', 'q'],
+      shards: ['p', 'q'],
       settings: { txnOps: 16 },
-      layout: layoutFor(this.store.limits.value),
+      recordFormat: layoutFor(this.store.limits.value),
       clock: { now: () => this.now, wall: () => this.now },
-      state: this.store,
-      replica: {
+      stateClient: this.store,
+      stateCache: {
         get: (key) => this.copies.get(key) ?? rows.get(key),
-        note: (key, value, stamp) => {
-          if ((this.copies.get(key)?.stamp ?? -1) < stamp) this.copies.set(key, { value, stamp });
+        note: (key, value, revision) => {
+          if ((this.copies.get(key)?.revision ?? -1) < revision)
+            this.copies.set(key, { value, revision });
         },
       },
-      ownership: { valid: true, verifyOwner: () => Promise.resolve() },
-      commits: { write: (_, txn) => this.store.txn(txn), acceptMissing: () => undefined },
-      requestRound: () => undefined,
+      leadership: { isLeaseValid: true, verifyLeadership: () => Promise.resolve() },
+      persistence: { write: (_, txn) => this.store.transact(txn), acceptMissing: () => undefined },
+      requestSchedulingRound: () => undefined,
     };
     this.accepting = new SubmissionWriter(node, (id) =>
       Promise.resolve({ status: 200, body: { known: id } }),
@@ -53,25 +54,25 @@
 
   /** A job of two chunks, the second for the peer. */
   submit(id: string, patience = 4, at = this.now): Promise<void> {
-    const s = spec({ id, tasks: 4 });
+    const s = spec({ id, taskCount: 4 });
     const chunk = (k: number): Chunk => new Chunk(s, k, 'p', at, 2 * k, 2 * k + 2, null, this.now);
     const first = [
-      { part: 'p', chunk: chunk(0) },
-      { part: 'q', chunk: chunk(1) },
+      { shard: 'p', chunk: chunk(0) },
+      { shard: 'q', chunk: chunk(1) },
     ];
     const record: JobRecord = {
       spec: s,
-      home: 'p',
+      homeShard: 'p',
       state: 'open',
-      tasks: 4,
-      at,
-      size: 2,
+      taskCount: 4,
+      submittedAt: at,
+      chunkSize: 2,
       zones: [],
-      cut: 2,
-      finished: [],
-      away: [1],
+      createdChunks: 2,
+      doneChunks: [],
+      migratedChunks: [1],
     };
-    return this.accepting.accept(this.host, { id, record, first }, patience).then((reply) => {
+    return this.accepting.submit(this.host, { id, record, first }, patience).then((reply) => {
       this.answers.set(id, reply);
     });
   }
@@ -96,8 +97,8 @@
   for (const id of ids) {
     assert.equal(c.status(id), 201);
     assert.equal(c.transfers(id), 1);
-    assert.ok(c.host.part.chunks.has(`${id}/0`));
-    assert.ok(!c.host.part.chunks.has(`${id}/1`));
+    assert.ok(c.host.shard.chunks.has(`${id}/0`));
+    assert.ok(!c.host.shard.chunks.has(`${id}/1`));
   }
   assert.ok(c.store.changes < 2 * ids.length, `${c.store.changes} changes`);
 });
@@ -120,7 +121,7 @@
 test('a job that somebody else has stored does not hold up those that came with it', async () => {
   const c = new Counter();
   const other = { state: 'open', at: 77, home: 'q' };
-  c.store.rows.set(keys.job('wk-2'), { key: keys.job('wk-2'), value: other, stamp: 9 });
+  c.store.rows.set(keys.job('wk-2'), { key: keys.job('wk-2'), value: other, revision: 9 });
   await Promise.all(['wk-1', 'wk-2', 'wk-3'].map((id) => c.submit(id)));
   assert.deepEqual(
     ['wk-1', 'wk-2', 'wk-3'].map((id) => c.status(id)),
@@ -150,13 +151,13 @@
 test('in an outage users are told at once to come back, not when their patience is over', async () => {
   // One attempt is refused and none is made after it: held back, they would not ask a node that is served.
   const c = new Counter();
-  c.store.healthy = false;
+  c.store.isHealthy = false;
   c.store.refuseNext = 2;
   await Promise.all([c.submit('wk-1'), c.submit('wk-2')]);
   assert.deepEqual([c.status('wk-1'), c.status('wk-2')], [503, 503]);
   assert.equal(c.answers.get('wk-1')?.retryAfter, 1);
   assert.equal(c.store.refuseNext, 1, 'it was tried again');
-  c.store.healthy = true;
+  c.store.isHealthy = true;
   c.store.refuseNext = 0;
   await c.submit('wk-1');
   assert.equal(c.status('wk-1'), 201);
@@ -169,7 +170,7 @@
   const submitted = c.submit('wk-1');
   while (!c.store.lost) await new Promise((resolve) => setTimeout(resolve, 1));
   // It may be stored, so it is asked for until that is known.
-  c.store.healthy = false;
+  c.store.isHealthy = false;
   c.store.refuseNext = 1;
   await submitted;
   assert.equal(c.status('wk-1'), 201);
@@ -199,8 +200,8 @@
     c.store.get = (asked) => {
       const item = c.store.rows.get(key);
       const record = item?.value as JobRecord;
-      c.host.alive = false;
-      c.store.rows.set(key, { key, value: { ...record, spec: null, state }, stamp: 50 });
+      c.host.isOwned = false;
+      c.store.rows.set(key, { key, value: { ...record, spec: null, state }, revision: 50 });
       return read(asked);
     };
     await submitted;
@@ -216,20 +217,20 @@
   while (!c.store.lost) await new Promise((resolve) => setTimeout(resolve, 1));
   c.store.late();
   const first = c.store.rows.get(keys.job('wk-1'));
-  if (first !== undefined) c.store.rows.set(first.key, { ...first, stamp: 60 });
+  if (first !== undefined) c.store.rows.set(first.key, { ...first, revision: 60 });
   await Promise.all(submitted);
   for (const id of ['wk-1', 'wk-2']) {
-    assert.equal(c.host.jobs.get(id)?.stamp, c.store.rows.get(keys.job(id))?.stamp, id);
+    assert.equal(c.host.jobs.get(id)?.revision, c.store.rows.get(keys.job(id))?.revision, id);
   }
 });
 
 test('the answer to a submission comes late: a job that has ended since is not called queued', async () => {
   const c = new Counter();
-  const write = c.store.txn.bind(c.store);
-  c.store.txn = async (txn) => {
+  const write = c.store.transact.bind(c.store);
+  c.store.transact = async (txn) => {
     const result = await write(txn);
     const ended = { state: 'cancelled', spec: null };
-    c.copies.set(keys.job('wk-1'), { value: ended, stamp: 90 });
+    c.copies.set(keys.job('wk-1'), { value: ended, revision: 90 });
     return result;
   };
   await c.submit('wk-1');
--- a/test/leadership/authority.test.ts
+++ b/test/leadership/authority.test.ts
@@ -26,20 +26,20 @@
   {
     name: 'without a lease, and a peer says that it has adopted the part',
     now: 101,
-    peer: { label: 'drone-1', token: TOKEN + 1 },
+    peer: { label: 'drone-1', fencingToken: TOKEN + 1 },
     answers: { kind: 'adopted', owner: 'drone-1' },
   },
   {
     name: 'with a lease, a peer that says so is asked of the store instead',
     now: 99,
-    peer: { label: 'drone-1', token: TOKEN + 1 },
+    peer: { label: 'drone-1', fencingToken: TOKEN + 1 },
     answers: { kind: 'answer' },
     mayAct: true,
   },
   {
     name: 'without a lease, and a peer speaks of an earlier ownership',
     now: 101,
-    peer: { label: 'drone-1', token: TOKEN - 1 },
+    peer: { label: 'drone-1', fencingToken: TOKEN - 1 },
     answers: { kind: 'answer' },
   },
   { name: 'the part was lost', now: 99, isLost: true, answers: { kind: 'silent' } },
@@ -47,21 +47,21 @@
   name: string;
   now: number;
   seen?: number;
-  peer?: { label: string; token: number } | null;
+  peer?: { label: string; fencingToken: number } | null;
   isLost?: boolean;
   answers: HeartbeatDecision;
   mayAct?: boolean;
 }[]) {
   test(`what a node may do for a part: ${name}`, () => {
-    const host = createOwnedShard(emptyPart(3), { token: TOKEN, stamp: 1 }, 0);
-    host.alive = !isLost;
+    const host = createOwnedShard(emptyPart(3), { fencingToken: TOKEN, revision: 1 }, 0);
+    host.isOwned = !isLost;
     const authority = new Authority({
-      ownership: { valid: now < LEASE_END, until: LEASE_END },
+      leadership: { isLeaseValid: now < LEASE_END, leaseExpiresAt: LEASE_END },
       peers: { hostOf: () => peer },
       clock: { now: () => now },
-      grace: GRACE,
+      leaderGracePeriod: GRACE,
     });
-    assert.deepEqual(authority.toAnswer(host, seen), answers);
+    assert.deepEqual(authority.decideHeartbeat(host, seen), answers);
     assert.equal(authority.mayAct(host), mayAct === true && !isLost);
   });
 }
--- a/test/leadership/shardLeadership.test.ts
+++ b/test/leadership/shardLeadership.test.ts
@@ -21,10 +21,10 @@
 
   constructor() {
     const client = {
-      grant: () => Promise.resolve(++this.hold),
-      extend: (hold: number) => Promise.resolve(!this.ended.has(hold)),
+      grantLease: () => Promise.resolve(++this.hold),
+      renewLease: (hold: number) => Promise.resolve(!this.ended.has(hold)),
       get: this.store.get.bind(this.store),
-      txn: this.store.txn.bind(this.store),
+      transact: this.store.transact.bind(this.store),
     };
     const replica = {
       loaded: true,
@@ -37,14 +37,14 @@
       client,
       replica,
       { now: () => this.now, wall: () => this.now },
-      { label: 'p', process: 'x', parts: ['p'], ttl: LEASE_S, grace: 10 },
+      { label: 'p', process: 'x', shards: ['p'], leaseTtl: LEASE_S, leaderGracePeriod: 10 },
       {
-        gained: (part) => {
+        onGained: (part) => {
           this.gained.push(part);
         },
-        lost: () => undefined,
-        quiet: () => Promise.resolve(),
-        wantsBack: () => false,
+        onLost: () => undefined,
+        awaitWrites: () => Promise.resolve(),
+        isReadyToLead: () => false,
         mayClaim: () => true,
         isEntitled: () => true,
       },
@@ -74,7 +74,7 @@
   void c.ownership.run();
   await until('the claim is written', () => claims === 1);
   c.endLease();
-  await until('a new lease is granted', () => c.leases === 2 && c.ownership.valid);
+  await until('a new lease is granted', () => c.leases === 2 && c.ownership.isLeaseValid);
   readAll();
   await new Promise((resolve) => setImmediate(resolve));
   assert.deepEqual(c.gained, [], 'its key went with the lease, and a peer may own the part');
--- a/test/peers/peerRegistry.test.ts
+++ b/test/peers/peerRegistry.test.ts
@@ -21,28 +21,28 @@
   from: 'q',
   process: 'x1',
   sequence: 10,
-  at: 1000,
-  need: { requests: 0, writes: 0 },
-  served: true,
-  hosts: [],
+  sentAt: 1000,
+  stateDemand: { requests: 0, writes: 0 },
+  isServed: true,
+  shards: [],
   demands: [],
-  spare: [],
-  lost: ['n-1'],
-  used: [],
-  throttled: [],
-  starving: [],
+  idleMachines: [],
+  lostMachines: ['n-1'],
+  teamUsage: [],
+  throttledTeams: [],
+  starvedJobs: [],
   ...changes,
 });
 
 const messages: { name: string; second: Partial<Gossip>; believed: boolean }[] = [
-  { name: 'the next one', second: { sequence: 11, at: 1000.5 }, believed: true },
+  { name: 'the next one', second: { sequence: 11, sentAt: 1000.5 }, believed: true },
   { name: 'a copy', second: {}, believed: false },
-  { name: 'one that was overtaken', second: { sequence: 9, at: 999.5 }, believed: false },
-  { name: 'one held back by a cut', second: { sequence: 11, at: 990 }, believed: false },
-  { name: 'one of an earlier start', second: { process: 'x0', at: 998 }, believed: false },
+  { name: 'one that was overtaken', second: { sequence: 9, sentAt: 999.5 }, believed: false },
+  { name: 'one held back by a cut', second: { sequence: 11, sentAt: 990 }, believed: false },
+  { name: 'one of an earlier start', second: { process: 'x0', sentAt: 998 }, believed: false },
   {
     name: 'one of a later start',
-    second: { process: 'x2', sequence: 1, at: 1001 },
+    second: { process: 'x2', sequence: 1, sentAt: 1001 },
     believed: true,
   },
   { name: 'one of a stranger', second: { from: 'z', sequence: 11 }, believed: false },
@@ -54,15 +54,15 @@
     const client = new PeerClient('127.0.0.1:1', 1, 1);
     const peers = new PeerRegistry(clock, REPORT, SKEW, [{ label: 'q', zone: 'a', client }]);
     peers.note(gossip({}));
-    peers.note(gossip({ ...second, lost: ['n-2'] }));
+    peers.note(gossip({ ...second, lostMachines: ['n-2'] }));
     assert.deepEqual(
-      peers.gossips().flatMap((g) => g.lost),
+      peers.gossips().flatMap((g) => g.lostMachines),
       [believed ? 'n-2' : 'n-1'],
     );
   });
 }
 
-const FRESH: FencingTokenRecord = { last: 4 };
+const FRESH: FencingTokenRecord = { lastToken: 4 };
 const histories: { name: string; tokens: FencingTokenRecord; key?: string; lostAt: number }[] = [
   { name: 'nobody had it', tokens: FRESH, lostAt: 0 },
   { name: 'we had it, our key has gone', tokens: had('p'), lostAt: 0 },
@@ -75,27 +75,35 @@
   { name: 'another lost it long ago', tokens: had('p', { q: 100 }), lostAt: 0 },
 ];
 function had(node: string, lost: Record<string, number> = {}): FencingTokenRecord {
-  return { last: 4, owners: { p: { node, lost } } };
+  return { lastToken: 4, lastLeaders: { p: { node, lostAtByNode: lost } } };
 }
 for (const { name, tokens, key, lostAt } of histories) {
   // An earlier owner that is cut off may answer its workers all that time, whoever restarts meanwhile.
   test(`who may still answer the workers of a part that is ours: ${name}`, async () => {
     const store = new MemoryStore();
-    await store.txn({ when: [], puts: [{ key: keys.token, value: tokens }], removes: [] });
+    await store.transact({
+      conditions: [],
+      puts: [{ key: keys.token, value: tokens }],
+      deletes: [],
+    });
     if (key !== undefined) {
       const value = { node: key, token: 4, process: 'before' };
-      await store.txn({ when: [], puts: [{ key: keys.owner('p'), value }], removes: [] });
+      await store.transact({
+        conditions: [],
+        puts: [{ key: keys.owner('p'), value }],
+        deletes: [],
+      });
     }
     const gained: Leadership[] = [];
     const ownership = owner(store, (held) => gained.push(held));
     void ownership.run();
     while (gained.length === 0) await new Promise((resolve) => setTimeout(resolve, 1));
-    assert.equal(gained[0]?.token, 5);
-    assert.equal(gained[0].lostAt, lostAt);
+    assert.equal(gained[0]?.fencingToken, 5);
+    assert.equal(gained[0].previousLeaderLostAt, lostAt);
     // Told of a higher token, it gives the part up; an old word changes nothing.
-    ownership.forfeit('p', 4);
+    ownership.stepDownIfFenced('p', 4);
     assert.ok(ownership.get('p') !== undefined);
-    ownership.forfeit('p', 6);
+    ownership.stepDownIfFenced('p', 6);
     assert.equal(ownership.get('p'), undefined);
     ownership.stop();
   });
@@ -103,10 +111,10 @@
 
 function owner(store: MemoryStore, gained: (held: Leadership) => void): ShardLeadership {
   const client = {
-    grant: () => Promise.resolve(1),
-    extend: () => Promise.resolve(true),
+    grantLease: () => Promise.resolve(1),
+    renewLease: () => Promise.resolve(true),
     get: (key: string) => store.get(key),
-    txn: (txn: Transaction) => store.txn(txn),
+    transact: (txn: Transaction) => store.transact(txn),
   };
   const replica = {
     loaded: true,
@@ -120,14 +128,14 @@
     replica as unknown as StateCache,
     // It stands still: on a busy machine a lease of so short a time lapses between two steps.
     { now: () => 50, wall: () => 1000 },
-    { label: 'p', process: 'x', parts: ['p'], ttl: 0.05, grace: 20 },
+    { label: 'p', process: 'x', shards: ['p'], leaseTtl: 0.05, leaderGracePeriod: 20 },
     {
-      gained: (part, held) => {
+      onGained: (part, held) => {
         if (part === 'p') gained(held);
       },
-      lost: () => undefined,
-      quiet: () => Promise.resolve(),
-      wantsBack: () => false,
+      onLost: () => undefined,
+      awaitWrites: () => Promise.resolve(),
+      isReadyToLead: () => false,
       mayClaim: () => true,
       isEntitled: () => true,
     },
@@ -138,29 +146,29 @@
   // Its clocks ran on: before anything else is read or sent, what it may do is asked of the clock.
   const clock = { at: 10, now: () => clock.at, wall: () => clock.at };
   const client = {
-    grant: () => Promise.resolve(1),
-    extend: () => new Promise<boolean>(() => undefined),
+    grantLease: () => Promise.resolve(1),
+    renewLease: () => new Promise<boolean>(() => undefined),
   };
   const ownership = new ShardLeadership(
     client as unknown as StateClient,
     { loaded: false } as StateCache,
     clock,
-    { label: 'p', process: 'x', parts: ['p'], ttl: 0.05, grace: 20 },
+    { label: 'p', process: 'x', shards: ['p'], leaseTtl: 0.05, leaderGracePeriod: 20 },
     {
-      gained: () => undefined,
-      lost: () => undefined,
-      quiet: () => Promise.resolve(),
-      wantsBack: () => false,
+      onGained: () => undefined,
+      onLost: () => undefined,
+      awaitWrites: () => Promise.resolve(),
+      isReadyToLead: () => false,
       mayClaim: () => true,
       isEntitled: () => true,
     },
   );
   void ownership.run();
-  while (!ownership.valid) await new Promise((resolve) => setTimeout(resolve, 1));
+  while (!ownership.isLeaseValid) await new Promise((resolve) => setTimeout(resolve, 1));
   clock.at += 0.04;
-  assert.equal(ownership.valid, true);
+  assert.equal(ownership.isLeaseValid, true);
   clock.at += 30;
-  assert.equal(ownership.valid, false);
+  assert.equal(ownership.isLeaseValid, false);
   ownership.stop();
 });
 
@@ -169,19 +177,19 @@
   const ttl = 0.05;
   const hung: ((yes: boolean) => void)[] = [];
   const client = {
-    grant: () => Promise.resolve(1),
-    extend: () => new Promise<boolean>((resolve) => hung.push(resolve)),
+    grantLease: () => Promise.resolve(1),
+    renewLease: () => new Promise<boolean>((resolve) => hung.push(resolve)),
   };
   const ownership = new ShardLeadership(
     client as unknown as StateClient,
     { loaded: false } as StateCache,
     clock,
-    { label: 'p', process: 'x', parts: ['p'], ttl, grace: 20 },
+    { label: 'p', process: 'x', shards: ['p'], leaseTtl: ttl, leaderGracePeriod: 20 },
     {
-      gained: () => undefined,
-      lost: () => undefined,
-      quiet: () => Promise.resolve(),
-      wantsBack: () => false,
+      onGained: () => undefined,
+      onLost: () => undefined,
+      awaitWrites: () => Promise.resolve(),
+      isReadyToLead: () => false,
       mayClaim: () => true,
       isEntitled: () => true,
     },
@@ -192,13 +200,13 @@
   clock.at += ttl * 0.6;
   while (hung.length < 4) await new Promise((resolve) => setTimeout(resolve, 1));
   clock.at += ttl * 0.6;
-  assert.equal(ownership.valid, false);
+  assert.equal(ownership.isLeaseValid, false);
   hung[3]?.(true);
   await new Promise((resolve) => setImmediate(resolve));
-  assert.equal(ownership.valid, true);
+  assert.equal(ownership.isLeaseValid, true);
   // One that was overtaken takes nothing back.
   hung[0]?.(true);
   await new Promise((resolve) => setImmediate(resolve));
-  assert.equal(ownership.valid, true);
+  assert.equal(ownership.isLeaseValid, true);
   ownership.stop();
 });
--- a/test/persistence/bucketWriter.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -15,17 +15,24 @@
 import { MemoryStore } from '../support/store.js';
 
 const group = (part: string, ...names: string[]): MachineGroupRecord => ({
-  part,
+  shard: part,
   type: 'm8',
   zone: 'a',
   spot: false,
-  machines: Object.fromEntries(names.map((n) => [n, { at: 5 }])),
+  machines: Object.fromEntries(names.map((n) => [n, { launchedAt: 5 }])),
 });
 
 test('machines come and go with the record of their rental', () => {
   const fleet = new MachineInventory();
   const steps: [string, string, MachineGroupRecord | null, string[], string[], number][] = [
-    ['a rental that is being asked for has none', 'r1', { ...group('p'), asked: 2 }, [], [], 0],
+    [
+      'a rental that is being asked for has none',
+      'r1',
+      { ...group('p'), requestedCount: 2 },
+      [],
+      [],
+      0,
+    ],
     ['its machines', 'r1', group('p', 'n1', 'n2'), ['n1', 'n2'], [], 2],
     ['another rental', 'r2', group('p', 'n3'), ['n3'], [], 3],
     ['one is returned', 'r1', group('p', 'n2'), ['n2'], ['n1'], 2],
@@ -50,11 +57,11 @@
   const chunk = new Chunk(spec(), 0, 'p', 1, 0, 4, null, 0);
   const record = { chunks: { 'wk-1/0': chunk.record() } };
   buckets.note('p', 's1', record, 1);
-  assert.equal(buckets.find('wk-1/0')?.part, 'p');
+  assert.equal(buckets.find('wk-1/0')?.shard, 'p');
   // It moves: the new bucket may be heard of before the old one is changed.
   buckets.note('q', 's9', record, 2);
   buckets.note('p', 's1', { chunks: {} }, 2);
-  assert.equal(buckets.find('wk-1/0')?.part, 'q');
+  assert.equal(buckets.find('wk-1/0')?.shard, 'q');
   buckets.note('q', 's9', null, 3);
   assert.equal(buckets.find('wk-1/0'), undefined);
 });
@@ -103,54 +110,80 @@
       ['p', 1],
       ['q', 2],
     ] as const) {
-      this.store.rows.set(keys.owner(label), { key: keys.owner(label), value: {}, stamp });
+      this.store.rows.set(keys.owner(label), {
+        key: keys.owner(label),
+        value: {},
+        revision: stamp,
+      });
     }
-    this.host = createOwnedShard(part, { token: 5, stamp: 1 }, 0);
+    this.host = createOwnedShard(part, { fencingToken: 5, revision: 1 }, 0);
     const { rows } = this.store;
     this.bucketWriter = new BucketWriter(
       this.store,
       { get: (key) => rows.get(key), note: () => undefined, noteRemoved: () => undefined },
       { now: () => this.now, wall: () => this.now },
       {
-        valid: () => true,
-        verifyOwner: () => Promise.resolve(),
+        isLeaseValid: () => true,
+        verifyLeadership: () => Promise.resolve(),
         stored: (_, chunks) => {
           for (const chunk of chunks) {
-            for (const entry of chunk.entries.values()) {
+            for (const entry of chunk.attempts.values()) {
               const name = `${chunk.taskName(entry.task)}@${entry.machine}`;
               if (chunk.isDurable(entry) && !this.started.includes(name)) this.started.push(name);
             }
           }
         },
       },
-      { txnOps: 16, layout: layoutFor(), linger: 2, retry: 0.001, process: 'x' },
+      { txnOps: 16, recordFormat: layoutFor(), linger: 2, retry: 0.001, process: 'x' },
     );
   }
 
   machine(name: string): void {
-    const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0, address: 'h:1' };
-    const machine = this.host.part.addMachine(name, record, this.now);
+    const record = {
+      shard: 'p',
+      type: 'm8',
+      zone: 'a',
+      spot: false,
+      launchedAt: 0,
+      address: 'h:1',
+    };
+    const machine = this.host.shard.addMachine(name, record, this.now);
     const report = { machine: name, address: 'h:1', type: 'm8', zone: 'a', spot: false };
-    const rest = { session: 1, tick: 1, token: 5, warning: null, tasks: [] };
-    this.host.part.reports.apply(machine, { ...report, ...rest }, this.now, 'answer');
+    const rest = {
+      agentEpoch: 1,
+      heartbeatSequence: 1,
+      highestFencingToken: 5,
+      preemptionWarning: null,
+      attempts: [],
+    };
+    this.host.shard.heartbeats.apply(machine, { ...report, ...rest }, this.now, 'answer');
   }
 
   job(id: string, tasks = 1): Chunk {
-    const chunk = new Chunk(spec({ id, tasks }), 0, 'p', this.now, 0, tasks, null, this.now);
-    this.host.part.accept(chunk, this.now);
+    const chunk = new Chunk(
+      spec({ id, taskCount: tasks }),
+      0,
+      'p',
+      this.now,
+      0,
+      tasks,
+      null,
+      this.now,
+    );
+    this.host.shard.acceptNewChunk(chunk, this.now);
     return chunk;
   }
 
   /** A round: decides, stores what is due and waits until all answers are in. */
   async round(seconds = 5): Promise<void> {
     this.now += seconds;
-    this.host.part.scheduler.decide(this.now, () => false);
-    this.bucketWriter.pass(this.host);
-    while (this.host.writing > 0) await new Promise((r) => setTimeout(r, 1));
+    this.host.shard.scheduler.runRound(this.now, () => false);
+    this.bucketWriter.writeDueBuckets(this.host);
+    while (this.host.writesInFlight > 0) await new Promise((r) => setTimeout(r, 1));
   }
 
   move(chunk: Chunk): ReturnType<BucketWriter['move']> {
-    return this.bucketWriter.move(this.host, chunk, 'q', { when: [], puts: [] });
+    return this.bucketWriter.move(this.host, chunk, 'q', { conditions: [], puts: [] });
   }
 
   /** Parts whose stored buckets hold the chunk. */
@@ -172,7 +205,7 @@
   assert.equal(desk.started.length, 4);
   const [first] = chunks;
   if (first === undefined) throw new Error('no chunks');
-  desk.host.part.dropChunk(first);
+  desk.host.shard.dropChunk(first);
   await desk.round();
   assert.equal(desk.store.changes, 1, 'nobody waits for that');
   const next = desk.job('wk-5');
@@ -188,7 +221,7 @@
     desk.machine('n-1');
     const first = desk.job('wk-1');
     await desk.round();
-    desk.host.part.dropChunk(first);
+    desk.host.shard.dropChunk(first);
     if (removal !== 'none') {
       desk.store.loseNext = true;
       await desk.round();
@@ -253,7 +286,7 @@
     if (leave === 'moved') {
       await desk.round();
       assert.equal((await desk.move(chunk)).kind, 'applied');
-    } else desk.host.part.dropChunk(chunk);
+    } else desk.host.shard.dropChunk(chunk);
     await desk.round();
     await desk.round();
     // Its condition is that there is no such record: a record that had been removed would let it pass.
@@ -283,15 +316,20 @@
     ['wanted by a part of another zone', 'p', 'b', 'r'],
     ['in a zone without a part', '', 'c', 'q'],
   ];
-  const fleet = new MachineInventory();
-  fleet.note('r1', group('p', 'n-1', 'n-2'));
+  const inventory = new MachineInventory();
+  inventory.note('r1', group('p', 'n-1', 'n-2'));
   const zoneOf = new Map([
     ['p', 'a'],
     ['q', 'a'],
     ['r', 'b'],
   ]);
-  const types = new Map([['m8', { cpus: 8 }]]);
-  const node = { parts: ['p', 'q', 'r'], zoneOf, types, fleet };
+  const machineTypes = new Map([['m8', { cpus: 8 }]]);
+  const node = {
+    shards: ['p', 'q', 'r'],
+    zoneOf,
+    machineTypes: machineTypes,
+    inventory: inventory,
+  };
   for (const [name, wanted, zone, part] of cases) {
     assert.equal(chooseShardFor(node, zone, wanted), part, name);
   }
--- a/test/persistence/jobPersistence.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -29,12 +29,12 @@
 
   constructor(cut: number) {
     const part = emptyPart(3);
-    this.owned = createOwnedShard(part, { token: 5, stamp: 1 }, 0);
-    this.store.rows.set(keys.owner('p'), { key: keys.owner('p'), value: {}, stamp: 1 });
+    this.owned = createOwnedShard(part, { fencingToken: 5, revision: 1 }, 0);
+    this.store.rows.set(keys.owner('p'), { key: keys.owner('p'), value: {}, revision: 1 });
     const clock = { now: () => this.now, wall: () => this.now };
     const silent = {
-      range: () => Promise.reject(new Error()),
-      changes: () => Promise.reject(new Error()),
+      readRange: () => Promise.reject(new Error()),
+      readChanges: () => Promise.reject(new Error()),
     };
     const replica = new StateCache(silent, 'b/', clock, { hold: 1, pause: 1 }, () => undefined);
     const ownedParts = new Map([['p', this.owned]]);
@@ -44,54 +44,63 @@
       new ChunkIndex(),
       clock,
       {
-        ownedParts,
+        ownedShards: ownedParts,
         isBeingCancelled: () => false,
-        isHeld: () => false,
+        isBlockedOnDependencies: () => false,
         hasUnreadableChunks: false,
-        valid: () => true,
-        verifyOwner: () => Promise.resolve(),
+        isLeaseValid: () => true,
+        verifyLeadership: () => Promise.resolve(),
         stored: () => undefined,
       },
-      { txnOps: 16, layout: layoutFor(), linger: 2, retry: 0.001, process: 'x' },
+      { txnOps: 16, recordFormat: layoutFor(), linger: 2, retry: 0.001, process: 'x' },
     );
     const record: JobRecord = {
-      spec: spec({ id: ID, tasks: 24 }),
-      home: 'p',
+      spec: spec({ id: ID, taskCount: 24 }),
+      homeShard: 'p',
       state: 'open',
-      tasks: 24,
-      at: 1,
-      size: 8,
+      taskCount: 24,
+      submittedAt: 1,
+      chunkSize: 8,
       zones: [],
-      cut,
-      finished: [],
-      away: [],
+      createdChunks: cut,
+      doneChunks: [],
+      migratedChunks: [],
     };
-    this.store.rows.set(KEY, { key: KEY, value: record, stamp: 3 });
+    this.store.rows.set(KEY, { key: KEY, value: record, revision: 3 });
     this.store.epoch = 3;
-    this.job = { id: ID, record, stamp: 3, busy: false };
+    this.job = { id: ID, record, revision: 3, isWriteInFlight: false };
     this.owned.jobs.set(ID, this.job);
     for (let index = 0; index < cut; index++) this.accept(index);
   }
 
   private accept(index: number): void {
     const from = index * 8;
-    const chunk = new Chunk(spec({ id: ID, tasks: 24 }), index, 'p', 1, from, from + 8, null, 0);
-    this.owned.part.accept(chunk, this.now);
+    const chunk = new Chunk(
+      spec({ id: ID, taskCount: 24 }),
+      index,
+      'p',
+      1,
+      from,
+      from + 8,
+      null,
+      0,
+    );
+    this.owned.shard.acceptNewChunk(chunk, this.now);
   }
 
   /** All tasks of a chunk are done. */
   complete(index: number): void {
-    const chunk = this.owned.part.chunks.get(`${ID}/${index}`);
+    const chunk = this.owned.shard.chunks.get(`${ID}/${index}`);
     if (chunk === undefined) throw new Error('no such chunk');
-    for (let task = chunk.from; task < chunk.to; task++) chunk.done.add(task);
-    this.owned.part.changed(chunk, this.now);
+    for (let task = chunk.firstTask; task < chunk.endTask; task++) chunk.doneTasks.add(task);
+    this.owned.shard.noteChunkChanged(chunk, this.now);
   }
 
   /** Some passes, each with all of its answers. */
   async passes(count: number): Promise<void> {
     for (let i = 0; i < count; i++) {
       this.now += 3;
-      this.commits.pass();
+      this.commits.writeDueBuckets();
       await new Promise((resolve) => setTimeout(resolve, 5));
     }
   }
@@ -101,18 +110,22 @@
   }
 
   get chunks(): string[] {
-    return [...this.owned.part.chunks.keys()].sort();
+    return [...this.owned.shard.chunks.keys()].sort();
   }
 }
 
 test('the end of a chunk that meets another change of the record is noted, not forgotten with the chunk', async () => {
   const home = new Home(2);
   // A move of the other chunk was stored and its answer lost.
-  home.store.rows.set(KEY, { key: KEY, value: { ...home.job.record, away: [1] }, stamp: 8 });
+  home.store.rows.set(KEY, {
+    key: KEY,
+    value: { ...home.job.record, migratedChunks: [1] },
+    revision: 8,
+  });
   home.complete(0);
   await home.passes(4);
-  assert.deepEqual(home.stored.finished, [0]);
-  assert.deepEqual(home.stored.away, [1]);
+  assert.deepEqual(home.stored.doneChunks, [0]);
+  assert.deepEqual(home.stored.migratedChunks, [1]);
 });
 
 test('a chunk that was cut without an answer is taken up, whichever change finds that out', async () => {
@@ -124,14 +137,14 @@
   assert.equal(home.store.late().kind, 'applied');
   home.complete(0);
   await home.passes(4);
-  assert.equal(home.stored.cut, 2);
+  assert.equal(home.stored.createdChunks, 2);
   assert.ok(home.chunks.includes(`${ID}/1`), home.chunks.join(' '));
 });
 
 test('after a conflict the owner answers by the store until the record has been read', async () => {
   const home = new Home(1);
   const ended = { ...home.job.record, spec: null, state: 'cancelled' as const };
-  home.store.rows.set(KEY, { key: KEY, value: ended, stamp: 8 });
+  home.store.rows.set(KEY, { key: KEY, value: ended, revision: 8 });
   const readRecord = home.store.get.bind(home.store);
   let reads = 0;
   home.store.get = (key) => {
@@ -141,7 +154,7 @@
   home.complete(0);
   await home.passes(1);
   assert.equal(
-    home.job.unsettled,
+    home.job.isUncertain,
     true,
     'others may have told users of the record that we could not read',
   );
--- a/test/persistence/recordLimits.test.ts
+++ b/test/persistence/recordLimits.test.ts
@@ -27,10 +27,21 @@
 const REPLICAS = 6;
 
 const service = (id: string): ChunkRecord => ({
-  ...{ spec: spec({ id, service: true, rank: 'prod', tasks: REPLICAS }), home: 'p', at: 5 },
-  ...{ from: 0, to: REPLICAS, zone: null, next: 50, done: [], moves: 0 },
-  entries: Array.from({ length: REPLICAS }, (_, task): AttemptRecord => {
-    return { task, attempt: task + 1, machine: `n-${task}`, session: 1 };
+  ...{
+    spec: spec({ id, isService: true, rank: 'prod', taskCount: REPLICAS }),
+    homeShard: 'p',
+    submittedAt: 5,
+  },
+  ...{
+    firstTask: 0,
+    endTask: REPLICAS,
+    zone: null,
+    nextAttemptNumber: 50,
+    doneTasks: [],
+    migrationCount: 0,
+  },
+  attempts: Array.from({ length: REPLICAS }, (_, task): AttemptRecord => {
+    return { task, attemptNumber: task + 1, machine: `n-${task}`, agentEpoch: 1 };
   }),
 });
 
@@ -45,10 +56,10 @@
 
   constructor(chunks: Record<string, ChunkRecord>) {
     const { rows } = this.store;
-    rows.set(keys.owner('p'), { key: keys.owner('p'), value: {}, stamp: 1 });
-    rows.set(keys.owner('q'), { key: keys.owner('q'), value: {}, stamp: 2 });
+    rows.set(keys.owner('p'), { key: keys.owner('p'), value: {}, revision: 1 });
+    rows.set(keys.owner('q'), { key: keys.owner('q'), value: {}, revision: 2 });
     const key = keys.run('p', 'old');
-    rows.set(key, { key, value: { chunks }, stamp: 3 });
+    rows.set(key, { key, value: { chunks }, revision: 3 });
     this.store.epoch = 3;
     this.store.layout = this.layout;
     this.store.limits = LIMITS;
@@ -60,37 +71,37 @@
   adopt(): [OwnedShard, BucketWriter] {
     const { rows } = this.store;
     const commits: Pick<JobPersistence, 'acceptMissing'> = { acceptMissing: () => undefined };
-    const machine = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0 };
+    const machine = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
     const machines = Array.from({ length: REPLICAS }, (_, i) => [`n-${i}`, machine] as const);
     const loader = new ShardLoader({
       clock: { now: () => this.now, wall: () => this.now },
-      fleet: { of: () => new Map(machines).entries() },
-      replica: {
+      inventory: { of: () => new Map(machines).entries() },
+      stateCache: {
         get: (name) => rows.get(name),
-        *under(prefix) {
+        *entriesWithPrefix(prefix) {
           for (const row of rows) if (row[0].startsWith(prefix)) yield row;
         },
         noteRemoved: () => undefined,
       },
-      state: this.store,
-      cancelPreparations: { apply: () => undefined },
-      commits,
-      layout: this.layout,
-      requestRound: () => undefined,
+      stateClient: this.store,
+      cancellationPreparations: { apply: () => undefined },
+      persistence: commits,
+      recordFormat: this.layout,
+      requestSchedulingRound: () => undefined,
     });
     const part = emptyPart(3, new Map([['m8', m8]]));
-    this.host = loader.load(part, { token: 7, stamp: 1, lostAt: 0 }, 0);
+    this.host = loader.load(part, { fencingToken: 7, revision: 1, previousLeaderLostAt: 0 }, 0);
     this.writer = new BucketWriter(
       this.store,
       { get: (name) => rows.get(name), note: () => undefined, noteRemoved: () => undefined },
       { now: () => this.now, wall: () => this.now },
       {
-        valid: () => true,
-        verifyOwner: () => Promise.resolve(),
+        isLeaseValid: () => true,
+        verifyLeadership: () => Promise.resolve(),
         stored: () => undefined,
       },
       {
-        ...{ txnOps: TXN_OPS, layout: this.layout, linger: 1, retry: 0.001 },
+        ...{ txnOps: TXN_OPS, recordFormat: this.layout, linger: 1, retry: 0.001 },
         process: `x${++this.processes}`,
       },
     );
@@ -99,7 +110,7 @@
 
   async pass(): Promise<void> {
     this.now += 10;
-    this.writer.pass(this.host);
+    this.writer.writeDueBuckets(this.host);
     for (let i = 0; i < 20; i++) await new Promise((resolve) => setTimeout(resolve, 1));
   }
 
@@ -111,7 +122,7 @@
   get stored(): Map<string, ChunkRecord> {
     const found = new Map<string, ChunkRecord>();
     const rows = [...this.store.rows.values()].filter(({ key }) => key.startsWith('b/run/p/'));
-    for (const { value } of rows.sort((a, b) => a.stamp - b.stamp)) {
+    for (const { value } of rows.sort((a, b) => a.revision - b.revision)) {
       for (const [id, chunk] of Object.entries((value as BucketRecord).chunks))
         found.set(id, chunk);
     }
@@ -134,31 +145,31 @@
   assert.ok(!site.hasOld);
   assert.equal(site.stored.size, SERVICE_COUNT);
   for (const [id, chunk] of site.stored) {
-    assert.equal(chunk.entries.length, REPLICAS, id);
-    assert.equal(site.host.part.chunks.get(id)?.entries.size, REPLICAS, id);
+    assert.equal(chunk.attempts.length, REPLICAS, id);
+    assert.equal(site.host.shard.chunks.get(id)?.attempts.size, REPLICAS, id);
   }
-  assert.ok([...site.host.part.chunks.values()].every((chunk) => chunk.retiredFrom === null));
+  assert.ok([...site.host.shard.chunks.values()].every((chunk) => chunk.retiredFrom === null));
 });
 
 for (const passes of [1, 2, 3, 4, 5]) {
   test(`an adopter that finds it half emptied, after ${passes} pass(es), has all of it once`, async () => {
     const site = new FallenLimits(services());
     // One ends for good meanwhile, and one changes: the old record does not know of either.
-    const changed = site.host.part.chunks.get('wk-3/0');
+    const changed = site.host.shard.chunks.get('wk-3/0');
     for (let i = 0; i < passes; i++) await site.pass();
     if (changed !== undefined) {
-      changed.entries.delete(0);
-      site.host.part.changed(changed, site.now);
+      changed.attempts.delete(0);
+      site.host.shard.noteChunkChanged(changed, site.now);
     }
     await site.pass();
-    const known = site.stored.get('wk-3/0')?.entries.length;
+    const known = site.stored.get('wk-3/0')?.attempts.length;
     site.adopt();
-    assert.equal(site.host.part.chunks.size, SERVICE_COUNT);
-    assert.equal(site.host.part.chunks.get('wk-3/0')?.entries.size, known);
+    assert.equal(site.host.shard.chunks.size, SERVICE_COUNT);
+    assert.equal(site.host.shard.chunks.get('wk-3/0')?.attempts.size, known);
     await site.settle();
     assert.ok(!site.hasOld);
     assert.equal(site.stored.size, SERVICE_COUNT);
-    assert.equal(site.stored.get('wk-3/0')?.entries.length, known);
+    assert.equal(site.stored.get('wk-3/0')?.attempts.length, known);
   });
 }
 
@@ -176,53 +187,66 @@
 });
 
 test('a chunk that is still in the old record goes to no other part', async () => {
-  const waiting = { ...service('wk-0'), entries: [] };
+  const waiting = { ...service('wk-0'), attempts: [] };
   const site = new FallenLimits({ ...services(), 'wk-0/0': waiting });
-  const chunk = site.host.part.chunks.get('wk-0/0');
-  assert.ok(chunk?.movable);
+  const chunk = site.host.shard.chunks.get('wk-0/0');
+  assert.ok(chunk?.isMigratable);
   await site.pass();
   const isMovable: boolean[] = [];
   for (let i = 0; i < 40; i++) {
-    isMovable.push(chunk.movable);
-    assert.ok(!chunk.movable || !site.hasOld);
+    isMovable.push(chunk.isMigratable);
+    assert.ok(!chunk.isMigratable || !site.hasOld);
     await site.pass();
   }
-  assert.ok(isMovable.includes(false) && chunk.movable, 'it may go once the old record is gone');
+  assert.ok(
+    isMovable.includes(false) && chunk.isMigratable,
+    'it may go once the old record is gone',
+  );
 });
 
 test('one chunk with more tasks than a record holds is stored in pieces and changes', async () => {
   const entries = Array.from({ length: 150 }, (_, task): AttemptRecord => {
-    return { task, attempt: task + 1, machine: `n-${task % REPLICAS}`, session: 1 };
+    return { task, attemptNumber: task + 1, machine: `n-${task % REPLICAS}`, agentEpoch: 1 };
   });
-  const large = { ...service('wk-0'), to: 150, next: 200, entries };
+  const large = { ...service('wk-0'), endTask: 150, nextAttemptNumber: 200, attempts: entries };
   const site = new FallenLimits({ 'wk-0/0': large });
-  const chunk = site.host.part.chunks.get('wk-0/0');
-  chunk?.entries.delete(4);
-  if (chunk !== undefined) site.host.part.changed(chunk, site.now);
+  const chunk = site.host.shard.chunks.get('wk-0/0');
+  chunk?.attempts.delete(4);
+  if (chunk !== undefined) site.host.shard.noteChunkChanged(chunk, site.now);
   await site.settle();
-  assert.equal(site.stored.get('wk-0/0')?.entries.length, 149);
+  assert.equal(site.stored.get('wk-0/0')?.attempts.length, 149);
 });
 
 test('the largest records at about 4,000 machines stay within 2 KiB, or a transaction of five', () => {
-  const layout = layoutFor(LIMITS.value, TXN_OPS, true);
+  const recordFormat = layoutFor(LIMITS.value, TXN_OPS, true);
   const machines = Array.from({ length: groupLimit(LIMITS.value) }, (_, i) => [
     `n-${String(i).padStart(9, '0')}`,
     { at: 1764637200.123, address: '10.255.255.255:65535' },
   ]);
   const group: MachineGroupRecord = {
-    ...{ part: 'drone-100', type: 'panyard-large', zone: 'port-of-spain', spot: true },
+    ...{ shard: 'drone-100', type: 'panyard-large', zone: 'port-of-spain', spot: true },
     machines: Object.fromEntries(machines),
   };
   const labels = Array.from({ length: 12 }, (_, i) => `drone-${i}`);
   const lost = Object.fromEntries(labels.map((label) => [label, 1764637200.123]));
   const owners = labels.map((label) => [label, { node: 'drone-11', lost: { ...lost } }]);
-  const token: FencingTokenRecord = { last: 99_999, owners: Object.fromEntries(owners) };
+  const token: FencingTokenRecord = { lastToken: 99_999, lastLeaders: Object.fromEntries(owners) };
   const shares = Object.fromEntries(labels.map((label) => [label, { cpus: 123456.5, gpus: 123 }]));
   const job: JobRecord = {
-    ...{ spec: spec({ tasks: 100_000 }), home: 'drone-11', state: 'open', tasks: 100_000 },
-    ...{ at: 1764637200.123, size: 50, zones: ['zagreb-core', 'split-coast'], cut: 2000 },
-    finished: Array.from({ length: 2000 }, (_, i) => i).filter((i) => i % 400 !== 7),
-    away: [7, 407],
+    ...{
+      spec: spec({ taskCount: 100_000 }),
+      homeShard: 'drone-11',
+      state: 'open',
+      taskCount: 100_000,
+    },
+    ...{
+      submittedAt: 1764637200.123,
+      chunkSize: 50,
+      zones: ['zagreb-core', 'split-coast'],
+      createdChunks: 2000,
+    },
+    doneChunks: Array.from({ length: 2000 }, (_, i) => i).filter((i) => i % 400 !== 7),
+    migratedChunks: [7, 407],
   };
   const cases: [string, string, unknown, number][] = [
     ['a rental', keys.group('x'), group, 1],
@@ -232,6 +256,9 @@
     ['the token counter of 12 nodes, each lost by all', keys.token, token, TXN_OPS - 1],
   ];
   for (const [name, key, value, most] of cases) {
-    assert.ok(layout.operations(key, value) <= most, `${name}: ${layout.bytes(key, value)} bytes`);
+    assert.ok(
+      recordFormat.operations(key, value) <= most,
+      `${name}: ${recordFormat.bytes(key, value)} bytes`,
+    );
   }
 });
--- a/test/persistence/recordSizes.test.ts
+++ b/test/persistence/recordSizes.test.ts
@@ -41,11 +41,20 @@
   const chunk = new Chunk(job, 0, 'drone-100', 1764637200.123, 0, size, 'zone', 0);
   const entries = Array.from({ length: size }, (_, i) => ({
     task: 90_000 + i,
-    attempt: 1000,
+    attemptNumber: 1000,
     machine: 'n-000000000',
-    session: 10 + (i % 90),
+    agentEpoch: 10 + (i % 90),
   }));
-  return { chunks: { 'wk-000000/0': { ...chunk.record(), entries, next: 1000, moves: 3 } } };
+  return {
+    chunks: {
+      'wk-000000/0': {
+        ...chunk.record(),
+        attempts: entries,
+        nextAttemptNumber: 1000,
+        migrationCount: 3,
+      },
+    },
+  };
 }
 
 for (const [kilobytes, isCompact] of [
@@ -53,7 +62,7 @@
   ...[2, 4, 16, 32, 64].map((size) => [size, true] as const),
 ]) {
   const value = kilobytes * 1024;
-  const layout = layoutFor(value, 16, isCompact);
+  const recordFormat = layoutFor(value, 16, isCompact);
   test(`records stay within values of ${kilobytes} KiB, layout ${isCompact ? 2 : 1}`, () => {
     assert.ok(groupLimit(value) >= 1 && groupLimit(value) <= RENT_LIMIT);
     const machine = { 'n-000000000': { at: 1764637200.123, address: '10.255.255.255:65535' } };
@@ -61,15 +70,15 @@
     for (const parts of [1, 3, 12]) {
       for (const cpus of [0, 8, 64, 8000]) {
         for (const tasks of [1, 120, 5000]) {
-          const job = spec({ tasks, cpus: 4 });
-          const size = chunkSize(job, cpus, layout.tasksFor(job), parts);
+          const job = spec({ taskCount: tasks, cpus: 4 });
+          const size = chunkSize(job, cpus, recordFormat.tasksFor(job), parts);
           const ranges = chunkRanges(tasks, size, []);
           assert.equal(
-            ranges.reduce((n, r) => n + r.to - r.from, 0),
+            ranges.reduce((n, r) => n + r.endTask - r.firstTask, 0),
             tasks,
           );
           // All tasks of a chunk may run at once, each an entry of its record.
-          const bytes = layout.bytes(keys.run('p', 's'), fullRecord(job, size));
+          const bytes = recordFormat.bytes(keys.run('p', 's'), fullRecord(job, size));
           assert.ok(bytes < value, `${size} tasks take ${bytes} bytes`);
         }
       }
--- a/test/pipelines/dependencyGraph.test.ts
+++ b/test/pipelines/dependencyGraph.test.ts
@@ -20,9 +20,9 @@
   readonly doomed: string[] = [];
   rankings = 0;
   readonly graph = new DependencyGraph((id) => this.jobs.get(id)?.state, {
-    released: (id) => this.released.push(id),
-    doomed: (id) => this.doomed.push(id),
-    ranked: () => this.rankings++,
+    onReleased: (id) => this.released.push(id),
+    onDependencyCancelled: (id) => this.doomed.push(id),
+    onRankChanged: () => this.rankings++,
   });
 
   note(id: string, state: StoredState, needs: string[] = [], rank = 0, now = 0): void {
@@ -96,7 +96,9 @@
     records.tell(steps);
     assert.equal(records.released.join(' '), released, 'released');
     assert.equal([...records.doomed].sort().join(' '), doomed, 'doomed');
-    const stillHeld = [...records.jobs.keys()].filter((id) => records.graph.isHeld(id));
+    const stillHeld = [...records.jobs.keys()].filter((id) =>
+      records.graph.isBlockedOnDependencies(id),
+    );
     assert.equal(stillHeld.sort().join(' '), held, 'held');
   });
 }
@@ -168,8 +170,16 @@
       }
       for (const known of records.jobs.keys()) {
         const { held, doomed } = expected(records.jobs, known);
-        assert.equal(records.graph.isHeld(known), held, `${known} in round ${round}`);
-        assert.equal(records.graph.doomedAt(known) !== null, doomed, `${known} in round ${round}`);
+        assert.equal(
+          records.graph.isBlockedOnDependencies(known),
+          held,
+          `${known} in round ${round}`,
+        );
+        assert.equal(
+          records.graph.dependencyCancelledAt(known) !== null,
+          doomed,
+          `${known} in round ${round}`,
+        );
       }
     }
   }
--- a/test/protocol/protocol.test.ts
+++ b/test/protocol/protocol.test.ts
@@ -74,7 +74,11 @@
   ];
   for (const [given, names] of cases) {
     const parsed = parseJob(text({ WaitsOn: given }));
-    assert.deepEqual('job' in parsed ? parsed.job.waitsOn : null, names, JSON.stringify(given));
+    assert.deepEqual(
+      'job' in parsed ? parsed.job.dependencies : null,
+      names,
+      JSON.stringify(given),
+    );
     if ('error' in parsed) assert.match(parsed.error, /WaitsOn/);
   }
 });
@@ -93,7 +97,7 @@
 
 test('settings: unknown ones are ignored, bad ones are named', () => {
   const parsed = parseSettings(settings);
-  assert.equal(parsed.lease, 18);
+  assert.equal(parsed.workerLease, 18);
   assert.deepEqual(parsed.teams[0], { name: 'crew', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 });
   const bad: [string, string, RegExp][] = [
     ['lease_s = 18.0', 'lease_s = "long"', /settings\.workers\.lease_s/],
@@ -113,7 +117,7 @@
 test('limits to come: the smaller ones count, bad ones are named, absent ones change nothing', () => {
   const limitsWith = (next: string): number[] => {
     const text = settings.replace('[settings.cloud]', `${next}\n[settings.cloud]`);
-    const { stateRate, stateWriteRate, valueBytes, txnOps } = parseSettings(text);
+    const { stateRequestRate: stateRate, stateWriteRate, valueBytes, txnOps } = parseSettings(text);
     return [stateRate, stateWriteRate, valueBytes, txnOps];
   };
   const cases: [string, number[]][] = [
@@ -159,8 +163,8 @@
     Baton: 3,
     Pieces: [{ Piece: 'wk-1/0', Try: 1, Status: 'odd' }],
   });
-  assert.equal(report?.tasks[0]?.state, 'running');
-  assert.equal(report?.warning, null);
+  assert.equal(report?.attempts[0]?.state, 'running');
+  assert.equal(report?.preemptionWarning, null);
 });
 
 test('what peers tell each other survives the way', () => {
--- a/test/quota/quotaShares.test.ts
+++ b/test/quota/quotaShares.test.ts
@@ -22,7 +22,7 @@
   readonly ownedParts = new Map<string, OwnedShard>();
   readonly quotas: QuotaShares;
   throttledElsewhere = true;
-  private readonly copies = new Map<string, { value: unknown; stamp: number }>();
+  private readonly copies = new Map<string, { value: unknown; revision: number }>();
 
   constructor(
     readonly store: MemoryStore,
@@ -31,25 +31,26 @@
     const team = { name: 'crew', cpus: 0, gpus: 0, cpusMax: limit.cpus, gpusMax: limit.gpus };
     const node: QuotaContext = {
       settings: { teams: [team] },
-      ownedParts: this.ownedParts,
-      ownership: { valid: true },
+      ownedShards: this.ownedParts,
+      leadership: { isLeaseValid: true },
       peers: {
-        gossips: () => (this.throttledElsewhere ? [{ throttled: ['crew'] }] : []),
+        gossips: () => (this.throttledElsewhere ? [{ throttledTeams: ['crew'] }] : []),
       },
-      replica: {
+      stateCache: {
         get: (key) => this.copies.get(key),
-        note: (key, value, stamp) => {
-          if ((this.copies.get(key)?.stamp ?? -1) < stamp) this.copies.set(key, { value, stamp });
+        note: (key, value, revision) => {
+          if ((this.copies.get(key)?.revision ?? -1) < revision)
+            this.copies.set(key, { value, revision });
         },
       },
-      state: store,
-      commits: { write: (_, txn) => store.txn(txn) },
+      stateClient: store,
+      persistence: { write: (_, txn) => store.transact(txn) },
     };
     this.quotas = new QuotaShares(node);
   }
 
   host(label: string, used: TeamResources = { cpus: 0, gpus: 0 }): OwnedShard {
-    const host = createOwnedShard(emptyPart(3), { token: 1, stamp: 1 }, 0);
+    const host = createOwnedShard(emptyPart(3), { fencingToken: 1, revision: 1 }, 0);
     this.ownedParts.set(label, host);
     this.use(label, used);
     return host;
@@ -57,12 +58,12 @@
 
   /** Tasks with so much in all are placed, or, below zero, are over. */
   use(label: string, { cpus, gpus }: TeamResources): void {
-    this.ownedParts.get(label)?.part.teams.add(spec({ team: 'crew', cpus, gpus }), 1);
+    this.ownedParts.get(label)?.shard.teamUsage.add(spec({ team: 'crew', cpus, gpus }), 1);
   }
 
   /** A job that wants so much waits there. */
   want(label: string, { cpus, gpus }: TeamResources): void {
-    const scheduler = this.ownedParts.get(label)?.part.scheduler;
+    const scheduler = this.ownedParts.get(label)?.shard.scheduler;
     if (scheduler !== undefined) scheduler.wanted = () => ({ cpus, gpus });
   }
 
@@ -73,7 +74,7 @@
   /** The copy follows the store. */
   sync(): void {
     const item = this.store.rows.get(KEY);
-    if (item !== undefined) this.copies.set(KEY, { value: item.value, stamp: item.stamp });
+    if (item !== undefined) this.copies.set(KEY, { value: item.value, revision: item.revision });
   }
 }
 
@@ -81,7 +82,7 @@
 function storeWith(shares: QuotaRecord): MemoryStore {
   const store = new MemoryStore();
   store.epoch = 1;
-  store.rows.set(KEY, { key: KEY, value: shares, stamp: 1 });
+  store.rows.set(KEY, { key: KEY, value: shares, revision: 1 });
   return store;
 }
 
--- a/test/reconciliation/heartbeatReconciler.test.ts
+++ b/test/reconciliation/heartbeatReconciler.test.ts
@@ -12,7 +12,7 @@
   const machine = b.machine();
   const chunk = b.running(machine);
   b.report(machine, [{ state: 'ended', cause: 'done' }]);
-  assert.ok(chunk.complete);
+  assert.ok(chunk.isComplete);
   assert.deepEqual(b.verbs(machine), []);
   b.store(chunk);
   assert.deepEqual(b.verbs(machine), ['reap wk-1/0 1']);
@@ -24,10 +24,10 @@
   const chunk = b.chunk();
   b.decide();
   b.store(chunk);
-  b.report(machine, [{}], { tick: 50 });
-  assert.equal(b.report(machine, [], { tick: 49 }), false);
-  assert.equal(b.report(machine, [], { tick: 90, session: 0 }), false);
-  assert.equal(chunk.entries.size, 1);
+  b.report(machine, [{}], { heartbeatSequence: 50 });
+  assert.equal(b.report(machine, [], { heartbeatSequence: 49 }), false);
+  assert.equal(b.report(machine, [], { heartbeatSequence: 90, agentEpoch: 0 }), false);
+  assert.equal(chunk.attempts.size, 1);
 });
 
 const ends: {
@@ -55,14 +55,14 @@
     name: 'the worker has shown a higher token',
     seen: true,
     unanswered: TOKEN,
-    report: { token: TOKEN + 1 },
+    report: { highestFencingToken: TOKEN + 1 },
     over: true,
   },
   {
     name: 'a new session ends everything',
     seen: false,
     unanswered: TOKEN,
-    report: { session: 2 },
+    report: { agentEpoch: 2 },
     over: true,
   },
 ];
@@ -74,14 +74,14 @@
     b.decide();
     b.store(chunk);
     if (seen) b.report(machine, [{}]);
-    const entry = chunk.entries.get(0);
+    const entry = chunk.attempts.get(0);
     assert.ok(entry);
-    if (unanswered !== undefined) entry.doubt.noteOutcome(unanswered, 'unanswered');
+    if (unanswered !== undefined) entry.unacknowledgedStart.noteOutcome(unanswered, 'unanswered');
     b.report(machine, [], report);
-    assert.equal(chunk.entries.size, over ? 0 : 1);
+    assert.equal(chunk.attempts.size, over ? 0 : 1);
     if (over) {
       b.decide();
-      assert.equal(chunk.entries.get(0)?.attempt, 2, 'attempts only rise');
+      assert.equal(chunk.attempts.get(0)?.attemptNumber, 2, 'attempts only rise');
     }
   });
 }
@@ -92,26 +92,26 @@
   const chunk = b.chunk();
   b.decide();
   b.store(chunk);
-  const entry = chunk.entries.get(0);
+  const entry = chunk.attempts.get(0);
   assert.ok(entry);
-  entry.doubt.noteOutcome(TOKEN, 'unanswered');
+  entry.unacknowledgedStart.noteOutcome(TOKEN, 'unanswered');
   b.part.cancel(chunk, b.now);
   b.report(machine, []);
-  assert.equal(chunk.entries.size, 1, 'it may still be carried out');
+  assert.equal(chunk.attempts.size, 1, 'it may still be carried out');
   b.report(machine, [{}]);
   assert.deepEqual(b.verbs(machine), ['halt wk-1/0 1']);
   b.report(machine, [{ state: 'ended', cause: 'halted' }]);
   assert.deepEqual(b.verbs(machine), [], 'a late copy of the start would run it once more');
-  b.report(machine, [{ state: 'ended', cause: 'halted' }], { token: TOKEN + 1 });
+  b.report(machine, [{ state: 'ended', cause: 'halted' }], { highestFencingToken: TOKEN + 1 });
   b.store(chunk);
   assert.deepEqual(b.verbs(machine), ['reap wk-1/0 1']);
 });
 
 test('after a takeover, what the last owner started is settled by our token', () => {
   const cases: [string, Partial<ReportedAttempt>[], Partial<Heartbeat>, number][] = [
-    ['it runs: kept', [{}], { token: 3 }, 1],
-    ['absent, our token not seen: kept', [], { token: 3 }, 1],
-    ['absent after our token: started anew', [], { token: TOKEN }, 0],
+    ['it runs: kept', [{}], { highestFencingToken: 3 }, 1],
+    ['absent, our token not seen: kept', [], { highestFencingToken: 3 }, 1],
+    ['absent after our token: started anew', [], { highestFencingToken: TOKEN }, 0],
   ];
   for (const [name, tasks, report, left] of cases) {
     const b = new Bench();
@@ -119,11 +119,11 @@
     const chunk = b.part.loadChunk(0, startedRecord(), TOKEN, b.now);
     // The entry was stored before it was sent, but whether it was sent nobody knows.
     b.report(machine, tasks, report);
-    const entry = chunk.entries.get(0);
+    const entry = chunk.attempts.get(0);
     if (left === 0 && entry !== undefined) {
-      assert.ok(!entry.doubt.isOpen(machine.seenToken), name);
+      assert.ok(!entry.unacknowledgedStart.mayStillExecute(machine.highestFencingToken), name);
       assert.deepEqual(b.verbs(machine), ['start wk-1/0 1'], name);
-    } else assert.equal(chunk.entries.size, left, name);
+    } else assert.equal(chunk.attempts.size, left, name);
   }
 });
 
@@ -135,15 +135,15 @@
     b.now += 100;
     b.decide();
     b.store(chunk);
-    const entry = chunk.entries.get(0);
+    const entry = chunk.attempts.get(0);
     assert.ok(entry, `try ${i}`);
     const machine = b.part.machines.get(entry.machine);
     assert.ok(machine);
-    b.report(machine, [{ attempt: entry.attempt, state: 'ended', cause: 'error' }]);
+    b.report(machine, [{ attemptNumber: entry.attemptNumber, state: 'ended', cause: 'error' }]);
   }
-  assert.equal(chunk.failedOn.size, 3, 'each try on another machine');
-  assert.ok(machines.every((m) => m.usable(b.now)));
-  assert.ok(chunk.notBefore > b.now, 'the job waits before its next try');
+  assert.equal(chunk.failedMachines.size, 3, 'each try on another machine');
+  assert.ok(machines.every((m) => m.isSchedulable(b.now)));
+  assert.ok(chunk.retryNotBefore > b.now, 'the job waits before its next try');
 
   const c = new Bench();
   const faulty = c.machine();
@@ -153,23 +153,28 @@
     c.store(failing);
     c.report(faulty, [{ task: `${id}/0`, state: 'ended', cause: 'error' }]);
   }
-  assert.ok(!faulty.usable(c.now), 'two jobs failed on it');
+  assert.ok(!faulty.isSchedulable(c.now), 'two jobs failed on it');
 });
 
 test('a notice stops replicas and lets checkpoints be saved in time', () => {
   const cases: [string, Partial<JobSpec>, number, string[]][] = [
-    ['a replica moves at once', { service: true, rank: 'prod' }, 60, ['halt wk-1/0 1']],
-    ['a checkpoint waits for the last moment', { checkpoint: 30, save: 4 }, 60, []],
-    ['and is saved then', { checkpoint: 30, save: 4 }, 9, ['halt wk-1/0 1']],
+    ['a replica moves at once', { isService: true, rank: 'prod' }, 60, ['halt wk-1/0 1']],
+    [
+      'a checkpoint waits for the last moment',
+      { checkpointInterval: 30, checkpointDuration: 4 },
+      60,
+      [],
+    ],
+    ['and is saved then', { checkpointInterval: 30, checkpointDuration: 4 }, 9, ['halt wk-1/0 1']],
     ['without one the task may still be done', {}, 9, []],
   ];
   for (const [name, changes, warning, orders] of cases) {
     const b = new Bench();
     const machine = b.machine();
     b.running(machine, changes);
-    b.report(machine, [{}], { warning });
+    b.report(machine, [{}], { preemptionWarning: warning });
     assert.deepEqual(b.verbs(machine), orders, name);
-    assert.ok(!machine.usable(b.now), name);
+    assert.ok(!machine.isSchedulable(b.now), name);
   }
 });
 
@@ -188,42 +193,53 @@
   test(`being heard is not being reachable: ${name}`, () => {
     const b = new Bench();
     const machine = b.machine();
-    if (isLost) machine.lost = true;
+    if (isLost) machine.isLost = true;
     else b.leaveUnanswered(machine);
     for (const source of heard) b.report(machine, [], {}, source);
     const chunk = b.chunk();
     b.decide();
-    assert.equal(chunk.entries.size, takesWork ? 1 : 0);
-    assert.equal(machine.usable(b.now), takesWork);
+    assert.equal(chunk.attempts.size, takesWork ? 1 : 0);
+    assert.equal(machine.isSchedulable(b.now), takesWork);
   });
 }
 
 const copies: { name: string; copy: Partial<Heartbeat>; tasks: Partial<ReportedAttempt>[] }[] = [
-  { name: 'from before the start', copy: { token: 1 }, tasks: [] },
-  { name: 'of an earlier session', copy: { session: 0, token: 1 }, tasks: [] },
+  { name: 'from before the start', copy: { highestFencingToken: 1 }, tasks: [] },
+  { name: 'of an earlier session', copy: { agentEpoch: 0, highestFencingToken: 1 }, tasks: [] },
   {
     name: 'of an earlier attempt that ended',
-    copy: { token: 1 },
-    tasks: [{ attempt: 0, state: 'ended', cause: 'error' }],
+    copy: { highestFencingToken: 1 },
+    tasks: [{ attemptNumber: 0, state: 'ended', cause: 'error' }],
+  },
+  {
+    name: 'while it was fetching',
+    copy: { highestFencingToken: 1 },
+    tasks: [{ state: 'fetching' }],
   },
-  { name: 'while it was fetching', copy: { token: 1 }, tasks: [{ state: 'fetching' }] },
 ];
 for (const { name, copy, tasks } of copies) {
   test(`a late copy at a node that has just adopted the part ends nothing: ${name}`, () => {
     const b = new Bench();
-    const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0, address: '127.0.0.1:1' };
+    const record = {
+      shard: 'p',
+      type: 'm8',
+      zone: 'a',
+      spot: false,
+      launchedAt: 0,
+      address: '127.0.0.1:1',
+    };
     const machine = b.part.addMachine('n-1', record, b.now, b.now + 36);
     const chunk = b.part.loadChunk(0, startedRecord(), TOKEN, b.now);
-    b.report(machine, tasks, { tick: 3, address: '127.0.0.9:9', ...copy }, 'report');
-    assert.equal(chunk.entries.get(0)?.attempt, 1, 'the attempt in doubt was given up');
+    b.report(machine, tasks, { heartbeatSequence: 3, address: '127.0.0.9:9', ...copy }, 'report');
+    assert.equal(chunk.attempts.get(0)?.attemptNumber, 1, 'the attempt in doubt was given up');
     assert.equal(machine.address, '127.0.0.1:1', 'the copy moved its address');
-    assert.equal(machine.up, false, 'the copy made it look alive');
+    assert.equal(machine.isUp, false, 'the copy made it look alive');
     b.decide();
-    assert.equal(chunk.next, 2);
+    assert.equal(chunk.nextAttemptNumber, 2);
     // Nor does it stand in the way of what the worker itself says next.
-    b.report(machine, [{}], { tick: 40 }, 'answer');
-    assert.equal(machine.up, true);
-    assert.equal(chunk.entries.get(0)?.state, 'running');
+    b.report(machine, [{}], { heartbeatSequence: 40 }, 'answer');
+    assert.equal(machine.isUp, true);
+    assert.equal(chunk.attempts.get(0)?.state, 'running');
   });
 }
 
@@ -231,10 +247,10 @@
   const b = new Bench();
   const machine = b.machine('n-1', false);
   const chunk = b.chunk();
-  const task = { task: 'wk-1/0', attempt: 1, cause: null, saved: false };
+  const task = { task: 'wk-1/0', attemptNumber: 1, cause: null, hasCheckpoint: false };
   const report = {
     ...{ machine: 'n-1', address: '127.0.0.1:1', type: 'm8', zone: 'a', spot: false },
-    ...{ session: 1, token: TOKEN, warning: null as number | null },
+    ...{ agentEpoch: 1, highestFencingToken: TOKEN, preemptionWarning: null as number | null },
   };
   const told: [string, number, 'fetching' | 'running' | null, number | null, string][] = [
     ['the first one: there is room now', 1, null, null, 'news'],
@@ -250,7 +266,12 @@
   for (const [name, tick, state, warning, says] of told) {
     const tasks = state === null ? [] : [{ ...task, state }];
     assert.equal(
-      b.part.reports.apply(machine, { ...report, tick, warning, tasks }, b.now, 'follow'),
+      b.part.heartbeats.apply(
+        machine,
+        { ...report, heartbeatSequence: tick, preemptionWarning: warning, attempts: tasks },
+        b.now,
+        'follow',
+      ),
       says,
       name,
     );
@@ -269,7 +290,7 @@
   const chunk = b.chunk();
   b.report(machine, []);
   b.decide();
-  assert.equal(chunk.entries.size, 1);
+  assert.equal(chunk.attempts.size, 1);
 });
 
 test("what an adopter loads and does not find is over, not started: the room it had may be a peer's by now", () => {
@@ -280,12 +301,12 @@
     const b = new Bench();
     const machine = b.machine('n-1', false);
     const chunk = b.part.loadChunk(0, startedRecord(), TOKEN, b.now);
-    b.report(machine, tasks, { token: TOKEN - 1 });
-    assert.equal(chunk.entries.size, 1, `${name}: the last owner's start may still come`);
+    b.report(machine, tasks, { highestFencingToken: TOKEN - 1 });
+    assert.equal(chunk.attempts.size, 1, `${name}: the last owner's start may still come`);
     assert.deepEqual(b.verbs(machine), [], name);
-    b.report(machine, tasks, { token: TOKEN });
-    assert.equal(chunk.entries.size, entries, name);
-    assert.equal(b.part.teams.usedBy('crew').cpus, entries * 2, name);
+    b.report(machine, tasks, { highestFencingToken: TOKEN });
+    assert.equal(chunk.attempts.size, entries, name);
+    assert.equal(b.part.teamUsage.usedBy('crew').cpus, entries * 2, name);
     assert.deepEqual(b.verbs(machine), [], name);
   }
 });
--- a/test/reconciliation/machineLiveness.test.ts
+++ b/test/reconciliation/machineLiveness.test.ts
@@ -7,11 +7,11 @@
   const b = new Bench();
   const machine = b.machine();
   const chunk = b.running(machine);
-  machine.renewed = b.now;
+  machine.leaseRenewedAt = b.now;
   b.part.liveness.sweep(b.now + 18);
-  assert.equal(chunk.entries.size, 1);
+  assert.equal(chunk.attempts.size, 1);
   b.part.liveness.sweep(b.now + 20);
-  assert.equal(chunk.entries.size, 0);
+  assert.equal(chunk.attempts.size, 0);
 });
 
 test('a silent machine is lost only while others answer', () => {
@@ -57,8 +57,8 @@
     const machine = b.machine('n-1', false);
     const rest = ['n-2', 'n-3'].map((n) => b.machine(n, false));
     for (const m of othersAnswer ? [machine] : [machine, ...rest]) {
-      m.missed = 3;
-      m.missedSince = b.now;
+      m.missedProbes = 3;
+      m.firstMissedProbeAt = b.now;
     }
     b.now += 12;
     if (othersAnswer) for (const m of rest) b.report(m, []);
@@ -70,11 +70,18 @@
 
 test('a machine that its last owner may still answer is not lost for being out of our reach', () => {
   const b = new Bench();
-  const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0, address: '127.0.0.1:1' };
+  const record = {
+    shard: 'p',
+    type: 'm8',
+    zone: 'a',
+    spot: false,
+    launchedAt: 0,
+    address: '127.0.0.1:1',
+  };
   const adopted = b.part.addMachine('n-1', record, b.now, b.now + 36);
   const other = b.machine('n-2', false);
-  adopted.missed = 3;
-  adopted.missedSince = b.now;
+  adopted.missedProbes = 3;
+  adopted.firstMissedProbeAt = b.now;
   b.now += 12;
   b.report(other, []);
   assert.deepEqual(
@@ -90,13 +97,13 @@
 test('a machine that reports but answers nothing is returned, and its replicas go elsewhere', () => {
   const b = new Bench();
   const machine = b.machine();
-  const chunk = b.running(machine, { service: true, rank: 'prod' });
+  const chunk = b.running(machine, { isService: true, rank: 'prod' });
   const other = b.machine('n-2');
   const since = b.now;
   for (let n = 0; n < 3; n++) {
     b.now += 3;
-    machine.missed++;
-    machine.missedSince ??= since + 1;
+    machine.missedProbes++;
+    machine.firstMissedProbeAt ??= since + 1;
     b.report(machine, [{}], {}, 'report');
     b.report(other, []);
   }
@@ -105,10 +112,10 @@
     ['n-1'],
   );
   b.decide();
-  assert.equal(chunk.entries.get(0)?.machine, 'n-1', 'its attempt is not known to be over yet');
+  assert.equal(chunk.attempts.get(0)?.machine, 'n-1', 'its attempt is not known to be over yet');
   b.part.removeMachine('n-1', b.now);
   b.decide();
-  assert.equal(chunk.entries.get(0)?.machine, 'n-2');
+  assert.equal(chunk.attempts.get(0)?.machine, 'n-2');
 });
 
 test('when a cut ends, those that have not been asked since are not lost', () => {
@@ -116,8 +123,8 @@
   const machines = [1, 2, 3, 4].map((n) => b.machine(`n-${n}`));
   const lost = (): string[] => b.part.liveness.lostMachines(b.now, () => 30, 1000);
   for (const machine of machines) {
-    machine.missed = 3;
-    machine.missedSince = machine.askedAt = b.now + 1;
+    machine.missedProbes = 3;
+    machine.firstMissedProbeAt = machine.lastProbeAt = b.now + 1;
   }
   b.now += 20;
   assert.deepEqual(lost(), []);
@@ -126,7 +133,7 @@
   assert.deepEqual(lost(), [], 'it was last asked during the cut');
   const [silent] = machines;
   if (silent === undefined) throw new Error('no machine');
-  silent.askedAt = b.now + 1;
+  silent.lastProbeAt = b.now + 1;
   b.now += 3;
   assert.deepEqual(lost(), ['n-1']);
 });
@@ -148,7 +155,7 @@
     b.part.liveness.sweep(b.now);
     const chunk = b.chunk();
     b.decide();
-    assert.equal(chunk.entries.size, used ? 1 : 0);
+    assert.equal(chunk.attempts.size, used ? 1 : 0);
   });
 }
 
@@ -164,10 +171,10 @@
     b.decide();
     b.store(chunk);
     b.report(machine, [{}], {}, 'answer');
-    assert.equal(chunk.entries.size, 1);
+    assert.equal(chunk.attempts.size, 1);
     b.part.liveness.sweep(b.now + 17);
-    assert.equal(chunk.entries.size, 1, 'the worker may have begun just before its answer');
+    assert.equal(chunk.attempts.size, 1, 'the worker may have begun just before its answer');
     b.part.liveness.sweep(b.now + 20);
-    assert.equal(chunk.entries.size, 0);
+    assert.equal(chunk.attempts.size, 0);
   }
 });
