--- a/test/reconciliation/unacknowledgedStart.test.ts
+++ b/test/reconciliation/unacknowledgedStart.test.ts
@@ -12,7 +12,7 @@
 const TASK = 'wk-1/0';
 
 /** As stored while the second attempt runs. */
-const SECOND = [{ task: 0, attempt: 2, machine: 'n-1', session: 1 }];
+const SECOND = [{ task: 0, attemptNumber: 2, machine: 'n-1', agentEpoch: 1 }];
 
 /** What becomes of the second command with the same start, while the first is held. */
 const repeats: Passage[] = ['no socket', 'connection refused'];
@@ -28,7 +28,7 @@
     await b.send(first);
     // Its user asks to cancel it; the record can't be stored, and the job goes on.
     b.bench.part.prepareCancel(chunk, b.bench.now);
-    b.bench.part.resume(chunk);
+    b.bench.part.abandonCancellation(chunk);
     b.bench.leaveUnanswered(first);
     const second = b.machine('n-2');
     b.place(chunk);
@@ -47,12 +47,12 @@
   b.passages.push('held', 'arrives');
   await b.send(first);
   await b.send(first);
-  const entry = chunk.entries.get(0);
-  assert.ok(entry?.seen, 'the repeat has started it');
-  b.bench.part.stop(first, entry, 0);
+  const entry = chunk.attempts.get(0);
+  assert.ok(entry?.wasReported, 'the repeat has started it');
+  b.bench.part.requestStop(first, entry, 0);
   await b.send(first);
-  assert.equal(chunk.entries.size, 0, 'it was stopped');
-  first.leaving = true;
+  assert.equal(chunk.attempts.size, 0, 'it was stopped');
+  first.isCordoned = true;
   const second = b.machine('n-2');
   b.place(chunk);
   b.helloForOrders(first);
@@ -72,25 +72,29 @@
     b.passages.push('held', 'arrives');
     await b.send(first);
     await b.send(first);
-    const entry = chunk.entries.get(0);
+    const entry = chunk.attempts.get(0);
     assert.ok(entry, order);
-    b.bench.part.stop(first, entry, 0);
+    b.bench.part.requestStop(first, entry, 0);
     await b.send(first);
     // The second attempt goes to the same machine, which still reports the first.
     b.place(chunk);
     await b.send(first);
     b.worker(first).reportOrder = 'oldest first';
     b.hello(first);
-    assert.equal(chunk.entries.get(0)?.state, 'running', order);
+    assert.equal(chunk.attempts.get(0)?.state, 'running', order);
     b.worker(first).reportOrder = order;
     b.deliverHeld();
     b.hello(first);
     const second = b.machine('n-2');
-    first.leaving = true;
+    first.isCordoned = true;
     b.place(chunk);
     await b.send(second);
     assert.deepEqual(b.ranTwice, [], order);
-    assert.equal(chunk.entries.get(0)?.attempt, 2, `${order}: the second attempt is still there`);
+    assert.equal(
+      chunk.attempts.get(0)?.attemptNumber,
+      2,
+      `${order}: the second attempt is still there`,
+    );
   }
 });
 
@@ -159,10 +163,11 @@
     const doubt = new UnacknowledgedStart();
     for (const [token, outcome] of commands) {
       doubt.noteSent(token);
-      assert.ok(doubt.isOpen(token), 'while it is on its way');
+      assert.ok(doubt.mayStillExecute(token), 'while it is on its way');
       doubt.noteOutcome(token, outcome);
     }
-    for (const [seen, isOpen] of open) assert.equal(doubt.isOpen(seen), isOpen, `seen ${seen}`);
+    for (const [seen, isOpen] of open)
+      assert.equal(doubt.mayStillExecute(seen), isOpen, `seen ${seen}`);
   });
 }
 
@@ -180,10 +185,10 @@
   b.orders.sweep();
   assert.equal(b.raises.length, 1);
   b.raises.pop();
-  const entry = chunk.entries.get(0);
+  const entry = chunk.attempts.get(0);
   assert.ok(entry);
-  b.bench.part.stop(machine, entry, 0);
-  for (const answer of [null, null, { token: 9, stamp: 2, lostAt: 0 }]) {
+  b.bench.part.requestStop(machine, entry, 0);
+  for (const answer of [null, null, { fencingToken: 9, revision: 2, previousLeaderLostAt: 0 }]) {
     b.bench.now += 7;
     b.hello(machine);
     b.raises.push(answer);
@@ -191,8 +196,8 @@
     await new Promise((resolve) => setImmediate(resolve));
   }
   assert.equal(b.raises.length, 0, 'each refusal was followed by another try');
-  assert.equal(b.host.token, 9);
-  assert.equal(machine.inDoubtSince, null);
+  assert.equal(b.host.fencingToken, 9);
+  assert.equal(machine.unacknowledgedStartSince, null);
 });
 
 test('an end that an answer to a command shows first is reaped once a report has settled its start', () => {
@@ -201,14 +206,14 @@
   const chunk = b.chunk();
   b.decide();
   b.store(chunk);
-  const entry = chunk.entries.get(0);
+  const entry = chunk.attempts.get(0);
   assert.ok(entry);
   // The start rides in the answer to a report; the answer to a command of ours overtakes the next report.
-  entry.sentInAnswer = true;
+  entry.startSentInAnswer = true;
   const refused = [{ state: 'ended', cause: 'no_room' }] as const;
   b.report(machine, [...refused], {}, 'answer');
   b.store(chunk);
-  assert.equal(chunk.entries.size, 0);
+  assert.equal(chunk.attempts.size, 0);
   assert.deepEqual(b.verbs(machine), [], 'the answer with the start may still be on its way');
   b.report(machine, [...refused], {}, 'follow');
   assert.deepEqual(b.verbs(machine), ['reap wk-1/0 1']);
@@ -216,27 +221,32 @@
 
 test('of attempts of one task on a machine each is stopped, reaped or kept by itself', () => {
   const orders: [string, Partial<ReportedAttempt>[], string[]][] = [
-    ['an earlier one still runs', [{ attempt: 1 }, { attempt: 2 }], ['halt wk-1/0 1']],
-    ['in the other order', [{ attempt: 2 }, { attempt: 1 }], ['halt wk-1/0 1']],
+    ['an earlier one still runs', [{ attemptNumber: 1 }, { attemptNumber: 2 }], ['halt wk-1/0 1']],
+    ['in the other order', [{ attemptNumber: 2 }, { attemptNumber: 1 }], ['halt wk-1/0 1']],
     [
       'an earlier one has ended',
-      [{ attempt: 2 }, { attempt: 1, state: 'ended', cause: 'halted' }],
+      [{ attemptNumber: 2 }, { attemptNumber: 1, state: 'ended', cause: 'halted' }],
       ['reap wk-1/0 1'],
     ],
     [
       'an earlier one was refused beside it',
-      [{ attempt: 2 }, { attempt: 1, state: 'ended', cause: 'busy' }],
+      [{ attemptNumber: 2 }, { attemptNumber: 1, state: 'ended', cause: 'busy' }],
       ['reap wk-1/0 1'],
     ],
   ];
   for (const [name, tasks, verbs] of orders) {
     const b = new Bench();
     const machine = b.machine();
-    const chunk = b.part.loadChunk(0, { ...startedRecord(), next: 3, entries: SECOND }, TOKEN, 1);
-    b.report(machine, [{ attempt: 2 }]);
+    const chunk = b.part.loadChunk(
+      0,
+      { ...startedRecord(), nextAttemptNumber: 3, attempts: SECOND },
+      TOKEN,
+      1,
+    );
+    b.report(machine, [{ attemptNumber: 2 }]);
     b.report(machine, tasks);
-    assert.equal(chunk.entries.get(0)?.attempt, 2, name);
-    assert.equal(chunk.entries.get(0)?.state, 'running', name);
+    assert.equal(chunk.attempts.get(0)?.attemptNumber, 2, name);
+    assert.equal(chunk.attempts.get(0)?.state, 'running', name);
     assert.deepEqual(b.verbs(machine), verbs, name);
   }
 });
@@ -245,7 +255,7 @@
   const b = new CommandBench();
   const first = b.machine('n-1');
   const second = b.machine('n-2');
-  first.leaving = true;
+  first.isCordoned = true;
   const chunk = b.bench.chunk();
   b.place(chunk);
   // An attempt that nobody knows of: it is ended at once, and until that is seen ours does not start.
@@ -268,10 +278,10 @@
   const b = new CommandBench();
   const first = b.machine('n-1');
   const second = b.machine('n-2');
-  first.leaving = true;
+  first.isCordoned = true;
   const chunk = b.bench.chunk();
   b.place(chunk);
-  b.bench.report(first, [{ attempt: 7 }], { tick: 50 });
+  b.bench.report(first, [{ attemptNumber: 7 }], { heartbeatSequence: 50 });
   await b.send(second);
   assert.equal(b.worker(second).running.length, 0);
   b.bench.now += 30;
@@ -285,10 +295,10 @@
     [TOKEN + 1, undefined],
   ] as const) {
     const b = new Bench();
-    createOwnedShard(b.part, { token: TOKEN, stamp: 1 }, b.now);
+    createOwnedShard(b.part, { fencingToken: TOKEN, revision: 1 }, b.now);
     const machine = b.machine();
     b.running(machine);
-    b.report(machine, [], { token });
+    b.report(machine, [], { highestFencingToken: token });
     assert.equal(b.part.audit.counters['invariant-broken.attempt-vanished'], broken);
   }
 });
@@ -301,9 +311,9 @@
   b.passages.push('held', 'arrives');
   await b.send(machine);
   await b.send(machine);
-  const entry = chunk.entries.get(0);
+  const entry = chunk.attempts.get(0);
   assert.ok(entry);
-  b.bench.part.stop(machine, entry, 0);
+  b.bench.part.requestStop(machine, entry, 0);
   await b.send(machine);
   for (const [seconds, asked] of [
     [6, false],
--- a/test/rollout/rollout.test.ts
+++ b/test/rollout/rollout.test.ts
@@ -112,7 +112,7 @@
     const token = (stored?.value as StoredOwnerRecord | undefined)?.token ?? 0;
     const value: StoredOwnerRecord = { node: 'drone-2', token: token + 1, process: 'an old build' };
     const written = cluster.state.apply({
-      When: [{ K: key, Stamp: stored?.stamp ?? 0 }],
+      When: [{ K: key, Stamp: stored?.revision ?? 0 }],
       Then: [{ Put: key, Value: value }],
     });
     assert.equal(written.status, 200);
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -35,10 +35,10 @@
 import { fromRanges, toRanges } from '../../src/storage/records.js';
 import { spec } from '../support/spec.js';
 
-const room = (cpus: number, memory = 64): { cpus: number; gpus: number; memory: number } => ({
+const room = (cpus: number, memory = 64): { cpus: number; gpus: number; memoryGb: number } => ({
   cpus,
   gpus: 0,
-  memory,
+  memoryGb: memory,
 });
 
 const host = (free: number, running: [number, number][] = [], ready = 0): ReplayMachine => ({
@@ -84,7 +84,7 @@
   assert.equal(turnaround(12, 5, 30), 42);
   assert.equal(turnaround(3, 5, 30), 35);
   const at = (part: string, t: number, utilisation = 0.5): Parameters<typeof chooseShard>[0] => ({
-    part,
+    shard: part,
     wait: 0,
     turnaround: t,
     utilisation,
@@ -115,17 +115,17 @@
     for (const size of [1, 2, 3, 50, 200]) {
       for (const zones of [[], ['a'], ['a', 'b']]) {
         const ranges = chunkRanges(tasks, size, zones);
-        const record = { spec: spec({ tasks }), size, zones } as JobRecord;
+        const record = { spec: spec({ taskCount: tasks }), chunkSize: size, zones } as JobRecord;
         assert.equal(totalChunks(record), ranges.length);
         const seen = ranges.flatMap((r) =>
-          Array.from({ length: r.to - r.from }, (_, i) => r.from + i),
+          Array.from({ length: r.endTask - r.firstTask }, (_, i) => r.firstTask + i),
         );
         assert.deepEqual(seen, [...Array(tasks).keys()]);
-        assert.ok(ranges.every((r) => r.to - r.from <= size));
+        assert.ok(ranges.every((r) => r.endTask - r.firstTask <= size));
         if (zones.length < 2) continue;
         for (const zone of zones) {
           const there = ranges.filter((r) => r.zone === zone);
-          const count = there.reduce((n, r) => n + r.to - r.from, 0);
+          const count = there.reduce((n, r) => n + r.endTask - r.firstTask, 0);
           assert.ok(count <= Math.ceil(tasks / 2), `${count} of ${tasks} in ${zone}`);
         }
       }
@@ -136,11 +136,11 @@
 test('zones that jobs are held to', () => {
   const cases: [Parameters<typeof spec>[0], string[], string[]][] = [
     [{}, ['a', 'b'], []],
-    [{ spread: true }, ['b', 'a'], ['b', 'a']],
-    [{ oneZone: true }, ['b', 'a'], ['b']],
-    [{ spread: true, zone: 'a' }, ['b', 'a'], ['a', 'a']],
-    [{ spread: true, oneZone: true }, ['b', 'a'], ['b', 'b']],
-    [{ spread: true }, ['a'], ['a', 'a']],
+    [{ spreadZones: true }, ['b', 'a'], ['b', 'a']],
+    [{ sameZone: true }, ['b', 'a'], ['b']],
+    [{ spreadZones: true, zone: 'a' }, ['b', 'a'], ['a', 'a']],
+    [{ spreadZones: true, sameZone: true }, ['b', 'a'], ['b', 'b']],
+    [{ spreadZones: true }, ['a'], ['a', 'a']],
   ];
   for (const [changes, byRoom, expected] of cases) {
     assert.deepEqual(zonesFor(spec(changes), byRoom), expected, JSON.stringify(changes));
@@ -149,16 +149,16 @@
 
 test('the second half of a spread job in one zone waits for the first', () => {
   const record = (finished: number[]): JobRecord => ({
-    spec: spec({ tasks: 5, spread: true }),
-    home: 'p',
+    spec: spec({ taskCount: 5, spreadZones: true }),
+    homeShard: 'p',
     state: 'open',
-    tasks: 5,
-    at: 0,
-    size: 2,
+    taskCount: 5,
+    submittedAt: 0,
+    chunkSize: 2,
     zones: ['a', 'a'],
-    cut: 0,
-    finished,
-    away: [],
+    createdChunks: 0,
+    doneChunks: finished,
+    migratedChunks: [],
   });
   // Halves of 3 and 2 tasks in chunks of 2: chunks 0 and 1 are the first half.
   assert.deepEqual(
@@ -177,7 +177,11 @@
     ['never less than eight', 4, 12, 8, 273, 3, 8],
   ];
   for (const [name, cpus, tasks, partCpus, mostTasks, parts, size] of cases) {
-    assert.equal(chunkSize(spec({ cpus, tasks }), partCpus, mostTasks, parts), size, name);
+    assert.equal(
+      chunkSize(spec({ cpus, taskCount: tasks }), partCpus, mostTasks, parts),
+      size,
+      name,
+    );
   }
 });
 
@@ -190,12 +194,12 @@
 test('what a job allows', () => {
   const machine = { type: 'm8', zone: 'a', spot: true };
   const cases: [Parameters<typeof spec>[0], string | null, boolean][] = [
-    [{ spot: true }, null, true],
-    [{ spot: false }, null, false],
-    [{ spot: true, types: ['g8'] }, null, false],
-    [{ spot: true, zone: 'b' }, null, false],
-    [{ spot: true }, 'b', false],
-    [{ spot: true, types: ['m8'], zone: 'a' }, 'a', true],
+    [{ allowsSpot: true }, null, true],
+    [{ allowsSpot: false }, null, false],
+    [{ allowsSpot: true, machineTypes: ['g8'] }, null, false],
+    [{ allowsSpot: true, zone: 'b' }, null, false],
+    [{ allowsSpot: true }, 'b', false],
+    [{ allowsSpot: true, machineTypes: ['m8'], zone: 'a' }, 'a', true],
   ];
   for (const [changes, zone, expected] of cases) {
     assert.equal(
@@ -214,7 +218,7 @@
     spot: false,
     free: room(cpus),
     slowness,
-    live: 0,
+    serviceCpus: 0,
     hasImage: () => image,
   });
   const pick = (...hosts: ReturnType<typeof machine>[]): string | undefined =>
@@ -224,8 +228,8 @@
   assert.equal(pick(machine('a', 8, true, 3), machine('b', 8, false)), 'b');
   assert.equal(pick(), undefined);
   // Replicas: apart from each other, but not on a machine that could be returned without them.
-  const live = (name: string, cpus: number) => ({ ...machine(name, 8, true), live: cpus });
-  const replica = spec({ cpus: 2, service: true });
+  const live = (name: string, cpus: number) => ({ ...machine(name, 8, true), serviceCpus: cpus });
+  const replica = spec({ cpus: 2, isService: true });
   assert.equal(bestFit([live('a', 4), live('b', 2)], replica)?.name, 'b');
   assert.equal(bestFit([live('a', 0), live('b', 6)], replica)?.name, 'b');
   const many = Array.from({ length: 20 }, (_, i) => machine(`m${i}`, 8, i === 13));
@@ -287,19 +291,19 @@
   name,
   cpus,
   gpus: 0,
-  memory: cpus * 4,
-  fetchRate: 1,
-  cache: 50,
+  memoryGb: cpus * 4,
+  fetchGbPerSecond: 1,
+  cacheGb: 50,
   price,
   spotPrice,
-  boot,
+  bootSeconds: boot,
   zones: ['a', 'b'],
 });
 
 test('renting: the cheapest kind for the work, within what a job allows', () => {
   const refused = new Set<string>();
   const context = {
-    types: [type('small', 4, 0.2, 0.08, 50), type('large', 32, 1.9, 0.7, 15)],
+    machineTypes: [type('small', 4, 0.2, 0.08, 50), type('large', 32, 1.9, 0.7, 15)],
     refused: (t: string, zone: string, spot: boolean) => refused.has(`${t}/${zone}/${spot}`),
     partFor: () => 'p',
     zoneOf: () => 'a',
@@ -309,37 +313,39 @@
     promptHorizon: 60,
   };
   const demand = {
-    part: 'p',
+    shard: 'p',
     cpus: 4,
     gpus: 0,
-    memory: 4,
-    types: null,
+    memoryGb: 4,
+    machineTypes: null,
     zone: null,
-    spot: true,
+    allowsSpot: true,
     rank: 'normal',
-    service: true,
+    isService: true,
     image: 'i',
     imageGb: 1,
     count: 1,
-    urgent: false,
-    pressing: 0,
-    run: 0,
+    isUrgent: false,
+    onDemandCount: 0,
+    expectedRunSeconds: 0,
   };
   const kinds = (d: typeof demand): string[] =>
     planScaleOut([d], context).map((p) => `${p.count} ${p.type}/${p.zone}/${p.spot}`);
   assert.deepEqual(kinds(demand), ['1 small/a/true']);
-  assert.deepEqual(kinds({ ...demand, spot: false, count: 8 }), ['8 small/a/false']);
+  assert.deepEqual(kinds({ ...demand, allowsSpot: false, count: 8 }), ['8 small/a/false']);
   assert.deepEqual(kinds({ ...demand, zone: 'b' as unknown as null }), ['1 small/b/true']);
   assert.deepEqual(kinds({ ...demand, cpus: 5 }), ['1 large/a/true']);
   assert.deepEqual(kinds({ ...demand, cpus: 64 }), []);
   // Replicas that wait get what boots sooner, where it is not much dearer.
-  assert.deepEqual(kinds({ ...demand, spot: false, count: 8, urgent: true }), ['1 large/a/false']);
+  assert.deepEqual(kinds({ ...demand, allowsSpot: false, count: 8, isUrgent: true }), [
+    '1 large/a/false',
+  ]);
   // What is on its way and not counted yet is not rented once more.
-  const plan = { part: 'p', type: 'large', zone: 'a', spot: true, count: 1 };
+  const plan = { shard: 'p', type: 'large', zone: 'a', spot: true, count: 1 };
   const coming: [string, Partial<ScaleOutPlan>, number, string[]][] = [
     ['holds all of it', {}, 8, []],
     ['holds some of it', {}, 10, ['2 small/a/true']],
-    ['goes to another part', { part: 'q' }, 8, ['8 small/a/true']],
+    ['goes to another part', { shard: 'q' }, 8, ['8 small/a/true']],
   ];
   for (const [name, change, count, rented] of coming) {
     context.coming = [{ ...plan, ...change }];
@@ -350,9 +356,9 @@
   assert.deepEqual(kinds(demand), ['1 small/b/true']);
   // Where no cheap machine is left, only what could not be through in time has machines at full price.
   refused.add('small/b/true').add('large/a/true').add('large/b/true');
-  const batch = { ...demand, service: false, run: 30, count: 80 };
+  const batch = { ...demand, isService: false, expectedRunSeconds: 30, count: 80 };
   assert.deepEqual(kinds(batch), []);
-  assert.deepEqual(kinds({ ...batch, pressing: 8 }), ['1 large/a/false']);
+  assert.deepEqual(kinds({ ...batch, onDemandCount: 8 }), ['1 large/a/false']);
   for (const kind of ['small/b/true', 'large/a/true', 'large/b/true']) refused.delete(kind);
   const merged = mergePlans(planScaleOut([demand, { ...demand, count: 2 }], context));
   assert.equal(merged.length, 1);
@@ -366,8 +372,8 @@
   const asked: string[] = [];
   // Rounds come three times as often as one of them may be asked for again.
   for (let now = 0; now < 8; now++) {
-    for (const chunk of nextMigrationCandidates(chunks, 2, (c) => now - c.askedAt >= 3)) {
-      chunk.askedAt = now;
+    for (const chunk of nextMigrationCandidates(chunks, 2, (c) => now - c.peersAskedAt >= 3)) {
+      chunk.peersAskedAt = now;
       asked.push(chunk.spec.id);
     }
   }
--- a/test/scheduling/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -23,30 +23,30 @@
   const other = b.chunk({ id: 'wk-2', cpus: 8 });
   b.decide();
   assert.deepEqual(b.verbs(machine), []);
-  const live = b.chunk({ id: 'wk-3', rank: 'prod', service: true });
+  const live = b.chunk({ id: 'wk-3', rank: 'prod', isService: true });
   b.decide();
   assert.deepEqual(b.verbs(machine), ['halt wk-1/0 1']);
   b.report(machine, [{ state: 'ended', cause: 'halted' }]);
   b.decide();
-  assert.equal(live.entries.size, 1);
-  assert.equal(other.entries.size + batch.entries.size, 0, 'no room beside the service');
+  assert.equal(live.attempts.size, 1);
+  assert.equal(other.attempts.size + batch.attempts.size, 0, 'no room beside the service');
 });
 
 test('later work fills in, but not on the machine kept for the first that waits', () => {
   const b = new Bench();
   const first = b.machine('n-1');
   b.machine('n-2');
-  const running = b.chunk({ id: 'wk-1', cpus: 6, tasks: 2 });
+  const running = b.chunk({ id: 'wk-1', cpus: 6, taskCount: 2 });
   b.decide();
   b.store(running);
-  b.report(first, [{ task: 'wk-1/0', attempt: 1 }]);
+  b.report(first, [{ task: 'wk-1/0', attemptNumber: 1 }]);
   b.now++;
   const large = b.chunk({ id: 'wk-2', cpus: 8 });
   b.now++;
-  const long = b.chunk({ id: 'wk-3', cpus: 2, tasks: 2, expect: 500 });
+  const long = b.chunk({ id: 'wk-3', cpus: 2, taskCount: 2, expectedRunSeconds: 500 });
   b.decide();
-  assert.equal(large.entries.size, 0);
-  assert.equal(long.entries.size, 1, 'one of two: the other machine is kept');
+  assert.equal(large.attempts.size, 0);
+  assert.equal(long.attempts.size, 1, 'one of two: the other machine is kept');
 });
 
 test('a round that runs out of time goes on where it stopped', () => {
@@ -54,14 +54,14 @@
   for (let n = 0; n < 4; n++) b.machine(`n-${n}`);
   const chunks = [1, 2, 3].map((n) => b.chunk({ id: `wk-${n}` }));
   let looks = 0;
-  b.part.scheduler.decide(b.now, () => ++looks > 1);
+  b.part.scheduler.runRound(b.now, () => ++looks > 1);
   assert.deepEqual(
-    chunks.map((c) => c.entries.size),
+    chunks.map((c) => c.attempts.size),
     [1, 0, 0],
   );
   b.decide();
   assert.deepEqual(
-    chunks.map((c) => c.entries.size),
+    chunks.map((c) => c.attempts.size),
     [1, 1, 1],
   );
 });
@@ -72,10 +72,10 @@
   b.machine();
   const chunk = b.chunk();
   b.decide();
-  assert.equal(chunk.entries.size, 0);
+  assert.equal(chunk.attempts.size, 0);
   b.types = new Map([['m8', m8]]);
   b.decide();
-  assert.equal(chunk.entries.size, 1);
+  assert.equal(chunk.attempts.size, 1);
 });
 
 test('a team gets its guarantee back from those who borrowed it, whatever their rank', () => {
@@ -96,14 +96,14 @@
     });
     const b = new Bench({ ...singleShardView, guarantee, usedElsewhere: elsewhere });
     const machine = b.machine();
-    const large = b.chunk({ id: 'wk-1', team: 'large', rank: 'high', cpus: 4, tasks: 2 });
+    const large = b.chunk({ id: 'wk-1', team: 'large', rank: 'high', cpus: 4, taskCount: 2 });
     b.decide();
     b.store(large);
-    b.report(machine, [{ task: 'wk-1/0', attempt: 1 }]);
+    b.report(machine, [{ task: 'wk-1/0', attemptNumber: 1 }]);
     b.now += 5;
     b.report(machine, [
-      { task: 'wk-1/0', attempt: 1 },
-      { task: 'wk-1/1', attempt: 2 },
+      { task: 'wk-1/0', attemptNumber: 1 },
+      { task: 'wk-1/1', attemptNumber: 2 },
     ]);
     b.chunk({ id: 'wk-2', team: 'small', rank: 'idle' });
     b.decide();
@@ -120,35 +120,35 @@
   b.store(batch);
   b.report(warm, [{}]);
   const cold = b.machine('n-2');
-  const live = b.chunk({ id: 'wk-2', rank: 'prod', service: true, image: 'live' });
+  const live = b.chunk({ id: 'wk-2', rank: 'prod', isService: true, image: 'live' });
   b.decide();
-  assert.equal(live.entries.size, 0);
+  assert.equal(live.attempts.size, 0);
   assert.deepEqual(b.verbs(warm), ['halt wk-1/0 1']);
   b.report(warm, [{ state: 'ended', cause: 'halted' }]);
   b.decide();
-  assert.equal(live.entries.get(0)?.machine, 'n-1');
-  const other = b.chunk({ id: 'wk-3', rank: 'prod', service: true, image: 'unheard of' });
+  assert.equal(live.attempts.get(0)?.machine, 'n-1');
+  const other = b.chunk({ id: 'wk-3', rank: 'prod', isService: true, image: 'unheard of' });
   b.decide();
-  assert.equal(other.entries.size, 1, 'nobody has its image: any machine will do');
-  assert.ok(cold.up);
+  assert.equal(other.attempts.size, 1, 'nobody has its image: any machine will do');
+  assert.ok(cold.isUp);
 });
 
 test('a gang starts whole, and goes back whole when one of it is lost', () => {
   const b = new Bench();
   const first = b.machine('n-1');
-  const gang = b.chunk({ gang: true, tasks: 6, cpus: 2 });
+  const gang = b.chunk({ isGang: true, taskCount: 6, cpus: 2 });
   b.decide();
-  assert.equal(gang.entries.size, 0, 'four of six fit');
+  assert.equal(gang.attempts.size, 0, 'four of six fit');
   const second = b.machine('n-2');
   b.decide();
-  assert.equal(gang.entries.size, 6);
-  const attempts = new Set([...gang.entries.values()].map((e) => e.attempt));
+  assert.equal(gang.attempts.size, 6);
+  const attempts = new Set([...gang.attempts.values()].map((e) => e.attemptNumber));
   assert.equal(attempts.size, 1, 'its tasks know each other by a common attempt');
   b.store(gang);
   const on = (m: Machine): Partial<ReportedAttempt>[] =>
-    [...gang.entries.values()]
+    [...gang.attempts.values()]
       .filter((e) => e.machine === m.name)
-      .map((e) => ({ task: `wk-1/${e.task}`, attempt: e.attempt }));
+      .map((e) => ({ task: `wk-1/${e.task}`, attempt: e.attemptNumber }));
   b.report(first, on(first));
   b.report(second, on(second));
   const [lost, ...rest] = on(first);
@@ -157,7 +157,7 @@
   assert.equal(halts.length, 5);
   b.now += 100;
   b.decide();
-  assert.equal(gang.entries.size, 5, 'nothing starts before all are over');
+  assert.equal(gang.attempts.size, 5, 'nothing starts before all are over');
 });
 
 test('a large task begins although smaller work goes on arriving', () => {
@@ -169,21 +169,21 @@
   for (let step = 0; step < 120 && began === null; step++) {
     b.now += 1;
     // As much as the machines can do, so that room for one small task is all that ever comes free.
-    if (step < 8 || step % 5 < 2) b.chunk({ id: `wk-s${step}`, cpus: 2, expect: 20 });
-    if (step === 30) large = b.chunk({ id: 'wk-large', cpus: 8, expect: 20 });
+    if (step < 8 || step % 5 < 2) b.chunk({ id: `wk-s${step}`, cpus: 2, expectedRunSeconds: 20 });
+    if (step === 30) large = b.chunk({ id: 'wk-large', cpus: 8, expectedRunSeconds: 20 });
     for (const [task, { machine, chunk, ends }] of running) {
       if (ends > b.now) continue;
       running.delete(task);
-      const entry = [...chunk.entries.values()][0];
+      const entry = [...chunk.attempts.values()][0];
       const rest = [...running].filter(([, r]) => r.machine === machine);
       b.report(machine, [
-        { task, attempt: entry?.attempt ?? 1, state: 'ended', cause: 'done' },
+        { task, attemptNumber: entry?.attemptNumber ?? 1, state: 'ended', cause: 'done' },
         ...rest.map(([t]) => ({ task: t })),
       ]);
     }
     b.decide();
     for (const machine of machines) {
-      for (const [task, { chunk }] of machine.entries) {
+      for (const [task, { chunk }] of machine.placements) {
         if (running.has(task)) continue;
         running.set(task, { machine, chunk, ends: b.now + 20 });
         if (chunk === large) began = step;
@@ -200,7 +200,7 @@
 
 test('at its limit a team is served in order, here and across parts', () => {
   let allowance = 4;
-  let starved: { team: string; at: number; rank: number } | null = null;
+  let starved: { team: string; submittedAt: number; rank: number } | null = null;
   const b = new Bench({
     ...singleShardView,
     allowance: () => ({ cpus: allowance, gpus: Infinity }),
@@ -216,26 +216,26 @@
   const later = b.chunk({ id: 'wk-3', cpus: 2 });
   b.decide();
   assert.deepEqual(
-    [small, large, later].map((c) => c.entries.size),
+    [small, large, later].map((c) => c.attempts.size),
     [1, 0, 0],
   );
-  assert.equal(b.part.scheduler.starving.size, 0, 'it has not waited for long');
+  assert.equal(b.part.scheduler.starvedJobs.size, 0, 'it has not waited for long');
   b.now += 10;
   b.decide();
-  assert.equal(b.part.scheduler.starving.get('crew')?.at, large.at);
+  assert.equal(b.part.scheduler.starvedJobs.get('crew')?.submittedAt, large.submittedAt);
   allowance = 8;
   b.decide();
   assert.deepEqual(
-    [small, large, later].map((c) => c.entries.size),
+    [small, large, later].map((c) => c.attempts.size),
     [1, 1, 1],
   );
   // Another part's job of the team has waited for longer: what is younger here lets it go first.
-  starved = { team: 'crew', at: b.now, rank: 1 };
+  starved = { team: 'crew', submittedAt: b.now, rank: 1 };
   b.now += 1;
   const younger = b.chunk({ id: 'wk-4', cpus: 2 });
   allowance = 100;
   b.decide();
-  assert.equal(younger.entries.size, 0);
+  assert.equal(younger.attempts.size, 0);
   assert.equal(
     b.part.scheduler.wanted('crew').cpus,
     0,
@@ -243,23 +243,23 @@
   );
   starved = null;
   b.decide();
-  assert.equal(younger.entries.size, 1);
+  assert.equal(younger.attempts.size, 1);
 });
 
 const rounds: { name: string; most: number; play: (part: Shard, now: number) => void }[] = [
   {
     name: 'a round of decisions',
     most: 12,
-    play: (p, now) => p.scheduler.decide(now, () => false),
+    play: (p, now) => p.scheduler.runRound(now, () => false),
   },
-  { name: 'what may be returned', most: 12, play: (p, now) => void p.needs.spare(now, 1) },
-  { name: 'what is asked for', most: 12, play: (p, now) => void p.needs.demands(now) },
+  { name: 'what may be returned', most: 12, play: (p, now) => void p.demand.idleMachines(now, 1) },
+  { name: 'what is asked for', most: 12, play: (p, now) => void p.demand.demands(now) },
   {
     name: 'a peer that asks for the wait',
     most: 12,
     play: (p, now) => {
-      const asked = spec({ tasks: 20 });
-      p.estimates.waitFor({ spec: asked, zone: null, count: 20, run: 20 }, now);
+      const asked = spec({ taskCount: 20 });
+      p.waitEstimates.waitFor({ spec: asked, zone: null, count: 20, run: 20 }, now);
     },
   },
 ];
@@ -272,8 +272,8 @@
         machine.idleSince = b.now - 1000;
       }
       for (let i = 0; i < waiting; i++) {
-        const s = spec({ id: `wk-${i}`, tasks: 40, cpus: 4, image: `img-${i % 12}` });
-        b.part.accept(new Chunk(s, 0, 'p', b.now, 0, 40, null, b.now), b.now);
+        const s = spec({ id: `wk-${i}`, taskCount: 40, cpus: 4, image: `img-${i % 12}` });
+        b.part.acceptNewChunk(new Chunk(s, 0, 'p', b.now, 0, 40, null, b.now), b.now);
       }
       b.decide();
       b.now += 1;
@@ -303,15 +303,15 @@
   test(`machines at full price for batch work: ${name}`, () => {
     const b = new Bench();
     b.machine();
-    b.chunk({ tasks, service, expect: service ? 0 : 20 });
+    b.chunk({ taskCount: tasks, isService: service, expectedRunSeconds: service ? 0 : 20 });
     b.decide();
-    const demands = b.part.needs.demands(b.now);
+    const demands = b.part.demand.demands(b.now);
     assert.equal(
-      demands.some((d) => d.pressing > 0),
+      demands.some((d) => d.onDemandCount > 0),
       pressing,
     );
     // Never for more than what could not be through in time.
-    for (const d of demands) assert.ok(d.pressing < d.count || d.count === 0);
+    for (const d of demands) assert.ok(d.onDemandCount < d.count || d.count === 0);
   });
 }
 
@@ -323,28 +323,28 @@
   };
   const b = new Bench(view);
   const machine = b.machine();
-  const ordinary = b.running(machine, { id: 'wk-1', tasks: 1, cpus: 5 });
+  const ordinary = b.running(machine, { id: 'wk-1', taskCount: 1, cpus: 5 });
   const other = b.chunk({ id: 'wk-2', cpus: 5 });
   b.now += 1;
   const stage = b.chunk({ id: 'wk-3', rank: 'idle', cpus: 5 });
   inherited.set('wk-3', rankOrder.high);
-  b.part.rerank('wk-3');
-  assert.deepEqual(b.part.queue(), [stage, other]);
+  b.part.updateRank('wk-3');
+  assert.deepEqual(b.part.queuedChunks(), [stage, other]);
   b.decide();
   assert.deepEqual(b.verbs(machine), [], 'what runs goes on');
   b.report(machine, [{ task: 'wk-1/0', state: 'ended', cause: 'done' }]);
-  assert.ok(ordinary.complete);
+  assert.ok(ordinary.isComplete);
   b.decide();
-  assert.equal(stage.entries.size, 1);
+  assert.equal(stage.attempts.size, 1);
   b.store(stage);
   b.report(machine, [{ task: 'wk-3/0' }]);
   const urgent = b.chunk({ id: 'wk-4', rank: 'high', cpus: 5 });
   b.decide();
-  assert.equal(stage.entries.get(0)?.stop, null, 'it is as urgent as the job that needs it');
-  assert.equal(urgent.entries.size, 0);
+  assert.equal(stage.attempts.get(0)?.stop, null, 'it is as urgent as the job that needs it');
+  assert.equal(urgent.attempts.size, 0);
   // Nobody needs it any more.
   inherited.clear();
-  b.part.rerank('wk-3');
+  b.part.updateRank('wk-3');
   b.decide();
-  assert.notEqual(stage.entries.get(0)?.stop, null);
+  assert.notEqual(stage.attempts.get(0)?.stop, null);
 });
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -12,7 +12,7 @@
   b.decide();
   assert.deepEqual(b.verbs(machine), []);
   b.store(chunk);
-  assert.deepEqual(machine.orders(false, b.now, 4), []);
+  assert.deepEqual(machine.dueCommands(false, b.now, 4), []);
   assert.deepEqual(b.verbs(machine), ['start wk-1/0 1']);
 });
 
@@ -20,9 +20,9 @@
   // The third was passed over where the second had gone: a cancellation of the job neither ended nor confirmed it.
   for (const here of [[0, 1, 2], [0, 2], [1], [3], [0, 3, 5], []]) {
     const b = new Bench();
-    const job = spec({ tasks: 6 });
+    const job = spec({ taskCount: 6 });
     const chunks = here.map((k) => new Chunk(job, k, 'p', b.now, k, k + 1, null, b.now));
-    for (const chunk of chunks) b.part.accept(chunk, b.now);
+    for (const chunk of chunks) b.part.acceptNewChunk(chunk, b.now);
     b.chunk({ id: 'wk-2' });
     assert.deepEqual(b.part.chunksOf(job.id), chunks);
     for (const chunk of chunks) b.part.dropChunk(chunk);
@@ -36,19 +36,19 @@
   const chunk = b.chunk();
   b.decide();
   b.part.removeMachine('n-1', b.now);
-  assert.equal(chunk.entries.size, 0);
+  assert.equal(chunk.attempts.size, 0);
 });
 
 test('a chunk that its home has counted as over is not run again by an adopter', () => {
   const b = new Bench();
   const machine = b.machine();
-  const chunk = b.running(machine, { tasks: 2 });
-  b.part.overtake(chunk, b.now);
+  const chunk = b.running(machine, { taskCount: 2 });
+  b.part.retireChunk(chunk, b.now);
   assert.deepEqual(b.verbs(machine), ['halt wk-1/0 1']);
   b.report(machine, [{ state: 'ended', cause: 'halted' }]);
   b.decide();
-  assert.equal(chunk.entries.size, 0);
-  assert.ok(b.part.settled.has(chunk));
+  assert.equal(chunk.attempts.size, 0);
+  assert.ok(b.part.finishedChunks.has(chunk));
 });
 
 /** Each look at a machine's size asks for its type, so the questions count the visits. */
@@ -60,20 +60,20 @@
   const [runs, waits] = [b.chunk({ id: 'wk-1' }), b.chunk({ id: 'wk-2', cpus: 8 })];
   b.decide();
   b.store(runs, waits);
-  const on = runs.entries.get(0)?.machine === machine.name ? machine : other;
+  const on = runs.attempts.get(0)?.machine === machine.name ? machine : other;
   b.report(on, [{}]);
-  assert.deepEqual(on.endings(), []);
+  assert.deepEqual(on.cancellationStops(), []);
   b.part.prepareCancel(runs, b.now);
   b.part.prepareCancel(waits, b.now);
-  const halt = { verb: 'halt', task: 'wk-1/0', attempt: 1, wind: 0 };
+  const halt = { verb: 'halt', task: 'wk-1/0', attemptNumber: 1, gracePeriod: 0 };
   // With every answer: one of them may be lost, and the next would renew the lease.
-  assert.deepEqual([on.endings(), on.endings()], [[halt], [halt]]);
-  assert.deepEqual(waits.entries.size, 0, 'its start was never sent, so nothing can come of it');
+  assert.deepEqual([on.cancellationStops(), on.cancellationStops()], [[halt], [halt]]);
+  assert.deepEqual(waits.attempts.size, 0, 'its start was never sent, so nothing can come of it');
   b.report(on, [{ state: 'ended', cause: 'halted' }]);
   b.decide();
-  assert.deepEqual([runs.entries.size, waits.entries.size], [0, 0]);
-  b.part.resume(runs);
-  b.part.resume(waits);
+  assert.deepEqual([runs.attempts.size, waits.attempts.size], [0, 0]);
+  b.part.abandonCancellation(runs);
+  b.part.abandonCancellation(waits);
   b.decide();
-  assert.deepEqual([runs.entries.size, waits.entries.size], [1, 1]);
+  assert.deepEqual([runs.attempts.size, waits.attempts.size], [1, 1]);
 });
--- a/test/storage/compatibility.test.ts
+++ b/test/storage/compatibility.test.ts
@@ -6,6 +6,7 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { parseJob, type JobSpec } from '../../src/protocol/job.js';
+import { toStoredSpec } from '../../src/protocol/storedJobSpec.js';
 import {
   decodeAnswer,
   decodeRequest,
@@ -49,29 +50,32 @@
 });
 
 test('a question of production about a job is understood, and ours holds nothing new', () => {
-  const known = plain({ ...spec(), waitsOn: undefined });
+  const known = plain(toStoredSpec(spec()));
   assert.deepEqual(decodeSpec(JSON.stringify(known)), spec());
-  assert.deepEqual(JSON.parse(encodeSpec(spec({ waitsOn: ['wk-9'] }))), known);
+  assert.deepEqual(JSON.parse(encodeSpec(spec({ dependencies: ['wk-9'] }))), known);
 });
 
 test('records of production are read, and written back as production wrote them', () => {
-  const layout = layoutFor();
+  const recordFormat = layoutFor();
   for (const [key, stored] of Object.entries(fixtures.records)) {
-    const value = layout.decode(key, structuredClone(stored));
-    assert.deepEqual(plain(layout.encode(key, value)), stored, key);
-    assert.equal(layout.operations(key, value), 1, key);
+    const value = recordFormat.decode(key, structuredClone(stored));
+    assert.deepEqual(plain(recordFormat.encode(key, value)), stored, key);
+    assert.equal(recordFormat.operations(key, value), 1, key);
   }
   const parsed = parseJob(JSON.stringify(fixtures.submission));
-  const job = layout.decode('b/job/wk-000001', fixtures.records['b/job/wk-000001']) as JobRecord;
+  const job = recordFormat.decode(
+    'b/job/wk-000001',
+    fixtures.records['b/job/wk-000001'],
+  ) as JobRecord;
   assert.deepEqual('job' in parsed ? parsed.job : null, job.spec);
 });
 
 test('records survive the compact layout, whole or in pieces', () => {
   for (const valueBytes of [32 * 1024, 2 * 1024, 512]) {
-    const layout = layoutFor(valueBytes, 64, true);
+    const recordFormat = layoutFor(valueBytes, 64, true);
     for (const [key, stored] of Object.entries(fixtures.records)) {
-      const value = layout.decode(key, stored);
-      const [head, ...pieces] = layout.encodePuts(key, value);
+      const value = recordFormat.decode(key, stored);
+      const [head, ...pieces] = recordFormat.encodePuts(key, value);
       for (const put of [head, ...pieces]) {
         assert.ok(Buffer.byteLength(JSON.stringify(put.value)) <= valueBytes, put.key);
       }
@@ -82,56 +86,90 @@
 });
 
 test('what the compact layout leaves out is put back', () => {
-  const layout = layoutFor(32 * 1024, 16, true);
+  const recordFormat = layoutFor(32 * 1024, 16, true);
   const specs: Partial<JobSpec>[] = [
     {},
-    { service: true, gang: true, gpus: 2, types: ['m8'], zone: 'a', oneZone: true, spread: true },
-    { spot: false, expect: 0, checkpoint: 3, save: 1, due: 0, waitsOn: ['wk-2', 'wk-3'] },
-    { types: [], imageGb: 0, memory: 0 },
+    {
+      isService: true,
+      isGang: true,
+      gpus: 2,
+      machineTypes: ['m8'],
+      zone: 'a',
+      sameZone: true,
+      spreadZones: true,
+    },
+    {
+      allowsSpot: false,
+      expectedRunSeconds: 0,
+      checkpointInterval: 3,
+      checkpointDuration: 1,
+      deadline: 0,
+      dependencies: ['wk-2', 'wk-3'],
+    },
+    { machineTypes: [], imageGb: 0, memoryGb: 0 },
   ];
   for (const changes of specs) {
     const job: JobRecord = {
-      ...{ spec: spec(changes), home: 'p', state: 'open', tasks: 4, at: 1.5, size: 2 },
-      ...{ zones: ['a', 'b'], cut: 7, finished: [0, 1, 4], away: [2, 6] },
+      ...{
+        spec: spec(changes),
+        homeShard: 'p',
+        state: 'open',
+        taskCount: 4,
+        submittedAt: 1.5,
+        chunkSize: 2,
+      },
+      ...{ zones: ['a', 'b'], createdChunks: 7, doneChunks: [0, 1, 4], migratedChunks: [2, 6] },
     };
     for (const record of [job, { ...job, spec: null, state: 'cancelled', zones: [] }]) {
-      assert.deepEqual(layout.decode('b/job/x', plain(layout.encode('b/job/x', record))), record);
+      assert.deepEqual(
+        recordFormat.decode('b/job/x', plain(recordFormat.encode('b/job/x', record))),
+        record,
+      );
     }
-    const entry = { task: 3, attempt: 9, machine: 'n-1', session: 1 };
+    const entry = { task: 3, attemptNumber: 9, machine: 'n-1', agentEpoch: 1 };
     const bucket: BucketRecord = {
       chunks: {
         'wk-1/0': {
-          ...{ spec: spec({ ...changes, waitsOn: [] }), home: 'p', at: 2, from: 0, to: 9 },
-          ...{ zone: null, next: 4, done: [0, 2], moves: 0 },
-          entries: [entry, { ...entry, task: 4 }, { ...entry, task: 5, session: 2 }],
+          ...{
+            spec: spec({ ...changes, dependencies: [] }),
+            homeShard: 'p',
+            submittedAt: 2,
+            firstTask: 0,
+            endTask: 9,
+          },
+          ...{ zone: null, nextAttemptNumber: 4, doneTasks: [0, 2], migrationCount: 0 },
+          attempts: [entry, { ...entry, task: 4 }, { ...entry, task: 5, agentEpoch: 2 }],
         },
       },
     };
-    assert.deepEqual(layout.decode('b/run/p/s', plain(layout.encode('b/run/p/s', bucket))), bucket);
+    assert.deepEqual(
+      recordFormat.decode('b/run/p/s', plain(recordFormat.encode('b/run/p/s', bucket))),
+      bucket,
+    );
   }
 });
 
 test('the compact layout waits for the marks of all nodes', async () => {
   const store = new MemoryStore();
-  const layout = new RecordFormat({ valueBytes: 2048, txnOps: 5 });
+  const recordFormat = new RecordFormat({ valueBytes: 2048, txnOps: 5 });
   const replica = {
     loaded: false,
     get: (key: string) => store.rows.get(key),
     note: (key: string, value: unknown) => {
-      marks.note(key.slice(keys.node('').length), value as { layout: number });
+      marks.note(key.slice(keys.node('').length), value as { recordFormat: number });
     },
   };
-  const marks = new NodeCapabilities(store, replica, layout, 'n0', ['n0', 'n1', 'n2']);
+  const marks = new NodeCapabilities(store, replica, recordFormat, 'n0', ['n0', 'n1', 'n2']);
   await marks.ensure();
   assert.equal(store.changes, 0, 'what is stored has not been read yet');
   replica.loaded = true;
   store.refuseNext = 1;
   for (let tries = 0; tries < 4; tries++) await marks.ensure();
   assert.equal(store.changes, 1, 'once');
-  marks.note('n1', { layout: RECORD_FORMAT_VERSION });
-  marks.note('elsewhere', { layout: RECORD_FORMAT_VERSION });
-  marks.note('n2', { layout: RECORD_FORMAT_VERSION - 1 });
-  assert.ok(!layout.isCompact && !marks.isUpgraded);
-  marks.note('n2', { layout: RECORD_FORMAT_VERSION });
-  assert.ok(layout.isCompact && marks.isUpgraded);
+  marks.note('n1', { recordFormat: RECORD_FORMAT_VERSION });
+  marks.note('elsewhere', { recordFormat: RECORD_FORMAT_VERSION });
+  marks.note('n2', { recordFormat: RECORD_FORMAT_VERSION - 1 });
+  assert.ok(!recordFormat.isCompact && !marks.isUpgraded);
+  marks.note('n2', { recordFormat: RECORD_FORMAT_VERSION });
+  assert.ok(recordFormat.isCompact && marks.isUpgraded);
 });
--- a/test/storage/compression.test.ts
+++ b/test/storage/compression.test.ts
@@ -17,14 +17,21 @@
 
 function layoutWith(mayCompress: boolean, hasCodec = true): RecordFormat {
   const limits = { valueBytes: VALUE_BYTES, txnOps: 16 };
-  const layout = new RecordFormat(limits, hasCodec ? deflateCodec : null, () => mayCompress);
-  layout.useCompact();
-  return layout;
+  const recordFormat = new RecordFormat(limits, hasCodec ? deflateCodec : null, () => mayCompress);
+  recordFormat.useCompact();
+  return recordFormat;
 }
 
 const job = (types: string[]): JobRecord => ({
-  ...{ spec: spec({ types }), home: 'p', state: 'open', tasks: 3, at: 1, size: 3 },
-  ...{ zones: [], cut: 1, finished: [], away: [] },
+  ...{
+    spec: spec({ machineTypes: types }),
+    homeShard: 'p',
+    state: 'open',
+    taskCount: 3,
+    submittedAt: 1,
+    chunkSize: 3,
+  },
+  ...{ zones: [], createdChunks: 1, doneChunks: [], migratedChunks: [] },
 });
 
 const names = (count: number): string[] => Array.from({ length: count }, (_, i) => `type-${i}`);
@@ -45,10 +52,10 @@
 const key = keys.job('wk-1');
 
 function store(
-  layout: RecordFormat,
+  recordFormat: RecordFormat,
   value: unknown,
 ): { form: StoredForm; joined: unknown; puts: number } {
-  const { puts, form } = layout.encodeValue(key, value);
+  const { puts, form } = recordFormat.encodeValue(key, value);
   for (const put of puts) assert.ok(Buffer.byteLength(JSON.stringify(put.value)) <= VALUE_BYTES);
   const [head, ...pieces] = puts.map((put) => JSON.parse(JSON.stringify(put.value)) as unknown);
   const joined = joinFragments(head, pieces);
@@ -65,11 +72,11 @@
     ['compressed, and still large', layoutWith(true), [...names(300), ...noise(120)], 'compressed'],
     ['beyond what a request holds', layoutWith(true), names(9000), 'plain'],
   ];
-  for (const [what, layout, types, form] of cases) {
+  for (const [what, recordFormat, types, form] of cases) {
     const record = job(types);
-    const stored = store(layout, record);
+    const stored = store(recordFormat, record);
     assert.equal(stored.form, form, what);
-    assert.deepEqual(layout.decode(key, stored.joined), record, what);
+    assert.deepEqual(recordFormat.decode(key, stored.joined), record, what);
   }
   assert.ok(
     store(layoutWith(true), job(names(300))).puts < store(layoutWith(false), job(names(300))).puts,
@@ -77,10 +84,10 @@
 });
 
 test('records whose changes are not made under an ownership key are never compressed', () => {
-  const layout = layoutWith(true);
+  const recordFormat = layoutWith(true);
   const value = names(500);
-  assert.equal(layout.encodeValue('b/types', value).form, 'plain');
-  assert.equal(layout.encodeValue('b/quota/crew', value).form, 'plain');
+  assert.equal(recordFormat.encodeValue('b/types', value).form, 'plain');
+  assert.equal(recordFormat.encodeValue('b/quota/crew', value).form, 'plain');
 });
 
 test('a build that cannot expand an open job still sees that it is open', () => {
@@ -90,10 +97,10 @@
 });
 
 test('the barrier is stored and read as it is', () => {
-  const layout = layoutWith(true);
+  const recordFormat = layoutWith(true);
   const barrier = { readers: 3 };
-  assert.deepEqual(layout.encode(BARRIER_KEY, barrier), barrier);
-  assert.deepEqual(layout.decode(BARRIER_KEY, barrier), barrier);
+  assert.deepEqual(recordFormat.encode(BARRIER_KEY, barrier), barrier);
+  assert.deepEqual(recordFormat.decode(BARRIER_KEY, barrier), barrier);
 });
 
 test('one record that cannot be read keeps nobody from the others, and is read again once it is put right', async () => {
@@ -104,20 +111,20 @@
     const client = new StateClient(new HttpClient(10, 5), systemClock, options, layoutWith(true));
     const [good, bad, small] = [keys.job('wk-1'), keys.job('wk-2'), keys.job('wk-3')];
     const puts = [good, bad].map((name) => ({ key: name, value: job(names(300)) }));
-    assert.equal((await client.txn({ when: [], puts, removes: [] })).kind, 'applied');
+    assert.equal((await client.transact({ conditions: [], puts, deletes: [] })).kind, 'applied');
     const stored = state.rows.get(bad)?.value as CompressedValue;
     const tear = { Put: bad, Value: { ...stored, sum: stored.sum ^ 1 } };
     state.apply({
       Then: [tear, { Put: small, Value: { v: 2, home: 'p', tasks: 1, at: 1, size: 1, cut: 0 } }],
     });
-    const { items } = await client.range('b/');
+    const { items } = await client.readRange('b/');
     assert.deepEqual(items.map((item) => item.key).sort(), [good, small]);
     await assert.rejects(client.get(bad), CorruptRecordError);
     assert.equal(client.hasUnreadable('b/job/'), true);
     assert.equal(client.hasUnreadable('b/run/'), false);
     assert.deepEqual(await client.readKeysOfForm('b/', 'compressed'), [good, bad]);
     const repaired = [{ key: bad, value: job(names(300)) }];
-    await client.txn({ when: [], puts: repaired, removes: [] });
+    await client.transact({ conditions: [], puts: repaired, deletes: [] });
     assert.equal(client.hasUnreadable('b/job/'), false);
     assert.deepEqual((await client.get(bad))?.value, job(names(300)));
   } finally {
@@ -137,8 +144,8 @@
 });
 
 test('a damaged record is a named error, and never an empty record', () => {
-  const layout = layoutWith(true);
-  const { joined } = store(layout, job(names(300)));
+  const recordFormat = layoutWith(true);
+  const { joined } = store(recordFormat, job(names(300)));
   const good = joined as CompressedValue;
   const bytes = Buffer.from(good.data, 'base64');
   const cut = bytes.subarray(0, bytes.length / 2).toString('base64');
@@ -159,7 +166,7 @@
     ['compressed twice', deflateCodec.compress(JSON.stringify(good))],
   ];
   for (const [what, value] of damaged) {
-    assert.throws(() => layout.decode(key, value), CorruptRecordError, what);
+    assert.throws(() => recordFormat.decode(key, value), CorruptRecordError, what);
   }
   assert.throws(() => layoutWith(true, false).decode(key, good), /switched off here/);
 });
--- a/test/storage/fleetRecords.test.ts
+++ b/test/storage/fleetRecords.test.ts
@@ -5,8 +5,8 @@
 import type { MachineGroupRecord } from '../../src/storage/records.js';
 
 const group = (part: string): MachineGroupRecord => ({
-  part,
-  ...{ type: 'm8', zone: 'a', spot: false, machines: { 'n-1': { at: 0 } } },
+  shard: part,
+  ...{ type: 'm8', zone: 'a', spot: false, machines: { 'n-1': { launchedAt: 0 } } },
 });
 
 test('a machine that two groups name is in the same part for every node, whatever each heard of first', () => {
@@ -15,5 +15,5 @@
   one.note('adopted', group('q'));
   other.note('adopted', group('q'));
   other.note('rental', group('p'));
-  assert.equal(one.get('n-1')?.part, other.get('n-1')?.part);
+  assert.equal(one.get('n-1')?.shard, other.get('n-1')?.shard);
 });
--- a/test/storage/fragments.test.ts
+++ b/test/storage/fragments.test.ts
@@ -25,16 +25,16 @@
 
 function client(isCompact = true): StateClient {
   const options = { endpoint, rate: 1e4, writeRate: 1e4, sharers: 1, timeout: 5 };
-  const layout = layoutFor(LIMITS.valueBytes, LIMITS.txnOps, isCompact);
-  return new StateClient(new HttpClient(10, 5), systemClock, options, layout);
+  const recordFormat = layoutFor(LIMITS.valueBytes, LIMITS.txnOps, isCompact);
+  return new StateClient(new HttpClient(10, 5), systemClock, options, recordFormat);
 }
 
 const group = (machines: number): MachineGroupRecord => ({
-  ...{ part: 'p', type: 'm8', zone: 'a', spot: true },
+  ...{ shard: 'p', type: 'm8', zone: 'a', spot: true },
   machines: Object.fromEntries(
     Array.from({ length: machines }, (_, i) => [
       `n-${1000 + i}`,
-      { at: 5.5, address: '10.255.255.255:65535' },
+      { launchedAt: 5.5, address: '10.255.255.255:65535' },
     ]),
   ),
 });
@@ -45,7 +45,7 @@
   state.limits = { valueBytes: Infinity, txnOps: Infinity };
   const old = client(false);
   const puts = [{ key: KEY, value: group(50) }];
-  assert.equal((await old.txn({ when: [], puts, removes: [] })).kind, 'applied');
+  assert.equal((await old.transact({ conditions: [], puts, deletes: [] })).kind, 'applied');
   // The limits fall without notice.
   state.limits = { ...LIMITS };
   const now = client();
@@ -57,13 +57,16 @@
   ];
   for (const [machines, records] of sizes) {
     const before = await now.get(KEY);
-    const when = [{ key: KEY, stamp: before?.stamp ?? 0 }];
+    const when = [{ key: KEY, revision: before?.revision ?? 0 }];
     const change = [{ key: KEY, value: group(machines) }];
-    assert.equal((await now.txn({ when, puts: change, removes: [] })).kind, 'applied');
+    assert.equal(
+      (await now.transact({ conditions: when, puts: change, deletes: [] })).kind,
+      'applied',
+    );
     assert.equal(stored().length, records, `${machines} machines`);
     for (const reader of [now, client(), client(false)]) {
       assert.deepEqual((await reader.get(KEY))?.value, group(machines));
-      const { items } = await reader.range('b/');
+      const { items } = await reader.readRange('b/');
       assert.deepEqual(
         items.map(({ key, value }) => [key, value]),
         [[KEY, group(machines)]],
@@ -71,8 +74,8 @@
     }
   }
   const large = [{ key: KEY, value: group(50) }];
-  await now.txn({ when: [], puts: large, removes: [] });
-  assert.equal((await now.txn({ when: [], puts: [], removes: [KEY] })).kind, 'applied');
+  await now.transact({ conditions: [], puts: large, deletes: [] });
+  assert.equal((await now.transact({ conditions: [], puts: [], deletes: [KEY] })).kind, 'applied');
   assert.deepEqual(stored(), []);
   assert.equal(state.malformed, 0);
 });
@@ -82,22 +85,26 @@
   const writer = client();
   const from = state.epoch;
   for (const machines of [50, 10, 48]) {
-    await writer.txn({ when: [], puts: [{ key: KEY, value: group(machines) }], removes: [] });
+    await writer.transact({
+      conditions: [],
+      puts: [{ key: KEY, value: group(machines) }],
+      deletes: [],
+    });
   }
-  const log = await client().changes('b/', from, 0);
+  const log = await client().readChanges('b/', from, 0);
   assert.deepEqual(
     log?.changes.map((change) => Object.keys((change.value as MachineGroupRecord).machines).length),
     [50, 10, 48],
   );
-  await writer.txn({ when: [], puts: [], removes: [KEY] });
+  await writer.transact({ conditions: [], puts: [], deletes: [KEY] });
 });
 
 test('a head whose pieces are of another revision is read again', async () => {
   state.limits = { ...LIMITS };
   const writer = client();
-  await writer.txn({ when: [], puts: [{ key: KEY, value: group(50) }], removes: [] });
+  await writer.transact({ conditions: [], puts: [{ key: KEY, value: group(50) }], deletes: [] });
   const half = state.rows.get(KEY);
-  await writer.txn({ when: [], puts: [{ key: KEY, value: group(48) }], removes: [] });
+  await writer.transact({ conditions: [], puts: [{ key: KEY, value: group(48) }], deletes: [] });
   const whole = state.rows.get(KEY);
   // The head as it was before, beside the pieces of now, until both have been read.
   if (half !== undefined) state.rows.set(KEY, half);
@@ -109,14 +116,20 @@
   clearInterval(restore);
   assert.ok(state.reads.filter((key) => key === KEY).length > 1, 'it was read again');
   assert.equal(Object.keys((read?.value as MachineGroupRecord).machines).length, 48);
-  await writer.txn({ when: [], puts: [], removes: [KEY] });
+  await writer.transact({ conditions: [], puts: [], deletes: [KEY] });
 });
 
 test('a change that is malformed is told from a lease that has ended', async () => {
   state.limits = { valueBytes: 100, txnOps: 5 };
   const puts = [{ key: KEY, value: group(50) }];
-  assert.equal((await client(false).txn({ when: [], puts, removes: [] })).kind, 'malformed');
+  assert.equal(
+    (await client(false).transact({ conditions: [], puts, deletes: [] })).kind,
+    'malformed',
+  );
   state.limits = { valueBytes: Infinity, txnOps: Infinity };
-  const held = [{ key: KEY, value: group(1), hold: 999 }];
-  assert.equal((await client().txn({ when: [], puts: held, removes: [] })).kind, 'no-lease');
+  const held = [{ key: KEY, value: group(1), leaseId: 999 }];
+  assert.equal(
+    (await client().transact({ conditions: [], puts: held, deletes: [] })).kind,
+    'no-lease',
+  );
 });
--- a/test/storage/goldenBytes.test.ts
+++ b/test/storage/goldenBytes.test.ts
@@ -35,78 +35,85 @@
 
 const fullSpec = spec({
   id: 'wk-000001',
-  service: true,
-  gang: true,
+  isService: true,
+  isGang: true,
   rank: 'prod',
   gpus: 1,
-  types: ['m8', 'm16'],
+  machineTypes: ['m8', 'm16'],
   zone: 'a',
-  oneZone: true,
-  spread: true,
-  checkpoint: 20,
-  save: 4,
-  due: 300,
-  waitsOn: ['wk-000002', 'wk-000003'],
+  sameZone: true,
+  spreadZones: true,
+  checkpointInterval: 20,
+  checkpointDuration: 4,
+  deadline: 300,
+  dependencies: ['wk-000002', 'wk-000003'],
 });
 
 const openJob: JobRecord = {
-  spec: spec({ id: 'wk-000002', tasks: 300 }),
-  home: 'drone-0',
+  spec: spec({ id: 'wk-000002', taskCount: 300 }),
+  homeShard: 'drone-0',
   state: 'open',
-  tasks: 300,
-  at: 1764637200.25,
-  size: 100,
+  taskCount: 300,
+  submittedAt: 1764637200.25,
+  chunkSize: 100,
   zones: [],
-  cut: 3,
-  finished: [2, 1],
-  away: [1, 2, 5],
+  createdChunks: 3,
+  doneChunks: [2, 1],
+  migratedChunks: [1, 2, 5],
 };
 
 const chunkRecord: ChunkRecord = {
-  spec: spec({ id: 'wk-000002', tasks: 300 }),
-  home: 'drone-0',
-  at: 1764637200.25,
-  from: 0,
-  to: 100,
+  spec: spec({ id: 'wk-000002', taskCount: 300 }),
+  homeShard: 'drone-0',
+  submittedAt: 1764637200.25,
+  firstTask: 0,
+  endTask: 100,
   zone: 'a',
-  next: 61,
-  done: [0, 12, 30, 40],
-  entries: [
-    { task: 40, attempt: 1, machine: 'n-000100', session: 1 },
-    { task: 41, attempt: 2, machine: 'n-000101', session: 2 },
-    { task: 42, attempt: 3, machine: 'n-000100', session: 1 },
+  nextAttemptNumber: 61,
+  doneTasks: [0, 12, 30, 40],
+  attempts: [
+    { task: 40, attemptNumber: 1, machine: 'n-000100', agentEpoch: 1 },
+    { task: 41, attemptNumber: 2, machine: 'n-000101', agentEpoch: 2 },
+    { task: 42, attemptNumber: 3, machine: 'n-000100', agentEpoch: 1 },
   ],
-  moves: 1,
+  migrationCount: 1,
 };
 
 const bucket: BucketRecord = {
   chunks: {
     'wk-000002/0': chunkRecord,
-    'wk-000001/1': { ...chunkRecord, spec: fullSpec, zone: null, done: [], entries: [], moves: 0 },
+    'wk-000001/1': {
+      ...chunkRecord,
+      spec: fullSpec,
+      zone: null,
+      doneTasks: [],
+      attempts: [],
+      migrationCount: 0,
+    },
   },
 };
 
-const owner: LeaderRecord = { node: 'drone-1', token: 7, process: 'x' };
+const owner: LeaderRecord = { node: 'drone-1', fencingToken: 7, process: 'x' };
 
 const tokenCounter: FencingTokenRecord = {
-  last: 7,
-  owners: { 'drone-0': { node: 'drone-1', lost: { 'drone-0': 1764637200 } } },
+  lastToken: 7,
+  lastLeaders: { 'drone-0': { node: 'drone-1', lostAtByNode: { 'drone-0': 1764637200 } } },
 };
 
-const node: NodeCapabilityRecord = { layout: 2 };
+const node: NodeCapabilityRecord = { recordFormat: 2 };
 
 const group: MachineGroupRecord = {
-  part: 'drone-0',
+  shard: 'drone-0',
   type: 'm8',
   zone: 'a',
   spot: true,
   machines: {
-    'n-000100': { at: 1764637200.25, address: '10.1.0.1:9000' },
-    'n-000101': { at: 1764637201.5 },
+    'n-000100': { launchedAt: 1764637200.25, address: '10.1.0.1:9000' },
+    'n-000101': { launchedAt: 1764637201.5 },
   },
 };
 
-const openRental: MachineGroupRecord = { ...group, machines: {}, asked: 12 };
+const openRental: MachineGroupRecord = { ...group, machines: {}, requestedCount: 12 };
 
 const quota: QuotaRecord = { 'drone-0': { cpus: 8, gpus: 0 }, 'drone-1': { cpus: 4, gpus: 1 } };
 
@@ -115,12 +122,12 @@
     name: 'm8',
     cpus: 8,
     gpus: 0,
-    memory: 32,
-    fetchRate: 0.5,
-    cache: 20,
+    memoryGb: 32,
+    fetchGbPerSecond: 0.5,
+    cacheGb: 20,
     price: 1.2,
     spotPrice: 0.4,
-    boot: 50,
+    bootSeconds: 50,
     zones: ['a', 'b'],
   },
 ];
@@ -129,7 +136,10 @@
 const records: [string, unknown][] = [
   [keys.job('wk-000001'), { ...openJob, spec: fullSpec, zones: ['a', 'b'] } satisfies JobRecord],
   [keys.job('wk-000002'), openJob],
-  [keys.job('wk-000003'), { ...openJob, spec: null, state: 'done', finished: [], away: [] }],
+  [
+    keys.job('wk-000003'),
+    { ...openJob, spec: null, state: 'done', doneChunks: [], migratedChunks: [] },
+  ],
   [keys.job('wk-000004'), { ...openJob, spec: null, state: 'cancelled' } satisfies JobRecord],
   [keys.run('drone-0', 's1'), bucket],
   [keys.run('drone-0', 's2'), { chunks: {} } satisfies BucketRecord],
@@ -146,26 +156,30 @@
 const layouts = {
   'format 1': () => new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 }),
   'format 2': () => {
-    const layout = new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 });
-    layout.useCompact();
-    return layout;
+    const recordFormat = new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 });
+    recordFormat.useCompact();
+    return recordFormat;
   },
   'format 2 in fragments': () => {
-    const layout = new RecordFormat({ valueBytes: 160, txnOps: 64 });
-    layout.useCompact();
-    return layout;
+    const recordFormat = new RecordFormat({ valueBytes: 160, txnOps: 64 });
+    recordFormat.useCompact();
+    return recordFormat;
   },
   'format 2 compressed': () => {
-    const layout = new RecordFormat({ valueBytes: 160, txnOps: 64 }, deflateCodec, () => true);
-    layout.useCompact();
-    return layout;
+    const recordFormat = new RecordFormat(
+      { valueBytes: 160, txnOps: 64 },
+      deflateCodec,
+      () => true,
+    );
+    recordFormat.useCompact();
+    return recordFormat;
   },
 } satisfies Record<string, () => RecordFormat>;
 
 const orders: Command[] = [
-  { verb: 'start', task: 'wk-1/0', attempt: 1 },
-  { verb: 'halt', task: 'wk-1/1', attempt: 2, wind: 4 },
-  { verb: 'reap', task: 'wk-1/2', attempt: 3 },
+  { verb: 'start', task: 'wk-1/0', attemptNumber: 1 },
+  { verb: 'halt', task: 'wk-1/1', attemptNumber: 2, gracePeriod: 4 },
+  { verb: 'reap', task: 'wk-1/2', attemptNumber: 3 },
 ];
 
 /** Everything that leaves this process for the state service, a peer or a worker, as text. */
@@ -193,12 +207,12 @@
   ]);
   messages['transaction'] = JSON.stringify(
     transactionRequest({
-      when: [{ key: 'b/a', stamp: 3 }],
+      conditions: [{ key: 'b/a', revision: 3 }],
       puts: [
         { key: 'b/a', value: 1 },
-        { key: 'b/b', value: { x: 1 }, hold: 9 },
+        { key: 'b/b', value: { x: 1 }, leaseId: 9 },
       ],
-      removes: ['b/c'],
+      deletes: ['b/c'],
     }),
   );
   messages['lease'] = JSON.stringify(leaseRequest(1.5));
@@ -220,18 +234,18 @@
 });
 
 test('every stored record is read back as the record that was written', () => {
-  const layout = new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 }, deflateCodec);
+  const recordFormat = new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 }, deflateCodec);
   for (const [key, value] of records) {
     const stored = JSON.parse(golden[`format 1: ${key}`] ?? '') as unknown;
-    assert.deepEqual(layout.decode(key, stored), value, key);
+    assert.deepEqual(recordFormat.decode(key, stored), value, key);
   }
 });
 
 test('a record of the compact format is written again as it was read', () => {
-  const layout = layouts['format 2']();
+  const recordFormat = layouts['format 2']();
   for (const [key] of records) {
     const stored = JSON.parse(golden[`format 2: ${key}`] ?? '') as unknown;
-    const again = JSON.stringify(layout.encode(key, layout.decode(key, stored)));
+    const again = JSON.stringify(recordFormat.encode(key, recordFormat.decode(key, stored)));
     assert.deepEqual(JSON.parse(again), stored, key);
   }
 });
--- a/test/storage/rateLimiter.test.ts
+++ b/test/storage/rateLimiter.test.ts
@@ -19,7 +19,7 @@
   budget.charge(RATE, 'later');
   const order: string[] = [];
   const queue = (name: string, urgency: RequestPriority, cost = 1): void => {
-    void budget.take(cost, urgency).then(() => order.push(name));
+    void budget.acquire(cost, urgency).then(() => order.push(name));
   };
   const pass = async (seconds: number): Promise<void> => {
     const step = 0.01;
@@ -100,7 +100,7 @@
 test('jobs that go along with a submission count towards its share', () => {
   const { budget } = emptyBudget();
   budget.charge(RATE, 'submission');
-  void budget.take(RATE, 'urgent');
+  void budget.acquire(RATE, 'urgent');
   // It waits behind what is as urgent, as long as its share is overdrawn.
   assert.equal(budget.delay('submission'), budget.delay('urgent'));
   mock.timers.reset();
--- a/test/storage/stateCache.test.ts
+++ b/test/storage/stateCache.test.ts
@@ -4,16 +4,16 @@
 import type { KeyValueChange } from '../../src/protocol/stateProtocol.js';
 import { StateCache, type ChangeLog } from '../../src/storage/stateCache.js';
 
-const put = (key: string, stamp: number): KeyValueChange => ({
+const put = (key: string, revision: number): KeyValueChange => ({
   key,
   value: {},
-  stamp,
+  revision,
   removed: false,
 });
-const remove = (key: string, stamp: number): KeyValueChange => ({
+const remove = (key: string, revision: number): KeyValueChange => ({
   key,
   value: null,
-  stamp,
+  revision,
   removed: true,
 });
 
@@ -21,11 +21,14 @@
 async function loaded(answers: (ChangeLog | null | Promise<ChangeLog>)[]) {
   const asked: string[] = [];
   const client = {
-    range: () => {
+    readRange: () => {
       asked.push('all');
-      return Promise.resolve({ items: [{ key: 'b/job/1', value: {}, stamp: 10 }], epoch: 10 });
+      return Promise.resolve({
+        items: [{ key: 'b/job/1', value: {}, revision: 10 }],
+        revision: 10,
+      });
     },
-    changes: (_: string, from: number, hold: number) => {
+    readChanges: (_: string, from: number, hold: number) => {
       asked.push(`after ${from} for ${hold}`);
       const answer = answers.shift();
       return answer === undefined ? new Promise<never>(() => undefined) : Promise.resolve(answer);
@@ -41,19 +44,19 @@
 for (const { name, answer, asked, known } of [
   {
     name: 'only the changes since then are read',
-    answer: { epoch: 12, changes: [put('b/job/2', 11), put('b/own/p', 12)] },
+    answer: { revision: 12, changes: [put('b/job/2', 11), put('b/own/p', 12)] },
     asked: ['after 10 for 0'],
     known: ['b/job/1', 'b/job/2', 'b/own/p'],
   },
   {
     name: 'what has been removed is gone',
-    answer: { epoch: 13, changes: [put('b/own/p', 12), remove('b/job/1', 13)] },
+    answer: { revision: 13, changes: [put('b/own/p', 12), remove('b/job/1', 13)] },
     asked: ['after 10 for 0'],
     known: ['b/own/p'],
   },
   {
     name: 'an answer from before the key was written is not enough',
-    answer: { epoch: 11, changes: [put('b/job/2', 11)] },
+    answer: { revision: 11, changes: [put('b/job/2', 11)] },
     asked: ['after 10 for 0', 'all'],
     known: ['b/job/1'],
   },
@@ -80,11 +83,11 @@
   const fixture = await loaded([]);
   const fresh = new StateCache(
     {
-      range: () => {
+      readRange: () => {
         fixture.asked.push('all');
-        return Promise.resolve({ items: [], epoch: 12 });
+        return Promise.resolve({ items: [], revision: 12 });
       },
-      changes: () => Promise.reject(new Error('not asked for')),
+      readChanges: () => Promise.reject(new Error('not asked for')),
     },
     'b/',
     { now: () => 0 },
@@ -98,8 +101,8 @@
 test('an answer of the watch that was overtaken does not bring back what has been removed', async () => {
   let answerWatch: (log: ChangeLog) => void = () => undefined;
   const watch = new Promise<ChangeLog>((resolve) => (answerWatch = resolve));
-  const late = { epoch: 11, changes: [put('b/run/p/1', 11)] };
-  const newer = { epoch: 13, changes: [put('b/run/p/1', 11), remove('b/run/p/1', 12)] };
+  const late = { revision: 11, changes: [put('b/run/p/1', 11)] };
+  const newer = { revision: 13, changes: [put('b/run/p/1', 11), remove('b/run/p/1', 12)] };
   const { replica } = await loaded([watch, newer]);
   void replica.run();
   await replica.catchUp(13);
@@ -111,23 +114,23 @@
 
 test('a read that was overtaken by the watch does not bring back what has been removed', async () => {
   const { replica } = await loaded([
-    { epoch: 20, changes: [put('b/own/p', 15), remove('b/own/p', 18)] },
+    { revision: 20, changes: [put('b/own/p', 15), remove('b/own/p', 18)] },
   ]);
   await replica.catchUp(20);
   // The answer to a read of one key, sent before its removal.
   replica.note('b/own/p', {}, 15);
   assert.equal(replica.get('b/own/p'), undefined);
   replica.note('b/own/p', {}, 21);
-  assert.equal(replica.get('b/own/p')?.stamp, 21);
+  assert.equal(replica.get('b/own/p')?.revision, 21);
 });
 
 test('a reading of all records that was overtaken does not set the copy back', async () => {
-  type Read = { items: { key: string; value: unknown; stamp: number }[]; epoch: number };
+  type Read = { items: { key: string; value: unknown; revision: number }[]; revision: number };
   const reads: ((read: Read) => void)[] = [];
   const asked: number[] = [];
   const client = {
-    range: () => new Promise<Read>((resolve) => reads.push(resolve)),
-    changes: (_: string, from: number) => {
+    readRange: () => new Promise<Read>((resolve) => reads.push(resolve)),
+    readChanges: (_: string, from: number) => {
       asked.push(from);
       return new Promise<never>(() => undefined);
     },
@@ -136,10 +139,10 @@
   const replica = new StateCache(client, 'b/', { now: () => 0 }, options, () => undefined);
   const slow = replica.load();
   const quick = replica.load();
-  const job = { key: 'b/job/1', value: {}, stamp: 5 };
-  reads[1]?.({ items: [job], epoch: 30 });
+  const job = { key: 'b/job/1', value: {}, revision: 5 };
+  reads[1]?.({ items: [job], revision: 30 });
   await quick;
-  reads[0]?.({ items: [job, { key: 'b/run/p/1', value: {}, stamp: 9 }], epoch: 10 });
+  reads[0]?.({ items: [job, { key: 'b/run/p/1', value: {}, revision: 9 }], revision: 10 });
   await slow;
   assert.equal(replica.get('b/run/p/1'), undefined, 'its chunks are at another part by now');
   void replica.run();
@@ -150,13 +153,13 @@
 
 test('a removal of our own is not undone by an answer of the watch that only reaches up to before it', async () => {
   const { replica } = await loaded([
-    { epoch: 15, changes: [put('b/run/p/1', 15)] },
-    { epoch: 30, changes: [remove('b/run/p/1', 20), put('b/run/p/1', 30)] },
+    { revision: 15, changes: [put('b/run/p/1', 15)] },
+    { revision: 30, changes: [remove('b/run/p/1', 20), put('b/run/p/1', 30)] },
   ]);
   replica.note('b/run/p/1', {}, 15);
   replica.noteRemoved('b/run/p/1', 20);
   await replica.catchUp(15);
   assert.equal(replica.get('b/run/p/1'), undefined, 'its chunks are at another part by now');
   await replica.catchUp(30);
-  assert.equal(replica.get('b/run/p/1')?.stamp, 30, 'made anew after that');
+  assert.equal(replica.get('b/run/p/1')?.revision, 30, 'made anew after that');
 });
--- a/test/support/bench.ts
+++ b/test/support/bench.ts
@@ -25,14 +25,14 @@
     this.part = new Shard(
       'p',
       {
-        lease: 18,
-        report: 3,
+        workerLease: 18,
+        heartbeatInterval: 3,
         sample: 8,
         zones: ['a'],
-        patience: 30,
-        dearPatience: 60,
+        scaleOutWindow: 30,
+        onDemandWindow: 60,
         headroom: 1.2,
-        window: 100,
+        arrivalWindow: 100,
       },
       () => this.types,
       new RunTimes(),
@@ -42,7 +42,7 @@
   }
 
   machine(name = 'n-1', report = true): Machine {
-    const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0 };
+    const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
     const machine = this.part.addMachine(name, record, this.now);
     if (report) this.report(machine, []);
     return machine;
@@ -62,10 +62,10 @@
   ): boolean {
     const full = tasks.map((t) => ({
       task: 'wk-1/0',
-      attempt: 1,
+      attemptNumber: 1,
       state: 'running' as const,
       cause: null,
-      saved: false,
+      hasCheckpoint: false,
       ...t,
     }));
     const report: Heartbeat = {
@@ -74,20 +74,20 @@
       type: 'm8',
       zone: 'a',
       spot: false,
-      session: this.session,
-      tick: ++this.tick,
-      token: TOKEN,
-      warning: null,
-      tasks: full,
+      agentEpoch: this.session,
+      heartbeatSequence: ++this.tick,
+      highestFencingToken: TOKEN,
+      preemptionWarning: null,
+      attempts: full,
       ...changes,
     };
-    return this.part.reports.apply(machine, report, this.now, from) !== 'older';
+    return this.part.heartbeats.apply(machine, report, this.now, from) !== 'older';
   }
 
   chunk(changes: Partial<JobSpec> = {}): Chunk {
-    const s = spec({ tasks: 1, ...changes });
-    const chunk = new Chunk(s, 0, 'p', this.now, 0, s.tasks, null, this.now);
-    this.part.accept(chunk, this.now);
+    const s = spec({ taskCount: 1, ...changes });
+    const chunk = new Chunk(s, 0, 'p', this.now, 0, s.taskCount, null, this.now);
+    this.part.acceptNewChunk(chunk, this.now);
     return chunk;
   }
 
@@ -102,20 +102,22 @@
 
   /** Two questions to it have got no answer. */
   leaveUnanswered(machine: Machine): void {
-    machine.missed = 2;
-    machine.missedSince = this.now;
+    machine.missedProbes = 2;
+    machine.firstMissedProbeAt = this.now;
   }
 
   decide(): void {
-    this.part.scheduler.decide(this.now, () => false);
+    this.part.scheduler.runRound(this.now, () => false);
   }
 
   /** As if every change had been stored. */
   store(...chunks: Chunk[]): void {
-    for (const chunk of chunks) chunk.stored = chunk.version;
+    for (const chunk of chunks) chunk.storedVersion = chunk.version;
   }
 
   verbs(machine: Machine): string[] {
-    return machine.orders(true, this.now, 4).map((o) => `${o.verb} ${o.task} ${o.attempt}`);
+    return machine
+      .dueCommands(true, this.now, 4)
+      .map((o) => `${o.verb} ${o.task} ${o.attemptNumber}`);
   }
 }
--- a/test/support/commandBench.ts
+++ b/test/support/commandBench.ts
@@ -40,20 +40,20 @@
 
   constructor() {
     const { bench } = this;
-    this.host = createOwnedShard(bench.part, { token: TOKEN, stamp: 1 }, bench.now);
+    this.host = createOwnedShard(bench.part, { fencingToken: TOKEN, revision: 1 }, bench.now);
     const node: CommandDispatcherContext = {
-      settings: { report: REPORT_S, cores: 1, maxSockets: 100 },
+      settings: { heartbeatInterval: REPORT_S, cores: 1, maxSockets: 100 },
       clock: { now: () => bench.now },
       links: { machines: { call: (...request) => this.call(request[0], request[3]) } },
-      ownership: {
-        valid: true,
-        until: Infinity,
-        raise: () => Promise.resolve(this.raises.shift() ?? null),
+      leadership: {
+        isLeaseValid: true,
+        leaseExpiresAt: Infinity,
+        advanceFencingToken: () => Promise.resolve(this.raises.shift() ?? null),
       },
       authority: { mayAct: () => this.mayAct, mayEnd: () => true },
       audit: new AuditTrail('drone-0', () => bench.now),
-      ownedParts: new Map([['p', this.host]]),
-      requestRound: () => undefined,
+      ownedShards: new Map([['p', this.host]]),
+      requestSchedulingRound: () => undefined,
     };
     const turns = new TurnQueue({ urgent: 4, ordinary: 0 }, (turn) => {
       turn();
@@ -63,7 +63,7 @@
 
   /** A machine that has reported. */
   machine(name: string, reportOrder: ReportOrder = 'oldest first'): Machine {
-    const record = { part: 'p', type: 'm8', zone: 'a', spot: false, at: 0, address: name };
+    const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0, address: name };
     const machine = this.bench.part.addMachine(name, record, this.bench.now);
     const description = { name, address: name, type: 'm8', zone: 'a', spot: false };
     const observer = {
@@ -89,8 +89,8 @@
   hello(machine: Machine): void {
     const report = parseHeartbeat(this.worker(machine).report());
     if (report === null) throw new Error('malformed report');
-    this.bench.part.reports.apply(machine, report, this.bench.now, 'follow');
-    machine.renewed = this.bench.now;
+    this.bench.part.heartbeats.apply(machine, report, this.bench.now, 'follow');
+    machine.leaseRenewedAt = this.bench.now;
   }
 
   /** Its worker reports, a report's time later, and gets what is due with the answer. */
@@ -98,7 +98,7 @@
     this.bench.now += REPORT_S;
     this.hello(machine);
     const worker = this.worker(machine);
-    const orders = machine.answerOrders(this.bench.now, REPORT_S * 1.5, REPORT_S);
+    const orders = machine.commandsForAnswer(this.bench.now, REPORT_S * 1.5, REPORT_S);
     worker.answer(worker.session, heartbeatAnswer(TOKEN, orders));
   }
 
--- a/test/support/layout.ts
+++ b/test/support/layout.ts
@@ -2,7 +2,7 @@
 
 /** A layout of records for these limits of the state service; compact once every node has the present version. */
 export function layoutFor(valueBytes = 16 * 1024, txnOps = 16, isCompact = false): RecordFormat {
-  const layout = new RecordFormat({ valueBytes, txnOps });
-  if (isCompact) layout.useCompact();
-  return layout;
+  const recordFormat = new RecordFormat({ valueBytes, txnOps });
+  if (isCompact) recordFormat.useCompact();
+  return recordFormat;
 }
--- a/test/support/part.ts
+++ b/test/support/part.ts
@@ -8,17 +8,25 @@
   name: 'm8',
   cpus: 8,
   gpus: 0,
-  memory: 32,
-  fetchRate: 1,
-  cache: 10,
+  memoryGb: 32,
+  fetchGbPerSecond: 1,
+  cacheGb: 10,
   price: 1,
   spotPrice: 0.4,
-  boot: 30,
+  bootSeconds: 30,
   zones: ['a'],
 };
 
-export function emptyPart(report: number, types = new Map<string, MachineType>()): Shard {
-  const options = { lease: 18, report, sample: 8, zones: ['a'] };
-  const pace = { patience: 30, dearPatience: 60, headroom: 1, window: 100 };
+export function emptyPart(
+  heartbeatInterval: number,
+  types = new Map<string, MachineType>(),
+): Shard {
+  const options = {
+    workerLease: 18,
+    heartbeatInterval: heartbeatInterval,
+    sample: 8,
+    zones: ['a'],
+  };
+  const pace = { scaleOutWindow: 30, onDemandWindow: 60, headroom: 1, arrivalWindow: 100 };
   return new Shard('p', { ...options, ...pace }, () => types, new RunTimes(), seededRandom(1));
 }
--- a/test/support/rolloutCluster.ts
+++ b/test/support/rolloutCluster.ts
@@ -87,7 +87,7 @@
   }
 
   hasItsPart(label: string): boolean {
-    return this.cluster.nodes.get(label)?.controller.ownedParts.has(label) === true;
+    return this.cluster.nodes.get(label)?.controller.ownedShards.has(label) === true;
   }
 
   async status(label = 'drone-0'): Promise<RolloutStatus> {
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -4,13 +4,13 @@
 
 interface Row {
   value: unknown;
-  stamp: number;
+  revision: number;
   hold: number | null;
 }
 interface Event {
   key: string;
   value: unknown;
-  stamp: number;
+  revision: number;
   removed: boolean;
 }
 interface TxnBody {
@@ -84,13 +84,13 @@
     key: string,
     value: unknown,
     hold: number | null,
-    stamp: number,
+    revision: number,
     removed: boolean,
   ): void {
     this.writes++;
     if (removed) this.rows.delete(key);
-    else this.rows.set(key, { value, stamp, hold });
-    this.log.push({ key, value, stamp, removed });
+    else this.rows.set(key, { value, revision, hold });
+    this.log.push({ key, value, revision, removed });
   }
 
   private wake(): void {
@@ -107,7 +107,7 @@
       return { status: 400, body: { error: 'too large' } };
     }
     const failed = (body.When ?? [])
-      .filter((c) => (this.rows.get(c.K)?.stamp ?? 0) !== c.Stamp)
+      .filter((c) => (this.rows.get(c.K)?.revision ?? 0) !== c.Stamp)
       .map((c) => c.K);
     if (failed.length > 0) return { status: 409, body: { failed, Epoch: this.epoch } };
     for (const op of body.Then ?? []) {
@@ -116,15 +116,15 @@
       }
     }
     if ((body.Then ?? []).length === 0) return { status: 200, body: { Epoch: this.epoch } };
-    const stamp = ++this.epoch;
+    const revision = ++this.epoch;
     for (const op of body.Then ?? []) {
-      if (op.Put !== undefined) this.change(op.Put, op.Value, op.Hold ?? null, stamp, false);
+      if (op.Put !== undefined) this.change(op.Put, op.Value, op.Hold ?? null, revision, false);
       else if (op.Remove !== undefined && this.rows.has(op.Remove)) {
-        this.change(op.Remove, null, null, stamp, true);
+        this.change(op.Remove, null, null, revision, true);
       }
     }
     this.wake();
-    return { status: 200, body: { Epoch: stamp } };
+    return { status: 200, body: { Epoch: revision } };
   }
 
   private isBeyondLimits({ When = [], Then = [] }: TxnBody): boolean {
@@ -172,7 +172,7 @@
     this.reads.push(key);
     const row = this.rows.get(key);
     if (row === undefined) return { status: 404, body: { Epoch: this.epoch } };
-    return { status: 200, body: { K: key, Value: row.value, Stamp: row.stamp } };
+    return { status: 200, body: { K: key, Value: row.value, Stamp: row.revision } };
   }
 
   private range(url: URL): Reply {
@@ -182,7 +182,7 @@
     const names = [...this.rows.keys()].filter((k) => k.startsWith(prefix) && k > after).sort();
     const rows = names.slice(0, page).map((k) => {
       const row = this.rows.get(k);
-      return { K: k, Value: row?.value, Stamp: row?.stamp };
+      return { K: k, Value: row?.value, Stamp: row?.revision };
     });
     return { status: 200, body: { Rows: rows, More: names.length > page, Epoch: this.epoch } };
   }
@@ -193,14 +193,14 @@
     const ends = performance.now() + Number(url.searchParams.get('HoldMs'));
     for (;;) {
       const refused = this.refused.has(client) || this.refused.has('*');
-      const events = this.log.filter((e) => e.stamp > from && e.key.startsWith(prefix));
+      const events = this.log.filter((e) => e.revision > from && e.key.startsWith(prefix));
       const left = ends - performance.now();
       const isTold = !refused && !this.unwatched.has(client);
       if (isTold && (events.length > 0 || left <= 0)) {
         const changes = events.map((e) =>
           e.removed
-            ? { Remove: e.key, Stamp: e.stamp }
-            : { Put: e.key, Value: e.value, Stamp: e.stamp },
+            ? { Remove: e.key, Stamp: e.revision }
+            : { Put: e.key, Value: e.value, Stamp: e.revision },
         );
         return { status: 200, body: { Epoch: this.epoch, Log: changes } };
       }
--- a/test/support/store.ts
+++ b/test/support/store.ts
@@ -16,7 +16,7 @@
   /** What is asked for of the changes, as a ratio to them. */
   writeLoad = 0;
   /** False in an outage: its last answer was a refusal. */
-  healthy = true;
+  isHealthy = true;
   /** Bytes of a value and of a transaction, beyond which one is malformed. */
   limits = { value: 16 * 1024, txn: 64 * 1024 };
 
@@ -24,7 +24,7 @@
     return 0;
   }
 
-  charge(): void {
+  chargeWrites(): void {
     // Changes are not limited here.
   }
 
@@ -37,7 +37,7 @@
     );
   }
 
-  turn(): Promise<void> {
+  awaitWriteTurn(): Promise<void> {
     return Promise.resolve();
   }
 
@@ -45,7 +45,7 @@
     return Promise.resolve(this.rows.get(key) ?? null);
   }
 
-  txn(txn: Transaction): Promise<TransactionResult> {
+  transact(txn: Transaction): Promise<TransactionResult> {
     const copy = structuredClone(txn);
     if (this.refuseNext > 0) {
       this.refuseNext--;
@@ -77,20 +77,22 @@
     const { layout } = this;
     const puts =
       layout === null ? txn.puts : txn.puts.flatMap((p) => layout.encodePuts(p.key, p.value));
-    if (puts.length + txn.removes.length > this.txnOps) return { kind: 'malformed' };
+    if (puts.length + txn.deletes.length > this.txnOps) return { kind: 'malformed' };
     const sizes = puts.map((put) => JSON.stringify(put.value).length);
     const all = sizes.reduce((a, b) => a + b, 0);
     if (all > this.limits.txn || sizes.some((size) => size > this.limits.value)) {
       return { kind: 'malformed' };
     }
-    const failed = txn.when.filter((c) => (this.rows.get(c.key)?.stamp ?? 0) !== c.stamp);
+    const failed = txn.conditions.filter(
+      (c) => (this.rows.get(c.key)?.revision ?? 0) !== c.revision,
+    );
     if (failed.length > 0) return { kind: 'conflict', failed: failed.map((c) => c.key) };
     this.epoch++;
     for (const { key, value } of txn.puts) {
-      this.rows.set(key, { key, value, stamp: this.epoch });
+      this.rows.set(key, { key, value, revision: this.epoch });
     }
-    for (const key of txn.removes) this.rows.delete(key);
-    this.changes += txn.puts.length + txn.removes.length;
-    return { kind: 'applied', stamp: this.epoch };
+    for (const key of txn.deletes) this.rows.delete(key);
+    this.changes += txn.puts.length + txn.deletes.length;
+    return { kind: 'applied', revision: this.epoch };
   }
 }
--- a/test/support/workerModel.ts
+++ b/test/support/workerModel.ts
@@ -11,7 +11,7 @@
 
 export interface HeldAttempt {
   readonly task: string;
-  readonly attempt: number;
+  readonly attemptNumber: number;
   state: 'running' | 'ended';
   cause: string | null;
 }
@@ -78,7 +78,7 @@
       Tick: ++this.tick,
       Baton: this.token,
       WarningS: this.warning(),
-      Pieces: attempts.map(({ task, attempt, state, cause }) => ({
+      Pieces: attempts.map(({ task, attemptNumber: attempt, state, cause }) => ({
         Piece: task,
         Try: attempt,
         Status: state,
@@ -129,18 +129,18 @@
     }
   }
 
-  private start(task: string, attempt: number, known: HeldAttempt | undefined): void {
+  private start(task: string, attemptNumber: number, known: HeldAttempt | undefined): void {
     if (known !== undefined) return;
     const others = this.running;
     const isBusy = others.some((other) => other.task === task);
     const refusal = isBusy ? 'busy' : others.length >= this.room ? 'no_room' : null;
     const started: HeldAttempt = {
       task,
-      attempt,
+      attemptNumber: attemptNumber,
       state: refusal === null ? 'running' : 'ended',
       cause: refusal,
     };
-    this.held.set(keyOf(task, attempt), started);
+    this.held.set(keyOf(task, attemptNumber), started);
     if (refusal === null) this.observer.started(started);
   }
 }
