--- a/src/coordination/audit/auditTrail.ts
+++ b/src/coordination/audit/auditTrail.ts
@@ -3,6 +3,7 @@
  * for each kind. With it one task can be followed over all controllers (docs/operations.md).
  */
 import { log } from '../../base/log.js';
+import { statusCounterName } from './statusCounters.js';
 import type { TerminationRule } from '../reconciliation/attemptTermination.js';
 
 /** Which way orders took: a request to the worker, or the answer to its report. */
@@ -16,7 +17,7 @@
 
 export type AuditEvent =
   | {
-      event: 'part-gained';
+      event: 'leadership-gained';
       shard: string;
       fencingToken: number;
       leaseId: number | null;
@@ -28,29 +29,29 @@
       revision: number;
       copyAge: number;
     }
-  | { event: 'part-lost'; shard: string; fencingToken: number }
-  | { event: 'token-raised'; shard: string; fencingToken: number }
+  | { event: 'leadership-lost'; shard: string; fencingToken: number }
+  | { event: 'fencing-token-advanced'; shard: string; fencingToken: number }
   | {
-      event: 'orders-sent';
+      event: 'commands-sent';
       shard: string;
       fencingToken: number;
       machine: string;
       agentEpoch: number;
       route: CommandRoute;
       /** As `verb task#attempt`, separated by commas. */
-      orders: string;
+      commands: string;
       leaseLeft: number;
     }
   | {
-      event: 'orders-outcome';
+      event: 'commands-outcome';
       shard: string;
       fencingToken: number;
       machine: string;
       outcome: CommandOutcome;
-      orders: string;
+      commands: string;
     }
   | {
-      event: 'attempt-over';
+      event: 'attempt-terminated';
       shard: string;
       task: string;
       attemptNumber: number;
@@ -60,20 +61,20 @@
       evidenceAge: number;
     }
   | {
-      event: 'machine-given-up';
+      event: 'machine-release-requested';
       shard: string;
       machine: string;
       tasks: number;
       /** Seconds since something of ours last reached it. */
       silentFor: number;
     }
-  | { event: 'invariant-broken'; invariant: Invariant; shard: string; detail: string };
+  | { event: 'invariant-violated'; invariant: Invariant; shard: string; detail: string };
 
 /** Logged at `debug` only: they happen with every task, and say nothing that its start does not. */
 const isRoutine = (event: AuditEvent): boolean =>
-  event.event === 'orders-outcome'
+  event.event === 'commands-outcome'
     ? event.outcome === 'executed'
-    : event.event === 'attempt-over' && event.rule === 'ended';
+    : event.event === 'attempt-terminated' && event.rule === 'ended';
 
 const formatValue = (value: string | number | null): string => {
   if (typeof value === 'number' && !Number.isInteger(value)) return value.toFixed(3);
@@ -98,7 +99,7 @@
 
   note(event: AuditEvent): void {
     this.count(event);
-    if (event.event === 'invariant-broken') log.error(this.format(event));
+    if (event.event === 'invariant-violated') log.error(this.format(event));
     else if (isRoutine(event)) {
       if (log.getLevel() <= log.levels.DEBUG) log.debug(this.format(event));
     } else if (log.getLevel() <= log.levels.INFO) log.info(this.format(event));
@@ -110,7 +111,7 @@
   }
 
   private count(event: AuditEvent): void {
-    const name = counterName(event);
+    const name = statusCounterName(event);
     this.counts.set(name, (this.counts.get(name) ?? 0) + 1);
   }
 
@@ -118,18 +119,3 @@
     return formatAuditEvent(this.node, this.wall(), event);
   }
 }
-
-function counterName(event: AuditEvent): string {
-  switch (event.event) {
-    case 'attempt-over':
-      return `attempt-over.${event.rule}`;
-    case 'orders-outcome':
-      return `orders-outcome.${event.outcome}`;
-    case 'orders-sent':
-      return `orders-sent.${event.route}`;
-    case 'invariant-broken':
-      return `invariant-broken.${event.invariant}`;
-    default:
-      return event.event;
-  }
-}
--- /dev/null
+++ b/src/coordination/audit/statusCounters.ts
@@ -0,0 +1,41 @@
+/**
+ * The counters of audit events that `/v1/overview` shows. Their names are part of that interface and stay those of
+ * version 0.4.1, while the events themselves have the names that the log lines show.
+ */
+import type { TerminationRule } from '../reconciliation/attemptTermination.js';
+import type { AuditEvent } from './auditTrail.js';
+
+/** Counters of events that are counted under one name, whatever their fields are. */
+const EVENT_COUNTERS = {
+  'leadership-gained': 'part-gained',
+  'leadership-lost': 'part-lost',
+  'fencing-token-advanced': 'token-raised',
+  'machine-release-requested': 'machine-given-up',
+} as const;
+
+/** The last part of the counter of terminated attempts, by the rule that terminated them. */
+const RULE_COUNTERS: Record<TerminationRule, string> = {
+  ended: 'ended',
+  absent: 'absent',
+  'never-started': 'unwanted-absent',
+  'new-agent-epoch': 'new-session',
+  'lease-expired': 'lease-over',
+  'machine-released': 'machine-gone',
+  'never-sent': 'never-sent',
+};
+
+/** The name under which an event is counted in `/v1/overview`. */
+export function statusCounterName(event: AuditEvent): string {
+  switch (event.event) {
+    case 'attempt-terminated':
+      return `attempt-over.${RULE_COUNTERS[event.rule]}`;
+    case 'commands-outcome':
+      return `orders-outcome.${event.outcome}`;
+    case 'commands-sent':
+      return `orders-sent.${event.route}`;
+    case 'invariant-violated':
+      return `invariant-broken.${event.invariant}`;
+    default:
+      return EVENT_COUNTERS[event.event];
+  }
+}
--- a/src/coordination/commands/commandDispatcher.ts
+++ b/src/coordination/commands/commandDispatcher.ts
@@ -164,13 +164,13 @@
   ): void {
     const { leadership: ownership, clock } = this.node;
     this.node.audit.note({
-      event: 'orders-sent',
+      event: 'commands-sent',
       shard: ownedShard.shard.label,
       fencingToken: ownedShard.fencingToken,
       machine: machine.name,
       agentEpoch: machine.agentEpoch,
       route,
-      orders: formatCommands(commands),
+      commands: formatCommands(commands),
       leaseLeft: ownership.leaseExpiresAt - clock.now(),
     });
   }
@@ -183,12 +183,12 @@
     outcome: CommandOutcome,
   ): void {
     this.node.audit.note({
-      event: 'orders-outcome',
+      event: 'commands-outcome',
       shard: ownedShard.shard.label,
       fencingToken,
       machine: machine.name,
       outcome,
-      orders: formatCommands(commands),
+      commands: formatCommands(commands),
     });
   }
 
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -420,7 +420,7 @@
     const { leadership: ownership, stateCache, clock } = this;
     const now = clock.now();
     this.audit.note({
-      event: 'part-gained',
+      event: 'leadership-gained',
       shard,
       fencingToken,
       leaseId: ownership.leaseId,
@@ -454,7 +454,11 @@
     if (ownedShard === undefined) return;
     ownedShard.isOwned = false;
     this.ownedShards.delete(label);
-    this.audit.note({ event: 'part-lost', shard: label, fencingToken: ownedShard.fencingToken });
+    this.audit.note({
+      event: 'leadership-lost',
+      shard: label,
+      fencingToken: ownedShard.fencingToken,
+    });
   }
 
   private adoptUnmatched(): void {
--- a/src/coordination/leadership/ownedShard.ts
+++ b/src/coordination/leadership/ownedShard.ts
@@ -75,7 +75,7 @@
   ownedShard.shard.fencingToken = leadership.fencingToken;
   ownedShard.revision = leadership.revision;
   ownedShard.shard.audit.note({
-    event: 'token-raised',
+    event: 'fencing-token-advanced',
     shard: ownedShard.shard.label,
     fencingToken: leadership.fencingToken,
   });
--- a/src/coordination/reconciliation/attemptTermination.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -14,10 +14,10 @@
 export type TerminationRule =
   | 'ended'
   | 'absent'
-  | 'unwanted-absent'
-  | 'new-session'
-  | 'lease-over'
-  | 'machine-gone'
+  | 'never-started'
+  | 'new-agent-epoch'
+  | 'lease-expired'
+  | 'machine-released'
   | 'never-sent';
 
 export class AttemptTermination {
@@ -34,7 +34,8 @@
     now: number,
   ): AttemptTermination | null {
     // The worker killed everything when its lease ran out; nothing of that session comes back.
-    if (machine.agentEpoch > attempt.agentEpoch) return new AttemptTermination('new-session', now);
+    if (machine.agentEpoch > attempt.agentEpoch)
+      return new AttemptTermination('new-agent-epoch', now);
     const reportedAttempt = machine.reportedAttempts.find(
       chunk.taskName(attempt.task),
       attempt.attemptNumber,
@@ -48,7 +49,7 @@
     // It never came and is not to be started any longer.
     const isUnwanted = attempt.stop !== null || attempt.isInherited;
     return isUnwanted && !mayCome && !attempt.startSentInAnswer
-      ? new AttemptTermination('unwanted-absent', now)
+      ? new AttemptTermination('never-started', now)
       : null;
   }
 
@@ -60,12 +61,12 @@
   ): AttemptTermination | null {
     const limit = workerLease * (1 + DRIFT) + heartbeatInterval / 2;
     if (now - machine.leaseRenewedAt <= limit) return null;
-    return new AttemptTermination('lease-over', machine.leaseRenewedAt);
+    return new AttemptTermination('lease-expired', machine.leaseRenewedAt);
   }
 
   /** The record of its machine was removed, which happens only after the cloud has confirmed the release. */
   static byMachineRemoval(now: number): AttemptTermination {
-    return new AttemptTermination('machine-gone', now);
+    return new AttemptTermination('machine-released', now);
   }
 
   /** No start was sent, so nothing can come of it; null: one was, or is on its way. */
--- a/src/coordination/reconciliation/heartbeatReconciler.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -116,7 +116,7 @@
       chunk.taskName(attempt.task),
       attempt.attemptNumber,
     );
-    if (reportedAttempt === undefined || termination?.rule === 'new-session') {
+    if (reportedAttempt === undefined || termination?.rule === 'new-agent-epoch') {
       if (termination !== null) this.shard.terminateAttempt(machine, placement, termination, now);
     } else if (termination === null) this.noteProgress(machine, placement, reportedAttempt, now);
     else this.endAttempt(machine, placement, reportedAttempt, termination, now);
--- a/src/coordination/reconciliation/machineLiveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -55,7 +55,7 @@
     if (machine.isReleaseRequested) return;
     machine.isReleaseRequested = true;
     this.shard.audit.note({
-      event: 'machine-given-up',
+      event: 'machine-release-requested',
       shard: this.shard.label,
       machine: machine.name,
       tasks: machine.placements.size,
--- a/src/coordination/shard/machine.ts
+++ b/src/coordination/shard/machine.ts
@@ -290,7 +290,7 @@
       const reportedAttempt = this.reportedAttempts.find(task, attemptNumber);
       if (!chunk.isCancelRequested || reportedAttempt === undefined) continue;
       if (reportedAttempt.state !== 'ended')
-        commands.push({ verb: 'halt', task, attemptNumber, gracePeriod: 0 });
+        commands.push({ verb: 'stop', task, attemptNumber, gracePeriod: 0 });
     }
     return commands;
   }
@@ -309,7 +309,7 @@
    */
   commandsForAnswer(now: number, again: number, patience: number): Command[] {
     const commands = this.dueCommands(true, now, again);
-    if (commands.some((command) => command.verb !== 'reap')) return commands;
+    if (commands.some((command) => command.verb !== 'acknowledge')) return commands;
     const isOld = ({ task, attemptNumber }: Command): boolean => {
       const endedAttempt = this.endedAttempts.get(attemptKey(task, attemptNumber));
       return endedAttempt === undefined || now - endedAttempt.endedAt >= patience;
@@ -335,7 +335,7 @@
       const mayReap =
         endedAttempt?.mayAcknowledge() ??
         this.placements.get(task)?.attempt.attemptNumber !== attemptNumber;
-      if (mayReap) yield { verb: 'reap', task, attemptNumber };
+      if (mayReap) yield { verb: 'acknowledge', task, attemptNumber };
     }
   }
 
@@ -344,7 +344,7 @@
     for (const reportedAttempt of this.reportedAttempts.all) {
       if (!this.isUnknownAttempt(reportedAttempt)) continue;
       const { task, attemptNumber } = reportedAttempt;
-      yield { command: { verb: 'halt', task, attemptNumber, gracePeriod: 0 }, firstStop: null };
+      yield { command: { verb: 'stop', task, attemptNumber, gracePeriod: 0 }, firstStop: null };
     }
     for (const [task, { chunk, attempt }] of this.placements) {
       const { attemptNumber, stop } = attempt;
@@ -353,7 +353,7 @@
         const due = dueStop(stop, here, now, again);
         if (due === null) continue;
         const command: Command = {
-          verb: 'halt',
+          verb: 'stop',
           task,
           attemptNumber,
           gracePeriod: due.gracePeriod,
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -119,7 +119,7 @@
   }
 
   reportInvariantViolation(invariant: Invariant, detail: string): void {
-    this.audit.note({ event: 'invariant-broken', invariant, shard: this.label, detail });
+    this.audit.note({ event: 'invariant-violated', invariant, shard: this.label, detail });
   }
 
   /** The chunks of a job that are here; any of them may be at other parts. */
@@ -141,7 +141,7 @@
     now: number,
   ): void {
     this.audit.note({
-      event: 'attempt-over',
+      event: 'attempt-terminated',
       shard: this.label,
       task: chunk.taskName(attempt.task),
       attemptNumber: attempt.attemptNumber,
--- a/src/protocol/workerProtocol.ts
+++ b/src/protocol/workerProtocol.ts
@@ -87,14 +87,21 @@
 
 export type Command =
   | { verb: 'start'; task: string; attemptNumber: number }
-  | { verb: 'halt'; task: string; attemptNumber: number; gracePeriod: number }
-  | { verb: 'reap'; task: string; attemptNumber: number };
+  | { verb: 'stop'; task: string; attemptNumber: number; gracePeriod: number }
+  | { verb: 'acknowledge'; task: string; attemptNumber: number };
 
-const toWireCommand = (order: Command): Record<string, unknown> => ({
-  Verb: order.verb,
-  Piece: order.task,
-  Try: order.attemptNumber,
-  ...(order.verb === 'halt' ? { WindDownS: order.gracePeriod } : {}),
+/** What PROTOCOL calls each kind of command. */
+const wireVerbs: Record<Command['verb'], string> = {
+  start: 'start',
+  stop: 'halt',
+  acknowledge: 'reap',
+};
+
+const toWireCommand = (command: Command): Record<string, unknown> => ({
+  Verb: wireVerbs[command.verb],
+  Piece: command.task,
+  Try: command.attemptNumber,
+  ...(command.verb === 'stop' ? { WindDownS: command.gracePeriod } : {}),
 });
 
 export const heartbeatAnswer = (token: number, orders: Command[]): Record<string, unknown> => ({
--- a/test/audit/auditTrail.test.ts
+++ b/test/audit/auditTrail.test.ts
@@ -6,19 +6,19 @@
 
 test('a line names time, node and event, and quotes what has spaces', () => {
   const line = formatAuditEvent('drone-0', 12.5, {
-    event: 'orders-sent',
+    event: 'commands-sent',
     shard: 'drone-1',
     fencingToken: 7,
     machine: 'n-1',
     agentEpoch: 1,
     route: 'command',
-    orders: 'start wk-1/0#1',
+    commands: 'start wk-1/0#1',
     leaseLeft: 1.25,
   });
   assert.equal(
     line,
-    'audit at=12.500 node=drone-0 event=orders-sent shard=drone-1 fencingToken=7 machine=n-1 agentEpoch=1 ' +
-      'route=command orders="start wk-1/0#1" leaseLeft=1.250',
+    'audit at=12.500 node=drone-0 event=commands-sent shard=drone-1 fencingToken=7 machine=n-1 agentEpoch=1 ' +
+      'route=command commands="start wk-1/0#1" leaseLeft=1.250',
   );
 });
 
@@ -66,7 +66,7 @@
 test('broken invariants are counted by their kind', () => {
   const audit = new AuditTrail('drone-0', () => 0);
   const detail = 'seen by a test';
-  audit.note({ event: 'invariant-broken', invariant: 'attempt-vanished', shard: 'p', detail });
-  audit.note({ event: 'part-lost', shard: 'p', fencingToken: 1 });
+  audit.note({ event: 'invariant-violated', invariant: 'attempt-vanished', shard: 'p', detail });
+  audit.note({ event: 'leadership-lost', shard: 'p', fencingToken: 1 });
   assert.deepEqual(audit.counters, { 'invariant-broken.attempt-vanished': 1, 'part-lost': 1 });
 });
--- a/test/commands/costs.test.ts
+++ b/test/commands/costs.test.ts
@@ -89,7 +89,7 @@
   const alone = machine.commandsForAnswer(1 + REPORT, AGAIN, REPORT);
   assert.deepEqual(
     alone.map((order) => order.verb),
-    ['reap'],
+    ['acknowledge'],
   );
   const next = addChunk(part, 'wk-2');
   part.scheduler.runRound(2, () => false);
@@ -99,7 +99,7 @@
   const together = machine.commandsForAnswer(2, AGAIN, REPORT);
   assert.deepEqual(
     together.map((order) => order.verb),
-    ['reap', 'start'],
+    ['acknowledge', 'start'],
   );
 });
 
--- a/test/jobs/cancellationPreparations.test.ts
+++ b/test/jobs/cancellationPreparations.test.ts
@@ -214,7 +214,10 @@
       clock: { now: () => NOW },
       ownedShards: new Map(),
       stateCache: {
-        get: (key) => ({ value: { node: 'x', fencingToken: tokens[key], process: '' }, revision: 1 }),
+        get: (key) => ({
+          value: { node: 'x', fencingToken: tokens[key], process: '' },
+          revision: 1,
+        }),
         syncedAt: NOW,
       },
       peers: {
--- a/test/reconciliation/heartbeatReconciler.test.ts
+++ b/test/reconciliation/heartbeatReconciler.test.ts
@@ -15,7 +15,7 @@
   assert.ok(chunk.isComplete);
   assert.deepEqual(b.verbs(machine), []);
   b.store(chunk);
-  assert.deepEqual(b.verbs(machine), ['reap wk-1/0 1']);
+  assert.deepEqual(b.verbs(machine), ['acknowledge wk-1/0 1']);
 });
 
 test('older reports change nothing', () => {
@@ -99,12 +99,12 @@
   b.report(machine, []);
   assert.equal(chunk.attempts.size, 1, 'it may still be carried out');
   b.report(machine, [{}]);
-  assert.deepEqual(b.verbs(machine), ['halt wk-1/0 1']);
+  assert.deepEqual(b.verbs(machine), ['stop wk-1/0 1']);
   b.report(machine, [{ state: 'ended', cause: 'halted' }]);
   assert.deepEqual(b.verbs(machine), [], 'a late copy of the start would run it once more');
   b.report(machine, [{ state: 'ended', cause: 'halted' }], { highestFencingToken: TOKEN + 1 });
   b.store(chunk);
-  assert.deepEqual(b.verbs(machine), ['reap wk-1/0 1']);
+  assert.deepEqual(b.verbs(machine), ['acknowledge wk-1/0 1']);
 });
 
 test('after a takeover, what the last owner started is settled by our token', () => {
@@ -158,14 +158,14 @@
 
 test('a notice stops replicas and lets checkpoints be saved in time', () => {
   const cases: [string, Partial<JobSpec>, number, string[]][] = [
-    ['a replica moves at once', { isService: true, rank: 'prod' }, 60, ['halt wk-1/0 1']],
+    ['a replica moves at once', { isService: true, rank: 'prod' }, 60, ['stop wk-1/0 1']],
     [
       'a checkpoint waits for the last moment',
       { checkpointInterval: 30, checkpointDuration: 4 },
       60,
       [],
     ],
-    ['and is saved then', { checkpointInterval: 30, checkpointDuration: 4 }, 9, ['halt wk-1/0 1']],
+    ['and is saved then', { checkpointInterval: 30, checkpointDuration: 4 }, 9, ['stop wk-1/0 1']],
     ['without one the task may still be done', {}, 9, []],
   ];
   for (const [name, changes, warning, orders] of cases) {
--- a/test/reconciliation/unacknowledgedStart.test.ts
+++ b/test/reconciliation/unacknowledgedStart.test.ts
@@ -216,22 +216,22 @@
   assert.equal(chunk.attempts.size, 0);
   assert.deepEqual(b.verbs(machine), [], 'the answer with the start may still be on its way');
   b.report(machine, [...refused], {}, 'follow');
-  assert.deepEqual(b.verbs(machine), ['reap wk-1/0 1']);
+  assert.deepEqual(b.verbs(machine), ['acknowledge wk-1/0 1']);
 });
 
 test('of attempts of one task on a machine each is stopped, reaped or kept by itself', () => {
   const orders: [string, Partial<ReportedAttempt>[], string[]][] = [
-    ['an earlier one still runs', [{ attemptNumber: 1 }, { attemptNumber: 2 }], ['halt wk-1/0 1']],
-    ['in the other order', [{ attemptNumber: 2 }, { attemptNumber: 1 }], ['halt wk-1/0 1']],
+    ['an earlier one still runs', [{ attemptNumber: 1 }, { attemptNumber: 2 }], ['stop wk-1/0 1']],
+    ['in the other order', [{ attemptNumber: 2 }, { attemptNumber: 1 }], ['stop wk-1/0 1']],
     [
       'an earlier one has ended',
       [{ attemptNumber: 2 }, { attemptNumber: 1, state: 'ended', cause: 'halted' }],
-      ['reap wk-1/0 1'],
+      ['acknowledge wk-1/0 1'],
     ],
     [
       'an earlier one was refused beside it',
       [{ attemptNumber: 2 }, { attemptNumber: 1, state: 'ended', cause: 'busy' }],
-      ['reap wk-1/0 1'],
+      ['acknowledge wk-1/0 1'],
     ],
   ];
   for (const [name, tasks, verbs] of orders) {
--- a/test/scheduling/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -25,7 +25,7 @@
   assert.deepEqual(b.verbs(machine), []);
   const live = b.chunk({ id: 'wk-3', rank: 'prod', isService: true });
   b.decide();
-  assert.deepEqual(b.verbs(machine), ['halt wk-1/0 1']);
+  assert.deepEqual(b.verbs(machine), ['stop wk-1/0 1']);
   b.report(machine, [{ state: 'ended', cause: 'halted' }]);
   b.decide();
   assert.equal(live.attempts.size, 1);
@@ -80,7 +80,7 @@
 
 test('a team gets its guarantee back from those who borrowed it, whatever their rank', () => {
   const cases: [string, number, number, string[]][] = [
-    ['within its guarantee, the others beyond theirs', 4, 0, ['halt wk-1/1 2']],
+    ['within its guarantee, the others beyond theirs', 4, 0, ['stop wk-1/1 2']],
     ['beyond its own guarantee', 1, 0, []],
     ['the others within theirs', 4, 8, []],
     ['its guarantee is used elsewhere', 2, 0, []],
@@ -123,7 +123,7 @@
   const live = b.chunk({ id: 'wk-2', rank: 'prod', isService: true, image: 'live' });
   b.decide();
   assert.equal(live.attempts.size, 0);
-  assert.deepEqual(b.verbs(warm), ['halt wk-1/0 1']);
+  assert.deepEqual(b.verbs(warm), ['stop wk-1/0 1']);
   b.report(warm, [{ state: 'ended', cause: 'halted' }]);
   b.decide();
   assert.equal(live.attempts.get(0)?.machine, 'n-1');
@@ -153,7 +153,7 @@
   b.report(second, on(second));
   const [lost, ...rest] = on(first);
   b.report(first, [{ ...lost, state: 'ended', cause: 'error' }, ...rest]);
-  const halts = [...b.verbs(first), ...b.verbs(second)].filter((v) => v.startsWith('halt'));
+  const halts = [...b.verbs(first), ...b.verbs(second)].filter((v) => v.startsWith('stop'));
   assert.equal(halts.length, 5);
   b.now += 100;
   b.decide();
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -44,7 +44,7 @@
   const machine = b.machine();
   const chunk = b.running(machine, { taskCount: 2 });
   b.part.retireChunk(chunk, b.now);
-  assert.deepEqual(b.verbs(machine), ['halt wk-1/0 1']);
+  assert.deepEqual(b.verbs(machine), ['stop wk-1/0 1']);
   b.report(machine, [{ state: 'ended', cause: 'halted' }]);
   b.decide();
   assert.equal(chunk.attempts.size, 0);
@@ -65,7 +65,7 @@
   assert.deepEqual(on.cancellationStops(), []);
   b.part.prepareCancel(runs, b.now);
   b.part.prepareCancel(waits, b.now);
-  const halt = { verb: 'halt', task: 'wk-1/0', attemptNumber: 1, gracePeriod: 0 };
+  const halt = { verb: 'stop', task: 'wk-1/0', attemptNumber: 1, gracePeriod: 0 };
   // With every answer: one of them may be lost, and the next would renew the lease.
   assert.deepEqual([on.cancellationStops(), on.cancellationStops()], [[halt], [halt]]);
   assert.deepEqual(waits.attempts.size, 0, 'its start was never sent, so nothing can come of it');
--- a/test/soak/soakLog.ts
+++ b/test/soak/soakLog.ts
@@ -8,7 +8,7 @@
 }
 
 /** What a line must not say: the process has met something that nobody handled. */
-const FAILURES = /unhandled:|event=invariant-broken|^error loop:/;
+const FAILURES = /unhandled:|event=invariant-violated|^error loop:/;
 
 export class SoakLog {
   private readonly lines: Line[] = [];
--- a/test/storage/goldenBytes.test.ts
+++ b/test/storage/goldenBytes.test.ts
@@ -178,8 +178,8 @@
 
 const orders: Command[] = [
   { verb: 'start', task: 'wk-1/0', attemptNumber: 1 },
-  { verb: 'halt', task: 'wk-1/1', attemptNumber: 2, gracePeriod: 4 },
-  { verb: 'reap', task: 'wk-1/2', attemptNumber: 3 },
+  { verb: 'stop', task: 'wk-1/1', attemptNumber: 2, gracePeriod: 4 },
+  { verb: 'acknowledge', task: 'wk-1/2', attemptNumber: 3 },
 ];
 
 /** Everything that leaves this process for the state service, a peer or a worker, as text. */
--- a/test/tools/soak.test.ts
+++ b/test/tools/soak.test.ts
@@ -58,7 +58,7 @@
 test('lines that make a soak fail', () => {
   for (const [line, fails] of [
     ['error unhandled: x is not a function', true],
-    ['error audit at=1 node=drone-0 event=invariant-broken invariant=attempt-vanished', true],
+    ['error audit at=1 node=drone-0 event=invariant-violated invariant=attempt-vanished', true],
     ['error loop: TypeError', true],
     ['info part drone-0 is no longer ours', false],
   ] as const) {
