--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -23,7 +23,7 @@
 import { RunTimes } from '../scheduling/runTimes.js';
 import { Gossiper } from '../peers/gossiper.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
-import type { DemandOptions } from '../autoscaling/demandEstimator.js';
+import type { DemandOptions } from '../shard/demandEstimator.js';
 import { CommandDispatcher } from '../commands/commandDispatcher.js';
 import {
   ShardLeadership,
--- a/src/coordination/jobs/cancellationPreparations.ts
+++ b/src/coordination/jobs/cancellationPreparations.ts
@@ -8,7 +8,7 @@
 import type { Settings } from '../../protocol/settings.js';
 import { keys, type JobRecord, type LeaderRecord } from '../../storage/records.js';
 import type { StateCache } from '../../storage/stateCache.js';
-import type { Chunk } from '../shard/chunk.js';
+import type { Chunk } from '../model/chunk.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import type { PeerRegistry } from '../peers/peerRegistry.js';
 
--- a/src/coordination/jobs/jobLookup.ts
+++ b/src/coordination/jobs/jobLookup.ts
@@ -2,8 +2,8 @@
 import type { JobStatus, JobView } from '../../protocol/job.js';
 import { keys, type JobRecord } from '../../storage/records.js';
 import type { Reply } from '../../transport/httpServer.js';
-import type { Chunk } from '../shard/chunk.js';
-import { chunkRanges } from '../shard/chunking.js';
+import type { Chunk } from '../model/chunk.js';
+import { chunkRanges } from '../model/chunking.js';
 import type { Controller } from '../controller/controller.js';
 import { waitReason } from './waitReasons.js';
 
--- a/src/coordination/jobs/jobService.ts
+++ b/src/coordination/jobs/jobService.ts
@@ -9,14 +9,14 @@
 import { keys, type JobRecord } from '../../storage/records.js';
 import type { Reply } from '../../transport/httpServer.js';
 import { SubmissionWriter, type Submission } from './submissionWriter.js';
-import { Chunk } from '../shard/chunk.js';
+import { Chunk } from '../model/chunk.js';
 import {
   chunkRanges,
   chunkSize,
   mayCreateChunk,
   zonesFor,
   type ChunkRange,
-} from '../shard/chunking.js';
+} from '../model/chunking.js';
 import type { Controller } from '../controller/controller.js';
 import { fromRelay, JobLookup, REQUEST_TIMEOUT_SECONDS } from './jobLookup.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
--- a/src/coordination/jobs/submissionWriter.ts
+++ b/src/coordination/jobs/submissionWriter.ts
@@ -16,7 +16,7 @@
 import type { StateCache } from '../../storage/stateCache.js';
 import type { StateClient, TransactionResult } from '../../storage/stateClient.js';
 import type { Reply } from '../../transport/httpServer.js';
-import type { Chunk } from '../shard/chunk.js';
+import type { Chunk } from '../model/chunk.js';
 import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
 import { unavailable } from './replies.js';
 import { maxStoredBytes } from '../persistence/bucket.js';
--- a/src/coordination/jobs/waitReasons.ts
+++ b/src/coordination/jobs/waitReasons.ts
@@ -1,6 +1,6 @@
 /** Why a job waits, in words that can be read out on the phone. */
 import type { JobRecord } from '../../storage/records.js';
-import type { Chunk } from '../shard/chunk.js';
+import type { Chunk } from '../model/chunk.js';
 import type { Controller } from '../controller/controller.js';
 import { satisfiesConstraints, fits } from '../scheduling/placement.js';
 
--- a/src/coordination/migration/migrationInitiator.ts
+++ b/src/coordination/migration/migrationInitiator.ts
@@ -3,7 +3,7 @@
 import { rankName, type JobSpec } from '../../protocol/job.js';
 import type { TurnaroundEstimate } from '../../protocol/peerMessages.js';
 import { keys } from '../../storage/records.js';
-import type { Chunk } from '../shard/chunk.js';
+import type { Chunk } from '../model/chunk.js';
 import type { Controller } from '../controller/controller.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import { chooseShard, turnaround } from './migrationPolicy.js';
--- a/src/coordination/shard/chunk.ts
+++ b/src/coordination/model/chunk.ts
@@ -2,7 +2,7 @@
 import type { TaskState } from '../../protocol/workerProtocol.js';
 import type { Bucket } from '../persistence/bucket.js';
 import { fromRanges, toRanges, type ChunkRecord } from '../../storage/records.js';
-import type { UnacknowledgedStart } from '../reconciliation/unacknowledgedStart.js';
+import type { UnacknowledgedStart } from './unacknowledgedStart.js';
 
 /** One attempt of one task that is, or may be, on a machine. */
 export interface Attempt {
--- a/src/coordination/peers/gossiper.ts
+++ b/src/coordination/peers/gossiper.ts
@@ -4,7 +4,7 @@
 import type { Settings, Tuning } from '../../protocol/settings.js';
 import type { StateClient } from '../../storage/stateClient.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
-import type { Machine } from '../shard/machine.js';
+import type { Machine } from '../model/machine.js';
 import type { ShardLeadership } from '../leadership/shardLeadership.js';
 import type { Shard } from '../shard/shard.js';
 import type { PeerRegistry } from './peerRegistry.js';
--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -11,7 +11,7 @@
 import type { RecordFormat } from '../../storage/recordFormat.js';
 import type { StateCache } from '../../storage/stateCache.js';
 import type { StateClient, TransactionResult } from '../../storage/stateClient.js';
-import type { Chunk } from '../shard/chunk.js';
+import type { Chunk } from '../model/chunk.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import { maxStoredBytes, Bucket } from './bucket.js';
 
--- a/src/coordination/persistence/jobPersistence.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -8,8 +8,8 @@
 import type { Transaction } from '../../protocol/stateProtocol.js';
 import { keys, type JobRecord } from '../../storage/records.js';
 import type { ChunkIndex } from '../../storage/chunkIndex.js';
-import { Chunk } from '../shard/chunk.js';
-import { chunkRanges, mayCreateChunk, totalChunks } from '../shard/chunking.js';
+import { Chunk } from '../model/chunk.js';
+import { chunkRanges, mayCreateChunk, totalChunks } from '../model/chunking.js';
 import { missingChunks } from './missingChunks.js';
 import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
 import {
--- a/src/coordination/persistence/missingChunks.ts
+++ b/src/coordination/persistence/missingChunks.ts
@@ -1,7 +1,7 @@
 /** Chunks of a home job that nobody has stored: its record says that they were cut, and nothing of them was started. */
 import type { JobRecord } from '../../storage/records.js';
-import { Chunk } from '../shard/chunk.js';
-import { chunkRanges } from '../shard/chunking.js';
+import { Chunk } from '../model/chunk.js';
+import { chunkRanges } from '../model/chunking.js';
 
 /** Made anew where the home part does not have them; `record` is as stored, with all that it says of moves. */
 export function missingChunks(
--- a/src/coordination/reconciliation/attemptTermination.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -3,8 +3,8 @@
  * nothing else can make one.
  */
 import { DRIFT } from '../../base/clock.js';
-import type { Attempt } from '../shard/chunk.js';
-import type { Machine, Placement } from '../shard/machine.js';
+import type { Attempt } from '../model/chunk.js';
+import type { Machine, Placement } from '../model/machine.js';
 
 /**
  * What a verdict rests on: a report that shows the end; a report without an attempt that was there, or that an adopter
--- a/src/coordination/reconciliation/heartbeatEndpoint.ts
+++ b/src/coordination/reconciliation/heartbeatEndpoint.ts
@@ -9,7 +9,7 @@
 import type { Reply } from '../../transport/httpServer.js';
 import type { Controller } from '../controller/controller.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
-import type { Machine } from '../shard/machine.js';
+import type { Machine } from '../model/machine.js';
 
 const elsewhere = (owner: string | null): Reply => ({ status: 421, body: redirectAnswer(owner) });
 
--- a/src/coordination/reconciliation/heartbeatReconciler.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -1,9 +1,9 @@
 /** What workers' reports say of machines and of the attempts that are, or may be, there. */
 import type { Heartbeat, ReportedAttempt } from '../../protocol/workerProtocol.js';
 import { AttemptTermination } from './attemptTermination.js';
-import type { Chunk, Attempt } from '../shard/chunk.js';
+import type { Chunk, Attempt } from '../model/chunk.js';
 import type { RunTimes } from '../scheduling/runTimes.js';
-import { attemptKey, type Machine, type Placement } from '../shard/machine.js';
+import { attemptKey, type Machine, type Placement } from '../model/machine.js';
 import type { Shard, ShardOptions } from '../shard/shard.js';
 
 /**
--- a/src/coordination/reconciliation/machineLiveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -1,6 +1,6 @@
 /** Which machines of a part are silent, and since when what ran there is over. */
 import { AttemptTermination } from './attemptTermination.js';
-import type { Machine } from '../shard/machine.js';
+import type { Machine } from '../model/machine.js';
 import type { Shard, ShardOptions } from '../shard/shard.js';
 
 export class MachineLiveness {
--- a/src/coordination/reconciliation/unknownAttempts.ts
+++ b/src/coordination/reconciliation/unknownAttempts.ts
@@ -2,7 +2,7 @@
  * Attempts that run on machines of a part and that the part does not know: each is ended as soon as it is seen. A task of
  * which such an attempt runs is started nowhere else meanwhile (safety, T18).
  */
-import type { Machine } from '../shard/machine.js';
+import type { Machine } from '../model/machine.js';
 
 export class UnknownAttempts {
   private readonly tasksOn = new Map<Machine, string[]>();
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,8 +1,8 @@
 /** Stops lower-ranked work, and what teams have borrowed, where others need the room. */
 import { rankOrder } from '../../protocol/job.js';
-import type { Chunk } from '../shard/chunk.js';
+import type { Chunk } from '../model/chunk.js';
 import { Heap } from './heap.js';
-import type { Machine, Placement } from '../shard/machine.js';
+import type { Machine, Placement } from '../model/machine.js';
 import type { Shard } from '../shard/shard.js';
 import { satisfiesConstraints, fits, shapeOf, victimsFor, type Resources } from './placement.js';
 import type { TeamResources, TeamUsage } from '../quota/teamUsage.js';
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -2,9 +2,9 @@
 import { log } from '../../base/log.js';
 import type { Random } from '../../base/random.js';
 import { rankOrder } from '../../protocol/job.js';
-import type { Chunk, Attempt } from '../shard/chunk.js';
+import type { Chunk, Attempt } from '../model/chunk.js';
 import type { RunTimes } from './runTimes.js';
-import type { Machine } from '../shard/machine.js';
+import type { Machine } from '../model/machine.js';
 import type { Shard, ShardOptions } from '../shard/shard.js';
 import {
   satisfiesConstraints,
@@ -15,7 +15,7 @@
   subtractResources,
 } from './placement.js';
 import { Preemption } from './preemption.js';
-import { UnacknowledgedStart } from '../reconciliation/unacknowledgedStart.js';
+import { UnacknowledgedStart } from '../model/unacknowledgedStart.js';
 import {
   noTeamResources,
   type TeamResources,
--- a/src/coordination/scheduling/waitEstimates.ts
+++ b/src/coordination/scheduling/waitEstimates.ts
@@ -1,8 +1,8 @@
 /** What a part tells of the wait and the turnaround that work would see there. */
 import { rankOrder, type JobSpec } from '../../protocol/job.js';
-import { isAhead, type Chunk } from '../shard/chunk.js';
+import { isAhead, type Chunk } from '../model/chunk.js';
 import type { RunTimes } from './runTimes.js';
-import type { Machine, Placement } from '../shard/machine.js';
+import type { Machine, Placement } from '../model/machine.js';
 import type { Shard } from '../shard/shard.js';
 import { satisfiesConstraints, fits, type Resources, subtractResources } from './placement.js';
 import { replay, ReplayStart, type ReplayMachine, type ReplayItem } from './queueReplay.js';
--- a/src/coordination/autoscaling/demandEstimator.ts
+++ b/src/coordination/shard/demandEstimator.ts
@@ -2,10 +2,10 @@
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import { rankName, type JobSpec } from '../../protocol/job.js';
 import type { Demand } from '../../protocol/peerMessages.js';
-import type { Chunk } from '../shard/chunk.js';
+import type { Chunk } from '../model/chunk.js';
 import { ArrivalRate } from '../scheduling/runTimes.js';
-import type { Machine } from '../shard/machine.js';
-import type { Shard } from '../shard/shard.js';
+import type { Machine } from '../model/machine.js';
+import type { Shard } from './shard.js';
 import {
   satisfiesConstraints,
   fits,
--- a/test/commands/commandDispatcher.test.ts
+++ b/test/commands/commandDispatcher.test.ts
@@ -4,7 +4,7 @@
 import { AuditTrail } from '../../src/coordination/audit/auditTrail.js';
 import { Authority } from '../../src/coordination/leadership/authority.js';
 import { createOwnedShard } from '../../src/coordination/leadership/ownedShard.js';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
 import {
   CommandDispatcher,
   type CommandDispatcherContext,
--- a/test/commands/costs.test.ts
+++ b/test/commands/costs.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { AuditTrail } from '../../src/coordination/audit/auditTrail.js';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
 import { createOwnedShard } from '../../src/coordination/leadership/ownedShard.js';
-import { Machine } from '../../src/coordination/shard/machine.js';
+import { Machine } from '../../src/coordination/model/machine.js';
 import { CommandDispatcher } from '../../src/coordination/commands/commandDispatcher.js';
 import type { Shard } from '../../src/coordination/shard/shard.js';
 import type { JobRecord } from '../../src/storage/records.js';
--- a/test/jobs/cancellationPreparations.test.ts
+++ b/test/jobs/cancellationPreparations.test.ts
@@ -1,7 +1,7 @@
 /** Cancellations that meet other troubles: what was confirmed holds, and what can't hold is not confirmed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
 import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { CancellationPreparations } from '../../src/coordination/jobs/cancellationPreparations.js';
 import type { PreparedChunk } from '../../src/protocol/peerMessages.js';
--- a/test/jobs/submissionWriter.test.ts
+++ b/test/jobs/submissionWriter.test.ts
@@ -5,7 +5,7 @@
   SubmissionWriter,
   type SubmissionWriterContext,
 } from '../../src/coordination/jobs/submissionWriter.js';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
 import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { keys, type JobRecord, type BucketRecord } from '../../src/storage/records.js';
 import type { Reply } from '../../src/transport/httpServer.js';
--- a/test/persistence/bucketWriter.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -1,7 +1,7 @@
 /** What is stored and when: machines by rental, chunks on buckets, and answers that get lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
 import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { chooseShardFor } from '../../src/coordination/autoscaling/machineGroups.js';
 import { BucketWriter } from '../../src/coordination/persistence/bucketWriter.js';
--- a/test/persistence/jobPersistence.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -1,7 +1,7 @@
 /** Jobs' records: what is kept of chunks when another change of the record is found, and what its owner may say. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
 import { JobPersistence } from '../../src/coordination/persistence/jobPersistence.js';
 import {
   createOwnedShard,
--- a/test/persistence/recordSizes.test.ts
+++ b/test/persistence/recordSizes.test.ts
@@ -1,11 +1,11 @@
 /** Any sound settings: the service starts and serves, whatever its size and the limits around it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chunkRanges, chunkSize } from '../../src/coordination/shard/chunking.js';
+import { chunkRanges, chunkSize } from '../../src/coordination/model/chunking.js';
 import { groupLimit } from '../../src/coordination/autoscaling/machineGroups.js';
 import { RENT_LIMIT } from '../../src/protocol/cloudProtocol.js';
 import type { JobSpec } from '../../src/protocol/job.js';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
 import { keys, type BucketRecord } from '../../src/storage/records.js';
 import { layoutFor } from '../support/layout.js';
 import { submission, until } from '../support/cluster.js';
--- a/test/reconciliation/unacknowledgedStart.test.ts
+++ b/test/reconciliation/unacknowledgedStart.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { CommandOutcome } from '../../src/coordination/audit/auditTrail.js';
 import { createOwnedShard } from '../../src/coordination/leadership/ownedShard.js';
-import { UnacknowledgedStart } from '../../src/coordination/reconciliation/unacknowledgedStart.js';
+import { UnacknowledgedStart } from '../../src/coordination/model/unacknowledgedStart.js';
 import type { ReportedAttempt } from '../../src/protocol/workerProtocol.js';
 import { Bench, TOKEN } from '../support/bench.js';
 import { CommandBench, type Passage } from '../support/commandBench.js';
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -3,14 +3,14 @@
 import { test } from 'node:test';
 import { nextMigrationCandidates } from '../../src/coordination/migration/migrationInitiator.js';
 import { seededRandom } from '../../src/base/random.js';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
 import {
   chunkRanges,
   chunkSize,
   mayCreateChunk,
   totalChunks,
   zonesFor,
-} from '../../src/coordination/shard/chunking.js';
+} from '../../src/coordination/model/chunking.js';
 import { ArrivalRate, RunTimes } from '../../src/coordination/scheduling/runTimes.js';
 import { chooseShard, turnaround } from '../../src/coordination/migration/migrationPolicy.js';
 import {
--- a/test/scheduling/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -1,8 +1,8 @@
 /** Which work starts where and when: ranks, backfilling, limits, gangs, and what a round may cost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
-import type { Machine } from '../../src/coordination/shard/machine.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
+import type { Machine } from '../../src/coordination/model/machine.js';
 import { Shard } from '../../src/coordination/shard/shard.js';
 import type { MachineType } from '../../src/protocol/cloudProtocol.js';
 import { rankOrder } from '../../src/protocol/job.js';
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -1,7 +1,7 @@
 /** A part: starts once they are stored, cancellations, adoption. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
 import { Bench } from '../support/bench.js';
 import { spec } from '../support/spec.js';
 
--- a/test/support/bench.ts
+++ b/test/support/bench.ts
@@ -1,8 +1,8 @@
 /** A part on a clock of its own, with one type of machine, and reports made by hand. */
 import { seededRandom } from '../../src/base/random.js';
-import { Chunk } from '../../src/coordination/shard/chunk.js';
+import { Chunk } from '../../src/coordination/model/chunk.js';
 import { RunTimes } from '../../src/coordination/scheduling/runTimes.js';
-import type { Machine } from '../../src/coordination/shard/machine.js';
+import type { Machine } from '../../src/coordination/model/machine.js';
 import { Shard } from '../../src/coordination/shard/shard.js';
 import type { HeartbeatOrigin } from '../../src/coordination/reconciliation/heartbeatReconciler.js';
 import { singleShardView, type ClusterView } from '../../src/coordination/quota/teamUsage.js';
--- a/test/support/commandBench.ts
+++ b/test/support/commandBench.ts
@@ -3,8 +3,8 @@
  * commands arrive, are held and arrive late, or are never sent. It tells which tasks were on two machines at once.
  */
 import { AuditTrail } from '../../src/coordination/audit/auditTrail.js';
-import type { Chunk } from '../../src/coordination/shard/chunk.js';
-import type { Machine } from '../../src/coordination/shard/machine.js';
+import type { Chunk } from '../../src/coordination/model/chunk.js';
+import type { Machine } from '../../src/coordination/model/machine.js';
 import {
   CommandDispatcher,
   type CommandDispatcherContext,
