--- a/src/coordination/audit/statusCounters.ts
+++ b/src/coordination/audit/statusCounters.ts
@@ -2,8 +2,8 @@
  * The counters of audit events that `/v1/overview` shows. Their names are part of that interface and stay those of
  * version 0.4.1, while the events themselves have the names that the log lines show.
  */
-import type { TerminationRule } from '../reconciliation/attemptTermination.js';
-import type { AuditEvent } from './auditTrail.js';
+import type { AuditEvent } from './auditEvent.js';
+import type { TerminationRule } from './terminationRule.js';
 
 /** Counters of events that are counted under one name, whatever their fields are. */
 const EVENT_COUNTERS = {
--- a/src/coordination/commands/commandDispatcher.ts
+++ b/src/coordination/commands/commandDispatcher.ts
@@ -9,7 +9,8 @@
 } from '../../protocol/workerProtocol.js';
 import { TurnQueue } from '../../transport/turnQueue.js';
 import { HttpCallError, type HttpClient } from '../../transport/httpClient.js';
-import type { AuditTrail, CommandOutcome, CommandRoute } from '../audit/auditTrail.js';
+import type { AuditTrail } from '../audit/auditTrail.js';
+import type { CommandOutcome, CommandRoute } from '../audit/commandOutcome.js';
 import type { Authority } from '../leadership/authority.js';
 import type { Chunk } from '../model/chunk.js';
 import { advanceFencingToken, type OwnedShard } from '../leadership/ownedShard.js';
--- a/src/coordination/model/unacknowledgedStart.ts
+++ b/src/coordination/model/unacknowledgedStart.ts
@@ -2,7 +2,7 @@
  * Whether a start that was sent straight to a worker may still be carried out. Each command counts by itself: what becomes of
  * a repeat says nothing of an earlier one that got no answer and may arrive minutes later (safety, T3).
  */
-import type { CommandOutcome } from '../audit/auditTrail.js';
+import type { CommandOutcome } from '../audit/commandOutcome.js';
 
 /** No command was sent under any token. */
 const NO_TOKEN = -Infinity;
--- a/src/coordination/reconciliation/attemptTermination.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -3,23 +3,10 @@
  * nothing else can make one.
  */
 import { DRIFT } from '../../base/clock.js';
+import type { TerminationRule } from '../audit/terminationRule.js';
 import type { Attempt } from '../model/chunk.js';
 import type { Machine, Placement } from '../model/machine.js';
 
-/**
- * What a verdict rests on: a report that shows the end; a report without an attempt that was there, or that an adopter
- * loaded or nobody wants any more; a newer session of the worker; a lease that nobody can have renewed; the cloud's word
- * that the machine is gone; or that no start was ever sent.
- */
-export type TerminationRule =
-  | 'ended'
-  | 'absent'
-  | 'never-started'
-  | 'new-agent-epoch'
-  | 'lease-expired'
-  | 'machine-released'
-  | 'never-sent';
-
 export class AttemptTermination {
   private constructor(
     readonly rule: TerminationRule,
--- a/test/reconciliation/unacknowledgedStart.test.ts
+++ b/test/reconciliation/unacknowledgedStart.test.ts
@@ -1,7 +1,7 @@
 /** Starts whose command got no answer: they may be carried out late, whatever became of later commands. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { CommandOutcome } from '../../src/coordination/audit/auditTrail.js';
+import type { CommandOutcome } from '../../src/coordination/audit/commandOutcome.js';
 import { createOwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { UnacknowledgedStart } from '../../src/coordination/model/unacknowledgedStart.js';
 import type { ReportedAttempt } from '../../src/protocol/workerProtocol.js';
