--- a/src/coordination/autoscaling/inventorySync.ts
+++ b/src/coordination/autoscaling/inventorySync.ts
@@ -3,7 +3,8 @@
 import type { ListedMachine } from '../../protocol/cloudProtocol.js';
 import type { MachineGroupRecord } from '../../storage/records.js';
 import type { CloudClient } from './cloudClient.js';
-import type { MachineGroupStore, AutoscalingContext } from './machineGroupStore.js';
+import type { AutoscalingContext } from './autoscalingContext.js';
+import type { MachineGroupStore } from './machineGroupStore.js';
 import { chooseShardFor, groupLimit, splitGroup } from './machineGroups.js';
 
 /** How often the list is read, as a ratio to the time that it lags behind. */
--- a/src/coordination/autoscaling/machineGroupStore.ts
+++ b/src/coordination/autoscaling/machineGroupStore.ts
@@ -4,26 +4,8 @@
 import type { RequestPriority } from '../../storage/rateLimiter.js';
 import { keys, type MachineGroupRecord } from '../../storage/records.js';
 import type { TransactionResult } from '../../storage/stateClient.js';
-import type { Controller } from '../controller/controller.js';
 import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
-
-/** What is needed of a node. */
-export type AutoscalingContext = Pick<
-  Controller,
-  | 'clock'
-  | 'inventory'
-  | 'gossiper'
-  | 'links'
-  | 'leadership'
-  | 'shards'
-  | 'peers'
-  | 'stateCache'
-  | 'settings'
-  | 'stateClient'
-  | 'stateLeaseTtl'
-  | 'machineTypes'
-  | 'zoneOf'
->;
+import type { AutoscalingContext } from './autoscalingContext.js';
 
 /** How often the removal of released machines from their records may fail. */
 const REMOVAL_TRIES = 20;
--- a/src/coordination/autoscaling/scaleIn.ts
+++ b/src/coordination/autoscaling/scaleIn.ts
@@ -2,7 +2,8 @@
 import { describe, log } from '../../base/log.js';
 import { RELEASE_LIMIT } from '../../protocol/cloudProtocol.js';
 import type { CloudClient } from './cloudClient.js';
-import type { MachineGroupStore, AutoscalingContext } from './machineGroupStore.js';
+import type { AutoscalingContext } from './autoscalingContext.js';
+import type { MachineGroupStore } from './machineGroupStore.js';
 
 /** How long a released machine is remembered, as a ratio to the lag of the cloud's list. */
 const MEMORY = 10;
--- a/src/coordination/autoscaling/scaleOut.ts
+++ b/src/coordination/autoscaling/scaleOut.ts
@@ -3,7 +3,8 @@
 import { keys, type MachineGroupRecord } from '../../storage/records.js';
 import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
 import type { CloudClient, RentalAnswer } from './cloudClient.js';
-import type { MachineGroupStore, AutoscalingContext } from './machineGroupStore.js';
+import type { AutoscalingContext } from './autoscalingContext.js';
+import type { MachineGroupStore } from './machineGroupStore.js';
 import { chooseShardFor, groupLimit } from './machineGroups.js';
 import { mergePlans, planScaleOut, type ScaleOutPlan } from './scaleOutPlan.js';
 
--- /dev/null
+++ b/src/coordination/migration/migrationContext.ts
@@ -0,0 +1,24 @@
+/** What job migration uses of its controller. */
+import type { Clock } from '../../base/clock.js';
+import type { Settings, Tuning } from '../../protocol/settings.js';
+import type { StateCache } from '../../storage/stateCache.js';
+import type { StateClient } from '../../storage/stateClient.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import type { ShardLeadership } from '../leadership/shardLeadership.js';
+import type { PeerRegistry } from '../peers/peerRegistry.js';
+import type { JobPersistence } from '../persistence/jobPersistence.js';
+
+/** The parts of a controller that job migration works with; `Controller` is one. */
+export interface MigrationContext {
+  readonly clock: Clock;
+  readonly settings: Pick<Settings, 'objectives' | 'heartbeatInterval'>;
+  readonly tuning: Pick<Tuning, 'threshold' | 'factor' | 'tolerance' | 'peerTimeout' | 'migrate'>;
+  readonly stateClient: Pick<StateClient, 'writeDelay'>;
+  readonly stateCache: Pick<StateCache, 'get'>;
+  readonly leadership: Pick<ShardLeadership, 'isLeaseValid'>;
+  readonly peers: Pick<PeerRegistry, 'ask'>;
+  readonly persistence: Pick<JobPersistence, 'move'>;
+  readonly ownedShards: ReadonlyMap<string, OwnedShard>;
+  /** The zone that each shard's machines are in, by the shard's label. */
+  readonly zoneOf: ReadonlyMap<string, string>;
+}
--- a/src/coordination/migration/migrationInitiator.ts
+++ b/src/coordination/migration/migrationInitiator.ts
@@ -4,14 +4,14 @@
 import type { TurnaroundEstimate } from '../../protocol/peerMessages.js';
 import { keys } from '../../storage/records.js';
 import type { Chunk } from '../model/chunk.js';
-import type { Controller } from '../controller/controller.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
+import type { MigrationContext } from './migrationContext.js';
 import { chooseShard, turnaround } from './migrationPolicy.js';
 
 export class MigrationInitiator {
   private readonly asking = new Set<Chunk>();
 
-  constructor(private readonly node: Controller) {}
+  constructor(private readonly node: MigrationContext) {}
 
   /** The wait that users of this class of job accept without a question to the peers. */
   private threshold(spec: JobSpec): number {
--- a/src/coordination/peers/gossiper.ts
+++ b/src/coordination/peers/gossiper.ts
@@ -3,9 +3,7 @@
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { Settings, Tuning } from '../../protocol/settings.js';
 import type { StateClient } from '../../storage/stateClient.js';
-import type { OwnedShard } from '../leadership/ownedShard.js';
 import type { Machine } from '../model/machine.js';
-import type { ShardLeadership } from '../leadership/shardLeadership.js';
 import type { Shard } from '../shard/shard.js';
 import type { PeerRegistry } from './peerRegistry.js';
 
@@ -17,10 +15,10 @@
   tuning: Pick<Tuning, 'idleRatio'>;
   clock: Clock;
   process: string;
-  ownedShards: ReadonlyMap<string, OwnedShard>;
+  ownedShards: ReadonlyMap<string, { readonly shard: Shard; readonly fencingToken: number }>;
   stateClient: Pick<StateClient, 'demand' | 'adoptRateShare' | 'lastServed'>;
   stateLeaseTtl: number;
-  leadership: Pick<ShardLeadership, 'isLeaseValid'>;
+  leadership: { readonly isLeaseValid: boolean };
   peers: Pick<PeerRegistry, 'gossip' | 'needs'>;
   drain: { readonly isActive: boolean };
 }
--- a/src/coordination/quota/clusterTotals.ts
+++ b/src/coordination/quota/clusterTotals.ts
@@ -1,12 +1,12 @@
 /** Sums over all parts: those owned here by our own count, the others by their owners' last gossip. */
-import type { OwnedShard } from '../leadership/ownedShard.js';
-import type { PeerRegistry } from '../peers/peerRegistry.js';
+import type { Gossip } from '../../protocol/peerMessages.js';
+import type { OwnedQuotaShard } from './quotaContext.js';
 import type { TeamResources, StarvedJob } from './teamUsage.js';
 
 export class ClusterTotals {
   constructor(
-    private readonly ownedShards: ReadonlyMap<string, OwnedShard>,
-    private readonly peers: Pick<PeerRegistry, 'gossips'>,
+    private readonly ownedShards: ReadonlyMap<string, OwnedQuotaShard>,
+    private readonly peers: { gossips(): Gossip[] },
     /** The zone of each part's node. */
     private readonly zoneOf: ReadonlyMap<string, string>,
   ) {}
--- a/src/coordination/quota/quotaShares.ts
+++ b/src/coordination/quota/quotaShares.ts
@@ -3,14 +3,10 @@
  * never passes the limit. A part uses no more than its share, whatever may still run included.
  */
 import { describe, log } from '../../base/log.js';
-import type { Gossip } from '../../protocol/peerMessages.js';
-import type { Settings, Team } from '../../protocol/settings.js';
+import type { Team } from '../../protocol/settings.js';
 import type { Transaction } from '../../protocol/stateProtocol.js';
 import { keys, type QuotaRecord } from '../../storage/records.js';
-import type { StateCache } from '../../storage/stateCache.js';
-import type { StateClient, TransactionResult } from '../../storage/stateClient.js';
-import type { OwnedShard } from '../leadership/ownedShard.js';
-import type { ShardLeadership } from '../leadership/shardLeadership.js';
+import type { OwnedQuotaShard, QuotaContext } from './quotaContext.js';
 import { noTeamResources, type TeamResources } from './teamUsage.js';
 
 const LIMITS = ['cpus', 'gpus'] as const;
@@ -52,25 +48,12 @@
   revision: number;
 }
 
-/** What is needed of a node. */
-export interface QuotaContext {
-  settings: Pick<Settings, 'teams'>;
-  ownedShards: ReadonlyMap<string, OwnedShard>;
-  leadership: Pick<ShardLeadership, 'isLeaseValid'>;
-  peers: { gossips(): Pick<Gossip, 'throttledTeams'>[] };
-  stateCache: Pick<StateCache, 'get' | 'note'>;
-  stateClient: Pick<StateClient, 'get'>;
-  persistence: {
-    write(ownedShard: OwnedShard, transaction: Transaction): Promise<TransactionResult>;
-  };
-}
-
-export class QuotaShares {
+export class QuotaShares<Owned extends OwnedQuotaShard = OwnedQuotaShard> {
   private busy = false;
   /** By team and part. */
   private readonly reductions = new Map<string, PendingReduction>();
 
-  constructor(private readonly node: QuotaContext) {}
+  constructor(private readonly node: QuotaContext<Owned>) {}
 
   /** How much of a team's limit a part may use; null: there is no limit. */
   allowance(shard: string, name: string): TeamResources | null {
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -3,7 +3,7 @@
 import type { Chunk } from '../model/chunk.js';
 import { Heap } from './heap.js';
 import type { Machine, Placement } from '../model/machine.js';
-import type { Shard } from '../shard/shard.js';
+import type { PreemptibleShard } from './schedulableShard.js';
 import { satisfiesConstraints, fits, shapeOf, victimsFor, type Resources } from './placement.js';
 import type { TeamResources, TeamUsage } from '../quota/teamUsage.js';
 
@@ -25,7 +25,7 @@
 
 export class Preemption {
   constructor(
-    private readonly shard: Pick<Shard, 'machines' | 'chunks' | 'requestStop'>,
+    private readonly shard: PreemptibleShard,
     private readonly teams: TeamUsage,
     /** Seconds between two reports of a worker. */
     private readonly heartbeatInterval: number,
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -5,7 +5,7 @@
 import type { Chunk, Attempt } from '../model/chunk.js';
 import type { RunTimes } from './runTimes.js';
 import type { Machine } from '../model/machine.js';
-import type { Shard, ShardOptions } from '../shard/shard.js';
+import type { SchedulableShard, SchedulerOptions } from './schedulableShard.js';
 import {
   satisfiesConstraints,
   bestFit,
@@ -48,18 +48,8 @@
   private readonly preemption: Preemption;
 
   constructor(
-    private readonly shard: Pick<
-      Shard,
-      | 'chunks'
-      | 'machines'
-      | 'label'
-      | 'teamUsage'
-      | 'waitEstimates'
-      | 'queuedChunks'
-      | 'noteChunkChanged'
-      | 'requestStop'
-    >,
-    private readonly options: Pick<ShardOptions, 'heartbeatInterval' | 'sample'>,
+    private readonly shard: SchedulableShard,
+    private readonly options: SchedulerOptions,
     private readonly runTimes: RunTimes,
     private readonly random: Random,
     private readonly cluster: ClusterView,
--- a/src/coordination/scheduling/waitEstimates.ts
+++ b/src/coordination/scheduling/waitEstimates.ts
@@ -3,7 +3,6 @@
 import { isAhead, type Chunk } from '../model/chunk.js';
 import type { RunTimes } from './runTimes.js';
 import type { Machine, Placement } from '../model/machine.js';
-import type { Shard } from '../shard/shard.js';
 import { satisfiesConstraints, fits, type Resources, subtractResources } from './placement.js';
 import { replay, ReplayStart, type ReplayMachine, type ReplayItem } from './queueReplay.js';
 
@@ -16,6 +15,14 @@
   at: number;
 }
 
+/** What wait estimates use of a shard. */
+export interface QueuedShard {
+  /** The shard's machines, by name. */
+  readonly machines: ReadonlyMap<string, Machine>;
+  /** Chunks with pending tasks, in the order of the queue. */
+  queuedChunks(): Chunk[];
+}
+
 export class WaitEstimates {
   /**
    * The machines as seen by work of each rank. A snapshot is used until a task is placed or a machine comes or
@@ -25,7 +32,7 @@
   private readonly snapshots = new Map<number, Snapshot>();
 
   constructor(
-    private readonly shard: Pick<Shard, 'machines' | 'queuedChunks'>,
+    private readonly shard: QueuedShard,
     private readonly runTimes: RunTimes,
     /** Seconds between two reports of a worker. */
     private readonly heartbeatInterval: number,
--- a/test/quota/quotaShares.test.ts
+++ b/test/quota/quotaShares.test.ts
@@ -3,11 +3,8 @@
 import { test } from 'node:test';
 import { seededRandom } from '../../src/base/random.js';
 import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
-import {
-  QuotaShares,
-  reshare,
-  type QuotaContext,
-} from '../../src/coordination/quota/quotaShares.js';
+import type { QuotaContext } from '../../src/coordination/quota/quotaContext.js';
+import { QuotaShares, reshare } from '../../src/coordination/quota/quotaShares.js';
 import type { TeamResources } from '../../src/coordination/quota/teamUsage.js';
 import { keys, type QuotaRecord } from '../../src/storage/records.js';
 import { emptyPart } from '../support/part.js';
