--- /dev/null
+++ b/test/tools/importGraph.test.ts
@@ -0,0 +1,226 @@
+/**
+ * The import graph of src/: without cycles, types included, and inside src/coordination downwards only. An import of
+ * a type loads nothing, but whoever reads the module has to read the other one too.
+ */
+import assert from 'node:assert/strict';
+import { readdirSync, readFileSync } from 'node:fs';
+import { dirname, join, normalize } from 'node:path';
+import { test } from 'node:test';
+import ts from 'typescript';
+
+/** Folders of src/coordination, top first: each imports from itself and from those after it. */
+const COORDINATION_FOLDERS = [
+  'controller',
+  'rollout',
+  'jobs',
+  'pipelines',
+  'migration',
+  'autoscaling',
+  'commands',
+  'persistence',
+  'leadership',
+  'peers',
+  'shard',
+  'scheduling',
+  'quota',
+  'reconciliation',
+  'model',
+  'audit',
+];
+
+/** Upward imports that are not removed yet, without `src/coordination/`. Never add one. */
+const KNOWN_UPWARD_IMPORTS: readonly string[] = [
+  'audit/auditTrail.ts -> reconciliation/attemptTermination.ts',
+  'audit/statusCounters.ts -> reconciliation/attemptTermination.ts',
+  'autoscaling/machineGroupStore.ts -> controller/controller.ts',
+  'jobs/jobLookup.ts -> controller/controller.ts',
+  'jobs/jobService.ts -> controller/controller.ts',
+  'jobs/waitReasons.ts -> controller/controller.ts',
+  'leadership/ownedShard.ts -> persistence/bucket.ts',
+  'leadership/recordFollower.ts -> pipelines/pipelines.ts',
+  'leadership/shardLoader.ts -> jobs/cancellationPreparations.ts',
+  'leadership/shardLoader.ts -> persistence/bucket.ts',
+  'leadership/shardLoader.ts -> persistence/jobPersistence.ts',
+  'migration/migrationInitiator.ts -> controller/controller.ts',
+  'model/chunk.ts -> persistence/bucket.ts',
+  'model/machine.ts -> scheduling/placement.ts',
+  'peers/gossiper.ts -> leadership/ownedShard.ts',
+  'peers/gossiper.ts -> leadership/shardLeadership.ts',
+  'quota/clusterTotals.ts -> leadership/ownedShard.ts',
+  'quota/clusterTotals.ts -> peers/peerRegistry.ts',
+  'quota/quotaShares.ts -> leadership/ownedShard.ts',
+  'quota/quotaShares.ts -> leadership/shardLeadership.ts',
+  'reconciliation/heartbeatEndpoint.ts -> controller/controller.ts',
+  'reconciliation/heartbeatEndpoint.ts -> leadership/ownedShard.ts',
+  'reconciliation/heartbeatReconciler.ts -> scheduling/runTimes.ts',
+  'reconciliation/heartbeatReconciler.ts -> shard/shard.ts',
+  'reconciliation/machineLiveness.ts -> shard/shard.ts',
+  'rollout/health.ts -> controller/controller.ts',
+  'rollout/rolloutRoutes.ts -> controller/controller.ts',
+  'scheduling/preemption.ts -> shard/shard.ts',
+  'scheduling/scheduler.ts -> shard/shard.ts',
+  'scheduling/waitEstimates.ts -> shard/shard.ts',
+];
+
+/** Modules that still import each other in a circle, without `src/coordination/`. Never add one. */
+const KNOWN_CYCLE_MEMBERS: readonly string[] = [
+  'audit/auditTrail.ts',
+  'audit/statusCounters.ts',
+  'autoscaling/autoscaler.ts',
+  'autoscaling/inventorySync.ts',
+  'autoscaling/machineGroupStore.ts',
+  'autoscaling/scaleIn.ts',
+  'autoscaling/scaleOut.ts',
+  'controller/controller.ts',
+  'migration/migrationInitiator.ts',
+  'model/chunk.ts',
+  'model/machine.ts',
+  'model/unacknowledgedStart.ts',
+  'persistence/bucket.ts',
+  'reconciliation/attemptTermination.ts',
+  'reconciliation/heartbeatReconciler.ts',
+  'reconciliation/machineLiveness.ts',
+  'scheduling/preemption.ts',
+  'scheduling/scheduler.ts',
+  'scheduling/waitEstimates.ts',
+  'shard/demandEstimator.ts',
+  'shard/shard.ts',
+];
+
+type ImportGraph = ReadonlyMap<string, readonly string[]>;
+
+/** The modules that a source file imports or exports from; `import()` is left out. */
+function importedModules(file: string, text: string): string[] {
+  const source = ts.createSourceFile(file, text, ts.ScriptTarget.Latest);
+  const specifiers = source.statements.flatMap((statement) => {
+    const isImport = ts.isImportDeclaration(statement) || ts.isExportDeclaration(statement);
+    const specifier = isImport ? statement.moduleSpecifier : undefined;
+    return specifier !== undefined && ts.isStringLiteral(specifier) ? [specifier.text] : [];
+  });
+  return specifiers
+    .filter((specifier) => specifier.startsWith('.'))
+    .map((specifier) => normalize(join(dirname(file), specifier)).replace(/\.js$/, '.ts'));
+}
+
+function readImportGraph(root: string): ImportGraph {
+  const files = readdirSync(root, { recursive: true, encoding: 'utf8' })
+    .filter((name) => name.endsWith('.ts'))
+    .map((name) => join(root, name));
+  return new Map(files.map((file) => [file, importedModules(file, readFileSync(file, 'utf8'))]));
+}
+
+/** All modules that a module imports, directly or through others. */
+function reachableFrom(graph: ImportGraph, start: string): Set<string> {
+  const reached = new Set<string>();
+  const open = [...(graph.get(start) ?? [])];
+  for (let file = open.pop(); file !== undefined; file = open.pop()) {
+    if (reached.has(file)) continue;
+    reached.add(file);
+    open.push(...(graph.get(file) ?? []));
+  }
+  return reached;
+}
+
+/** Groups of modules that import each other, directly or through others; the largest first. */
+function findCycles(graph: ImportGraph): string[][] {
+  const reachable = new Map([...graph.keys()].map((file) => [file, reachableFrom(graph, file)]));
+  const seen = new Set<string>();
+  const cycles: string[][] = [];
+  for (const [file, reached] of reachable) {
+    if (seen.has(file) || !reached.has(file)) continue;
+    const cycle = [...reached].filter((other) => reachable.get(other)?.has(file) === true).sort();
+    for (const member of cycle) seen.add(member);
+    cycles.push(cycle);
+  }
+  return cycles.sort((a, b) => b.length - a.length);
+}
+
+const COORDINATION = 'src/coordination/';
+
+/** The folder of src/coordination that a file is in; null: none. */
+const coordinationFolder = (file: string): string | null =>
+  file.startsWith(COORDINATION) ? (file.slice(COORDINATION.length).split('/')[0] ?? null) : null;
+
+/** Imports from a folder of src/coordination that stands above the importing one. */
+function findUpwardImports(graph: ImportGraph): string[] {
+  const depthOf = (folder: string): number => COORDINATION_FOLDERS.indexOf(folder);
+  return [...graph].flatMap(([file, imported]) => {
+    const from = coordinationFolder(file);
+    const upward = imported.filter((other) => {
+      const to = coordinationFolder(other);
+      return from !== null && to !== null && depthOf(to) < depthOf(from);
+    });
+    const short = (path: string): string => path.slice(COORDINATION.length);
+    return upward.map((other) => `${short(file)} -> ${short(other)}`);
+  });
+}
+
+const graph = readImportGraph('src');
+
+test('import graph: every imported module exists', () => {
+  const missing = [...graph.values()].flat().filter((file) => !graph.has(file));
+  assert.deepEqual(missing, []);
+});
+
+test('import graph: every folder of src/coordination has its place in the order', () => {
+  const folders = new Set([...graph.keys()].map(coordinationFolder));
+  folders.delete(null);
+  assert.deepEqual([...folders].sort(), [...COORDINATION_FOLDERS].sort());
+});
+
+test('import graph: folders of src/coordination import downwards only', () => {
+  const unknown = findUpwardImports(graph).filter((line) => !KNOWN_UPWARD_IMPORTS.includes(line));
+  assert.deepEqual(unknown, []);
+});
+
+test('import graph: only main.ts imports the folder controller', () => {
+  const importers = [...graph]
+    .filter(([file]) => coordinationFolder(file) !== 'controller')
+    .filter(([, imported]) => imported.some((file) => coordinationFolder(file) === 'controller'))
+    .map(([file]) => file);
+  const known = KNOWN_UPWARD_IMPORTS.filter((line) => line.includes('-> controller/')).map(
+    (line) => `${COORDINATION}${line.split(' -> ')[0] ?? ''}`,
+  );
+  const unknown = importers.filter((file) => !known.includes(file));
+  assert.deepEqual(unknown, ['src/main.ts']);
+});
+
+test('import graph: without cycles, types included', () => {
+  const cycles = findCycles(graph);
+  const unknown = cycles
+    .flat()
+    .filter((file) => !KNOWN_CYCLE_MEMBERS.includes(file.slice(COORDINATION.length)));
+  assert.deepEqual(unknown, [], cycles.map((cycle) => cycle.join('\n  ')).join('\n\n'));
+});
+
+for (const { name, text, imported } of [
+  { name: 'a value', text: "import { a } from './a.js';", imported: ['src/x/a.ts'] },
+  { name: 'a type', text: "import type { A } from '../a.js';", imported: ['src/a.ts'] },
+  { name: 're-exported', text: "export { a } from './a.js';", imported: ['src/x/a.ts'] },
+  { name: 'for its effects', text: "import './a.js';", imported: ['src/x/a.ts'] },
+  { name: 'on several lines', text: "import {\n  a,\n} from './a.js';", imported: ['src/x/a.ts'] },
+  { name: 'import() is left out', text: "await import('./a.js');", imported: [] },
+  { name: 'a library is left out', text: "import fs from 'node:fs';", imported: [] },
+]) {
+  test(`import graph: found: ${name}`, () => {
+    assert.deepEqual(importedModules('src/x/file.ts', text), imported);
+  });
+}
+
+test('import graph: a cycle is found once, and what only leads to it is not in it', () => {
+  const example = new Map([
+    ['a', ['b']],
+    ['b', ['c', 'd']],
+    ['c', ['b']],
+    ['d', []],
+  ]);
+  assert.deepEqual(findCycles(example), [['b', 'c']]);
+});
+
+test('import graph: an upward import is found, one from below or beside is not', () => {
+  const example = new Map([
+    ['src/coordination/model/a.ts', ['src/coordination/shard/b.ts', 'src/base/log.ts']],
+    ['src/coordination/shard/b.ts', ['src/coordination/model/a.ts', 'src/coordination/shard/c.ts']],
+  ]);
+  assert.deepEqual(findUpwardImports(example), ['model/a.ts -> shard/b.ts']);
+});
