--- a/src/coordination/persistence/jobPersistence.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -248,8 +248,7 @@
       }
       job.isWriteInFlight = true;
       try {
-        const over = { spec: null, state: 'cancelled' as const, finished: [], away: [] };
-        await this.writeJob(homeShard, job, { ...job.record, ...over });
+        await this.writeJob(homeShard, job, cancelledRecord(job.record));
       } catch (error) {
         log.debug(`cancel: ${describe(error)}`);
       } finally {
@@ -306,3 +305,8 @@
     }
   }
 }
+
+/** The record of a job once it is cancelled: nothing of its description or its chunks is kept. */
+function cancelledRecord(record: JobRecord): JobRecord {
+  return { ...record, spec: null, state: 'cancelled', doneChunks: [], migratedChunks: [] };
+}
--- a/test/persistence/jobPersistence.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -161,3 +161,14 @@
   await home.passes(4);
   assert.equal(home.job.record.state, 'cancelled');
 });
+
+test('a cancelled job keeps no list of chunks that are done or at other shards', async () => {
+  const home = new Home(3);
+  home.job.record = { ...home.job.record, doneChunks: [0], migratedChunks: [1] };
+  assert.equal(await home.commits.cancel(home.owned, home.job, home.now + 1), 'cancelled');
+  const { spec: storedSpec, state, doneChunks, migratedChunks } = home.stored;
+  assert.deepEqual(
+    { spec: storedSpec, state, doneChunks, migratedChunks },
+    { spec: null, state: 'cancelled', doneChunks: [], migratedChunks: [] },
+  );
+});
