--- a/src/coordination/jobs/jobService.ts
+++ b/src/coordination/jobs/jobService.ts
@@ -20,7 +20,8 @@
 import type { Controller } from '../controller/controller.js';
 import { fromRelay, JobLookup, REQUEST_TIMEOUT_SECONDS } from './jobLookup.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
-import { satisfiesConstraints, fits } from '../scheduling/placement.js';
+import { satisfiesConstraints } from '../scheduling/placement.js';
+import { fits } from '../model/resources.js';
 import { checkDependencies, type DependencyCheck } from '../pipelines/dependencyAdmission.js';
 import { limitOf } from '../quota/quotaShares.js';
 import { unavailable } from './replies.js';
--- a/src/coordination/jobs/waitReasons.ts
+++ b/src/coordination/jobs/waitReasons.ts
@@ -2,7 +2,8 @@
 import type { JobRecord } from '../../storage/records.js';
 import type { Chunk } from '../model/chunk.js';
 import type { Controller } from '../controller/controller.js';
-import { satisfiesConstraints, fits } from '../scheduling/placement.js';
+import { satisfiesConstraints } from '../scheduling/placement.js';
+import { fits } from '../model/resources.js';
 
 export function waitReason(node: Controller, record: JobRecord, chunks: Chunk[]): string {
   const { spec } = record;
--- a/src/coordination/model/chunk.ts
+++ b/src/coordination/model/chunk.ts
@@ -1,6 +1,5 @@
 import { rankOrder, type JobSpec } from '../../protocol/job.js';
 import type { TaskState } from '../../protocol/workerProtocol.js';
-import type { Bucket } from '../persistence/bucket.js';
 import { fromRanges, toRanges, type ChunkRecord } from '../../storage/records.js';
 import type { UnacknowledgedStart } from './unacknowledgedStart.js';
 
@@ -28,6 +27,18 @@
   stop: { gracePeriod: number; sentAt: number | null } | null;
 }
 
+/** The bucket, a record of several chunks, in which a chunk is stored. */
+export interface ChunkBucket {
+  /** Name of its record within the shard. */
+  readonly name: string;
+  /** Revision of its record; 0 while there is none. */
+  readonly revision: number;
+  /** A transaction that changes its record is in flight, or queued. */
+  readonly isWriteInFlight: boolean;
+  /** Takes a chunk out of it. */
+  remove(chunk: Chunk): void;
+}
+
 export class Chunk {
   readonly doneTasks: Set<number>;
   readonly attempts = new Map<number, Attempt>();
@@ -38,11 +49,11 @@
   /** Its job is stored: it may be stored too, and started after that. */
   isJobStored = false;
   /** Where it is stored, or is about to be. */
-  bucket: Bucket | null = null;
+  bucket: ChunkBucket | null = null;
   /** A move to another part got no answer: until its bucket is written again it may have gone. */
   mayHaveMigrated = false;
   /** A record beyond the limit that it was in before, which still has a copy of it. */
-  retiredFrom: Bucket | null = null;
+  retiredFrom: ChunkBucket | null = null;
   /** It has been released and its peers are to be asked for it, as at a submission. */
   isNewlyReleased = false;
   dirtySince: number | null = null;
--- a/src/coordination/model/machine.ts
+++ b/src/coordination/model/machine.ts
@@ -2,11 +2,7 @@
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { MachineRecord } from '../../storage/records.js';
 import type { Chunk, Attempt } from './chunk.js';
-import {
-  subtractResources,
-  type CandidateMachine,
-  type Resources,
-} from '../scheduling/placement.js';
+import { subtractResources, type Resources } from './resources.js';
 import { ReportedAttempts } from './reportedAttempts.js';
 
 /** An ended attempt that the worker still reports, and from when on it may be forgotten. */
@@ -39,7 +35,7 @@
 const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 /** One machine of a part, as its worker last reported it. */
-export class Machine implements CandidateMachine {
+export class Machine {
   address = '';
   agentEpoch = 0;
   heartbeatSequence = -1;
--- a/src/coordination/persistence/bucket.ts
+++ b/src/coordination/persistence/bucket.ts
@@ -1,12 +1,12 @@
 /** Some chunks of a part that are stored in one record. */
 import type { BucketRecord } from '../../storage/records.js';
 import type { RecordFormat } from '../../storage/recordFormat.js';
-import type { Chunk } from '../model/chunk.js';
+import type { Chunk, ChunkBucket } from '../model/chunk.js';
 
 /** Bytes of the numbers around a gap in what is done. */
 const GAP_BYTES = 8;
 
-export class Bucket {
+export class Bucket implements ChunkBucket {
   readonly chunks = new Set<Chunk>();
   /** A transaction that changes it is on its way, or waits for its turn. */
   isWriteInFlight = false;
@@ -88,6 +88,10 @@
   }
 }
 
+/** The bucket that a chunk is in, or null. */
+export const bucketOf = (chunk: Chunk): Bucket | null =>
+  chunk.bucket instanceof Bucket ? chunk.bucket : null;
+
 /** What a chunk may take of a record while all of its tasks run. */
 export function maxStoredBytes(chunk: Chunk, recordFormat: RecordFormat): number {
   const { frame, task } = recordFormat.sizes;
--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -13,7 +13,7 @@
 import type { StateClient, TransactionResult } from '../../storage/stateClient.js';
 import type { Chunk } from '../model/chunk.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
-import { maxStoredBytes, Bucket } from './bucket.js';
+import { maxStoredBytes, Bucket, bucketOf } from './bucket.js';
 
 export interface BucketWriterEvents {
   isLeaseValid(): boolean;
@@ -125,7 +125,7 @@
     const isGathering = now < ownedShard.batchStartsUntil;
     const due = new Map<Bucket, RequestPriority>();
     for (const chunk of ownedShard.shard.unsavedChunks) {
-      const { bucket } = chunk;
+      const bucket = bucketOf(chunk);
       if (bucket === null || bucket.isWriteInFlight || due.get(bucket) === 'urgent') continue;
       const isOld = chunk.dirtySince !== null && now - chunk.dirtySince >= patience;
       if (isAwaited(chunk) && (chunk.spec.isService || !isGathering)) due.set(bucket, 'urgent');
@@ -319,7 +319,7 @@
     to: string,
     extra: Pick<Transaction, 'conditions' | 'puts'>,
   ): Promise<TransactionResult> {
-    const { bucket } = chunk;
+    const bucket = bucketOf(chunk);
     const owner = this.stateCache.get(keys.owner(to));
     if (bucket === null || owner === undefined || !chunk.isMigratable) return { kind: 'refused' };
     const name = `${chunk.id.replace('/', '-')}-${chunk.migrationCount + 1}`;
--- a/src/coordination/reconciliation/attemptTermination.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -7,6 +7,15 @@
 import type { Attempt } from '../model/chunk.js';
 import type { Machine, Placement } from '../model/machine.js';
 
+/** Times that the workers' leases depend on, in seconds. */
+export interface LeaseTimes {
+  /** How long a worker runs tasks after the last answer to a heartbeat of its own. */
+  readonly workerLease: number;
+  /** Time between two heartbeats of a worker. */
+  readonly heartbeatInterval: number;
+}
+
+/** The proof that an attempt is over. */
 export class AttemptTermination {
   private constructor(
     readonly rule: TerminationRule,
@@ -43,7 +52,7 @@
   /** By the worker's lease: all that ran there was killed by the worker itself. */
   static byLeaseExpiry(
     machine: Machine,
-    { workerLease, heartbeatInterval }: { workerLease: number; heartbeatInterval: number },
+    { workerLease, heartbeatInterval }: LeaseTimes,
     now: number,
   ): AttemptTermination | null {
     const limit = workerLease * (1 + DRIFT) + heartbeatInterval / 2;
--- a/src/coordination/reconciliation/heartbeatReconciler.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -1,10 +1,9 @@
 /** What workers' reports say of machines and of the attempts that are, or may be, there. */
 import type { Heartbeat, ReportedAttempt } from '../../protocol/workerProtocol.js';
-import { AttemptTermination } from './attemptTermination.js';
+import { AttemptTermination, type LeaseTimes } from './attemptTermination.js';
 import type { Chunk, Attempt } from '../model/chunk.js';
-import type { RunTimes } from '../scheduling/runTimes.js';
 import { attemptKey, type Machine, type Placement } from '../model/machine.js';
-import type { Shard, ShardOptions } from '../shard/shard.js';
+import type { UnknownAttempts } from './unknownAttempts.js';
 
 /**
  * Where a report comes from: a worker's own, which may be late or get no answer; one that follows an
@@ -27,20 +26,38 @@
 /** Jobs that must have failed in a row on a machine before the machine is blamed. */
 const FAULTY_MACHINE_JOBS = 2;
 
+/** What the reconciler needs of its shard. */
+export interface HeartbeatReconcilerContext {
+  readonly unknownAttempts: UnknownAttempts;
+  /** The chunks of a job that are in the shard. */
+  chunksOf(job: string): Chunk[];
+  /** Records that a chunk has changed and has to be stored. */
+  noteChunkChanged(chunk: Chunk, now: number): void;
+  /** Asks for the stop of an attempt, with seconds for its checkpoint. */
+  requestStop(machine: Machine, attempt: Attempt, gracePeriod: number): void;
+  /** Ends an attempt that is over. */
+  terminateAttempt(
+    machine: Machine,
+    placement: Placement,
+    termination: AttemptTermination,
+    now: number,
+  ): void;
+}
+
+/** Expected and actual run times of tasks, in seconds, by the class of their job. */
+export interface RunTimeStatistics {
+  /** The user's estimate, corrected by what was measured of the class. */
+  expected(jobClass: string, estimate: number): number;
+  /** Records the run time of a task that has completed. */
+  note(jobClass: string, estimate: number, actual: number): void;
+}
+
+/** Reconciles what a shard knows of a machine with the heartbeats of its worker. */
 export class HeartbeatReconciler {
   constructor(
-    private readonly shard: Pick<
-      Shard,
-      | 'chunks'
-      | 'chunksOf'
-      | 'noteChunkChanged'
-      | 'pendingCommands'
-      | 'terminateAttempt'
-      | 'requestStop'
-      | 'unknownAttempts'
-    >,
-    private readonly options: Pick<ShardOptions, 'workerLease' | 'heartbeatInterval'>,
-    private readonly runTimes: RunTimes,
+    private readonly shard: HeartbeatReconcilerContext,
+    private readonly options: LeaseTimes,
+    private readonly runTimes: RunTimeStatistics,
   ) {}
 
   /**
--- a/src/coordination/reconciliation/machineLiveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -1,15 +1,30 @@
 /** Which machines of a part are silent, and since when what ran there is over. */
-import { AttemptTermination } from './attemptTermination.js';
-import type { Machine } from '../model/machine.js';
-import type { Shard, ShardOptions } from '../shard/shard.js';
+import { AttemptTermination, type LeaseTimes } from './attemptTermination.js';
+import type { Machine, Placement } from '../model/machine.js';
+import type { AuditTrail } from '../audit/auditTrail.js';
 
+/** What the liveness checks need of their shard. */
+export interface MachineLivenessContext {
+  readonly label: string;
+  readonly audit: Pick<AuditTrail, 'note'>;
+  readonly machines: ReadonlyMap<string, Machine>;
+  /** Ends an attempt that is over. */
+  terminateAttempt(
+    machine: Machine,
+    placement: Placement,
+    termination: AttemptTermination,
+    now: number,
+  ): void;
+}
+
+/** Finds machines that are silent, and ends attempts of which the worker's lease has expired. */
 export class MachineLiveness {
   /** When most of the machines were last silent: more likely a fault on our side than on theirs. */
   private mostSilentAt = -Infinity;
 
   constructor(
-    private readonly shard: Pick<Shard, 'audit' | 'label' | 'machines' | 'terminateAttempt'>,
-    private readonly options: Pick<ShardOptions, 'workerLease' | 'heartbeatInterval'>,
+    private readonly shard: MachineLivenessContext,
+    private readonly options: LeaseTimes,
   ) {}
 
   /** Silent machines: what ran there is over once nobody can have renewed the lease that long. */
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,12 +1,7 @@
 /** Where one task may go: pure functions over what machines last reported. */
 import type { Random } from '../../base/random.js';
 import type { JobSpec } from '../../protocol/job.js';
-
-export interface Resources {
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-}
+import { fits, type Resources } from '../model/resources.js';
 
 export interface CandidateMachine {
   name: string;
@@ -21,13 +16,6 @@
   hasImage(image: string): boolean;
 }
 
-const EPSILON = 1e-6;
-
-export const fits = (resources: Resources, need: Resources): boolean =>
-  resources.cpus + EPSILON >= need.cpus &&
-  resources.gpus + EPSILON >= need.gpus &&
-  resources.memoryGb + EPSILON >= need.memoryGb;
-
 /** Whether a job's constraints allow a machine, whatever room it has. */
 export function satisfiesConstraints(
   spec: JobSpec,
@@ -57,13 +45,6 @@
   return zone === null ? shape : `${shape} ${zone}`;
 }
 
-/** Takes room away, or gives it back with -1. */
-export function subtractResources(resources: Resources, need: Resources, times = 1): void {
-  resources.cpus -= times * need.cpus;
-  resources.gpus -= times * need.gpus;
-  resources.memoryGb -= times * need.memoryGb;
-}
-
 /** Samples a few of the machines that have room; those that hold the image are always looked at. */
 export function sampleCandidates<T extends CandidateMachine>(
   hosts: T[],
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -4,7 +4,8 @@
 import { Heap } from './heap.js';
 import type { Machine, Placement } from '../model/machine.js';
 import type { PreemptibleShard } from './schedulableShard.js';
-import { satisfiesConstraints, fits, shapeOf, victimsFor, type Resources } from './placement.js';
+import { satisfiesConstraints, shapeOf, victimsFor } from './placement.js';
+import { fits, type Resources } from '../model/resources.js';
 import type { TeamResources, TeamUsage } from '../quota/teamUsage.js';
 
 /** Running tasks that may be stopped. */
--- a/src/coordination/scheduling/queueReplay.ts
+++ b/src/coordination/scheduling/queueReplay.ts
@@ -7,13 +7,8 @@
  * hundreds of machines is replayed for every submission and every question of a peer.
  */
 import { Heap } from './heap.js';
-import {
-  satisfiesConstraints,
-  fits,
-  shapeOf,
-  subtractResources,
-  type Resources,
-} from './placement.js';
+import { satisfiesConstraints, shapeOf } from './placement.js';
+import { fits, subtractResources, type Resources } from '../model/resources.js';
 import type { JobSpec } from '../../protocol/job.js';
 
 export interface ReplayMachine {
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -6,14 +6,8 @@
 import type { RunTimes } from './runTimes.js';
 import type { Machine } from '../model/machine.js';
 import type { SchedulableShard, SchedulerOptions } from './schedulableShard.js';
-import {
-  satisfiesConstraints,
-  bestFit,
-  fits,
-  sampleCandidates,
-  shapeOf,
-  subtractResources,
-} from './placement.js';
+import { satisfiesConstraints, bestFit, sampleCandidates, shapeOf } from './placement.js';
+import { fits, subtractResources } from '../model/resources.js';
 import { Preemption } from './preemption.js';
 import { UnacknowledgedStart } from '../model/unacknowledgedStart.js';
 import {
--- a/src/coordination/scheduling/waitEstimates.ts
+++ b/src/coordination/scheduling/waitEstimates.ts
@@ -3,7 +3,8 @@
 import { isAhead, type Chunk } from '../model/chunk.js';
 import type { RunTimes } from './runTimes.js';
 import type { Machine, Placement } from '../model/machine.js';
-import { satisfiesConstraints, fits, type Resources, subtractResources } from './placement.js';
+import { satisfiesConstraints } from './placement.js';
+import { fits, type Resources, subtractResources } from '../model/resources.js';
 import { replay, ReplayStart, type ReplayMachine, type ReplayItem } from './queueReplay.js';
 
 /** How old a snapshot of the machines may be, as a ratio to the time between reports. */
--- a/src/coordination/shard/demandEstimator.ts
+++ b/src/coordination/shard/demandEstimator.ts
@@ -5,14 +5,9 @@
 import type { Chunk } from '../model/chunk.js';
 import { ArrivalRate } from '../scheduling/runTimes.js';
 import type { Machine } from '../model/machine.js';
-import type { Shard } from './shard.js';
-import {
-  satisfiesConstraints,
-  fits,
-  shapeOf,
-  subtractResources,
-  type Resources,
-} from '../scheduling/placement.js';
+import type { WaitEstimates } from '../scheduling/waitEstimates.js';
+import { satisfiesConstraints, shapeOf } from '../scheduling/placement.js';
+import { fits, subtractResources, type Resources } from '../model/resources.js';
 
 export interface DemandOptions {
   /** Batch work that waits should be through in this many seconds. */
@@ -25,16 +20,26 @@
   arrivalWindow: number;
 }
 
+/** What the estimator needs of its shard. */
+export interface DemandContext {
+  readonly label: string;
+  readonly machines: ReadonlyMap<string, Machine>;
+  readonly chunks: ReadonlyMap<string, Chunk>;
+  readonly waitEstimates: Pick<WaitEstimates, 'expectedRun'>;
+  /** Tasks that are not placed. */
+  readonly waitingTaskCount: number;
+  /** Chunks with pending tasks, in the order in which they are considered. */
+  queuedChunks(): Chunk[];
+}
+
+/** Estimates which machines a shard needs beside its own, and which of its own it does not. */
 export class DemandEstimator {
   private readonly arrivals: ArrivalRate;
   private readonly serviceArrivals: ArrivalRate;
   private lastService: Chunk | null = null;
 
   constructor(
-    private readonly shard: Pick<
-      Shard,
-      'label' | 'machines' | 'chunks' | 'waitingTaskCount' | 'queuedChunks' | 'waitEstimates'
-    >,
+    private readonly shard: DemandContext,
     private readonly options: DemandOptions,
     private readonly machineTypes: () => Map<string, MachineType>,
   ) {
