--- a/src/coordination/controller/gateway.ts
+++ b/src/coordination/controller/gateway.ts
@@ -1,18 +1,17 @@
 /** Routes requests, whether they come from users, workers or peers. */
-import { paths, heartbeatPath, rolloutPath } from '../../protocol/routes.js';
-import { decodeRequest, encodeAnswer } from '../../protocol/peerCodec.js';
-import type { PeerAnswer, Relay } from '../../protocol/peerMessages.js';
 import { log } from '../../base/log.js';
-import { decodeSpec } from '../../protocol/peerCodec.js';
+import { decodeRequest, decodeSpec, encodeAnswer } from '../../protocol/peerCodec.js';
+import type { PeerAnswer, PeerRequest, Relay, Relayed } from '../../protocol/peerMessages.js';
+import { heartbeatPath, paths, rolloutPath } from '../../protocol/routes.js';
 import type { HttpMessage } from '../../transport/httpParser.js';
 import type { Reply } from '../../transport/httpServer.js';
-import type { Controller } from './controller.js';
-import { overview } from './overview.js';
-import type { RolloutRoutes } from '../rollout/rolloutRoutes.js';
 import { JobService } from '../jobs/jobService.js';
 import { HeartbeatEndpoint } from '../reconciliation/heartbeatEndpoint.js';
+import type { RolloutRoutes } from '../rollout/rolloutRoutes.js';
+import type { Controller } from './controller.js';
+import { overview } from './overview.js';
 
-/** What keeps machines and this node in service: it goes before users' requests under any load. */
+/** Requests that keep machines and this node in service: they go before users' requests under any load. */
 export const isEssential = ({ target }: HttpMessage): boolean =>
   target === heartbeatPath || target === paths.ready;
 
@@ -21,7 +20,25 @@
   body: { error: 'rollouts are switched off at this node' },
 };
 const NOT_FOUND: Reply = { status: 404, body: { error: 'no such path' } };
+const STARTING: Reply = { status: 503, body: { error: 'starting' }, retryAfter: 1 };
 
+const allowOnly = (method: string): Reply => ({ status: 405, body: { error: `use ${method}` } });
+
+/** A submission that takes longer is logged. */
+const SLOW_SUBMISSION_S = 0.5;
+
+/** A request by its path alone, with who sent it to this node. */
+interface RoutedRequest {
+  readonly method: string;
+  readonly path: string;
+  readonly body: string;
+  /** A peer has passed it on: it is not passed on again. */
+  readonly isRelayed: boolean;
+  /** It is not the first on its connection. */
+  readonly isFollowUp: boolean;
+}
+
+/** Gives each request to the service that answers it. */
 export class Gateway {
   private readonly jobs: JobService;
   private readonly heartbeats: HeartbeatEndpoint;
@@ -35,61 +52,56 @@
     this.rollout = modules === null ? null : new modules.RolloutRoutes(node);
   }
 
-  handle(request: HttpMessage, isFollowUp: boolean): Promise<Reply> {
-    const path = request.target.split('?')[0] ?? '';
-    if (path === heartbeatPath && request.method === 'POST') {
-      return this.heartbeats.handle(request.body, { isRelayed: false, isFollowUp });
-    }
-    return this.route(request.method, path, request.body, false);
+  /** Answers a user, a worker or an operator; `isFollowUp`: not the first request on its connection. */
+  handle({ method, target, body }: HttpMessage, isFollowUp: boolean): Promise<Reply> {
+    const path = target.split('?')[0] ?? '';
+    return this.route({ method, path, body, isRelayed: false, isFollowUp });
   }
 
-  private async route(
-    method: string,
-    path: string,
-    body: string,
-    isRelayed: boolean,
-  ): Promise<Reply> {
+  /** Answers a message of a peer. */
+  async peer(body: Buffer): Promise<Buffer> {
+    return encodeAnswer(await this.answerPeer(decodeRequest(body)));
+  }
+
+  private async route(request: RoutedRequest): Promise<Reply> {
+    const { method, path, body, isRelayed, isFollowUp } = request;
     if (path === heartbeatPath && method === 'POST') {
-      return this.heartbeats.handle(body, { isRelayed, isFollowUp: false });
-    }
-    if (path === paths.ready) {
-      if (this.node.isReady) return { status: 200, body: {} };
-      return { status: 503, body: { error: 'starting' }, retryAfter: 1 };
+      return this.heartbeats.handle(body, { isRelayed, isFollowUp });
     }
+    if (path === paths.ready) return this.node.isReady ? { status: 200, body: {} } : STARTING;
     if (path === paths.overview && method === 'GET') {
       return { status: 200, body: overview(this.node) };
     }
     if (path.startsWith(rolloutPath)) {
       return this.rollout?.handle(method, path, body) ?? ROLLOUT_OFF;
     }
-    if (path === paths.jobs) {
-      if (method !== 'POST') return { status: 405, body: { error: 'use POST' } };
-      const began = this.node.clock.now();
-      const reply = await this.jobs.submit(body, isRelayed);
-      const took = this.node.clock.now() - began;
-      if (reply.status === 503) this.node.refusedRequests++;
-      if (reply.status >= 400 || took > 0.5) {
-        log.debug(
-          `submission: ${reply.status} after ${took.toFixed(2)} s ${JSON.stringify(reply.body)}`,
-        );
-      }
-      return reply;
-    }
-    const job = paths.job.exec(path);
-    if (job?.[1] === undefined) return NOT_FOUND;
-    if (job[2] === undefined) {
-      if (method !== 'GET') return { status: 405, body: { error: 'use GET' } };
-      return this.jobs.read(job[1], isRelayed);
+    if (path === paths.jobs) return this.routeSubmission(request);
+    return this.routeJob(request);
+  }
+
+  private async routeSubmission({ method, body, isRelayed }: RoutedRequest): Promise<Reply> {
+    if (method !== 'POST') return allowOnly('POST');
+    const began = this.node.clock.now();
+    const reply = await this.jobs.submit(body, isRelayed);
+    const took = this.node.clock.now() - began;
+    if (reply.status === 503) this.node.refusedRequests++;
+    if (reply.status >= 400 || took > SLOW_SUBMISSION_S) {
+      const answer = JSON.stringify(reply.body);
+      log.debug(`submission: ${reply.status} after ${took.toFixed(2)} s ${answer}`);
     }
-    if (method !== 'POST') return { status: 405, body: { error: 'use POST' } };
-    return this.jobs.cancel(job[1], isRelayed);
+    return reply;
   }
 
-  async peer(body: Buffer): Promise<Buffer> {
-    return encodeAnswer(await this.answerPeer(decodeRequest(body)));
+  private async routeJob({ method, path, isRelayed }: RoutedRequest): Promise<Reply> {
+    const [, id, cancellation] = paths.job.exec(path) ?? [];
+    if (id === undefined) return NOT_FOUND;
+    if (cancellation === undefined) {
+      return method === 'GET' ? this.jobs.read(id, isRelayed) : allowOnly('GET');
+    }
+    return method === 'POST' ? this.jobs.cancel(id, isRelayed) : allowOnly('POST');
   }
 
-  private async answerPeer(request: ReturnType<typeof decodeRequest>): Promise<PeerAnswer> {
+  private async answerPeer(request: PeerRequest): Promise<PeerAnswer> {
     if ('Gossip' in request) {
       this.node.receiveGossip(request.Gossip);
       return { Noted: {} };
@@ -99,20 +111,19 @@
       return { Estimates: { of: this.node.migration.estimates(decodeSpec(spec), zone, tasks) } };
     }
     if ('PrepareCancel' in request) {
-      const { job, sentAt: at } = request.PrepareCancel;
-      const of = this.node.peers.isLate(at) ? [] : this.node.cancellationPreparations.prepare(job);
-      return { PreparedChunks: { of } };
+      const { job, sentAt } = request.PrepareCancel;
+      const isLate = this.node.peers.isLate(sentAt);
+      return {
+        PreparedChunks: { of: isLate ? [] : this.node.cancellationPreparations.prepare(job) },
+      };
     }
-    return { Relayed: await this.relayed(request.Relay) };
+    return { Relayed: await this.answerRelayed(request.Relay) };
   }
 
-  private async relayed(relay: Relay): Promise<{
-    status: number;
-    body: string;
-    retryAfter: number | null;
-  }> {
-    const reply = await this.route(relay.method, relay.target, relay.body, true);
-    const { status, retryAfter } = reply;
-    return { status, body: JSON.stringify(reply.body), retryAfter: retryAfter ?? null };
+  private async answerRelayed({ method, target, body }: Relay): Promise<Relayed> {
+    const request = { method, path: target, body, isRelayed: true, isFollowUp: false };
+    const reply = await this.route(request);
+    const retryAfter = reply.retryAfter ?? null;
+    return { status: reply.status, body: JSON.stringify(reply.body), retryAfter };
   }
 }
--- a/src/coordination/controller/overview.ts
+++ b/src/coordination/controller/overview.ts
@@ -1,27 +1,50 @@
-/** Parts, queues and machines of a node, for `barrowlb status`. */
+/** The shards, queues and machines of a node, for `barrowlb status`. */
 import type { Overview } from '../../protocol/overview.js';
-import type { Controller } from './controller.js';
+import type { AuditTrail } from '../audit/auditTrail.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import type { Machine } from '../model/machine.js';
 
-export function overview(node: Controller): Overview {
-  const shards = [...node.ownedShards.values()].map(({ shard, fencingToken, jobs }) => ({
+/** What is shown of a node. */
+export interface OverviewContext {
+  readonly settings: { readonly label: string };
+  readonly leadership: { readonly isLeaseValid: boolean };
+  readonly audit: Pick<AuditTrail, 'counters'>;
+  readonly ownedShards: ReadonlyMap<string, OwnedShard>;
+}
+
+type ShardOverview = Overview['parts'][number];
+
+/** The answer of `/v1/overview`. */
+export function overview({ settings, leadership, audit, ownedShards }: OverviewContext): Overview {
+  return {
+    node: settings.label,
+    served: leadership.isLeaseValid,
+    counters: audit.counters,
+    parts: [...ownedShards.values()].map(shardOverview),
+  };
+}
+
+function shardOverview({ shard, fencingToken, jobs }: OwnedShard): ShardOverview {
+  const chunks = [...shard.chunks.values()];
+  return {
     part: shard.label,
     token: fencingToken,
     utilisation: Math.round(shard.utilisation * 1000) / 1000,
     openJobs: jobs.size,
-    runningTasks: [...shard.chunks.values()].reduce((n, c) => n + c.runningCount, 0),
+    runningTasks: chunks.reduce((sum, chunk) => sum + chunk.runningCount, 0),
     waitingTasks: shard.waitingTaskCount,
-    machines: [...shard.machines.values()].map((m) => ({
-      name: m.name,
-      type: m.type,
-      zone: m.zone,
-      state: m.isLost ? 'lost' : !m.isUp ? 'coming' : m.isCordoned ? 'leaving' : 'up',
-      tasks: m.placements.size,
+    machines: [...shard.machines.values()].map((machine) => ({
+      name: machine.name,
+      type: machine.type,
+      zone: machine.zone,
+      state: machineState(machine),
+      tasks: machine.placements.size,
     })),
-  }));
-  return {
-    node: node.settings.label,
-    served: node.leadership.isLeaseValid,
-    counters: node.audit.counters,
-    parts: shards,
   };
 }
+
+function machineState({ isLost, isUp, isCordoned }: Machine): string {
+  if (isLost) return 'lost';
+  if (!isUp) return 'coming';
+  return isCordoned ? 'leaving' : 'up';
+}
--- /dev/null
+++ b/src/coordination/controller/wiring.ts
@@ -0,0 +1,157 @@
+/** Creates a node's collaborators from its settings and connects them by their events. */
+import { sleep, type Clock } from '../../base/clock.js';
+import type { Settings } from '../../protocol/settings.js';
+import type { KeyValueChange } from '../../protocol/stateProtocol.js';
+import type { ChunkIndex } from '../../storage/chunkIndex.js';
+import type { RecordFormat } from '../../storage/recordFormat.js';
+import { BUCKETS, ROOT } from '../../storage/records.js';
+import { StateCache } from '../../storage/stateCache.js';
+import { StateClient } from '../../storage/stateClient.js';
+import type { HttpClient } from '../../transport/httpClient.js';
+import { PeerClient } from '../../transport/peerLink.js';
+import type { CommandDispatcher } from '../commands/commandDispatcher.js';
+import type { CancellationPreparations } from '../jobs/cancellationPreparations.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import { ShardLeadership, type ShardLeadershipEvents } from '../leadership/shardLeadership.js';
+import { PeerRegistry } from '../peers/peerRegistry.js';
+import { JobPersistence } from '../persistence/jobPersistence.js';
+import type { RolloutService } from '../rollout/rolloutService.js';
+import { leaderGracePeriod, stateLeaseTtl, watchTimings } from './timings.js';
+
+/** Calls to one peer that may wait for an answer. */
+const MAX_PEER_CALLS = 256;
+
+/** Seconds between two looks at whether all writes of a shard have been answered. */
+const WRITES_POLL_INTERVAL_S = 0.01;
+
+/** HTTP connections of this node's own making. */
+export interface Links {
+  services: Pick<HttpClient, 'call'>;
+  machines: Pick<HttpClient, 'call'>;
+}
+
+/** What every collaborator is created from. */
+interface NodeContext {
+  readonly settings: Settings;
+  readonly clock: Clock;
+  /** Names this run of the process. */
+  readonly process: string;
+  /** Labels of all shards, which are those of all nodes. */
+  readonly shards: string[];
+  readonly ownedShards: ReadonlyMap<string, OwnedShard>;
+}
+
+/** Creates the client of the state service. */
+export function createStateClient(
+  node: Pick<NodeContext, 'settings' | 'clock' | 'shards'> & {
+    readonly links: Links;
+    readonly recordFormat: RecordFormat;
+  },
+): StateClient {
+  const { settings } = node;
+  const options = {
+    endpoint: settings.stateEndpoint,
+    rate: settings.stateRequestRate,
+    writeRate: settings.stateWriteRate,
+    sharers: node.shards.length,
+    // Long enough for a slow service: a request that times out is repeated, which slows the service further.
+    timeout: stateLeaseTtl(settings) / 2,
+  };
+  return new StateClient(node.links.services, node.clock, options, node.recordFormat);
+}
+
+/** Creates the cache of the stored records; `onChange` gets each change. */
+export function createStateCache(
+  node: Pick<NodeContext, 'settings' | 'clock' | 'shards'> & { readonly stateClient: StateClient },
+  onChange: (change: KeyValueChange) => void,
+): StateCache {
+  const watch = watchTimings(node.settings, node.shards.length);
+  return new StateCache(node.stateClient, ROOT, node.clock, watch, onChange);
+}
+
+/** Creates the registry of the peers, with a connection to each. */
+export function createPeerRegistry({
+  settings,
+  clock,
+}: Pick<NodeContext, 'settings' | 'clock'>): PeerRegistry {
+  const { heartbeatInterval } = settings;
+  const peers = settings.peers.map((peer) => ({
+    ...peer,
+    client: new PeerClient(peer.endpoint, MAX_PEER_CALLS, heartbeatInterval / 2),
+  }));
+  return new PeerRegistry(clock, heartbeatInterval, settings.clockSkew, peers);
+}
+
+/** What the leadership of shards depends on. */
+export interface LeadershipWiringContext extends NodeContext {
+  readonly stateClient: StateClient;
+  readonly stateCache: StateCache;
+  readonly peers: Pick<PeerRegistry, 'steady'>;
+  /** Null while staged upgrades are switched off. */
+  readonly rollout: Pick<RolloutService, 'isCurrent' | 'admitClaims' | 'isEntitled'> | null;
+}
+
+/** Creates the leadership of shards. `node`'s peers and rollout are used from its start on only. */
+export function createLeadership(
+  node: LeadershipWiringContext,
+  transitions: Pick<ShardLeadershipEvents, 'onGained' | 'onLost'>,
+): ShardLeadership {
+  const { settings } = node;
+  const options = {
+    label: settings.label,
+    process: node.process,
+    shards: node.shards,
+    leaseTtl: stateLeaseTtl(settings),
+    leaderGracePeriod: leaderGracePeriod(settings),
+  };
+  return new ShardLeadership(node.stateClient, node.stateCache, node.clock, options, {
+    ...transitions,
+    awaitWrites: async (shard) => {
+      while ((node.ownedShards.get(shard)?.writesInFlight ?? 0) > 0) {
+        await sleep(WRITES_POLL_INTERVAL_S);
+      }
+    },
+    isReadyToLead: (label) =>
+      node.peers.steady(label, settings.heartbeatInterval / 2) &&
+      node.rollout?.isCurrent(label) !== false,
+    mayClaim: () => node.rollout?.admitClaims() !== false,
+    isEntitled: (leader) => node.rollout?.isEntitled(leader) !== false,
+  });
+}
+
+/** What the persistence of jobs depends on. */
+export interface PersistenceWiringContext extends NodeContext {
+  readonly stateClient: StateClient;
+  readonly stateCache: StateCache;
+  readonly chunkIndex: ChunkIndex;
+  readonly recordFormat: RecordFormat;
+  readonly leadership: Pick<ShardLeadership, 'isLeaseValid' | 'verifyLeadership'>;
+  readonly cancellationPreparations: Pick<CancellationPreparations, 'has'>;
+  readonly commands: Pick<CommandDispatcher, 'queueStarts'>;
+  isBlockedOnDependencies(job: string): boolean;
+}
+
+/** Creates the persistence of jobs. `node`'s commands and cancellations are used from its start on only. */
+export function createPersistence(node: PersistenceWiringContext): JobPersistence {
+  const { settings, stateClient, stateCache, chunkIndex, clock } = node;
+  const owner = {
+    ownedShards: node.ownedShards,
+    isBeingCancelled: (job: string) => node.cancellationPreparations.has(job),
+    isBlockedOnDependencies: (job: string) => node.isBlockedOnDependencies(job),
+    get hasUnreadableChunks() {
+      return stateClient.hasUnreadable(BUCKETS);
+    },
+    isLeaseValid: () => node.leadership.isLeaseValid,
+    verifyLeadership: (shard: string) => node.leadership.verifyLeadership(shard),
+    stored: (...[ownedShard, chunks]: Parameters<CommandDispatcher['queueStarts']>) => {
+      node.commands.queueStarts(ownedShard, chunks);
+    },
+  };
+  return new JobPersistence(stateClient, stateCache, chunkIndex, clock, owner, {
+    txnOps: settings.txnOps,
+    recordFormat: node.recordFormat,
+    linger: settings.heartbeatInterval / 2,
+    retry: settings.heartbeatInterval / 15,
+    process: node.process,
+  });
+}
