--- a/packages/rollout/src/clusterView.ts
+++ b/packages/rollout/src/clusterView.ts
@@ -1,39 +1,28 @@
 /** Puts together what the stored records tell of the cluster, for planning and for operators. */
 import { readProgress } from './migration/migrator.js';
 import {
-  DamagedRecordError,
   decodeMember,
   decodePresence,
+  decodeUnlessDamaged,
   rolloutKeys,
   type ClusterVersion,
 } from './records.js';
-import type { StoredRecord, RecordCopy } from './store.js';
-import { unchanged } from './store.js';
+import { unchanged, type RecordCopy } from './store.js';
 import type { ClusterSnapshot, NodeView, OwnerView } from './versionPlan.js';
 
 /** What the service knows beside the records of this package. */
 export interface ServiceView {
   /** All nodes of the settings. */
   nodes: string[];
-  parts: string[];
+  /** All shards, and the duties that have a leader as shards do. */
+  shards: string[];
+  /** The process that a node's messages come from; null: not heard of lately. */
   heardProcess(label: string): string | null;
-  owner(part: string): OwnerView;
-}
-
-/** The value of a record that can be read; null for a damaged one. */
-function readable<Value>(
-  stored: StoredRecord | undefined,
-  decode: (value: unknown) => Value,
-): Value | null {
-  if (stored === undefined) return null;
-  try {
-    return decode(stored.value);
-  } catch (error) {
-    if (error instanceof DamagedRecordError) return null;
-    throw error;
-  }
+  /** Who leads a shard, by its leader key. */
+  owner(shard: string): OwnerView;
 }
 
+/** What is known of a node, by its records; `heardProcess` as the service hears of it. */
 export function viewNode(
   copy: Pick<RecordCopy, 'get'>,
   label: string,
@@ -42,35 +31,39 @@
   const key = rolloutKeys.presence(label);
   const memberKey = rolloutKeys.member(label);
   const stored = copy.get(key);
-  const value = readable(stored, (raw) => decodePresence(key, raw));
-  const member = readable(copy.get(memberKey), (raw) => decodeMember(memberKey, raw));
-  const presence =
-    stored === undefined || value === null ? null : { value, revision: stored.revision };
-  return { label, presence, isKnown: member !== null, heardProcess };
+  const member = copy.get(memberKey);
+  const isKnown =
+    member !== undefined &&
+    decodeUnlessDamaged(() => decodeMember(memberKey, member.value)) !== null;
+  if (stored === undefined) return { label, presence: null, isKnown, heardProcess };
+  const value = decodeUnlessDamaged(() => decodePresence(key, stored.value));
+  const presence = value === null ? null : { value, revision: stored.revision };
+  return { label, presence, isKnown, heardProcess };
 }
 
+/** The cluster as the records show it. `damage`: why the stored version cannot be believed. */
 export function viewCluster(
   copy: Pick<RecordCopy, 'get'>,
   service: ServiceView,
   version: ClusterVersion,
   damage: string | null,
 ): ClusterSnapshot {
-  const walks = service.parts.map((part) => ({
-    part,
-    progress: readProgress(copy, part, version.walk),
+  const walks = service.shards.map((shard) => ({
+    shard,
+    progress: readProgress(copy, shard, version.walk),
   }));
-  const quarantined = walks.flatMap(({ part, progress }) => [
+  const quarantined = walks.flatMap(({ shard, progress }) => [
     ...Object.keys(progress.quarantined),
-    ...(progress.unnamed > 0 ? [`${progress.unnamed} more of ${part}`] : []),
+    ...(progress.unnamed > 0 ? [`${progress.unnamed} more of ${shard}`] : []),
   ]);
   return {
     version,
     damage,
     versionCondition: unchanged(copy, rolloutKeys.version),
     nodes: service.nodes.map((label) => viewNode(copy, label, service.heardProcess(label))),
-    owners: service.parts.map((part) => service.owner(part)),
+    owners: service.shards.map((shard) => service.owner(shard)),
     walk: {
-      unfinished: walks.filter(({ progress }) => !progress.isFinished).map(({ part }) => part),
+      unfinished: walks.filter(({ progress }) => !progress.isFinished).map(({ shard }) => shard),
       quarantined,
     },
   };
--- a/packages/rollout/src/driver/driver.ts
+++ b/packages/rollout/src/driver/driver.ts
@@ -1,61 +1,21 @@
 /** Carries a rollout out: looks at the controllers, stores the next step under its permit, and acts on it. */
-import type { ControllerHealth, DriverPermit, DriverRecord } from './driverRecord.js';
-import { commandFor, type RolloutPlan } from './plan.js';
-import {
-  advance,
-  pauseRecord,
-  resumeRecord,
-  rollbackObstacle,
-  startRecord,
-  turnBack,
-  type CommandResult,
-  type Observation,
-  type RolloutAction,
-} from './rolloutMachine.js';
-
-export interface StoredDriver {
-  record: DriverRecord | null;
-  revision: number;
-}
-
-export type DriverWrite =
-  { kind: 'stored'; revision: number } | { kind: 'conflict' } | { kind: 'unknown' };
-
-/** What a driver asks of the controllers; any of them answers for the stored record. */
-export interface ControllerApi {
-  /** Null: it does not answer. */
-  health(label: string): Promise<ControllerHealth | null>;
-  /** Null: no controller tells. */
-  level(): Promise<number | null>;
-  read(): Promise<StoredDriver | null>;
-  write(revision: number, record: DriverRecord): Promise<DriverWrite>;
-  drain(label: string, token: number): Promise<void>;
-  hold(by: string, reason: string): Promise<void>;
-  /** Ends the hold of that name. */
-  finalize(by: string): Promise<void>;
-}
-
-export interface DriverEnvironment {
-  api: ControllerApi;
-  /** Runs a program to its end; rejects with the reason when it fails. */
-  run: (command: string[], token: number) => Promise<void>;
-  /** Steady time and time of day in seconds. */
-  clock: { now(): number; wall(): number };
-  sleep: (seconds: number) => Promise<void>;
-  report: (line: string) => void;
-}
-
-/** Another driver holds the permit, or the rollout is not what was asked for. */
-export class DriverRefusedError extends Error {}
-
-/** Of the permit's time, how long after its last renewal a driver still acts. */
+import { DriverRefusedError, type DriverEnvironment, type StoredDriver } from './controllerApi.js';
+import type { DriverPermit, DriverRecord } from './driverRecord.js';
+import type { Observation } from './observation.js';
+import type { RolloutPlan } from './plan.js';
+import { ReplacementCommands } from './replacementCommands.js';
+import { advance, type RolloutAction } from './rolloutMachine.js';
+import { resumeRecord, rollbackObstacle, startRecord, turnBack } from './rolloutTransitions.js';
+
+/** Share of the permit's time for which a driver still acts after its last renewal. */
 const ACTING_SHARE = 1 / 2;
 
 /** Steps within the time of a permit. */
-const STEPS = 10;
+const STEPS_PER_PERMIT = 10;
 
+/** One driver of one plan; others of the same plan may follow it, or run beside it. */
 export class RolloutDriver {
-  private readonly commands = new Map<string, CommandResult>();
+  private readonly commands: ReplacementCommands;
   private revision = 0;
   private record: DriverRecord | null = null;
   /** Steady time before the last renewal of the permit was sent. */
@@ -65,7 +25,9 @@
     private readonly plan: RolloutPlan,
     private readonly holder: string,
     private readonly environment: DriverEnvironment,
-  ) {}
+  ) {
+    this.commands = new ReplacementCommands(plan, environment.run);
+  }
 
   /** Begins the plan's rollout, or goes on with it where another driver has died. */
   async start(): Promise<void> {
@@ -78,17 +40,17 @@
       await this.claim(stored.revision, startRecord(this.plan, permit, level, this.wall));
       return;
     }
-    await this.takeOver(await this.existing());
+    await this.takeOver(await this.readExisting());
   }
 
   /** Goes on after a pause. */
   async resume(): Promise<void> {
-    await this.takeOver(await this.existing(), (record) => resumeRecord(record, this.wall));
+    await this.takeOver(await this.readExisting(), (record) => resumeRecord(record, this.wall));
   }
 
-  /** Turns round. */
+  /** Puts back what was replaced. */
   async rollBack(): Promise<void> {
-    const stored = await this.existing();
+    const stored = await this.readExisting();
     const obstacle = rollbackObstacle(stored.record, this.plan, await this.environment.api.level());
     if (obstacle !== null) throw new DriverRefusedError(`cannot roll back: ${obstacle}`);
     await this.takeOver(stored, (record) =>
@@ -101,7 +63,7 @@
     for (;;) {
       const record = await this.step();
       if (isFinal(record) || record.phase === 'paused') return record;
-      await this.environment.sleep(this.plan.permitTtl / STEPS);
+      await this.environment.sleep(this.plan.permitTtl / STEPS_PER_PERMIT);
     }
   }
 
@@ -113,7 +75,7 @@
     const { record, actions } = advance(before, this.plan, seen);
     const stored = await this.store({ ...record, permit: renewed(before.permit) });
     if (stored === null) return this.reread();
-    this.forgetCommands(stored);
+    this.commands.forgetSettled(stored);
     if (stored.cause.text !== before.cause.text) this.environment.report(stored.cause.text);
     for (const action of actions) await this.act(action, stored.permit.token);
     return stored;
@@ -134,7 +96,7 @@
     return stored;
   }
 
-  private async existing(): Promise<StoredDriver & { record: DriverRecord }> {
+  private async readExisting(): Promise<StoredDriver & { record: DriverRecord }> {
     const { record, revision } = await this.readStored();
     if (record === null) throw new DriverRefusedError('there is no rollout');
     this.checkPlan(record);
@@ -159,20 +121,20 @@
     stored: StoredDriver & { record: DriverRecord },
     change: (record: DriverRecord) => DriverRecord = (record) => record,
   ): Promise<void> {
-    const { record, revision } = await this.untilAbandoned(stored);
+    const { record, revision } = await this.waitUntilAbandoned(stored);
     await this.claim(revision, { ...change(record), permit: this.nextPermit(record) });
   }
 
   /** Waits for as long as a permit lasts; a rollout that is paused is nobody's. */
-  private async untilAbandoned(
+  private async waitUntilAbandoned(
     stored: StoredDriver & { record: DriverRecord },
   ): Promise<StoredDriver & { record: DriverRecord }> {
     const { clock, sleep } = this.environment;
     const from = clock.now();
     let current = stored;
     while (current.record.phase === 'running' && clock.now() - from < this.plan.permitTtl) {
-      await sleep(this.plan.permitTtl / STEPS);
-      const again = await this.existing();
+      await sleep(this.plan.permitTtl / STEPS_PER_PERMIT);
+      const again = await this.readExisting();
       const { holder, renewal, token } = again.record.permit;
       const before = current.record.permit;
       if (token !== before.token || renewal !== before.renewal) {
@@ -230,60 +192,21 @@
     const healths = await Promise.all(labels.map((label) => api.health(label)));
     return {
       controllers: new Map(labels.map((label, i) => [label, healths[i] ?? null])),
-      commands: this.commands,
+      commands: this.commands.results,
       level: await api.level(),
       wall: this.wall,
     };
   }
 
-  /** What came of a command counts once: the same controller may be replaced again, by a rollback. */
-  private forgetCommands({ controllers }: DriverRecord): void {
-    for (const label of [...this.commands.keys()]) {
-      if (controllers[label]?.state !== 'replacing') this.commands.delete(label);
-    }
-  }
-
   private async act(action: RolloutAction, token: number): Promise<void> {
     const { api, clock } = this.environment;
     // Since the step was stored this process may have stood still, and another driver have gone on.
     if (clock.now() - this.renewedAt > this.plan.permitTtl * ACTING_SHARE) return;
     if (action.kind === 'drain') await api.drain(action.label, token);
-    else if (action.kind === 'replace') this.replace(action.label, token);
+    else if (action.kind === 'replace')
+      this.commands.start(action.label, this.record?.direction, token);
     else await api.finalize(this.holdName);
   }
-
-  private replace(label: string, token: number): void {
-    if (this.commands.get(label)?.kind === 'running') return;
-    const { plan, environment } = this;
-    const isForward = this.record?.direction === 'forward';
-    const command = isForward ? plan.command : (plan.rollbackCommand ?? []);
-    const version = isForward ? plan.version : plan.rollbackVersion;
-    this.commands.set(label, { kind: 'running' });
-    environment.run(commandFor(command, label, version), token).then(
-      () => this.commands.set(label, { kind: 'ended' }),
-      (error: unknown) => {
-        const reason = error instanceof Error ? error.message : String(error);
-        this.commands.set(label, { kind: 'failed', reason });
-      },
-    );
-  }
-}
-
-/** Pauses whatever driver is at work: it finds the change with its next step. */
-export async function pauseRollout(
-  api: Pick<ControllerApi, 'read' | 'write'>,
-  reason: string,
-  wall: number,
-): Promise<DriverRecord> {
-  const stored = await api.read();
-  const record = stored?.record ?? null;
-  if (stored === null || record === null) throw new DriverRefusedError('there is no rollout');
-  if (record.phase !== 'running') throw new DriverRefusedError(`the rollout is ${record.phase}`);
-  const paused = pauseRecord(record, reason, wall);
-  const outcome = await api.write(stored.revision, paused);
-  if (outcome.kind !== 'stored')
-    throw new DriverRefusedError('the record has changed meanwhile; try again');
-  return paused;
 }
 
 const isFinal = ({ phase }: DriverRecord): boolean => phase === 'done' || phase === 'rolled-back';
--- a/packages/rollout/src/driver/rolloutMachine.ts
+++ b/packages/rollout/src/driver/rolloutMachine.ts
@@ -2,116 +2,34 @@
  * What a rollout does next: a pure function of its stored record, its plan and what was seen of the controllers. The
  * driver stores the new record before it acts on it.
  */
+import {
+  conditionProblem,
+  measureTotals,
+  unreadyControllers,
+  type Observation,
+} from './observation.js';
 import {
   isAway,
-  type Baseline,
-  type ControllerHealth,
   type ControllerProgress,
   type ControllerState,
-  type DriverPermit,
   type DriverRecord,
 } from './driverRecord.js';
 import type { RolloutPlan } from './plan.js';
+import { freshProgress, pauseRecord, rollbackObstacle, turnBack } from './rolloutTransitions.js';
 
-/** How the command that replaces a controller is getting on, at this driver. */
-export type CommandResult =
-  { kind: 'running' } | { kind: 'ended' } | { kind: 'failed'; reason: string };
-
-export interface Observation {
-  /** Null: it does not answer. */
-  controllers: ReadonlyMap<string, ControllerHealth | null>;
-  commands: ReadonlyMap<string, CommandResult>;
-  /** The cluster's level; null: nobody tells. */
-  level: number | null;
-  /** Time of day in seconds. */
-  wall: number;
-}
-
+/** What the driver does once the record is stored. */
 export type RolloutAction =
   | { kind: 'drain'; label: string }
   | { kind: 'replace'; label: string }
   /** Lets the cluster's level rise. */
   | { kind: 'finalize' };
 
+/** The record to be stored, and what to do once it is. */
 export interface Advance {
   record: DriverRecord;
   actions: RolloutAction[];
 }
 
-const freshProgress = (wall: number): ControllerProgress => ({
-  state: 'waiting',
-  since: wall,
-  process: null,
-  conditionSince: null,
-});
-
-/** The record of a rollout that has done nothing yet. */
-export function startRecord(
-  plan: RolloutPlan,
-  permit: DriverPermit,
-  level: number,
-  wall: number,
-): DriverRecord {
-  return {
-    name: plan.name,
-    plan: plan.digest,
-    order: plan.order,
-    phase: 'running',
-    direction: 'forward',
-    cause: { text: 'it has just begun', since: wall },
-    permit,
-    baseline: null,
-    levelAtStart: level,
-    controllers: Object.fromEntries(plan.order.map((label) => [label, freshProgress(wall)])),
-  };
-}
-
-/** Turns round: the controllers that were touched go back, the last one first. */
-export function turnBack(record: DriverRecord, cause: string, wall: number): DriverRecord {
-  const controllers = Object.entries(record.controllers).map(([label, progress]) => {
-    const isUntouched = record.direction === 'forward' && progress.state === 'waiting';
-    const next: ControllerProgress = {
-      ...freshProgress(wall),
-      state: isUntouched ? 'done' : 'waiting',
-    };
-    return [label, next] as const;
-  });
-  return {
-    ...record,
-    phase: 'running',
-    direction: 'back',
-    baseline: null,
-    cause: { text: cause, since: wall },
-    controllers: Object.fromEntries(controllers),
-  };
-}
-
-/** Why a rollout cannot go back; null: it can. */
-export function rollbackObstacle(
-  record: DriverRecord,
-  plan: RolloutPlan,
-  level: number | null,
-): string | null {
-  if (plan.rollbackCommand === null) return 'the plan has no rollback.command';
-  if (level !== null && level > record.levelAtStart) {
-    return `the cluster has gone from level ${record.levelAtStart} to ${level} since; lower it first (rollout lower)`;
-  }
-  return null;
-}
-
-/** Goes on after a pause; the times of what is under way count anew. */
-export function resumeRecord(record: DriverRecord, wall: number): DriverRecord {
-  const controllers = Object.entries(record.controllers).map(
-    ([label, progress]) => [label, { ...progress, since: wall, conditionSince: null }] as const,
-  );
-  const cause = { text: 'it was resumed', since: wall };
-  return { ...record, phase: 'running', cause, controllers: Object.fromEntries(controllers) };
-}
-
-export function pauseRecord(record: DriverRecord, text: string, wall: number): DriverRecord {
-  return { ...record, phase: 'paused', cause: { text, since: wall } };
-}
-
 /** What one controller should become, or why the rollout stops at it. */
 type Step =
   | { kind: 'stay'; reason: string; conditionSince?: number | null }
@@ -195,25 +113,21 @@
     const away = Object.keys(controllers).filter((other) => isAway(this.progressOf(other)));
     if (away.length >= this.rollout.concurrency) return { kind: 'stay', reason: '' };
     // One that has crashed is replaced as well, but no other is taken away beside it.
-    const down = this.notReady().filter((other) => other !== label && !away.includes(other));
+    const down = unreadyControllers(this.seen).filter(
+      (other) => other !== label && !away.includes(other),
+    );
     if (down.length + away.length >= this.rollout.concurrency) {
       const from = conditionSince ?? this.seen.wall;
       const reason = `waits until ${down.join(', ')} is ready`;
       if (this.isOver(from, this.rollout.startTimeout)) return { kind: 'fail', reason };
       return { kind: 'stay', reason, conditionSince: from };
     }
-    this.record = { ...this.record, baseline: this.totals() };
+    this.record = { ...this.record, baseline: measureTotals(this.seen) };
     const before = this.seen.controllers.get(label) ?? null;
     const isDrained = this.rollout.drains && before !== null;
     return { kind: 'go', to: isDrained ? 'draining' : 'replacing', process: before?.process ?? '' };
   }
 
-  private notReady(): string[] {
-    return [...this.seen.controllers]
-      .filter(([, health]) => health?.isReady !== true)
-      .map(([label]) => label);
-  }
-
   private drain(label: string, { since }: ControllerProgress): Step {
     const health = this.seen.controllers.get(label) ?? null;
     // It went by itself: there is nothing left to be handed over.
@@ -257,44 +171,16 @@
 
   private settle({ since, conditionSince }: ControllerProgress): Step {
     const { wall } = this.seen;
-    const unwell = this.unwell();
-    if (unwell === null) {
+    const problem = conditionProblem(this.seen, this.record.baseline, this.rollout);
+    if (problem === null) {
       const from = conditionSince ?? wall;
       if (wall - from >= this.rollout.soak) return { kind: 'go', to: 'done' };
       return { kind: 'stay', reason: 'the cluster is well; soaking', conditionSince: from };
     }
     if (this.isOver(since, this.rollout.startTimeout + this.rollout.soak)) {
-      return { kind: 'fail', reason: `${unwell} after the start timeout` };
+      return { kind: 'fail', reason: `${problem} after the start timeout` };
     }
-    return { kind: 'stay', reason: unwell, conditionSince: null };
-  }
-
-  /** How the cluster is worse off than before; null: it is not. */
-  private unwell(): string | null {
-    const down = this.notReady();
-    if (down.length > 0) return `${down.join(', ')} is not ready`;
-    const { baseline } = this.record;
-    if (baseline === null) return null;
-    const now = this.totals();
-    if (now.liveReplicas < baseline.liveReplicas * this.rollout.replicaShare) {
-      return `${now.liveReplicas} of ${baseline.liveReplicas} live replicas are up`;
-    }
-    const most =
-      Math.max(baseline.waitingTasks, baseline.liveReplicas) * this.rollout.waitingFactor;
-    if (now.waitingTasks > most && now.waitingTasks > baseline.waitingTasks) {
-      return `${now.waitingTasks} tasks wait, ${baseline.waitingTasks} did before`;
-    }
-    return null;
-  }
-
-  private totals(): Baseline {
-    const all = [...this.seen.controllers.values()].flatMap((health) => health ?? []);
-    const sum = (amount: (health: ControllerHealth) => number): number =>
-      all.reduce((total, health) => total + amount(health), 0);
-    return {
-      liveReplicas: sum((health) => health.liveReplicas),
-      waitingTasks: sum((health) => health.waitingTasks),
-    };
+    return { kind: 'stay', reason: problem, conditionSince: null };
   }
 
   private isOver(since: number, seconds: number): boolean {
--- a/packages/rollout/src/migration/migrator.ts
+++ b/packages/rollout/src/migration/migrator.ts
@@ -1,8 +1,8 @@
 /**
- * Converts the records of one part in place, a few in each step, from a stored cursor. The owner of the part runs it;
- * whoever owns the part next goes on where it stopped.
+ * Converts the records of one shard in place, a few in each step, from a stored cursor. The shard's leader runs it;
+ * the next leader goes on where it stopped.
  */
-import { DamagedRecordError, rolloutKeys } from '../records.js';
+import { decodeUnlessDamaged, rolloutKeys } from '../records.js';
 import { applyChange, type Condition, type RecordCopy, type RecordStore } from '../store.js';
 import {
   decodeProgress,
@@ -11,6 +11,7 @@
   type MigrationProgress,
 } from './progress.js';
 
+/** What came of the conversion of one record. */
 export type Conversion =
   | { kind: 'converted' }
   /** It is in the wanted form, or gone. */
@@ -20,16 +21,18 @@
   /** It will never do: it is quarantined, and the walk goes on. */
   | { kind: 'failed'; reason: string };
 
-/** The records of a part. */
-export interface MigratedPart {
+/** The records of a shard, as its leader converts them. */
+export interface MigratedShard {
   label: string;
-  /** The key that entitles to change the part, as this node holds it; null: it does not any more. */
-  ownership(): Condition | null;
+  /** The leader key as this node holds it; null: it does not lead the shard any more. */
+  leadership(): Condition | null;
   /** Keys of records in a form that they should not have, in their order, after a cursor; at most so many. */
   outdated(after: string, most: number): string[];
+  /** Brings one record into the wanted form. */
   convert(key: string): Promise<Conversion>;
 }
 
+/** Limits of a migration. */
 export interface MigratorOptions {
   /** Operations of one step at the most, the progress record's own included. */
   operations: number;
@@ -40,8 +43,10 @@
   log: (line: string) => void;
 }
 
-export type MigrationStep = 'finished' | 'advanced' | 'waiting' | 'not-owner';
+/** What came of a step. */
+export type MigrationStep = 'finished' | 'advanced' | 'waiting' | 'not-leader';
 
+/** Converts records step by step; its state is the stored progress alone. */
 export class Migrator {
   constructor(
     private readonly store: RecordStore,
@@ -49,16 +54,16 @@
     private readonly options: MigratorOptions,
   ) {}
 
-  /** Some records of a part, as part of a walk. Doing it twice is the same as doing it once. */
-  async step(part: MigratedPart, walk: number): Promise<MigrationStep> {
-    const before = readProgress(this.copy, part.label, walk);
+  /** Converts some records of a shard, as part of a walk. Doing it twice is the same as doing it once. */
+  async step(shard: MigratedShard, walk: number): Promise<MigrationStep> {
+    const before = readProgress(this.copy, shard.label, walk);
     if (before.isFinished) return 'finished';
     if (!this.options.mayWrite()) return 'waiting';
     const most = Math.max(1, this.options.operations - 1);
-    const keys = part.outdated(before.cursor, most);
+    const keys = shard.outdated(before.cursor, most);
     let progress = before;
     for (const key of keys) {
-      const conversion = await part.convert(key);
+      const conversion = await shard.convert(key);
       // Records before the cursor are never looked at again, so it stays in front of one that has to wait.
       if (conversion.kind === 'later') break;
       progress = this.after(progress, key, conversion);
@@ -66,7 +71,7 @@
     // What was written in an old form behind the cursor is found when the walk is verified.
     if (keys.length === 0) progress = { ...progress, isFinished: true };
     if (progress === before) return 'waiting';
-    return this.save(part, progress);
+    return this.save(shard, progress);
   }
 
   private after(
@@ -81,12 +86,12 @@
     return withQuarantined(moved, key, conversion.reason, this.options.quarantineNames);
   }
 
-  private async save(part: MigratedPart, progress: MigrationProgress): Promise<MigrationStep> {
-    const owner = part.ownership();
-    if (owner === null) return 'not-owner';
-    const key = rolloutKeys.migration(part.label);
+  private async save(shard: MigratedShard, progress: MigrationProgress): Promise<MigrationStep> {
+    const leadership = shard.leadership();
+    if (leadership === null) return 'not-leader';
+    const key = rolloutKeys.migration(shard.label);
     const outcome = await applyChange(this.store, this.copy, {
-      conditions: [owner, { key, revision: this.copy.get(key)?.revision ?? 0 }],
+      conditions: [leadership, { key, revision: this.copy.get(key)?.revision ?? 0 }],
       puts: [{ key, value: progress }],
       deletes: [],
     });
@@ -95,20 +100,15 @@
   }
 }
 
-/** A part's progress in a walk; a damaged record, or one of an earlier walk, counts as none. */
+/** A shard's progress in a walk; a damaged record, or one of an earlier walk, counts as none. */
 export function readProgress(
   copy: Pick<RecordCopy, 'get'>,
-  part: string,
+  shard: string,
   walk: number,
 ): MigrationProgress {
-  const key = rolloutKeys.migration(part);
+  const key = rolloutKeys.migration(shard);
   const stored = copy.get(key);
   if (stored === undefined) return emptyProgress(walk);
-  try {
-    const progress = decodeProgress(key, stored.value);
-    return progress.walk === walk ? progress : emptyProgress(walk);
-  } catch (error) {
-    if (error instanceof DamagedRecordError) return emptyProgress(walk);
-    throw error;
-  }
+  const progress = decodeUnlessDamaged(() => decodeProgress(key, stored.value));
+  return progress?.walk === walk ? progress : emptyProgress(walk);
 }
--- a/packages/rollout/src/records.ts
+++ b/packages/rollout/src/records.ts
@@ -36,7 +36,9 @@
 export type Presence = v.InferOutput<typeof presenceSchema>;
 /** The same without an end: a node that is down is still one of the cluster. */
 export type Member = v.InferOutput<typeof memberSchema>;
+/** The version of the cluster: the level of what may be stored, and the change that is under way. */
 export type ClusterVersion = v.InferOutput<typeof versionSchema>;
+/** An operator's hold: the level does not rise. `at`: time of day in seconds. */
 export type Hold = NonNullable<ClusterVersion['hold']>;
 /** The lowest level that a reader of the records needs. */
 export type Barrier = v.InferOutput<typeof barrierSchema>;
@@ -51,6 +53,17 @@
   }
 }
 
+/** Decodes a record; null for a damaged one, where that counts as none. Other errors are thrown on. */
+export function decodeUnlessDamaged<Value>(decode: () => Value): Value | null {
+  try {
+    return decode();
+  } catch (error) {
+    if (error instanceof DamagedRecordError) return null;
+    throw error;
+  }
+}
+
+/** A decoder for records of a schema; it throws a DamagedRecordError that names the record and the faulty field. */
 export function decoderOf<Schema extends v.GenericSchema>(
   schema: Schema,
 ): (key: string, value: unknown) => v.InferOutput<Schema> {
@@ -66,9 +79,13 @@
   };
 }
 
+/** Decodes a presence record; throws a DamagedRecordError. */
 export const decodePresence = decoderOf(presenceSchema);
+/** Decodes a member record; throws a DamagedRecordError. */
 export const decodeMember = decoderOf(memberSchema);
+/** Decodes the record of the cluster's version; throws a DamagedRecordError. */
 export const decodeVersion = decoderOf(versionSchema);
+/** Decodes the barrier; throws a DamagedRecordError. */
 export const decodeBarrier = decoderOf(barrierSchema);
 
 /** The version of a cluster that has never stored one. */
@@ -83,14 +100,16 @@
   token: 0,
 });
 
+/** What the keys of this package's records begin with. */
 export const rolloutPrefix = 'b/rollout/';
 
+/** Keys of the records. */
 export const rolloutKeys = {
   version: `${rolloutPrefix}version`,
   presences: `${rolloutPrefix}presence/`,
   presence: (label: string): string => `${rolloutPrefix}presence/${label}`,
   member: (label: string): string => `${rolloutPrefix}member/${label}`,
   migrations: `${rolloutPrefix}migration/`,
-  migration: (part: string): string => `${rolloutPrefix}migration/${part}`,
+  migration: (shard: string): string => `${rolloutPrefix}migration/${shard}`,
   driver: `${rolloutPrefix}driver`,
 };
--- a/packages/rollout/test/driver.test.ts
+++ b/packages/rollout/test/driver.test.ts
@@ -2,7 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { DriverRefusedError, pauseRollout, RolloutDriver } from '../src/driver/driver.js';
+import { DriverRefusedError } from '../src/driver/controllerApi.js';
+import { RolloutDriver } from '../src/driver/driver.js';
+import { pauseRollout } from '../src/driver/pauseRollout.js';
 import type { DriverRecord } from '../src/driver/driverRecord.js';
 import type { RolloutPlan } from '../src/driver/plan.js';
 import { planFor, SimulatedControllers } from './support/simulatedControllers.js';
--- a/packages/rollout/test/migrator.test.ts
+++ b/packages/rollout/test/migrator.test.ts
@@ -1,11 +1,11 @@
-/** Walking through the records of a part: interrupted, repeated, refused and damaged. */
+/** Walking through the records of a shard: interrupted, repeated, refused and damaged. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
   Migrator,
   readProgress,
   type Conversion,
-  type MigratedPart,
+  type MigratedShard,
 } from '../src/migration/migrator.js';
 import { rolloutKeys } from '../src/records.js';
 import { SimulatedCopy, SimulatedStore } from './support/simulatedStore.js';
@@ -20,18 +20,18 @@
   readonly busy = new Set<string>();
   readonly converted: string[] = [];
   mayWrite = true;
-  isOwner = true;
+  isLeader = true;
 
   constructor(count: number) {
     this.store.put(OWNER, { node: 'p' });
     for (let i = 0; i < count; i++) this.old.add(`b/run/p/${String(i).padStart(4, '0')}`);
   }
 
-  private part(): MigratedPart {
+  private shard(): MigratedShard {
     const revision = this.store.rows.get(OWNER)?.revision ?? 0;
     return {
       label: 'p',
-      ownership: () => (this.isOwner ? { key: OWNER, revision } : null),
+      leadership: () => (this.isLeader ? { key: OWNER, revision } : null),
       outdated: (after, most) =>
         [...this.old]
           .filter((key) => key > after)
@@ -55,7 +55,7 @@
     const copy = new SimulatedCopy(this.store);
     const mayWrite = (): boolean => this.mayWrite;
     const options = { operations: OPERATIONS, quarantineNames: 2, mayWrite, log };
-    return new Migrator(this.store, copy, options).step(this.part(), walk);
+    return new Migrator(this.store, copy, options).step(this.shard(), walk);
   }
 
   get progress() {
@@ -112,7 +112,7 @@
   const cases: [string, (walk: Walk) => void, string][] = [
     ['short', (walk) => (walk.mayWrite = false), 'waiting'],
     ['down', (walk) => (walk.store.isDown = true), 'waiting'],
-    ['not owned', (walk) => (walk.isOwner = false), 'not-owner'],
+    ['not led', (walk) => (walk.isLeader = false), 'not-leader'],
   ];
   for (const [what, prepare, outcome] of cases) {
     const walk = new Walk(3);
--- a/packages/rollout/test/support/simulatedCluster.ts
+++ b/packages/rollout/test/support/simulatedCluster.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { viewCluster } from '../../src/clusterView.js';
 import type { LevelRange } from '../../src/levels.js';
-import { Migrator, type Conversion, type MigratedPart } from '../../src/migration/migrator.js';
+import { Migrator, type Conversion, type MigratedShard } from '../../src/migration/migrator.js';
 import { operate, type Operation } from '../../src/operations.js';
 import { Participant } from '../../src/participant.js';
 import {
@@ -153,7 +153,7 @@
     const { cluster, copy } = this;
     const service = {
       nodes: cluster.labels,
-      parts: cluster.labels,
+      shards: cluster.labels,
       heardProcess: () => null,
       owner: (part: string) => {
         const stored = copy.get(ownerKey(part));
@@ -263,14 +263,14 @@
   async migrate(): Promise<void> {
     const { walk } = this.tracker.current;
     const mine = this.held.get(ownerKey(this.label));
-    if (walk > 0 && mine !== undefined) await this.migrator.step(this.migratedPart(), walk);
+    if (walk > 0 && mine !== undefined) await this.migrator.step(this.migratedShard(), walk);
   }
 
-  private migratedPart(): MigratedPart {
+  private migratedShard(): MigratedShard {
     const key = ownerKey(this.label);
     return {
       label: this.label,
-      ownership: () => {
+      leadership: () => {
         const mine = this.held.get(key);
         return mine === undefined ? null : { key, revision: mine.revision };
       },
--- a/packages/rollout/test/support/simulatedControllers.ts
+++ b/packages/rollout/test/support/simulatedControllers.ts
@@ -1,5 +1,5 @@
 /** Controllers as a rollout driver sees them: they drain, end, start after a while, and may come back badly. */
-import type { ControllerApi, DriverWrite, StoredDriver } from '../../src/driver/driver.js';
+import type { ControllerApi, DriverWrite, StoredDriver } from '../../src/driver/controllerApi.js';
 import type { ControllerHealth, DriverRecord } from '../../src/driver/driverRecord.js';
 import { parsePlan, type RolloutPlan } from '../../src/driver/plan.js';
 
--- a/src/coordination/rollout/migratedShards.ts
+++ b/src/coordination/rollout/migratedShards.ts
@@ -2,7 +2,7 @@
  * The records of this node's parts, as a migration sees them. They are converted by the part's own writes: a record that
  * is stored again takes the form that the cluster's version asks for.
  */
-import type { Condition, Conversion, MigratedPart } from '@barrowlb/rollout';
+import type { Condition, Conversion, MigratedShard } from '@barrowlb/rollout';
 import { sleep, type Clock } from '../../base/clock.js';
 import { keys, BUCKETS, JOBS, type JobRecord } from '../../storage/records.js';
 import type { StoredForm } from '../../storage/recordFormat.js';
@@ -38,13 +38,13 @@
   ) {}
 
   /** Parts that this node may convert; whoever rents the machines has what belongs to no part. */
-  owned(): MigratedPart[] {
+  owned(): MigratedShard[] {
     const { node } = this;
     const shards = [...node.ownedShards.keys()];
     if (node.leadership.get(AUTOSCALER_DUTY) !== undefined) shards.push(AUTOSCALER_DUTY);
     return shards.map((label) => ({
       label,
-      ownership: () => this.leadership(label),
+      leadership: () => this.leadership(label),
       outdated: (after, most) => this.outdated(label, after, most),
       convert: (key) => this.convert(label, key),
     }));
--- a/src/coordination/rollout/rolloutService.ts
+++ b/src/coordination/rollout/rolloutService.ts
@@ -21,7 +21,7 @@
   type ClusterSnapshot,
   type DriverRecord,
   type ClusterVersion,
-  type MigratedPart,
+  type MigratedShard,
   type Operation,
   type OperationResult,
   type OwnerView,
@@ -252,7 +252,7 @@
     }
   }
 
-  private isWalked({ label }: MigratedPart, walk: number): boolean {
+  private isWalked({ label }: MigratedShard, walk: number): boolean {
     return readProgress(this.node.stateCache, label, walk).isFinished;
   }
 
@@ -260,7 +260,7 @@
     const { stateCache: replica, shards, peers, settings, process } = this.node;
     const service = {
       nodes: shards,
-      parts: this.allParts,
+      shards: this.allParts,
       heardProcess: (label: string) =>
         label === settings.label ? process : peers.processOf(label),
       owner: (shard: string) => this.ownerOf(shard),
