--- a/src/cli/controllerApi.ts
+++ b/src/cli/controllerApi.ts
@@ -2,7 +2,7 @@
 import {
   decodeDriver,
   decodeHealth,
-  DamagedRecordError,
+  decodeUnlessDamaged,
   type ControllerApi,
   type ControllerHealth,
   type DriverRecord,
@@ -15,7 +15,10 @@
 import { HttpClient, type Response } from '../transport/httpClient.js';
 
 /** Seconds that a controller has for an answer. */
-const PATIENCE = 5;
+const REQUEST_TIMEOUT_S = 5;
+
+/** Connections to all controllers together. */
+const MAX_CONNECTIONS = 16;
 
 const storedSchema = v.object({ record: v.unknown(), stamp: v.number() });
 const writtenSchema = v.object({ stamp: v.number() });
@@ -26,22 +29,19 @@
   parts: v.array(v.object({ part: v.string(), token: v.number(), waitingTasks: v.number() })),
 });
 
+/** Asks controllers by the addresses of a plan. What has no answer within the timeout counts as none. */
 export class HttpControllerApi implements ControllerApi {
-  private readonly http = new HttpClient(16, 0);
+  private readonly http = new HttpClient(MAX_CONNECTIONS, 0);
 
   constructor(private readonly addresses: Record<string, string>) {}
 
+  /** The health of one controller; null: it does not answer, or with something else. */
   async health(label: string): Promise<ControllerHealth | null> {
     const response = await this.ask(label, 'GET', `${rolloutPath}/health`);
     if (response === null) return null;
     if (response.status === 404) return this.olderHealth(label);
     if (response.status !== 200) return null;
-    try {
-      return decodeHealth('health', response.body);
-    } catch (error) {
-      if (error instanceof DamagedRecordError) return null;
-      throw error;
-    }
+    return decodeUnlessDamaged(() => decodeHealth('health', response.body));
   }
 
   /** Of a build without rollouts, by what it answers to everybody; it cannot be drained. */
@@ -74,11 +74,13 @@
     return (response.body as RolloutStatus).nodes.map(({ label }) => label);
   }
 
+  /** The cluster's level, by the first controller that tells; null: none does. */
   async level(): Promise<number | null> {
     const response = await this.askAny('GET', rolloutPath);
     return response?.status === 200 ? (response.body as RolloutStatus).version.level : null;
   }
 
+  /** The stored record of the rollout; null: no controller tells. */
   async read(): Promise<StoredDriver | null> {
     const response = await this.askAny('GET', `${rolloutPath}/driver`);
     const parsed = v.safeParse(storedSchema, response?.body);
@@ -87,6 +89,7 @@
     return { record: record === null ? null : decodeDriver('driver', record), revision };
   }
 
+  /** Stores the record if it still has this revision. */
   async write(revision: number, record: DriverRecord): Promise<DriverWrite> {
     const response = await this.askAny('POST', `${rolloutPath}/driver`, {
       stamp: revision,
@@ -98,14 +101,17 @@
     return { kind: 'stored', revision: parsed.output.stamp };
   }
 
+  /** Lets a controller drain for the step that is stored under the permit's token. */
   async drain(label: string, token: number): Promise<void> {
     await this.ask(label, 'POST', `${rolloutPath}/drain`, { token });
   }
 
+  /** Keeps the cluster's level from rising. */
   async hold(by: string, reason: string): Promise<void> {
     await this.askAny('POST', `${rolloutPath}/hold`, { by, reason });
   }
 
+  /** Ends the hold of that name. */
   async finalize(by: string): Promise<void> {
     await this.askAny('POST', `${rolloutPath}/finalize`, { by });
   }
@@ -120,7 +126,7 @@
     const address = this.addresses[label];
     if (address === undefined) return null;
     try {
-      return await this.http.call(address, method, target, body, PATIENCE);
+      return await this.http.call(address, method, target, body, REQUEST_TIMEOUT_S);
     } catch {
       return null;
     }
--- a/src/cli/query.ts
+++ b/src/cli/query.ts
@@ -5,9 +5,16 @@
 import { parseAddress } from '../transport/address.js';
 import { HttpClient, type Response } from '../transport/httpClient.js';
 
+/** A question to a controller failed; the message is one clear line for the user. */
 export class QueryError extends Error {}
 
-/** Asks a controller; one that cannot be reached is an error with one clear line. */
+/** Seconds that a controller has for an answer. */
+const REQUEST_TIMEOUT_S = 5;
+
+/**
+ * Asks a controller.
+ * @throws {QueryError} if it cannot be reached.
+ */
 export async function query(
   server: string,
   target: string,
@@ -19,10 +26,10 @@
   }
   const http = new HttpClient(1, 0);
   try {
-    return await http.call(server, method, target, body, 5);
+    return await http.call(server, method, target, body, REQUEST_TIMEOUT_S);
   } catch (error) {
     const reason = error instanceof Error ? error.message : String(error);
-    throw new QueryError(`${server} cannot be reached: ${reason}`);
+    throw new QueryError(`${server} cannot be reached: ${reason}`, { cause: error });
   }
 }
 
@@ -33,6 +40,7 @@
   Reason: v.optional(v.string()),
 });
 
+/** `barrowlb why`: prints the state of a job, and why it waits. */
 export async function printWhy(server: string, job: string): Promise<void> {
   const response = await query(server, jobPath(job));
   if (response.status === 404) throw new QueryError(`there is no job ${job}`);
@@ -45,6 +53,7 @@
   process.stdout.write(`${job}: ${status}, ${done} done, ${running} running\n${why}\n`);
 }
 
+/** `barrowlb status`: prints the shards, queues, machines and counters of a controller. */
 export async function printStatus(server: string): Promise<void> {
   const response = await query(server, paths.overview);
   if (response.status !== 200) throw new QueryError(`${server} answered ${response.status}`);
@@ -56,8 +65,8 @@
     lines.push(
       `  queue: ${part.openJobs} open jobs, ${part.runningTasks} tasks running, ${part.waitingTasks} waiting`,
     );
-    for (const m of part.machines) {
-      lines.push(`  ${m.name}  ${m.type}  ${m.zone}  ${m.state}  ${m.tasks} tasks`);
+    for (const { name, type, zone, state, tasks } of part.machines) {
+      lines.push(`  ${name}  ${type}  ${zone}  ${state}  ${tasks} tasks`);
     }
   }
   // A node of an earlier version counts nothing.
--- a/src/cli/rollout.ts
+++ b/src/cli/rollout.ts
@@ -18,6 +18,7 @@
 import { query, QueryError } from './query.js';
 import { describeDriver, describeStatus } from './rolloutReport.js';
 
+/** Prints one line for the operator. */
 export const say = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
@@ -25,28 +26,34 @@
 /** Sets this driver apart from every other. */
 const holderName = (): string => `${hostname()}-${process.pid}`;
 
-/** How often a change is asked for, and the seconds in between, while a controller cannot store it. */
-const TRIES = 5;
-const RETRY_S = 0.5;
+/** How often a change is asked for while a controller cannot store it. */
+const CHANGE_ATTEMPTS = 5;
 
-/** A request for a change; what a controller refuses is an error with its reason. */
+/** Seconds between two of these attempts. */
+const CHANGE_RETRY_DELAY_S = 0.5;
+
+/**
+ * Asks a controller for a change.
+ * @throws {QueryError} with the controller's reason, if it refuses.
+ */
 export async function change(
   server: string,
   name: string,
   body: unknown,
-  tries = TRIES,
+  attemptsLeft = CHANGE_ATTEMPTS,
 ): Promise<void> {
   const response = await query(server, `${rolloutPath}${name}`, 'POST', body);
   if (response.status === 200) return;
-  if (response.status === 503 && tries > 1) {
-    await sleep(RETRY_S);
-    await change(server, name, body, tries - 1);
+  if (response.status === 503 && attemptsLeft > 1) {
+    await sleep(CHANGE_RETRY_DELAY_S);
+    await change(server, name, body, attemptsLeft - 1);
     return;
   }
   const { error } = (response.body ?? {}) as { error?: string };
   throw new QueryError(error ?? `${server} answered ${response.status}`);
 }
 
+/** `barrowlb rollout status`: prints the cluster's version and the rollout of controllers. */
 export async function printRollout(server: string): Promise<void> {
   const [status, driver] = await Promise.all([
     query(server, rolloutPath),
@@ -95,6 +102,7 @@
   return { plan, api };
 }
 
+/** How a driver begins its work: the driver's method. */
 export type Beginning = 'start' | 'resume' | 'rollBack';
 
 /** Runs a rollout to its end; anything but a good end is an exit code other than 0. */
@@ -107,19 +115,20 @@
   if (record.phase === 'paused') process.exitCode = 1;
 }
 
+/** `barrowlb rollout pause`: the driver stops after its present step. */
 export async function pause(path: string, reason: string): Promise<void> {
   const { api } = await readPlan(path);
   await pauseRollout(api, reason, systemClock.wall());
   say('the rollout is paused');
 }
 
-/** Errors of the package are told with their message alone, as those of the command line are. */
-export async function told<Result>(work: () => Promise<Result>): Promise<Result> {
+/** Turns errors of the package into errors of the command line, which are printed as one line. */
+export async function withReadableErrors<Result>(work: () => Promise<Result>): Promise<Result> {
   try {
     return await work();
   } catch (error) {
     if (error instanceof PlanError || error instanceof DriverRefusedError) {
-      throw new QueryError(error.message);
+      throw new QueryError(error.message, { cause: error });
     }
     throw error;
   }
--- a/src/cli/rolloutCommands.ts
+++ b/src/cli/rolloutCommands.ts
@@ -7,7 +7,7 @@
 /** Loads what a command needs, so that a controller's start does not pay for it. */
 async function withRollout(work: (module: RolloutModule) => Promise<void>): Promise<void> {
   const module = await import('./rollout.js');
-  await module.told(() => work(module));
+  await module.withReadableErrors(() => work(module));
 }
 
 /** Asks a controller for a change, and says what was done. */
@@ -25,9 +25,11 @@
   server: string;
 }
 
+/** Adds `barrowlb rollout …` and `barrowlb drain` to the command line. */
 export function addRolloutCommands(program: Command): void {
   const rollout = program.command('rollout').description('replace controllers in stages');
   addDriverCommands(rollout);
+  addStatusCommand(rollout);
   addLevelCommands(rollout);
   program
     .command('drain')
@@ -69,12 +71,15 @@
     );
 }
 
-function addLevelCommands(rollout: Command): void {
+function addStatusCommand(rollout: Command): void {
   rollout
     .command('status')
     .description('show the level of what is stored, and what holds it back')
     .requiredOption(...SERVER)
     .action(({ server }: Target) => withRollout(({ printRollout }) => printRollout(server)));
+}
+
+function addLevelCommands(rollout: Command): void {
   rollout
     .command('hold')
     .description('keep the level from rising')
--- a/src/cli/rolloutReport.ts
+++ b/src/cli/rolloutReport.ts
@@ -3,6 +3,7 @@
 
 const ago = (now: number, since: number): string => `${Math.max(0, Math.round(now - since))} s`;
 
+/** The cluster's version in lines; `now`: time of day in seconds. */
 export function describeStatus(status: RolloutStatus, now: number): string[] {
   const { version, features, nodes, parts, blockers } = status;
   const change = version.phase === 'steady' ? 'steady' : `${version.phase} to ${version.target}`;
@@ -38,6 +39,7 @@
   });
 }
 
+/** The rollout of controllers in lines; `now`: time of day in seconds. */
 export function describeDriver(record: DriverRecord, now: number): string[] {
   const { name, phase, direction, cause, permit, controllers, order } = record;
   const way = direction === 'back' ? ', going back' : '';
--- /dev/null
+++ b/src/coordination/rollout/clusterObserver.ts
@@ -0,0 +1,71 @@
+/** The cluster as this node sees it, for planning the version's next change and for operators. */
+import {
+  BlockerHistory,
+  blockersOf,
+  rolloutStatus,
+  viewCluster,
+  type ClusterSnapshot,
+  type OwnerView,
+  type PlanOptions,
+  type RolloutStatus,
+  type VersionTracker,
+} from '@barrowlb/rollout';
+import { keys, type LeaderRecord } from '../../storage/records.js';
+import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
+import { featureTable } from './featureTable.js';
+import type { RolloutContext } from './rolloutContext.js';
+
+/** Puts together the stored records, the peers' messages and the version that the tracker believes. */
+export class ClusterObserver {
+  private readonly history = new BlockerHistory();
+
+  constructor(
+    private readonly node: Pick<
+      RolloutContext,
+      'clock' | 'peers' | 'process' | 'settings' | 'shards' | 'stateCache'
+    >,
+    private readonly tracker: Pick<VersionTracker, 'current' | 'damage'>,
+    private readonly plan: PlanOptions,
+  ) {}
+
+  /** What the next change of the version is planned from. */
+  snapshot(): ClusterSnapshot {
+    const { stateCache, shards, peers, settings, process } = this.node;
+    const service = {
+      nodes: shards,
+      shards: this.allShards,
+      heardProcess: (label: string) =>
+        label === settings.label ? process : peers.processOf(label),
+      owner: (shard: string) => this.leaderOf(shard),
+    };
+    return viewCluster(stateCache, service, this.tracker.current, this.tracker.damage);
+  }
+
+  /** What holds the next change back, and since when this node has seen it. */
+  blockers(): RolloutStatus['blockers'] {
+    const blockers = blockersOf(this.snapshot(), this.plan);
+    return this.history.note(blockers, this.node.clock.wall());
+  }
+
+  /** The state of the cluster's version for operators. */
+  status(): RolloutStatus {
+    return rolloutStatus({
+      copy: this.node.stateCache,
+      snapshot: this.snapshot(),
+      features: featureTable,
+      parts: this.allShards,
+      blockers: this.blockers(),
+    });
+  }
+
+  private get allShards(): string[] {
+    return [...this.node.shards, AUTOSCALER_DUTY];
+  }
+
+  private leaderOf(shard: string): OwnerView {
+    const key = keys.owner(shard);
+    const stored = this.node.stateCache.get(key);
+    const owner = (stored?.value ?? null) as LeaderRecord | null;
+    return { part: shard, key, revision: stored?.revision ?? 0, owner };
+  }
+}
--- a/src/coordination/rollout/drain.ts
+++ b/src/coordination/rollout/drain.ts
@@ -1,6 +1,7 @@
 /** Taking a node out of service: it gives up what it owns, and takes nothing until the drain is cancelled. */
 import type { ShardLeadership } from '../leadership/shardLeadership.js';
 
+/** Whether this node is being drained, and how far that has come. */
 export class Drain {
   /** It was asked for and not cancelled. */
   isActive = false;
@@ -17,11 +18,13 @@
     return this.isActive && this.leadership.isIdle;
   }
 
+  /** Gives up all that the node leads, and claims nothing more. */
   begin(): void {
     this.isActive = true;
     this.leadership.relinquishAll();
   }
 
+  /** Takes the node back into service. */
   cancel(): void {
     this.isActive = false;
     this.leadership.resumeClaiming();
--- a/src/coordination/rollout/featureTable.ts
+++ b/src/coordination/rollout/featureTable.ts
@@ -7,12 +7,13 @@
 } from '@barrowlb/rollout';
 import { COMPRESSED_RECORDS, ROLLOUT } from './featureNames.js';
 
-/** Level of a cluster whose nodes have all marked themselves (storage/nodeMarks.ts). */
+/** Level of a cluster whose nodes have all stored their capabilities (storage/nodeCapabilities.ts). */
 export const MARKED_LEVEL = 2;
 
 /** From this level on, records are stored that builds without a cluster version cannot read. */
 export const BARRIER_FROM = 3;
 
+/** The features of this build. */
 export const featureTable = new FeatureTable([
   {
     name: 'plain-records',
--- a/src/coordination/rollout/health.ts
+++ b/src/coordination/rollout/health.ts
@@ -1,9 +1,10 @@
 /** What a node tells of itself to those who replace controllers. */
 import type { ControllerHealth } from '@barrowlb/rollout';
 import { VERSION } from '../../base/version.js';
-import type { Controller } from '../controller/controller.js';
+import type { HealthContext } from './rolloutContext.js';
 
-export function healthOf(node: Controller): ControllerHealth {
+/** The state of this node, under the names of `GET /v1/rollout/health`. */
+export function healthOf(node: HealthContext): ControllerHealth {
   const shards = [...node.ownedShards.values()].map(({ shard }) => shard);
   const chunks = shards.flatMap((shard) => [...shard.chunks.values()]);
   const services = chunks.filter((chunk) => chunk.spec.isService);
--- /dev/null
+++ b/src/coordination/rollout/leases.ts
@@ -0,0 +1,31 @@
+/** The leases that the rollout package works under, as the node's leadership has them. */
+import type { LeaderLease, ParticipantNode, VersionTracker } from '@barrowlb/rollout';
+import { keys } from '../../storage/records.js';
+import { AUTOSCALER_DUTY, type ShardLeadership } from '../leadership/shardLeadership.js';
+
+/** The lease that holds the node's presence record, and the version that its answers are about. */
+export const presenceLease = (
+  { leadership }: { leadership: Pick<ShardLeadership, 'isLeaseValid' | 'leaseId'> },
+  tracker: Pick<VersionTracker, 'current'>,
+): ParticipantNode => ({
+  get hold() {
+    return leadership.isLeaseValid ? leadership.leaseId : null;
+  },
+  get version() {
+    return tracker.current;
+  },
+});
+
+/** The autoscaler's leadership: its holder alone changes the cluster's version (safety, R2). */
+export const autoscalerLease = (
+  leadership: Pick<ShardLeadership, 'get' | 'isLeaseValid'>,
+): LeaderLease => ({
+  condition: () => {
+    const current = leadership.get(AUTOSCALER_DUTY);
+    if (current === undefined || !leadership.isLeaseValid) return null;
+    return { key: keys.owner(AUTOSCALER_DUTY), revision: current.revision };
+  },
+  get token() {
+    return leadership.get(AUTOSCALER_DUTY)?.fencingToken ?? 0;
+  },
+});
--- a/src/coordination/rollout/migratedShards.ts
+++ b/src/coordination/rollout/migratedShards.ts
@@ -1,35 +1,22 @@
 /**
- * The records of this node's parts, as a migration sees them. They are converted by the part's own writes: a record that
+ * The records of this node's shards, as a migration sees them. They are converted by the shard's own writes: a record that
  * is stored again takes the form that the cluster's version asks for.
  */
 import type { Condition, Conversion, MigratedShard } from '@barrowlb/rollout';
-import { sleep, type Clock } from '../../base/clock.js';
+import { sleep } from '../../base/clock.js';
 import { keys, BUCKETS, JOBS, type JobRecord } from '../../storage/records.js';
 import type { StoredForm } from '../../storage/recordFormat.js';
-import type { StateCache } from '../../storage/stateCache.js';
-import type { StateClient } from '../../storage/stateClient.js';
-import type { JobPersistence } from '../persistence/jobPersistence.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
-import { AUTOSCALER_DUTY, type ShardLeadership } from '../leadership/shardLeadership.js';
+import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
+import type { MigrationContext } from './rolloutContext.js';
 
-/** What is needed of a node. */
-export interface MigrationContext {
-  clock: Clock;
-  settings: { heartbeatInterval: number };
-  shards: string[];
-  ownedShards: ReadonlyMap<string, OwnedShard>;
-  leadership: Pick<ShardLeadership, 'get' | 'isLeaseValid'>;
-  stateCache: Pick<StateCache, 'get' | 'note'>;
-  stateClient: Pick<StateClient, 'get' | 'transact' | 'keysOfForm' | 'unreadable'>;
-  persistence: Pick<JobPersistence, 'rewrite'>;
-}
-
-/** How long a record's own write is waited for, as a ratio to the time between reports. */
-const PATIENCE = 3;
+/** How long a shard's own write of a record is awaited, in heartbeat intervals. */
+const WRITE_TIMEOUT_INTERVALS = 3;
 
-/** Between two looks whether it was written, as a ratio to the time between reports. */
-const LOOK = 1 / 10;
+/** Time between two checks whether it was written, in heartbeat intervals. */
+const WRITE_POLL_INTERVALS = 1 / 10;
 
+/** Offers the shards that this node leads to the migrator. */
 export class MigratedShards {
   constructor(
     private readonly node: MigrationContext,
@@ -37,7 +24,7 @@
     private readonly outdatedForm: () => StoredForm,
   ) {}
 
-  /** Parts that this node may convert; whoever rents the machines has what belongs to no part. */
+  /** Shards that this node may convert; the autoscaler's leader has what belongs to no shard. */
   owned(): MigratedShard[] {
     const { node } = this;
     const shards = [...node.ownedShards.keys()];
@@ -45,7 +32,7 @@
     return shards.map((label) => ({
       label,
       leadership: () => this.leadership(label),
-      outdated: (after, most) => this.outdated(label, after, most),
+      outdated: (after, most) => this.outdatedKeys(label, after, most),
       convert: (key) => this.convert(label, key),
     }));
   }
@@ -56,22 +43,22 @@
     return { key: keys.owner(shard), revision: leadership.revision };
   }
 
-  private outdated(shard: string, after: string, most: number): string[] {
-    const { stateClient: state } = this.node;
-    const all = [...state.keysOfForm(this.outdatedForm()), ...state.unreadable.keys()];
+  private outdatedKeys(shard: string, after: string, most: number): string[] {
+    const { stateClient } = this.node;
+    const all = [...stateClient.keysOfForm(this.outdatedForm()), ...stateClient.unreadable.keys()];
     return all
-      .filter((key) => key > after && this.partOf(key) === shard)
+      .filter((key) => key > after && this.shardOf(key) === shard)
       .sort()
       .slice(0, most);
   }
 
-  /** Who converts a record: the owner of its part, else the lease holder. */
-  private partOf(key: string): string {
-    const part = key.startsWith(BUCKETS) ? key.split('/')[2] : this.homeOf(key);
-    return part !== undefined && this.node.shards.includes(part) ? part : AUTOSCALER_DUTY;
+  /** Whose leader converts a record: that of its shard, else that of the autoscaler. */
+  private shardOf(key: string): string {
+    const shard = key.startsWith(BUCKETS) ? key.split('/')[2] : this.homeShardOf(key);
+    return shard !== undefined && this.node.shards.includes(shard) ? shard : AUTOSCALER_DUTY;
   }
 
-  private homeOf(key: string): string | undefined {
+  private homeShardOf(key: string): string | undefined {
     if (!key.startsWith(JOBS)) return undefined;
     return (this.node.stateCache.get(key)?.value as JobRecord | undefined)?.homeShard;
   }
@@ -90,7 +77,7 @@
     return this.rewriteJob(ownedShard, key);
   }
 
-  /** Its chunks count as changed, so that the part stores it with its next change. */
+  /** Its chunks count as changed, so that the shard stores it with its next change. */
   private async rewriteBucket(ownedShard: OwnedShard, key: string): Promise<Conversion> {
     const name = key.slice(keys.runs(ownedShard.shard.label).length);
     const bucket = ownedShard.buckets.get(name);
@@ -98,15 +85,15 @@
     const [chunk] = bucket.chunks;
     if (chunk === undefined) bucket.isDirty = true;
     else ownedShard.shard.noteChunkChanged(chunk, this.node.clock.now());
-    return this.waitFor(key);
+    return this.awaitRewrite(key);
   }
 
-  private async waitFor(key: string): Promise<Conversion> {
+  private async awaitRewrite(key: string): Promise<Conversion> {
     const { clock, settings } = this.node;
-    const deadline = clock.now() + settings.heartbeatInterval * PATIENCE;
+    const deadline = clock.now() + settings.heartbeatInterval * WRITE_TIMEOUT_INTERVALS;
     while (this.isOutdated(key)) {
       if (clock.now() >= deadline) return { kind: 'later' };
-      await sleep(settings.heartbeatInterval * LOOK);
+      await sleep(settings.heartbeatInterval * WRITE_POLL_INTERVALS);
     }
     return { kind: 'converted' };
   }
@@ -119,21 +106,24 @@
     return isWritten ? { kind: 'converted' } : { kind: 'later' };
   }
 
-  /** Stores what is stored once more, under the ownership that entitles to it. */
+  /** Stores what is stored once more, under the leader key that entitles to it. */
   private async rewriteDirectly(shard: string, key: string): Promise<Conversion> {
-    const { stateClient: state, stateCache: replica } = this.node;
-    const owner = this.leadership(shard);
-    const item = await state.get(key);
-    if (owner === null) return { kind: 'later' };
+    const { stateClient, stateCache } = this.node;
+    const leadership = this.leadership(shard);
+    const item = await stateClient.get(key);
+    if (leadership === null) return { kind: 'later' };
     if (item === null) return { kind: 'needless' };
     const { value, revision } = item;
-    const when = [owner, { key, revision: revision }];
-    const result = await state.transact({ conditions: when, puts: [{ key, value }], deletes: [] });
+    const result = await stateClient.transact({
+      conditions: [leadership, { key, revision }],
+      puts: [{ key, value }],
+      deletes: [],
+    });
     if (result.kind === 'malformed') {
       return { kind: 'failed', reason: 'its conversion is beyond the limits of a transaction' };
     }
     if (result.kind !== 'applied') return { kind: 'later' };
-    replica.note(key, value, result.revision);
+    stateCache.note(key, value, result.revision);
     return { kind: 'converted' };
   }
 }
--- /dev/null
+++ b/src/coordination/rollout/rolloutContext.ts
@@ -0,0 +1,47 @@
+/** What staged upgrades need of the controller. */
+import type { Clock } from '../../base/clock.js';
+import type { StateCache } from '../../storage/stateCache.js';
+import type { StateClient } from '../../storage/stateClient.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
+import type { ShardLeadership } from '../leadership/shardLeadership.js';
+import type { PeerRegistry } from '../peers/peerRegistry.js';
+import type { JobPersistence } from '../persistence/jobPersistence.js';
+import type { Drain } from './drain.js';
+
+/** What the conversion of stored records needs. */
+export interface MigrationContext {
+  clock: Clock;
+  settings: { heartbeatInterval: number };
+  shards: string[];
+  ownedShards: ReadonlyMap<string, OwnedShard>;
+  leadership: Pick<ShardLeadership, 'get' | 'isLeaseValid'>;
+  stateCache: Pick<StateCache, 'get' | 'note'>;
+  stateClient: Pick<StateClient, 'get' | 'transact' | 'keysOfForm' | 'unreadable'>;
+  persistence: Pick<JobPersistence, 'rewrite'>;
+}
+
+/** What following and raising the cluster's version needs. */
+export interface RolloutContext extends MigrationContext {
+  clock: Clock;
+  process: string;
+  settings: { label: string; heartbeatInterval: number };
+  leadership: ShardLeadership;
+  peers: Pick<PeerRegistry, 'processOf'>;
+  nodeCapabilities: { readonly isUpgraded: boolean };
+  stateCache: MigrationContext['stateCache'] & {
+    readonly loaded: boolean;
+    entriesWithPrefix(prefix: string): Iterable<[string, { value: unknown; revision: number }]>;
+  };
+  stateClient: StateClient;
+}
+
+/** What a controller tells of itself to those who replace controllers. */
+export interface HealthContext {
+  readonly settings: { readonly label: string };
+  readonly process: string;
+  readonly isReady: boolean;
+  readonly drain: Pick<Drain, 'isActive' | 'isDone'>;
+  readonly ownedShards: ReadonlyMap<string, Pick<OwnedShard, 'shard'>>;
+  /** Submissions that were answered 503 since the start. */
+  readonly refusedRequests: number;
+}
--- a/src/coordination/rollout/rolloutRoutes.ts
+++ b/src/coordination/rollout/rolloutRoutes.ts
@@ -9,9 +9,9 @@
 import * as v from 'valibot';
 import { rolloutPath } from '../../protocol/routes.js';
 import type { Reply } from '../../transport/httpServer.js';
-import type { Controller } from '../controller/controller.js';
 import { unavailable } from '../jobs/replies.js';
 import { healthOf } from './health.js';
+import type { RolloutRoutesContext } from './rolloutRoutesContext.js';
 import type { RolloutService } from './rolloutService.js';
 
 const text = v.pipe(v.string(), v.nonEmpty(), v.maxLength(200));
@@ -42,9 +42,11 @@
 
 const rejected = (reason: string): Reply => ({ status: 409, body: { error: reason } });
 
+/** Answers requests of operators and of the rollout driver. */
 export class RolloutRoutes {
-  constructor(private readonly node: Controller) {}
+  constructor(private readonly node: RolloutRoutesContext) {}
 
+  /** Answers one request; `path` begins with `/v1/rollout`. */
   async handle(method: string, path: string, body: string): Promise<Reply> {
     const { rollout } = this.node;
     if (rollout === null) return NOT_FOUND;
@@ -69,8 +71,8 @@
 
   private async operate(rollout: RolloutService, name: string, body: string): Promise<Reply> {
     const operation = parseOperation(name, body);
-    if (operation === 'unknown') return NOT_FOUND;
-    if (operation === null) return MALFORMED;
+    if (operation.kind === 'unknown-path') return NOT_FOUND;
+    if (operation.kind === 'malformed') return MALFORMED;
     return replyTo(await rollout.operate(operation));
   }
 
@@ -84,17 +86,17 @@
       if (error instanceof DamagedRecordError) return rejected(error.message);
       throw error;
     }
-    const outcome = await rollout.writeDriver(parsed.stamp, record);
+    const outcome = await rollout.driverRecord.write(parsed.stamp, record);
     if (outcome.kind === 'applied') return { status: 200, body: { stamp: outcome.revision } };
     if (outcome.kind === 'conflict') return rejected('the record has changed meanwhile');
     return unavailable('the state service has not confirmed it');
   }
 
-  /** By hand, or by the driver whose step it is: one that was overtaken takes nobody away any more. */
+  /** By hand, or for the driver whose step it is: one that was overtaken drains nobody any more. */
   private drain(rollout: RolloutService, body: string): Reply {
     const parsed = parseBody(drainSchema, body);
     if (parsed === null) return MALFORMED;
-    const obstacle = rollout.drainObstacle(parsed.token);
+    const obstacle = rollout.driverRecord.drainObstacle(parsed.token);
     if (obstacle !== null) return rejected(obstacle);
     this.node.drain.begin();
     return { status: 200, body: {} };
@@ -103,29 +105,33 @@
 
 /** The stored driver, under the names of the interface. */
 function driverAnswer(rollout: RolloutService): Reply {
-  const { record, revision } = rollout.driver();
+  const { record, revision } = rollout.driverRecord.read();
   return { status: 200, body: { record, stamp: revision } };
 }
 
-function parseOperation(name: string, body: string): Operation | 'unknown' | null {
+/** An operation by its path below `/v1/rollout` and its body. */
+function parseOperation(
+  name: string,
+  body: string,
+): Operation | { kind: 'unknown-path' } | { kind: 'malformed' } {
   switch (name) {
     case '/hold': {
       const parsed = parseBody(holdSchema, body);
-      return parsed === null ? null : { kind: 'hold', ...parsed };
+      return parsed === null ? { kind: 'malformed' } : { kind: 'hold', ...parsed };
     }
     case '/finalize': {
       const parsed = parseBody(finalizeSchema, body);
-      return parsed === null ? null : { kind: 'finalize', ...parsed };
+      return parsed === null ? { kind: 'malformed' } : { kind: 'finalize', ...parsed };
     }
     case '/lower': {
       const parsed = parseBody(lowerSchema, body);
-      if (parsed === null) return null;
+      if (parsed === null) return { kind: 'malformed' };
       return { kind: 'lower', to: parsed.to, by: parsed.by, isConfirmed: parsed.confirm };
     }
     case '/retry':
       return { kind: 'retry' };
     default:
-      return 'unknown';
+      return { kind: 'unknown-path' };
   }
 }
 
--- a/src/coordination/rollout/rolloutSetup.ts
+++ b/src/coordination/rollout/rolloutSetup.ts
@@ -4,14 +4,16 @@
 /** The process ends with this code when the cluster's records are at a level that this node cannot read. */
 export const EXIT_REFUSED = 4;
 
+/** The modules that are loaded only where rollouts are on. */
 export type RolloutModules = typeof import('./rolloutModules.js');
 
+/** What is switched on at this start, and what is done where the node must not serve. */
 export interface RolloutSetup {
   /** Names of the features that are on. */
   features: ReadonlySet<string>;
   /** Null while rollouts are off: then nothing of them is loaded. */
   modules: RolloutModules | null;
-  /** This node must not serve. It has written nothing; what is left to it is to end. */
+  /** Called when this node must not serve: it has written nothing, and has to end. */
   refused: (reason: string) => void;
 }
 
--- a/src/main.ts
+++ b/src/main.ts
@@ -29,19 +29,26 @@
 import { HttpServer } from './transport/httpServer.js';
 import { PeerServer } from './transport/peerLink.js';
 
+/** Bytes of a request's body at the most. */
 const BODY_LIMIT = 64 * 1024;
 
-/** What is switched on, as the build has checked it (cli/buildFeatures.ts). */
+/** Seconds that a request may take. */
+const REQUEST_TIMEOUT_S = 10;
+
+/** Milliseconds between two checks whether a drain is done. */
+const DRAIN_POLL_MS = 100;
+
+/** Names of the features that are on, as the build has checked them (cli/buildFeatures.ts). */
 const BUILT_FEATURES = 'target/features.json';
 
 /**
- * The switches are part of a build: the startup snapshot holds them, since a controller has no disk to read them from.
+ * Features are part of a build: the startup snapshot holds them, since a controller has no disk to read them from.
  */
 const builtFeatures = existsSync(BUILT_FEATURES)
   ? (JSON.parse(readText(BUILT_FEATURES)) as string[])
   : [];
 
-/** The switches of a file that was named at the start. */
+/** The features of a file that was named at the start. */
 async function readFeatures(path: string): Promise<string[]> {
   const { readFeatureFile } = await import('./cli/featureFile.js');
   return readFeatureFile(path);
@@ -53,21 +60,21 @@
   return [settings, tuning];
 }
 
-/** A node that cannot read what is stored ends before it has written anything (safety, R3). */
-function refuse(reason: string): void {
+/** Ends a node that cannot read what is stored, before it has written anything (safety, R3). */
+function endUnreadable(reason: string): void {
   log.error(reason);
   process.exit(EXIT_REFUSED);
 }
 
-/** On SIGTERM, gives up what the node owns before it ends, for so many seconds at the most. */
-function drainOnSigterm(node: Controller, seconds: number): void {
+/** On SIGTERM, gives up what the controller leads before it ends, within so many seconds at the most. */
+function drainOnSigterm(controller: Controller, seconds: number): void {
   process.once('SIGTERM', () => {
     log.info('draining before the end');
-    node.drain.begin();
+    controller.drain.begin();
     const deadline = systemClock.now() + seconds;
     setInterval(() => {
-      if (node.drain.isDone || systemClock.now() >= deadline) process.exit(0);
-    }, 100);
+      if (controller.drain.isDone || systemClock.now() >= deadline) process.exit(0);
+    }, DRAIN_POLL_MS);
   });
 }
 
@@ -77,8 +84,8 @@
   features: readonly string[],
 ): Promise<void> {
   const listen = parseAddress(settings.clientListen);
-  const back = parseAddress(settings.peerListen);
-  if (listen === null || back === null) throw new SettingsError('settings: bad address');
+  const peerListen = parseAddress(settings.peerListen);
+  if (listen === null || peerListen === null) throw new SettingsError('settings: bad address');
   // Sets one start of this process apart from every other; names of rentals are made from it.
   const run = `${Math.round(systemClock.wall() * 1000).toString(36)}${process.pid.toString(36)}`;
   const random = seededRandom(Math.floor(systemClock.wall() * 1000) % 0x7fffffff);
@@ -88,24 +95,24 @@
     services: new HttpClient(Math.floor(maxSockets / 24), settings.heartbeatInterval * 4),
     machines: new HttpClient(Math.floor(maxSockets / 6), settings.heartbeatInterval * 4),
   };
-  const rollout = await setUpRollout(features, refuse);
-  const node = new Controller(settings, tuning, systemClock, random, links, run, rollout);
-  if (tuning.drainSeconds > 0) drainOnSigterm(node, tuning.drainSeconds);
-  const gateway = new Gateway(node);
-  const server = new HttpServer((request, follows) => gateway.handle(request, follows), {
+  const rollout = await setUpRollout(features, endUnreadable);
+  const controller = new Controller(settings, tuning, systemClock, random, links, run, rollout);
+  if (tuning.drainSeconds > 0) drainOnSigterm(controller, tuning.drainSeconds);
+  const gateway = new Gateway(controller);
+  const server = new HttpServer((request, isFollowUp) => gateway.handle(request, isFollowUp), {
     bodyLimit: BODY_LIMIT,
     maxConnections: Math.floor(maxSockets * 0.75),
     maxInFlight: Math.floor(maxSockets / 10),
-    requestTimeout: 10,
-    // Workers report several times in a lease, users and health checks ask more often than that.
+    requestTimeout: REQUEST_TIMEOUT_S,
+    // Workers send several heartbeats in a lease, users and health checks ask more often than that.
     idleTimeout: settings.workerLease,
     essential: isEssential,
   });
   const peers = new PeerServer((body) => gateway.peer(body));
-  await peers.listen(back);
+  await peers.listen(peerListen);
   await server.listen(listen);
   log.info(`barrowlb ${VERSION} listens on ${settings.clientListen} as ${settings.label}`);
-  node.start();
+  controller.start();
 }
 
 interface RootOptions {
@@ -116,7 +123,7 @@
 }
 
 async function main(): Promise<void> {
-  setLogLevel(process.env['LOG_LEVEL']);
+  setLogLevel(process.env.LOG_LEVEL);
   const program = new Command('barrowlb');
   program
     .description('A cluster scheduler. With --config it runs as a controller.')
@@ -154,7 +161,7 @@
 }
 
 function start(): void {
-  // A fault in one request must not end the controller; what it held is settled by the loops.
+  // A fault in one request must not end the controller; the loops settle what it left undone.
   process.on('unhandledRejection', (error) => {
     log.error(`unhandled: ${describe(error)}`);
   });
--- a/test/tools/importGraph.test.ts
+++ b/test/tools/importGraph.test.ts
@@ -55,8 +55,6 @@
   'reconciliation/heartbeatReconciler.ts -> scheduling/runTimes.ts',
   'reconciliation/heartbeatReconciler.ts -> shard/shard.ts',
   'reconciliation/machineLiveness.ts -> shard/shard.ts',
-  'rollout/health.ts -> controller/controller.ts',
-  'rollout/rolloutRoutes.ts -> controller/controller.ts',
   'scheduling/preemption.ts -> shard/shard.ts',
   'scheduling/scheduler.ts -> shard/shard.ts',
   'scheduling/waitEstimates.ts -> shard/shard.ts',
