--- a/packages/rollout/src/driver/driverRecord.ts
+++ b/packages/rollout/src/driver/driverRecord.ts
@@ -11,9 +11,9 @@
   version: v.string(),
   isReady: v.boolean(),
   isDraining: v.boolean(),
-  /** It has given up all that it owned. */
+  /** It has given up all that it led. */
   isDrained: v.boolean(),
-  /** Parts that it owns. */
+  /** Shards that it leads. */
   parts: v.array(v.string()),
   liveReplicas: counter,
   waitingTasks: counter,
@@ -50,13 +50,20 @@
 
 /** What a controller tells of itself. */
 export type ControllerHealth = v.InferOutput<typeof healthSchema>;
+/** How far the replacement of one controller has come. */
 export type ControllerProgress = v.InferOutput<typeof controllerSchema>;
+/** The steps of one controller, in their order. */
 export type ControllerState = ControllerProgress['state'];
+/** Live replicas and waiting tasks of the cluster before a controller was taken away. */
 export type Baseline = v.InferOutput<typeof baselineSchema>;
+/** The stored state of a rollout. */
 export type DriverRecord = v.InferOutput<typeof driverSchema>;
+/** Who drives the rollout: `token` rises with each driver, `renewal` with each of its steps. */
 export type DriverPermit = DriverRecord['permit'];
 
+/** Decodes the record of a rollout; throws a DamagedRecordError. */
 export const decodeDriver = decoderOf(driverSchema);
+/** Decodes what a controller tells of itself; throws a DamagedRecordError. */
 export const decodeHealth = decoderOf(healthSchema);
 
 /** States in which a controller may be away, or not well yet. */
--- a/packages/rollout/src/driver/plan.ts
+++ b/packages/rollout/src/driver/plan.ts
@@ -3,11 +3,13 @@
 import { parse } from 'dot-properties';
 import { closest } from 'fastest-levenshtein';
 
+/** The plan is faulty; the message says where. */
 export class PlanError extends Error {}
 
 /** What is done when a controller does not come back well. */
 export type FailureReaction = 'pause' | 'rollback';
 
+/** What operators ask of a rollout. */
 export interface RolloutPlan {
   name: string;
   /** Controllers in the order in which they are replaced. */
@@ -23,7 +25,7 @@
   /** Controllers that may be away at a time. */
   concurrency: number;
   drains: boolean;
-  /** Seconds until a controller must have given up its parts, and until it must be back. */
+  /** Seconds until a controller must have given up its shards, and until it must be back. */
   drainTimeout: number;
   startTimeout: number;
   /** Seconds for which the cluster must be well before the next controller. */
@@ -130,7 +132,10 @@
   return order;
 }
 
-/** Reads a plan; what is wrong with it is said before anything is touched. */
+/**
+ * Reads a plan.
+ * @throws {PlanError} if anything is wrong with it, so that nothing has been touched by then.
+ */
 export function parsePlan(text: string): RolloutPlan {
   const reader = new PlanReader(text);
   const order = readOrder(reader);
@@ -164,7 +169,10 @@
   };
 }
 
-/** Checks the plan against the controllers that the cluster's settings name. */
+/**
+ * Checks the plan against the controllers that the cluster's settings name.
+ * @throws {PlanError} if it names another.
+ */
 export function checkControllers(plan: RolloutPlan, known: string[]): void {
   for (const label of Object.keys(plan.addresses)) {
     if (known.includes(label)) continue;
--- a/packages/rollout/src/featureSwitches.ts
+++ b/packages/rollout/src/featureSwitches.ts
@@ -2,16 +2,19 @@
 import { closest } from 'fastest-levenshtein';
 import { parse } from 'smol-toml';
 
+/** The features file is faulty; the message says where. */
 export class FeatureFileError extends Error {}
 
 /** What is switched on; everything that the file does not name is off. */
 export class FeatureSwitches {
   constructor(private readonly on: ReadonlySet<string> = new Set()) {}
 
+  /** Whether a feature is switched on. */
   isOn(name: string): boolean {
     return this.on.has(name);
   }
 
+  /** The features that are on, sorted. */
   get names(): string[] {
     return [...this.on].sort();
   }
@@ -19,7 +22,10 @@
 
 const TABLE = 'features';
 
-/** Reads the file strictly: a name that nobody knows is refused, since it would silently switch on nothing. */
+/**
+ * Reads the file strictly: an unknown name is refused, since it would silently switch on nothing.
+ * @throws {FeatureFileError} if the file is not as it must be.
+ */
 export function parseFeatureFile(text: string, known: readonly string[]): FeatureSwitches {
   const file = parseToml(text);
   for (const name of Object.keys(file)) {
--- a/packages/rollout/src/levels.ts
+++ b/packages/rollout/src/levels.ts
@@ -6,6 +6,7 @@
   max: number;
 }
 
+/** Whether a level is within a range. */
 export const covers = (range: LevelRange, level: number): boolean =>
   range.min <= level && level <= range.max;
 
@@ -22,6 +23,7 @@
   isSwitched: boolean;
 }
 
+/** A build names its features inconsistently. */
 export class FeatureTableError extends Error {}
 
 /** All features of a build, by rising level. */
@@ -37,14 +39,17 @@
     if (features.length === 0) throw new FeatureTableError('there are no features');
   }
 
+  /** The lowest level that this build reads. */
   get lowest(): number {
     return this.features[0]?.level ?? 0;
   }
 
+  /** The highest level that this build reads and may write. */
   get highest(): number {
     return this.features[this.features.length - 1]?.level ?? 0;
   }
 
+  /** The feature of that name. */
   find(name: string): Feature | undefined {
     return this.features.find((feature) => feature.name === name);
   }
--- a/packages/rollout/src/migration/progress.ts
+++ b/packages/rollout/src/migration/progress.ts
@@ -1,4 +1,4 @@
-/** How far the records of one part have been converted, as it is stored. */
+/** How far the records of one shard have been converted, as it is stored. */
 import * as v from 'valibot';
 import { decoderOf } from '../records.js';
 
@@ -17,10 +17,13 @@
   unnamed: counter,
 });
 
+/** The stored progress of one shard. */
 export type MigrationProgress = v.InferOutput<typeof progressSchema>;
 
+/** Decodes a progress record; throws a DamagedRecordError. */
 export const decodeProgress = decoderOf(progressSchema);
 
+/** The progress of a walk that has not begun. */
 export const emptyProgress = (walk: number): MigrationProgress => ({
   walk,
   cursor: '',
--- a/packages/rollout/src/operations.ts
+++ b/packages/rollout/src/operations.ts
@@ -3,6 +3,7 @@
 import { rolloutKeys, type ClusterVersion } from './records.js';
 import { applyChange, type Condition, type RecordCopy, type RecordStore } from './store.js';
 
+/** What an operator asks for. */
 export type Operation =
   | { kind: 'hold'; by: string; reason: string }
   /** Ends a hold; with `by`, only that of its own. */
@@ -11,6 +12,7 @@
   /** Records that could not be converted are tried once more. */
   | { kind: 'retry' };
 
+/** What came of it. */
 export type OperationResult =
   | { kind: 'done'; version: ClusterVersion }
   | { kind: 'rejected'; reason: string }
@@ -84,6 +86,7 @@
   };
 }
 
+/** The cluster's version as the operator's controller knows it. */
 export interface OperatedCluster {
   version: ClusterVersion;
   versionCondition: Condition;
--- a/packages/rollout/src/participant.ts
+++ b/packages/rollout/src/participant.ts
@@ -4,6 +4,7 @@
 import { rolloutKeys, type ClusterVersion, type Member, type Presence } from './records.js';
 import { applyChange, unchanged, type RecordCopy, type RecordStore } from './store.js';
 
+/** What a node publishes, and how it complies. */
 export interface ParticipantOptions {
   label: string;
   /** Sets this start of the process apart from every other. */
@@ -22,6 +23,7 @@
   readonly version: ClusterVersion;
 }
 
+/** Keeps the presence and member records of one node in line with what it reads and has answered. */
 export class Participant {
   private isBusy = false;
   /** The lease that the presence record was written under. */
--- a/packages/rollout/src/status.ts
+++ b/packages/rollout/src/status.ts
@@ -13,6 +13,7 @@
 /** How far a feature has come. */
 export type FeatureStep = 'can be read' | 'may be written' | 'migrated' | 'being taken back';
 
+/** One feature of the build, and how far it has come in this cluster. */
 export interface FeatureStatus {
   name: string;
   level: number;
@@ -21,6 +22,7 @@
   isReversible: boolean;
 }
 
+/** What a node of the settings publishes. */
 export interface NodeStatus {
   label: string;
   /** Levels that it reads, or null while it publishes none. */
@@ -30,6 +32,7 @@
   answer: number | null;
 }
 
+/** How far the conversion of a shard's records has come; the names are those of the HTTP interface. */
 export interface PartStatus {
   part: string;
   isFinished: boolean;
@@ -38,6 +41,7 @@
   unnamed: number;
 }
 
+/** The answer to `GET /v1/rollout`; the names are part of that interface. */
 export interface RolloutStatus {
   version: ClusterVersion;
   damage: string | null;
@@ -78,14 +82,16 @@
   return decision.kind === 'wait' ? decision.blockers : [];
 }
 
+/** What the status is put together from. */
 export interface StatusSource {
   copy: Pick<RecordCopy, 'get'>;
   snapshot: ClusterSnapshot;
   features: FeatureTable;
-  parts: string[];
+  shards: string[];
   blockers: (Blocker & { since: number })[];
 }
 
+/** Puts the status together. */
 export function rolloutStatus(source: StatusSource): RolloutStatus {
   const { snapshot, features, blockers } = source;
   const { version, damage } = snapshot;
@@ -104,13 +110,13 @@
       process: presence?.value.process ?? null,
       answer: presence?.value.answer ?? null,
     })),
-    parts: source.parts.map((part) => {
+    parts: source.shards.map((shard) => {
       const { isFinished, converted, quarantined, unnamed } = readProgress(
         source.copy,
-        part,
+        shard,
         version.walk,
       );
-      return { part, isFinished, converted, quarantined, unnamed };
+      return { part: shard, isFinished, converted, quarantined, unnamed };
     }),
     blockers,
   };
--- a/packages/rollout/src/store.ts
+++ b/packages/rollout/src/store.ts
@@ -1,5 +1,6 @@
 /** The records that the nodes share, as this package needs them; the service adapts its own client and copy. */
 
+/** A record as the store has it. */
 export interface StoredRecord {
   value: unknown;
   /** The revision of the record's last change; it never stands for two values. */
@@ -14,7 +15,7 @@
   note(key: string, value: unknown, revision: number): void;
 }
 
-/** A key and the stamp that it must have; 0: it must not exist. */
+/** A key and the revision that it must have; 0: it must not exist. */
 export interface Condition {
   key: string;
   revision: number;
@@ -27,6 +28,7 @@
   deletes: string[];
 }
 
+/** What came of a change. */
 export type ChangeOutcome =
   | { kind: 'applied'; revision: number }
   | { kind: 'conflict'; failed: string[] }
@@ -34,6 +36,7 @@
   | { kind: 'unknown' }
   | { kind: 'refused' | 'no-lease' | 'malformed' };
 
+/** The store, as far as this package writes to it. */
 export interface RecordStore {
   transact(change: RecordChange): Promise<ChangeOutcome>;
 }
--- a/packages/rollout/src/versionCoordinator.ts
+++ b/packages/rollout/src/versionCoordinator.ts
@@ -19,12 +19,13 @@
 
 /** The lease that entitles to change the version. */
 export interface LeaderLease {
-  /** Its key with the stamp that it has while this node holds it; null: another node does, or none. */
+  /** Its key with the revision that it has while this node holds it; null: another node does, or none. */
   condition(): Condition | null;
   /** The fencing token, above that of every earlier holder. */
   readonly token: number;
 }
 
+/** What a coordinator needs of its node. */
 export interface CoordinatorOptions extends PlanOptions {
   barrierKey: string;
   /** Reads the store and names records that are in a form which they should not have any more. */
@@ -35,6 +36,7 @@
 /** What a step came to; for logs and tests. */
 export type StepResult = Decision['kind'] | 'not-leader' | ChangeOutcome['kind'];
 
+/** Plans and stores the next change of the version; runs on every node, and acts on the lease holder alone. */
 export class VersionCoordinator {
   private isBusy = false;
 
@@ -68,15 +70,15 @@
     const { change, what } = decision;
     const version = { ...change.version, token: this.lease.token };
     const puts = [{ key: rolloutKeys.version, value: version as unknown }];
-    const removes: string[] = [];
-    if (change.barrier === null) removes.push(this.options.barrierKey);
+    const deletes: string[] = [];
+    if (change.barrier === null) deletes.push(this.options.barrierKey);
     else if (change.barrier !== undefined) {
       puts.push({ key: this.options.barrierKey, value: change.barrier });
     }
     const outcome = await applyChange(this.store, this.copy, {
-      conditions: [lease, ...change.when],
+      conditions: [lease, ...change.conditions],
       puts,
-      deletes: removes,
+      deletes,
     });
     if (outcome.kind === 'applied') this.options.log(describeChange(what, version));
     return outcome.kind;
--- a/packages/rollout/src/versionPlan.ts
+++ b/packages/rollout/src/versionPlan.ts
@@ -6,7 +6,7 @@
 /** What is known of one node of the settings. */
 export interface NodeView {
   label: string;
-  /** Its record under its lease, with the record's stamp; null: there is none, or a damaged one. */
+  /** Its record under its lease, with the record's revision; null: there is none, or a damaged one. */
   presence: { value: Presence; revision: number } | null;
   /** It has published a range of levels at some time. */
   isKnown: boolean;
@@ -14,9 +14,9 @@
   heardProcess: string | null;
 }
 
-/** Who owns one part, by its ownership key. */
+/** Who leads one shard, by its leader key. */
 export interface OwnerView {
-  part: string;
+  shard: string;
   key: string;
   revision: number;
   owner: { node: string; process: string } | null;
@@ -24,12 +24,13 @@
 
 /** How far the walk through the records has come. */
 export interface WalkView {
-  /** Parts whose owners have not finished the present walk. */
+  /** Shards whose leaders have not finished the present walk. */
   unfinished: string[];
   /** Records that could not be converted. */
   quarantined: string[];
 }
 
+/** What the next change of the version is planned from. */
 export interface ClusterSnapshot {
   version: ClusterVersion;
   /** Why the stored version cannot be believed; `version` is then the last that could be. */
@@ -40,6 +41,7 @@
   walk: WalkView;
 }
 
+/** Why the version cannot change; the names are part of `GET /v1/rollout`. */
 export type BlockerCause =
   | 'held'
   | 'away'
@@ -54,7 +56,7 @@
   | 'quarantined'
   | 'damaged';
 
-/** Something that keeps the version from changing; `subject` is a node, a part or a record. */
+/** Something that keeps the version from changing; `subject` is a node, a shard or a record. */
 export interface Blocker {
   cause: BlockerCause;
   subject: string;
@@ -64,11 +66,12 @@
 /** A change of the version's record, and of the barrier where the level changes. */
 export interface VersionChange {
   version: ClusterVersion;
-  when: Condition[];
+  conditions: Condition[];
   /** Undefined: it stays; null: it goes. */
   barrier?: Barrier | null;
 }
 
+/** The next step of the coordinator. */
 export type Decision =
   | { kind: 'none' }
   | { kind: 'wait'; blockers: Blocker[] }
@@ -79,7 +82,7 @@
 /** Keys of the store's conditions beside those of the nodes: the version's record and the lease's key. */
 const FIXED_CONDITIONS = 2;
 
-/** How many nodes fit the conditions of one transaction: a presence record and an ownership key for each. */
+/** How many nodes fit the conditions of one transaction: a presence record and a leader key for each. */
 export const nodesThatFit = (conditions: number): number =>
   Math.floor((conditions - FIXED_CONDITIONS) / 2);
 
@@ -119,23 +122,23 @@
       detail: `it has not answered proposal ${version.proposal} yet`,
     }));
 
-/** Parts that are owned by another process than the one that published its levels. */
+/** Shards that are led by another process than the one that published its levels. */
 function foreignOwners({ owners, nodes }: ClusterSnapshot): Blocker[] {
-  const processes = new Map(nodes.map((n) => [n.label, n.presence?.value.process]));
+  const processes = new Map(nodes.map((node) => [node.label, node.presence?.value.process]));
   return owners
     .filter(({ owner }) => owner !== null && processes.get(owner.node) !== owner.process)
-    .map(({ part, owner }) => ({
+    .map(({ shard, owner }) => ({
       cause: 'foreign-owner',
-      subject: part,
+      subject: shard,
       detail: `it is owned by a process of ${owner?.node ?? ''} that published no levels`,
     }));
 }
 
 function walkBlockers({ walk }: ClusterSnapshot): Blocker[] {
   return [
-    ...walk.unfinished.map((part): Blocker => ({
+    ...walk.unfinished.map((shard): Blocker => ({
       cause: 'walking',
-      subject: part,
+      subject: shard,
       detail: 'its records are being converted',
     })),
     ...walk.quarantined.map((key): Blocker => ({
@@ -160,9 +163,10 @@
     key: presenceKey(label),
     revision: presence?.revision ?? 0,
   })),
-  ...snapshot.owners.map(({ key, revision }) => ({ key, revision: revision })),
+  ...snapshot.owners.map(({ key, revision }) => ({ key, revision })),
 ];
 
+/** What the plan depends on beside the stored records. */
 export interface PlanOptions {
   features: FeatureTable;
   presenceKey: (label: string) => string;
@@ -208,7 +212,10 @@
 ): Decision {
   const proposal = version.proposal + 1;
   // A proposal begins from a verified level, and changes no record; so does its withdrawal.
-  const change = { version: { ...next, proposal, verified: proposal }, when: [versionCondition] };
+  const change = {
+    version: { ...next, proposal, verified: proposal },
+    conditions: [versionCondition],
+  };
   return { kind: 'change', what, change };
 }
 
@@ -269,6 +276,6 @@
   { presenceKey, barrierFrom }: PlanOptions,
 ): Decision {
   const barrier = version.level >= barrierFrom ? { readers: version.level } : null;
-  const when = allConditions(snapshot, presenceKey);
-  return { kind: 'change', what, change: { version, when, barrier } };
+  const conditions = allConditions(snapshot, presenceKey);
+  return { kind: 'change', what, change: { version, conditions, barrier } };
 }
--- a/packages/rollout/src/versionTracker.ts
+++ b/packages/rollout/src/versionTracker.ts
@@ -15,10 +15,12 @@
   range: LevelRange;
 }
 
+/** The refusal in words, with what to do about it. */
 export const describeRefusal = ({ level, range }: Refusal): string =>
   `the cluster stores records of level ${level}, and this node reads levels ${range.min} to ${range.max}; ` +
   'start it with a build and features that read that level';
 
+/** Follows the version and the barrier in the copy of the records. */
 export class VersionTracker {
   private version: ClusterVersion;
   /** Why the stored version cannot be believed; null: it can. */
--- a/packages/rollout/test/driver.test.ts
+++ b/packages/rollout/test/driver.test.ts
@@ -115,7 +115,7 @@
     after: ['2.0', '1.0', '1.0'],
   },
   {
-    what: 'it does not give up its part in time',
+    what: 'it does not give up its shard in time',
     changes: { 'drain.timeout': '1' },
     prepare: () => undefined,
     cause: /a: it still owns a after the drain timeout/,
--- a/packages/rollout/test/hardCases.test.ts
+++ b/packages/rollout/test/hardCases.test.ts
@@ -70,7 +70,7 @@
 
 const hardCases: HardCase[] = [
   {
-    what: 'a node returns with an old build, and owns its part, between the answers and the raise',
+    what: 'a node returns with an old build, and owns its shard, between the answers and the raise',
     guard: 'owners',
     play: async (guards) => {
       const cluster = await answeredCluster(guards);
--- a/packages/rollout/test/support/simulatedCluster.ts
+++ b/packages/rollout/test/support/simulatedCluster.ts
@@ -25,8 +25,8 @@
 const BARRIER_FROM = 3;
 const INITIAL = 2;
 
-export const ownerKey = (part: string): string => `b/own/${part}`;
-const recordsOf = (part: string): string => `b/run/${part}/`;
+export const ownerKey = (shard: string): string => `b/own/${shard}`;
+const recordsOf = (shard: string): string => `b/run/${shard}/`;
 
 interface Owner {
   node: string;
@@ -155,10 +155,10 @@
       nodes: cluster.labels,
       shards: cluster.labels,
       heardProcess: () => null,
-      owner: (part: string) => {
-        const stored = copy.get(ownerKey(part));
+      owner: (shard: string) => {
+        const stored = copy.get(ownerKey(shard));
         const owner = (stored?.value ?? null) as Owner | null;
-        return { part, key: ownerKey(part), revision: stored?.revision ?? 0, owner };
+        return { shard, key: ownerKey(shard), revision: stored?.revision ?? 0, owner };
       },
     };
     return viewCluster(copy, service, this.tracker.current, this.tracker.damage);
@@ -188,7 +188,7 @@
     return this.tracker.current.level >= BARRIER_FROM;
   }
 
-  /** Writes the ownership key of a part, or of the lease holder's duty. */
+  /** Writes the ownership key of a shard, or of the lease holder's duty. */
   claim(key: string): void {
     const { store } = this.cluster;
     if (this.hold === null || this.isRefused || !this.isLoaded || this.held.has(key)) return;
@@ -242,7 +242,7 @@
     return Math.max(INITIAL, ...active.map(({ level }) => level));
   }
 
-  /** Stores a record of its own part, under its ownership. */
+  /** Stores a record of its own shard, under its ownership. */
   async write(name: number): Promise<void> {
     const mine = this.held.get(ownerKey(this.label));
     if (mine === undefined) return;
@@ -393,7 +393,7 @@
       .map(([key]) => key);
   }
 
-  /** Nodes whose ownership of a part the store confirms: what they read and write counts. */
+  /** Nodes whose ownership of a shard the store confirms: what they read and write counts. */
   serving(): SimulatedNode[] {
     return [...this.nodes.values()].filter((node) => {
       const mine = node.held.get(ownerKey(node.label));
--- a/packages/rollout/test/versionPlan.test.ts
+++ b/packages/rollout/test/versionPlan.test.ts
@@ -35,7 +35,7 @@
     versionCondition: { key: rolloutKeys.version, revision: 3 },
     nodes,
     owners: nodes.map(({ label }) => ({
-      part: label,
+      shard: label,
       key: `b/own/${label}`,
       revision: 7,
       owner: { node: label, process: 'x' },
@@ -78,7 +78,7 @@
 
 test('each phase goes on only when everything that it rests on is there', () => {
   const answered = presence({ answer: 1 });
-  const owner = { part: 'a', key: 'b/own/a', revision: 1, owner: { node: 'a', process: 'old' } };
+  const owner = { shard: 'a', key: 'b/own/a', revision: 1, owner: { node: 'a', process: 'old' } };
   const cases: [string, ClusterSnapshot, string][] = [
     ['all read the next level', snapshot({}, two(presence())), 'propose'],
     ['held', snapshot({ hold }, two(presence())), 'wait'],
@@ -132,7 +132,7 @@
 test('a raise rests on the stamps of everything that was looked at, and writes the barrier', () => {
   const decision = planVersion(snapshot(raising, two(presence({ answer: 1 }))), options);
   assert.ok(decision.kind === 'change');
-  assert.deepEqual(decision.change.when, [
+  assert.deepEqual(decision.change.conditions, [
     { key: rolloutKeys.version, revision: 3 },
     { key: rolloutKeys.presence('a'), revision: 10 },
     { key: rolloutKeys.presence('b'), revision: 10 },
--- a/src/coordination/rollout/clusterObserver.ts
+++ b/src/coordination/rollout/clusterObserver.ts
@@ -53,7 +53,7 @@
       copy: this.node.stateCache,
       snapshot: this.snapshot(),
       features: featureTable,
-      parts: this.allShards,
+      shards: this.allShards,
       blockers: this.blockers(),
     });
   }
@@ -66,6 +66,6 @@
     const key = keys.owner(shard);
     const stored = this.node.stateCache.get(key);
     const owner = (stored?.value ?? null) as LeaderRecord | null;
-    return { part: shard, key, revision: stored?.revision ?? 0, owner };
+    return { shard, key, revision: stored?.revision ?? 0, owner };
   }
 }
