--- a/test/mixed/mixedTrial.ts
+++ b/test/mixed/mixedTrial.ts
@@ -69,13 +69,13 @@
   /** Pipelines come only when every node has the new version. */
   protected override async play(): Promise<void> {
     const mixedFor = OLD_S + STEP_S * NODES;
-    const faults = this.strikeAll(mixedFor);
+    const faults = this.injectFaults(mixedFor);
     const upgrade = this.upgradeAll();
     await this.submitFor(mixedFor, 0);
     await Promise.all([faults, upgrade]);
     await pause(GRACE_S);
     this.cluster.state.limits = { ...NEXT };
-    const later = this.strikeAll(NEW_S, FAULTS);
+    const later = this.injectFaults(NEW_S, FAULTS);
     await this.submitFor(NEW_S, 0.5);
     await later;
   }
--- a/test/mixed/rolloutTrial.ts
+++ b/test/mixed/rolloutTrial.ts
@@ -14,7 +14,7 @@
 const OLD_S = 2;
 const STEP_S = 1.5;
 const NEW_S = 6;
-/** How long a drain may take while faults strike; a node that is not drained by then is ended all the same. */
+/** How long a drain may take while faults are injected; a node that is not drained by then is ended all the same. */
 const DRAIN_S = 3;
 /** Until the level must have changed once the faults are over. */
 const LEVEL_S = 40;
@@ -43,7 +43,7 @@
     const duration = OLD_S + STEP_S * this.labels.length + NEW_S;
     const users = this.submitFor(duration, 0);
     await pause(OLD_S);
-    const faults = this.strikeAll(STEP_S * this.labels.length, FAULTS);
+    const faults = this.injectFaults(STEP_S * this.labels.length, FAULTS);
     const isBack = this.kind === 'rolled back';
     const replaced = isBack ? this.labels.slice(0, -1) : this.labels;
     for (const label of replaced) await this.replace(label, this.present);
--- a/test/soak/faultInjection.ts
+++ b/test/soak/faultInjection.ts
@@ -1,13 +1,13 @@
-/** Carries out planned strikes on a cluster of processes, and ends them. */
+/** Injects planned faults into a cluster of processes, and ends them. */
 import { pause } from '../support/cluster.js';
-import type { SoakPlan, Strike } from './plan.js';
+import type { SoakPlan, Fault } from './plan.js';
 import type { SoakCluster } from './soakCluster.js';
 
 /** How long after a message a late copy may come, as a ratio to the worker's lease. */
 const MOST_LATE = 1.2;
 
-export class Strikes {
-  private strokes = 0;
+export class FaultInjector {
+  private injectedCount = 0;
   private isOver = false;
   /** Processes that stand still; one that is killed meanwhile comes back awake. */
   private readonly paused = new Set<string>();
@@ -18,16 +18,16 @@
     private readonly note: (text: string) => void,
   ) {}
 
-  /** All strikes of the plan, each at its time; resolves when the last one has ended and everything is up. */
+  /** All faults of the plan, each at its time; resolves when the last one has ended and everything is up. */
   async play(): Promise<void> {
     const began = performance.now();
     const running: Promise<void>[] = [];
-    for (const { at, strike } of this.plan.strikes) {
+    for (const { at, fault } of this.plan.faults) {
       const left = at - (performance.now() - began) / 1000;
       if (left > 0) await pause(left);
       if (this.isOver) return;
-      this.note(`strike ${JSON.stringify(strike)}`);
-      running.push(this.strike(strike));
+      this.note(`fault ${JSON.stringify(fault)}`);
+      running.push(this.inject(fault));
     }
     await Promise.all(running);
     this.startAll();
@@ -42,67 +42,67 @@
     for (const controller of this.cluster.controllers.values()) controller.start();
   }
 
-  private async strike(strike: Strike): Promise<void> {
+  private async inject(fault: Fault): Promise<void> {
     const { cluster } = this;
     const { state, fleet } = cluster;
     const mostLate = this.plan.lease * MOST_LATE;
-    switch (strike.kind) {
+    switch (fault.kind) {
       case 'kill':
-        return this.kill([strike.node], strike.awaySeconds);
+        return this.kill([fault.node], fault.awaySeconds);
       case 'kill-all':
-        return this.kill(this.plan.nodes, strike.awaySeconds);
+        return this.kill(this.plan.nodes, fault.awaySeconds);
       case 'pause':
-        return this.pauseNode(strike.node, strike.seconds);
+        return this.pauseNode(fault.node, fault.seconds);
       case 'owners-in-series':
-        return this.killInSeries(strike.nodes, strike.seconds);
+        return this.killInSeries(fault.nodes, fault.seconds);
       case 'state-refuses':
-        await state.ask({ kind: 'refuse', client: strike.node, isOn: true });
-        await pause(strike.seconds);
-        await state.ask({ kind: 'refuse', client: strike.node, isOn: false });
+        await state.ask({ kind: 'refuse', client: fault.node, isOn: true });
+        await pause(fault.seconds);
+        await state.ask({ kind: 'refuse', client: fault.node, isOn: false });
         return;
       case 'state-slow':
-        await state.ask({ kind: 'slow', client: strike.node, seconds: strike.delay });
-        await pause(strike.seconds);
-        await state.ask({ kind: 'slow', client: strike.node, seconds: 0 });
+        await state.ask({ kind: 'slow', client: fault.node, seconds: fault.delay });
+        await pause(fault.seconds);
+        await state.ask({ kind: 'slow', client: fault.node, seconds: 0 });
         return;
       case 'answers-lost':
-        await state.ask({ kind: 'lose-answers', share: strike.share, mostLate });
-        await pause(strike.seconds);
+        await state.ask({ kind: 'lose-answers', share: fault.share, mostLate });
+        await pause(fault.seconds);
         await state.ask({ kind: 'lose-answers', share: 0, mostLate });
         return;
       case 'peers-cut':
         return this.hold(
-          strike.isBothWays
-            ? [`${strike.from}>${strike.to}`, `${strike.to}>${strike.from}`]
-            : [`${strike.from}>${strike.to}`],
-          strike.seconds,
+          fault.isBothWays
+            ? [`${fault.from}>${fault.to}`, `${fault.to}>${fault.from}`]
+            : [`${fault.from}>${fault.to}`],
+          fault.seconds,
         );
       case 'peers-slow':
-        return this.during([`${strike.from}>${strike.to}`], strike.seconds, {
-          delaySeconds: strike.delay,
+        return this.during([`${fault.from}>${fault.to}`], fault.seconds, {
+          delaySeconds: fault.delay,
         });
       case 'node-apart':
-        return this.setApart(strike.node, strike.seconds, strike.isHeld);
+        return this.setApart(fault.node, fault.seconds, fault.isHeld);
       case 'workers-cut':
-        return this.hold([`workers>${strike.node}`], strike.seconds);
+        return this.hold([`workers>${fault.node}`], fault.seconds);
       case 'machines':
-        return this.strikeMachines(strike);
+        return this.injectMachineFault(fault);
       case 'messages':
-        await fleet.ask({ ...strike, kind: 'message-faults', mostLate });
-        await pause(strike.seconds);
+        await fleet.ask({ ...fault, kind: 'message-faults', mostLate });
+        await pause(fault.seconds);
         await fleet.ask({ kind: 'message-faults', lateCommands: 0, copiedReports: 0, mostLate });
         return;
       case 'taken':
-        await fleet.ask({ kind: 'take', share: strike.share });
+        await fleet.ask({ kind: 'take', share: fault.share });
         return;
       case 'notice':
-        await fleet.ask(strike);
-        await pause(strike.seconds);
+        await fleet.ask(fault);
+        await pause(fault.seconds);
         return;
       case 'cloud-refuses':
         return this.during(
           this.plan.nodes.map((node) => `${node}>cloud`),
-          strike.seconds,
+          fault.seconds,
           { isRefusing: true },
         );
     }
@@ -136,12 +136,12 @@
     );
   }
 
-  private async strikeMachines({
+  private async injectMachineFault({
     flag,
     share,
     seconds,
-  }: Extract<Strike, { kind: 'machines' }>): Promise<void> {
-    const id = ++this.strokes;
+  }: Extract<Fault, { kind: 'machines' }>): Promise<void> {
+    const id = ++this.injectedCount;
     await this.cluster.fleet.ask({ kind: 'flag', id, flag, share });
     await pause(seconds);
     await this.cluster.fleet.ask({ kind: 'unflag', id });
@@ -166,9 +166,9 @@
     seconds: number,
     change: Parameters<ReturnType<SoakCluster['linkBetween']>['set']>[0],
   ): Promise<void> {
-    const struck = links.flatMap((name) => this.cluster.links.get(name) ?? []);
-    for (const link of struck) link.set(change);
+    const affected = links.flatMap((name) => this.cluster.links.get(name) ?? []);
+    for (const link of affected) link.set(change);
     await pause(seconds);
-    for (const link of struck) link.heal();
+    for (const link of affected) link.heal();
   }
 }
--- a/test/soak/fleetMain.ts
+++ b/test/soak/fleetMain.ts
@@ -37,20 +37,20 @@
   },
 };
 
-const strokes = new Map<number, { flag: MachineFlag; struck: WorkerStandIn[] }>();
+const injectedCount = new Map<number, { flag: MachineFlag; struck: WorkerStandIn[] }>();
 const draw = (share: number): WorkerStandIn[] =>
   [...cloud.workers.values()].filter(() => random() < share);
 
-function strike(id: number, flag: MachineFlag, share: number): void {
+function applyFlag(id: number, flag: MachineFlag, share: number): void {
   const struck = draw(share);
   for (const worker of struck) worker[flag] = true;
-  strokes.set(id, { flag, struck });
+  injectedCount.set(id, { flag, struck });
 }
 
 function endStroke(id: number): void {
-  const stroke = strokes.get(id);
+  const stroke = injectedCount.get(id);
   for (const worker of stroke?.struck ?? []) if (stroke !== undefined) worker[stroke.flag] = false;
-  strokes.delete(id);
+  injectedCount.delete(id);
 }
 
 function setMessageFaults(lateCommands: number, copiedReports: number, mostLate: number): void {
@@ -71,7 +71,7 @@
       nodes = new Map(request.addresses);
       return null;
     case 'flag':
-      strike(request.id, request.flag, request.share);
+      applyFlag(request.id, request.flag, request.share);
       return null;
     case 'unflag':
       endStroke(request.id);
--- a/test/soak/messages.ts
+++ b/test/soak/messages.ts
@@ -16,7 +16,7 @@
   | { kind: 'listen' }
   /** Where workers find the controllers. */
   | { kind: 'nodes'; addresses: [string, string][] }
-  /** Strikes a share of the machines; `id` names the stroke for its end. */
+  /** Applies a flag to a share of the machines; `id` names the fault for its end. */
   | { kind: 'flag'; id: number; flag: MachineFlag; share: number }
   | { kind: 'unflag'; id: number }
   | { kind: 'message-faults'; lateCommands: number; copiedReports: number; mostLate: number }
--- a/test/soak/plan.ts
+++ b/test/soak/plan.ts
@@ -1,16 +1,16 @@
-/** What a seed stands for: the size of the cluster, its clocks, and which faults strike when. No I/O. */
+/** What a seed stands for: the size of the cluster, its clocks, and which faults are injected when. No I/O. */
 import { seededRandom, type Random } from '../../src/base/random.js';
 import type { MachineFlag } from './messages.js';
 
 /** How much of the machine a soak takes. */
 export type SoakSize = 'ci' | 'usual' | 'large';
 
-export type Strike =
+export type Fault =
   | { kind: 'kill'; node: string; awaySeconds: number }
   | { kind: 'kill-all'; awaySeconds: number }
   /** Stops a process and lets it go on. */
   | { kind: 'pause'; node: string; seconds: number }
-  /** One owner after the other ends, so that a part has several within one grace. */
+  /** One leader after the other ends, so that a shard has several within one grace period. */
   | { kind: 'owners-in-series'; nodes: string[]; seconds: number }
   | { kind: 'state-refuses'; node: string; seconds: number }
   | { kind: 'state-slow'; node: string; seconds: number; delay: number }
@@ -28,10 +28,10 @@
   | { kind: 'notice'; share: number; seconds: number }
   | { kind: 'cloud-refuses'; seconds: number };
 
-export interface PlannedStrike {
+export interface PlannedFault {
   /** Seconds after the users have begun to come. */
   at: number;
-  strike: Strike;
+  fault: Fault;
 }
 
 export interface SoakPlan {
@@ -49,11 +49,11 @@
   mostTasks: number;
   longestTask: number;
   limits: Record<string, number>;
-  /** Seconds in which users come and faults strike. */
-  troubled: number;
-  /** Seconds after that in which every job must have got where it is going. */
+  /** Seconds in which users come and faults are injected. */
+  faultSeconds: number;
+  /** Seconds after that in which every job must reach its final state. */
   settle: number;
-  strikes: PlannedStrike[];
+  faults: PlannedFault[];
 }
 
 /** The settings' bound on clocks. */
@@ -76,22 +76,22 @@
     | 'mostTasks'
     | 'longestTask'
     | 'limits'
-    | 'troubled'
+    | 'faultSeconds'
     | 'settle'
   >
 > = {
   ci: {
     // Times that a machine with other work bears, where each message may take tenths of a second.
     ...{ machines: 6, report: 1, lease: 6, cancel: 22, jobsPerSecond: 2, mostTasks: 3 },
-    ...{ longestTask: 4, limits: { crew: 30, guests: 14 }, troubled: 16, settle: 240 },
+    ...{ longestTask: 4, limits: { crew: 30, guests: 14 }, faultSeconds: 16, settle: 240 },
   },
   usual: {
     ...{ machines: 8, report: 0.5, lease: 4, cancel: 14, jobsPerSecond: 3, mostTasks: 4 },
-    ...{ longestTask: 5, limits: { crew: 36, guests: 16 }, troubled: 30, settle: 120 },
+    ...{ longestTask: 5, limits: { crew: 36, guests: 16 }, faultSeconds: 30, settle: 120 },
   },
   large: {
     ...{ machines: 300, report: 1, lease: 8, cancel: 26, jobsPerSecond: 6, mostTasks: 60 },
-    ...{ longestTask: 12, limits: { crew: 1600, guests: 700 }, troubled: 40, settle: 150 },
+    ...{ longestTask: 12, limits: { crew: 1600, guests: 700 }, faultSeconds: 40, settle: 150 },
   },
 };
 
@@ -103,45 +103,45 @@
   const skew = (): number => Math.round((random() * 2 - 1) * SKEW_MS);
   const base = { seed, size, nodes, zones, ...SIZES[size] };
   const skewMs = Object.fromEntries(nodes.map((node) => [node, skew()]));
-  return { ...base, skewMs, strikes: drawStrikes(random, base) };
+  return { ...base, skewMs, faults: drawFaults(random, base) };
 }
 
-type Base = Omit<SoakPlan, 'skewMs' | 'strikes'>;
+type Base = Omit<SoakPlan, 'skewMs' | 'faults'>;
 
-function drawStrikes(random: Random, base: Base): PlannedStrike[] {
-  const strikes: PlannedStrike[] = [];
+function drawFaults(random: Random, base: Base): PlannedFault[] {
+  const faults: PlannedFault[] = [];
   const ends: number[] = [];
-  for (let at = 2; at < base.troubled - 2; at += 0.3 + random() * 2) {
+  for (let at = 2; at < base.faultSeconds - 2; at += 0.3 + random() * 2) {
     if (ends.filter((end) => end > at).length >= MOST_AT_ONCE) continue;
-    for (const strike of drawMeeting(random, base)) {
-      strikes.push({ at, strike });
-      ends.push(at + secondsOf(strike));
+    for (const fault of drawSimultaneousFaults(random, base)) {
+      faults.push({ at, fault });
+      ends.push(at + secondsOf(fault));
     }
   }
-  return strikes;
+  return faults;
 }
 
-export function secondsOf(strike: Strike): number {
-  switch (strike.kind) {
+export function secondsOf(fault: Fault): number {
+  switch (fault.kind) {
     case 'kill':
     case 'kill-all':
-      return strike.awaySeconds;
+      return fault.awaySeconds;
     case 'taken':
       return 0;
     default:
-      return strike.seconds;
+      return fault.seconds;
   }
 }
 
-/** Of the moments at which something strikes, those at which commands come late while the state service is slow. */
+/** Share of the moments with faults at which commands come late while the state service is slow. */
 const LATE_AND_SLOW_SHARE = 0.2;
 
 /**
- * What strikes at one moment. Late commands, or a cut on their way, while the state service is slow are drawn together: a start in doubt is settled
+ * The faults of one moment. Late commands, or a cut on their way, while the state service is slow are drawn together: an unacknowledged start is settled
  * by a change of the store, and what goes wrong before that needs both.
  */
-function drawMeeting(random: Random, base: Base): Strike[] {
-  if (random() >= LATE_AND_SLOW_SHARE) return [drawStrike(random, base)];
+function drawSimultaneousFaults(random: Random, base: Base): Fault[] {
+  if (random() >= LATE_AND_SLOW_SHARE) return [drawFault(random, base)];
   const seconds = base.lease * 2;
   const delay = base.report * (0.4 + random() * 0.8);
   if (random() < 0.5) {
@@ -157,16 +157,16 @@
   ];
 }
 
-function drawStrike(random: Random, base: Base): Strike {
+function drawFault(random: Random, base: Base): Fault {
   const { nodes, lease, report } = base;
   const pick = <T>(list: readonly T[]): T => list[Math.floor(random() * list.length)] as T;
   const node = pick(nodes);
   const others = nodes.filter((other) => other !== node);
   const seconds = 0.3 + random() * lease;
   const delay = 0.1 + random() * report;
-  /** Within the worker's lease, past it, or past an owner's grace of twice that. */
+  /** Within the worker's lease, past it, or past a leader's grace period of twice that. */
   const pauses = [lease * 0.5, lease * 1.3, lease * 3.2];
-  const draws: (() => Strike)[] = [
+  const draws: (() => Fault)[] = [
     () => ({ kind: 'kill', node, awaySeconds: seconds }),
     () => ({ kind: 'kill', node, awaySeconds: 0.05 + random() * 0.3 }),
     () => ({ kind: 'kill-all', awaySeconds: random() < 0.3 ? lease * 1.3 : 0.3 }),
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -2,18 +2,21 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { seededRandom, type Random } from '../../src/base/random.js';
-import { pause } from '../support/cluster.js';
+import { JobArrivals } from '../trials/jobArrivals.js';
 import { TrialUsers } from '../trials/trialUsers.js';
 import { fieldsOf, kindOfJob } from './jobKinds.js';
 import { timeOfDay, type TaskEvent } from './messages.js';
 import { drawPlan, type SoakPlan, type SoakSize } from './plan.js';
 import { SoakCluster } from './soakCluster.js';
 import { SoakLog } from './soakLog.js';
-import { Strikes } from './faultInjection.js';
+import { FaultInjector } from './faultInjection.js';
 
 /** Of the jobs that may begin one, those that are the first of a pipeline. */
 const PIPELINE_SHARE = 0.2;
 
+/** Of the jobs, those at which somebody also asks for one that nobody submits. */
+const UNKNOWN_SHARE = 0.1;
+
 /** How often the checker looks at what runs, in seconds. */
 const CHECK_S = 0.5;
 
@@ -49,10 +52,9 @@
   private readonly random: Random;
   private readonly cluster: SoakCluster;
   private readonly users: TrialUsers;
-  private readonly strikes: Strikes;
-  private readonly visits: Promise<void>[] = [];
+  private readonly arrivals: JobArrivals;
+  private readonly faults: FaultInjector;
   private readonly folder: string;
-  private submitted = 0;
   private starts = 0;
 
   constructor(
@@ -74,7 +76,8 @@
       clock: timeOfDay,
       pauseAfter: (seconds) => Math.min(MOST_PAUSE_S, 0.25 + seconds / 20),
     });
-    this.strikes = new Strikes(this.cluster, this.plan, (text) => {
+    this.arrivals = new JobArrivals(this.users, this.random, this.seed);
+    this.faults = new FaultInjector(this.cluster, this.plan, (text) => {
       this.log.add('soak', text);
     });
   }
@@ -85,10 +88,10 @@
     }, CHECK_S * 1000);
     try {
       await this.cluster.start();
-      const strikes = this.strikes.play();
+      const faults = this.faults.play();
       await this.submit();
-      await strikes;
-      await this.settle();
+      await faults;
+      await this.arrivals.settle(this.plan.settle);
       return this.result();
     } catch (error) {
       this.keep([`could not be played: ${String(error)}`], []);
@@ -96,14 +99,14 @@
     } finally {
       clearInterval(checks);
       this.close();
-      await Promise.allSettled(this.visits);
+      await this.arrivals.close();
     }
   }
 
   /** Ends everything that was started; also when the soak is given up. */
   close(): void {
     this.users.isOver = true;
-    this.strikes.stop();
+    this.faults.stop();
     this.cluster.close();
   }
 
@@ -118,22 +121,17 @@
   }
 
   private async submit(): Promise<void> {
-    const { troubled, jobsPerSecond } = this.plan;
-    const ends = performance.now() + troubled * 1000;
+    const { faultSeconds, jobsPerSecond } = this.plan;
+    const ends = performance.now() + faultSeconds * 1000;
     while (performance.now() < ends) {
-      const id = `wk-${String(this.seed * 1000 + this.submitted++).padStart(6, '0')}`;
-      const isPipeline = kindOfJob(id) === 'array' && this.random() < PIPELINE_SHARE;
-      this.visits.push(isPipeline ? this.users.pipeline(id) : this.users.user(id));
-      if (this.random() < 0.1) this.visits.push(this.users.askForUnknown(`wk-9${id.slice(3)}`));
-      await pause((0.5 + this.random()) / jobsPerSecond);
+      const id = this.arrivals.submitNext(
+        (job) => kindOfJob(job) === 'array' && this.random() < PIPELINE_SHARE,
+      );
+      if (this.random() < UNKNOWN_SHARE) this.arrivals.askForUnknown(`wk-9${id.slice(3)}`);
+      await this.arrivals.awaitNext(jobsPerSecond);
     }
   }
 
-  private async settle(): Promise<void> {
-    const deadline = performance.now() + this.plan.settle * 1000;
-    while (performance.now() < deadline && this.users.unfinished.length > 0) await pause(0.2);
-  }
-
   private result(): SoakResult {
     const { history, unfinished, acceptedCount } = this.users;
     history.finish();
@@ -145,7 +143,7 @@
     if (broken.length > 0 || unfinished.length > 0) this.keep(broken, unfinished);
     return {
       seed: this.seed,
-      jobs: this.submitted,
+      jobs: this.arrivals.submitted,
       accepted: acceptedCount,
       starts: this.starts,
       broken,
--- a/test/tools/soak.test.ts
+++ b/test/tools/soak.test.ts
@@ -1,4 +1,4 @@
-/** The soak's own parts: what a seed draws, what its links do to bytes, which lines make it fail, and its command line. */
+/** The soak itself: what a seed draws, what its links do to bytes, which lines make it fail, and its command line. */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import net from 'node:net';
@@ -16,22 +16,22 @@
 test('a seed draws the same plan each time, and other seeds draw others', () => {
   for (const size of ['ci', 'usual', 'large'] as const) {
     assert.deepEqual(drawPlan(7, size), drawPlan(7, size));
-    assert.notDeepEqual(drawPlan(7, size).strikes, drawPlan(8, size).strikes);
+    assert.notDeepEqual(drawPlan(7, size).faults, drawPlan(8, size).faults);
   }
 });
 
-test('over some seeds every fault is drawn, and no more strike at once than a cluster is meant to bear', () => {
+test('over some seeds every fault is drawn, and no more overlap than a cluster is meant to bear', () => {
   const kinds = new Set<string>();
   const flags = new Set<string>();
   for (const seed of SEEDS) {
-    const { strikes, nodes, troubled, skewMs } = drawPlan(seed, 'usual');
+    const { faults, nodes, faultSeconds, skewMs } = drawPlan(seed, 'usual');
     assert.ok(nodes.length >= 3 && nodes.length <= 5);
     assert.ok(Object.values(skewMs).every((skew) => Math.abs(skew) <= 100));
-    for (const { at, strike } of strikes) {
-      kinds.add(strike.kind);
-      if (strike.kind === 'machines') flags.add(strike.flag);
-      assert.ok(at >= 2 && at <= troubled);
-      const others = strikes.filter((s) => s.at < at && s.at + secondsOf(s.strike) > at);
+    for (const { at, fault } of faults) {
+      kinds.add(fault.kind);
+      if (fault.kind === 'machines') flags.add(fault.flag);
+      assert.ok(at >= 2 && at <= faultSeconds);
+      const others = faults.filter((s) => s.at < at && s.at + secondsOf(s.fault) > at);
       assert.ok(others.length <= 3, `seed ${seed}: ${others.length} others at ${at}`);
     }
   }
--- a/test/trials/faults.ts
+++ b/test/trials/faults.ts
@@ -1,4 +1,4 @@
-/** Faults that strike a cluster of a trial for a while. */
+/** Faults that are injected into a cluster of a trial for a while. */
 import type { Random } from '../../src/base/random.js';
 import { pause, type Cluster } from '../support/cluster.js';
 
--- a/test/trials/trial.ts
+++ b/test/trials/trial.ts
@@ -7,11 +7,13 @@
 import { Cluster, pause, type ClusterOptions } from '../support/cluster.js';
 import type { History } from '../support/history.js';
 import { FAULTS, NODES, type Fault } from './faults.js';
+import { JobArrivals } from './jobArrivals.js';
 import { TEAMS, TrialUsers } from './trialUsers.js';
 
 const MACHINES = 24;
-/** Seconds with faults, and without them until every job must have got where it is going. */
-const TROUBLED_S = 12;
+/** Seconds in which faults are injected. */
+const FAULT_PHASE_S = 12;
+/** Seconds after that in which every job must reach its final state. */
 const SETTLE_S = 30;
 const JOBS_PER_S = 4;
 /** Of the jobs, those that are the first of a pipeline. */
@@ -29,8 +31,7 @@
   protected readonly random: Random;
   protected readonly cluster: Cluster;
   protected readonly users: TrialUsers;
-  private readonly visits: Promise<void>[] = [];
-  private submitted = 0;
+  private readonly arrivals: JobArrivals;
 
   constructor(
     private readonly seed: number,
@@ -49,6 +50,7 @@
       ...options,
     });
     this.users = new TrialUsers(this.cluster, this.random, { extra: () => extra });
+    this.arrivals = new JobArrivals(this.users, this.random, seed);
     this.cluster.cloud.capacity = MACHINES;
     this.cluster.cloud.watch = this.users.history;
   }
@@ -57,41 +59,38 @@
     try {
       await this.cluster.start();
       await this.play();
-      const deadline = performance.now() + SETTLE_S * 1000;
-      while (performance.now() < deadline && this.users.unfinished.length > 0) await pause(0.2);
+      await this.arrivals.settle(SETTLE_S);
       const { unfinished, history } = this.users;
-      return { seed: this.seed, jobs: this.submitted, history, unfinished };
+      return { seed: this.seed, jobs: this.arrivals.submitted, history, unfinished };
     } finally {
       this.users.isOver = true;
       this.cluster.close();
-      await Promise.allSettled(this.visits);
+      await this.arrivals.close();
     }
   }
 
   protected async play(): Promise<void> {
-    const faults = this.strikeAll(TROUBLED_S);
-    await this.submitFor(TROUBLED_S, PIPELINE_SHARE);
+    const faults = this.injectFaults(FAULT_PHASE_S);
+    await this.submitFor(FAULT_PHASE_S, PIPELINE_SHARE);
     await faults;
   }
 
   /** Users come for a while; of their jobs so many are the first of a pipeline. */
   protected async submitFor(seconds: number, pipelineShare: number): Promise<void> {
     for (let job = 0; job < seconds * JOBS_PER_S; job++) {
-      const id = `wk-${String(this.seed * 1000 + this.submitted++).padStart(6, '0')}`;
-      const isPipeline = this.random() < pipelineShare;
-      this.visits.push(isPipeline ? this.users.pipeline(id) : this.users.user(id));
-      await pause((0.5 + this.random()) / JOBS_PER_S);
+      this.arrivals.submitNext(() => this.random() < pipelineShare);
+      await this.arrivals.awaitNext(JOBS_PER_S);
     }
   }
 
   /** Faults for a while, and their end. */
-  protected async strikeAll(seconds: number, faults: readonly Fault[] = FAULTS): Promise<void> {
+  protected async injectFaults(seconds: number, faults: readonly Fault[] = FAULTS): Promise<void> {
     const ends = performance.now() + seconds * 1000;
     const running: Promise<void>[] = [];
     while (performance.now() < ends) {
-      const strike = faults[Math.floor(this.random() * faults.length)];
+      const fault = faults[Math.floor(this.random() * faults.length)];
       const duration = 0.2 + this.random() * 3;
-      if (strike !== undefined) running.push(strike(this.cluster, this.random, duration));
+      if (fault !== undefined) running.push(fault(this.cluster, this.random, duration));
       await pause(0.3 + this.random() * 1.5);
     }
     await Promise.all(running);
