--- a/src/coordination/scheduling/heap.ts
+++ b/src/coordination/scheduling/heap.ts
@@ -1,46 +1,46 @@
-/** A binary heap: the least element first. */
+/** A binary heap. */
+
+/** A priority queue by `compare`: the least element comes out first. */
 export class Heap<T> {
   private readonly items: T[] = [];
 
   constructor(private readonly compare: (a: T, b: T) => number) {}
 
-  get size(): number {
-    return this.items.length;
-  }
-
-  /** The least element, which stays. */
+  /** The least element, which is not removed; undefined if the heap is empty. */
   peek(): T | undefined {
     return this.items[0];
   }
 
+  /** Adds an element. */
   push(item: T): void {
     const { items } = this;
-    let at = items.push(item) - 1;
-    while (at > 0) {
-      const up = (at - 1) >> 1;
-      if (this.compare(items[up] as T, item) <= 0) break;
-      items[at] = items[up] as T;
-      at = up;
+    let index = items.push(item) - 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      if (this.compare(items[parent] as T, item) <= 0) break;
+      items[index] = items[parent] as T;
+      index = parent;
     }
-    items[at] = item;
+    items[index] = item;
   }
 
+  /** Removes the least element and gives it; undefined if the heap is empty. */
   pop(): T | undefined {
     const { items } = this;
     const first = items[0];
     const last = items.pop();
     if (first === undefined || last === undefined || items.length === 0) return first;
-    let at = 0;
+    let index = 0;
     for (;;) {
-      let down = 2 * at + 1;
-      if (down >= items.length) break;
-      if (down + 1 < items.length && this.compare(items[down + 1] as T, items[down] as T) < 0)
-        down++;
-      if (this.compare(last, items[down] as T) <= 0) break;
-      items[at] = items[down] as T;
-      at = down;
+      let child = 2 * index + 1;
+      if (child >= items.length) break;
+      if (child + 1 < items.length && this.compare(items[child + 1] as T, items[child] as T) < 0)
+        child++;
+      if (this.compare(last, items[child] as T) <= 0) break;
+      items[index] = items[child] as T;
+      index = child;
     }
-    items[at] = last;
+    items[index] = last;
     return first;
   }
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,164 +1,254 @@
-/** Stops lower-ranked work, and what teams have borrowed, where others need the room. */
+/**
+ * Preempts running work of lower ranks, and work that other teams run beyond their guarantee, where
+ * queued work needs the room (docs/design.md, "Rank before arrival").
+ */
 import { rankOrder } from '../../protocol/job.js';
 import type { Chunk } from '../model/chunk.js';
 import { Heap } from './heap.js';
 import type { Machine, Placement } from '../model/machine.js';
+import { fits } from '../model/resources.js';
+import {
+  satisfiesConstraints,
+  shapeOf,
+  SLOW_MACHINE,
+  victimsFor,
+  type Victim,
+} from './placement.js';
 import type { PreemptibleShard } from './schedulableShard.js';
-import { satisfiesConstraints, shapeOf, victimsFor } from './placement.js';
-import { fits, type Resources } from '../model/resources.js';
 import type { TeamResources, TeamUsage } from '../quota/teamUsage.js';
 
-/** Running tasks that may be stopped. */
-type Victims = { rank: number; need: Resources; loss: number; placed: Placement }[];
+/** A running task that may be preempted. */
+interface RunningTask extends Victim {
+  readonly placement: Placement;
+}
+
+/** A machine on which preempting some tasks makes room for one. */
+interface PreemptionCandidate {
+  readonly machine: Machine;
+  readonly victims: readonly RunningTask[];
+  /** Seconds of work that would be lost, and a penalty where the image is missing. */
+  readonly loss: number;
+}
 
-/** A machine on which stopping some tasks makes room for one. */
-interface Offer {
-  machine: Machine;
-  victims: Victims;
-  loss: number;
+/** What has been found of the running work at the start of a round. */
+interface RunningWork {
+  /** The lowest rank of what runs; Infinity if nothing does. */
+  readonly lowestRank: number;
+  /** Tasks that are being stopped already; their room will be free soon. */
+  readonly stopping: number;
 }
 
-/** What work may be stopped for it: it is of its own rank, whatever it has inherited. */
-const claimOf = (chunk: Chunk): number => rankOrder[chunk.spec.rank];
+/** Added to the loss, in seconds, where the image is missing: machines that have it come first. */
+const MISSING_IMAGE_PENALTY = 1e6;
 
-/** Added to the loss, in seconds of work, where the image is missing: machines that hold it come first. */
-const FETCH_LOSS = 1e6;
+/** Below every rank: work that its team only borrows the room for, against an entitled team. */
+const BORROWED_RANK = -1;
 
+/** How long a service waits for a preemption at its image, as a ratio to the heartbeat interval. */
+const IMAGE_PREEMPTION_WINDOW = 1 / 6;
+
+/** The rank up to which a chunk may preempt: its own, whatever rank it has inherited. */
+const preemptingRank = (chunk: Chunk): number => rankOrder[chunk.spec.rank];
+
+/** Chooses and stops the running tasks of one shard that give way to queued work. */
 export class Preemption {
   constructor(
     private readonly shard: PreemptibleShard,
     private readonly teams: TeamUsage,
-    /** Seconds between two reports of a worker. */
+    /** Seconds between two heartbeats of a worker. */
     private readonly heartbeatInterval: number,
   ) {}
 
-  /** Stops lower-ranked work on the machines where that costs least. */
+  /** Makes room for blocked chunks, in their order, on the machines where that costs least. */
   makeRoom(blocked: Chunk[], now: number, outOfTime: () => boolean): void {
     if (blocked.length === 0) return;
-    const { lowestRank, ending } = this.running();
-    let making = ending;
-    // Where nothing of a lower rank runs there is nothing to look for on hundreds of machines.
+    const { lowestRank, stopping } = this.runningWork();
+    let freedSoon = stopping;
+    // Where nothing of a lower rank runs, hundreds of machines need not be looked at.
     const claimants = blocked.filter(
-      (c) => claimOf(c) > lowestRank || this.teams.isEntitled(c.spec),
+      (chunk) => preemptingRank(chunk) > lowestRank || this.teams.isEntitled(chunk.spec),
     );
-    const offers = new Map<string, Heap<Offer>>();
+    const candidates = new Map<string, Heap<PreemptionCandidate>>();
     for (const chunk of claimants) {
-      // One task's room at a time for each that waits; more would stop work for nothing.
-      const left = Math.max(0, chunk.pendingCount - making);
-      making = Math.max(0, making - chunk.pendingCount);
-      if (left === 0) continue;
+      // What is being stopped already counts for the first chunks; more would be stopped for nothing.
+      const count = Math.max(0, chunk.pendingCount - freedSoon);
+      freedSoon = Math.max(0, freedSoon - chunk.pendingCount);
+      if (count === 0) continue;
       if (outOfTime()) return;
-      const claim = claimOf(chunk);
-      const key = [shapeOf(chunk.spec, chunk.zone), claim, chunk.spec.team, chunk.spec.image];
-      const shape = key.join(' ');
-      let heap = offers.get(shape);
-      if (heap === undefined) {
-        heap = new Heap<Offer>((a, b) => a.loss - b.loss);
-        for (const machine of this.shard.machines.values()) this.offer(heap, machine, chunk, now);
-        offers.set(shape, heap);
-      }
-      this.stopFor(chunk, left, heap, now);
+      this.preemptFor(chunk, count, this.candidatesFor(chunk, candidates, now), now);
     }
   }
 
-  /** The lowest rank of what runs, and how many tasks are being stopped already. */
-  private running(): { lowestRank: number; ending: number } {
-    let ending = 0;
+  /**
+   * Preempts batch work for a service's task that would have to fetch its image although a machine
+   * that has the image is full of lower-ranked work. True while the task should wait for that machine.
+   */
+  makeRoomAtImage(chunk: Chunk, now: number): boolean {
+    const { spec, preemptingSince } = chunk;
+    if (chunk.pendingCount === 0) return false;
+    const window = this.heartbeatInterval * IMAGE_PREEMPTION_WINDOW;
+    if (preemptingSince !== null && now - preemptingSince > window) return false;
+    const machines = this.machinesWithImage(chunk, now);
+    if (machines.some((machine) => fits(machine.free, spec))) return false;
+    if (preemptingSince !== null) return true;
+    const best = this.cheapestWithoutCheckpoints(machines, chunk, now);
+    if (best === undefined || best.victims.length === 0) return false;
+    chunk.preemptingSince = now;
+    for (const { placement } of best.victims) {
+      this.shard.requestStop(best.machine, placement.attempt, 0);
+    }
+    return true;
+  }
+
+  private runningWork(): RunningWork {
+    let stopping = 0;
     let lowestRank = Infinity;
     for (const chunk of this.shard.chunks.values()) {
       if (chunk.attempts.size === 0) continue;
       lowestRank = Math.min(lowestRank, chunk.rank);
       if (chunk.isCancelled) continue;
-      for (const attempt of chunk.attempts.values()) if (attempt.stop !== null) ending++;
+      for (const attempt of chunk.attempts.values()) if (attempt.stop !== null) stopping++;
+    }
+    return { lowestRank, stopping };
+  }
+
+  /** The candidates for the chunk, cheapest first; `known` keeps them for chunks alike. */
+  private candidatesFor(
+    chunk: Chunk,
+    known: Map<string, Heap<PreemptionCandidate>>,
+    now: number,
+  ): Heap<PreemptionCandidate> {
+    const { spec, zone } = chunk;
+    const key = [shapeOf(spec, zone), preemptingRank(chunk), spec.team, spec.image].join(' ');
+    let candidates = known.get(key);
+    if (candidates === undefined) {
+      candidates = new Heap<PreemptionCandidate>((a, b) => a.loss - b.loss);
+      for (const machine of this.shard.machines.values()) {
+        this.addCandidate(candidates, machine, chunk, now);
+      }
+      known.set(key, candidates);
     }
-    return { lowestRank, ending };
+    return candidates;
   }
 
-  /** Takes the cheapest offers for so many tasks. */
-  private stopFor(chunk: Chunk, count: number, offers: Heap<Offer>, now: number): void {
-    let left = count;
-    while (left > 0) {
-      const best = offers.pop();
+  /** Preempts the cheapest candidates for so many tasks of the chunk. */
+  private preemptFor(
+    chunk: Chunk,
+    count: number,
+    candidates: Heap<PreemptionCandidate>,
+    now: number,
+  ): void {
+    let unserved = count;
+    while (unserved > 0) {
+      const best = candidates.pop();
       if (best === undefined) return;
-      // Another shape may have been given some of it meanwhile.
-      if (!best.victims.some((v) => v.placed.attempt.stop !== null)) {
-        left--;
-        for (const { placed: placement } of best.victims) {
-          const { checkpointInterval: checkpoint, checkpointDuration: save } = placement.chunk.spec;
-          this.shard.requestStop(best.machine, placement.attempt, checkpoint > 0 ? save : 0);
-        }
+      // A chunk of another shape may have taken some of its victims in the meantime.
+      const isStale = best.victims.some(({ placement }) => placement.attempt.stop !== null);
+      if (!isStale) {
+        unserved--;
+        this.stopVictims(best);
       }
-      this.offer(offers, best.machine, chunk, now);
+      this.addCandidate(candidates, best.machine, chunk, now);
     }
   }
 
-  private offer(heap: Heap<Offer>, machine: Machine, chunk: Chunk, now: number): void {
-    if (!machine.isSchedulable(now) || !satisfiesConstraints(chunk.spec, chunk.zone, machine))
-      return;
-    const victims = victimsFor(
-      machine.free,
-      chunk.spec,
-      this.stoppable(machine, chunk, now),
-      claimOf(chunk),
-    );
+  /** Stops the candidate's victims; those that write checkpoints get the time to write one more. */
+  private stopVictims({ machine, victims }: PreemptionCandidate): void {
+    for (const { placement } of victims) {
+      const { checkpointInterval, checkpointDuration } = placement.chunk.spec;
+      const gracePeriod = checkpointInterval > 0 ? checkpointDuration : 0;
+      this.shard.requestStop(machine, placement.attempt, gracePeriod);
+    }
+  }
+
+  /** Adds the machine, if preempting some of its tasks makes room for a task of the chunk. */
+  private addCandidate(
+    candidates: Heap<PreemptionCandidate>,
+    machine: Machine,
+    chunk: Chunk,
+    now: number,
+  ): void {
+    const { spec, zone } = chunk;
+    if (!machine.isSchedulable(now) || !satisfiesConstraints(spec, zone, machine)) return;
+    const running = this.preemptibleTasks(machine, chunk, now);
+    const victims = victimsFor(machine.free, spec, running, preemptingRank(chunk));
     if (victims === null || victims.length === 0) return;
-    const fetch = machine.hasImage(chunk.spec.image) ? 0 : FETCH_LOSS;
-    heap.push({ machine, victims, loss: victims.reduce((sum, v) => sum + v.loss, fetch) });
+    const penalty = machine.hasImage(spec.image) ? 0 : MISSING_IMAGE_PENALTY;
+    candidates.push({ machine, victims, loss: totalLoss(victims, penalty) });
   }
 
-  private stoppable(machine: Machine, claimant: Chunk, now: number): Victims {
-    const list: Victims = [];
-    const entitled = this.teams.isEntitled(claimant.spec);
+  /** The machine's tasks that are not being stopped, with the rank that counts against the claimant. */
+  private preemptibleTasks(machine: Machine, claimant: Chunk, now: number): RunningTask[] {
+    const tasks: RunningTask[] = [];
+    const isEntitled = this.teams.isEntitled(claimant.spec);
     const borrowed = new Map<string, TeamResources>();
     for (const placement of machine.placements.values()) {
       const { chunk, attempt } = placement;
       if (attempt.stop !== null) continue;
-      const ran = attempt.runningSince === null ? 0 : now - attempt.runningSince;
-      const loss =
-        chunk.spec.checkpointInterval > 0 ? Math.min(ran, chunk.spec.checkpointDuration) : ran;
-      let { rank } = chunk;
-      if (entitled && chunk.spec.team !== claimant.spec.team) {
-        // Work of any rank that another team runs beyond its own guarantee gives way.
-        const { team, cpus, gpus } = chunk.spec;
-        const over = borrowed.get(team) ?? this.teams.borrowed(team);
-        borrowed.set(team, over);
-        if (over.cpus >= cpus && over.gpus >= gpus) {
-          over.cpus -= cpus;
-          over.gpus -= gpus;
-          rank = -1;
-        }
-      }
-      list.push({ rank, need: chunk.spec, loss, placed: placement });
+      const isBorrowing =
+        isEntitled &&
+        chunk.spec.team !== claimant.spec.team &&
+        this.takeFromBorrowed(borrowed, chunk);
+      tasks.push({
+        rank: isBorrowing ? BORROWED_RANK : chunk.rank,
+        need: chunk.spec,
+        loss: lostSeconds(placement, now),
+        placement,
+      });
     }
-    return list;
+    return tasks;
   }
 
   /**
-   * A replica that would wait for its image where there is room, while a machine that has the image is
-   * full of lower-ranked work: that work makes room, and the replica waits the moment it takes.
+   * Whether the task runs on what its team has borrowed, that is beyond its own guarantee; such work
+   * of any rank gives way. Takes the task off `borrowed`, so that no more than that gives way.
    */
-  makeRoomAtImage(chunk: Chunk, now: number): boolean {
-    if (chunk.pendingCount === 0) return false;
-    const { spec } = chunk;
-    const patience = this.heartbeatInterval / 6;
-    if (chunk.preemptingSince !== null && now - chunk.preemptingSince > patience) return false;
-    const stoppable: { machine: Machine; victims: Victims; loss: number }[] = [];
-    for (const machine of this.shard.machines.values()) {
-      if (!machine.isSchedulable(now) || !satisfiesConstraints(spec, chunk.zone, machine)) continue;
-      if (!machine.hasImage(spec.image) || machine.slowness > 1.5) continue;
-      if (fits(machine.free, spec)) return false;
-      const running = this.stoppable(machine, chunk, now);
-      const victims = victimsFor(machine.free, spec, running, chunk.rank);
-      if (victims === null || victims.some((v) => v.placed.chunk.spec.checkpointInterval > 0))
-        continue;
-      stoppable.push({ machine, victims, loss: victims.reduce((n, v) => n + v.loss, 0) });
-    }
-    if (chunk.preemptingSince !== null) return true;
-    const best = stoppable.sort((a, b) => a.loss - b.loss)[0];
-    if (best === undefined || best.victims.length === 0) return false;
-    chunk.preemptingSince = now;
-    for (const { placed: placement } of best.victims)
-      this.shard.requestStop(best.machine, placement.attempt, 0);
+  private takeFromBorrowed(
+    borrowed: Map<string, TeamResources>,
+    { spec: { team, cpus, gpus } }: Chunk,
+  ): boolean {
+    const left = borrowed.get(team) ?? this.teams.borrowed(team);
+    borrowed.set(team, left);
+    if (left.cpus < cpus || left.gpus < gpus) return false;
+    left.cpus -= cpus;
+    left.gpus -= gpus;
     return true;
   }
+
+  private machinesWithImage({ spec, zone }: Chunk, now: number): Machine[] {
+    return [...this.shard.machines.values()].filter(
+      (machine) =>
+        machine.isSchedulable(now) &&
+        satisfiesConstraints(spec, zone, machine) &&
+        machine.hasImage(spec.image) &&
+        machine.slowness <= SLOW_MACHINE,
+    );
+  }
+
+  /** The cheapest of the machines where no victim would need time to write a checkpoint. */
+  private cheapestWithoutCheckpoints(
+    machines: readonly Machine[],
+    chunk: Chunk,
+    now: number,
+  ): PreemptionCandidate | undefined {
+    const candidates: PreemptionCandidate[] = [];
+    for (const machine of machines) {
+      const running = this.preemptibleTasks(machine, chunk, now);
+      const victims = victimsFor(machine.free, chunk.spec, running, chunk.rank);
+      if (victims === null) continue;
+      if (victims.some(({ placement }) => placement.chunk.spec.checkpointInterval > 0)) continue;
+      candidates.push({ machine, victims, loss: totalLoss(victims, 0) });
+    }
+    return candidates.sort((a, b) => a.loss - b.loss)[0];
+  }
+}
+
+/** Seconds of work that stopping the task would lose. */
+function lostSeconds({ chunk: { spec }, attempt }: Placement, now: number): number {
+  const ran = attempt.runningSince === null ? 0 : now - attempt.runningSince;
+  return spec.checkpointInterval > 0 ? Math.min(ran, spec.checkpointDuration) : ran;
+}
+
+function totalLoss(victims: readonly Victim[], penalty: number): number {
+  return victims.reduce((sum, victim) => sum + victim.loss, penalty);
 }
--- a/src/coordination/scheduling/queueReplay.ts
+++ b/src/coordination/scheduling/queueReplay.ts
@@ -1,171 +1,233 @@
 /**
- * The wait of a job, estimated by replaying a part's queue: running tasks end when expected, and at
- * each such moment the queue is gone through in order, later jobs filling what earlier ones leave
- * (PAPER, III.A: the approximate wait time comes from simulating the local policy).
+ * Estimates the wait of a job by replaying a shard's queue: running tasks end when expected, and at
+ * each such moment the queue is gone through in order, with later work backfilled (PAPER, III.A: the
+ * approximate wait time comes from simulating the local policy).
  *
- * An end changes the room of one machine only, so only that machine is looked at again: a part of
- * hundreds of machines is replayed for every submission and every question of a peer.
+ * An end changes the free resources of one machine only, so only that machine is looked at again: a
+ * shard of hundreds of machines is replayed for every submission and every question of a peer.
  */
 import { Heap } from './heap.js';
 import { satisfiesConstraints, shapeOf } from './placement.js';
 import { fits, subtractResources, type Resources } from '../model/resources.js';
 import type { JobSpec } from '../../protocol/job.js';
 
+/** A machine at the beginning of a replay. */
 export interface ReplayMachine {
-  type: string;
-  zone: string;
-  spot: boolean;
-  free: Resources;
+  readonly type: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly free: Readonly<Resources>;
   /** Seconds until it can take work: 0, or the rest of its boot time. */
-  ready: number;
-  running: { ends: number; need: Resources }[];
+  readonly readyIn: number;
+  /** Running tasks: the seconds until each ends, and what it uses. */
+  readonly running: readonly { readonly endsIn: number; readonly resources: Resources }[];
 }
 
+/** Tasks of one chunk in the replayed queue. */
 export interface ReplayItem {
-  spec: JobSpec;
-  zone: string | null;
-  count: number;
-  run: number;
+  readonly spec: JobSpec;
+  readonly zone: string | null;
+  /** Number of tasks. */
+  readonly count: number;
+  /** Expected run time of one task in seconds; Infinity for a live service. */
+  readonly run: number;
 }
 
+/** What a replay finds. */
 export interface ReplayResult {
   /** Seconds until the last of the candidate's tasks starts; Infinity if it fits nowhere. */
-  wait: number;
+  readonly wait: number;
 }
 
+/** Ends of tasks that are replayed at most; the wait is then at least the time reached. */
 const MAX_EVENTS = 4000;
 
-interface End {
-  at: number;
-  host: number;
-  need: Resources;
+/** Resources that become free, or, with none, a machine that gets ready. Times are seconds from the start. */
+interface ReplayEvent {
+  readonly at: number;
+  readonly machineIndex: number;
+  readonly released: Resources;
 }
 
-/** Work that the same machines suit, in the order of the queue. */
-interface Lane {
-  spec: JobSpec;
-  zone: string | null;
-  waiting: { item: ReplayItem; left: number; order: number }[];
-  /** The first of them that is not wholly started. */
-  head: number;
+interface QueuedItem {
+  readonly item: ReplayItem;
+  unstarted: number;
+  /** Position in the queue. */
+  readonly order: number;
 }
 
-const NOTHING: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
-
-/** The queue by shapes: of those that want the same, only the first has to be looked at. */
-function lanesOf(items: ReplayItem[]): Lane[] {
-  const lanes = new Map<string, Lane>();
-  items.forEach((item, order) => {
-    const { spec, zone, count: left } = item;
-    const shape = shapeOf(spec, zone);
-    const lane = lanes.get(shape) ?? { spec, zone, waiting: [], head: 0 };
-    lanes.set(shape, lane);
-    if (left > 0) lane.waiting.push({ item, left, order });
-  });
-  return [...lanes.values()];
+/** Work of one shape, which the same machines can run, in the order of the queue. */
+interface ShapeQueue {
+  readonly spec: JobSpec;
+  readonly zone: string | null;
+  readonly items: QueuedItem[];
+  /** Index of the first item that is not wholly started. */
+  head: number;
 }
 
-/** The machines as a replay begins; it can be used for any number of replays. */
+const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
+
+/** The machines at the beginning of a replay; one instance serves any number of replays. */
 export class ReplayStart {
   /** When running tasks end and machines get ready, soonest first. */
-  readonly ends: readonly End[];
+  readonly events: readonly ReplayEvent[];
 
-  constructor(readonly hosts: readonly ReplayMachine[]) {
-    const ends: End[] = [];
-    hosts.forEach(({ running, ready }, host) => {
-      for (const task of running) ends.push({ at: Math.max(0, task.ends), host, need: task.need });
-      if (ready > 0) ends.push({ at: ready, host, need: NOTHING });
+  constructor(readonly machines: readonly ReplayMachine[]) {
+    const events: ReplayEvent[] = [];
+    machines.forEach(({ running, readyIn }, machineIndex) => {
+      for (const { endsIn, resources } of running) {
+        events.push({ at: Math.max(0, endsIn), machineIndex, released: resources });
+      }
+      if (readyIn > 0) events.push({ at: readyIn, machineIndex, released: NO_RESOURCES });
     });
-    this.ends = ends.sort((a, b) => a.at - b.at);
+    this.events = events.sort((a, b) => a.at - b.at);
+  }
+}
+
+/** Replays the queue with the candidate behind it, and says when the candidate's last task starts. */
+export function replay(
+  start: ReplayStart,
+  queue: ReplayItem[],
+  candidate: ReplayItem,
+): ReplayResult {
+  const fitsSomewhere = start.machines.some(
+    (machine) =>
+      satisfiesConstraints(candidate.spec, candidate.zone, machine) &&
+      couldEverHold(machine, candidate),
+  );
+  if (!fitsSomewhere) return { wait: Infinity };
+  return new Replay(start, queue, candidate).run();
+}
+
+/** One replay: the queue, the machines' free resources and the coming events as they change. */
+class Replay {
+  /** By shapes: of the items of one shape only the first has to be looked at. */
+  private shapeQueues: ShapeQueue[];
+  private readonly free: Resources[];
+  private readonly events: EventQueue;
+  /** Tasks of the candidate that have not started. */
+  private unstartedCandidates: number;
+
+  constructor(
+    private readonly start: ReplayStart,
+    queue: ReplayItem[],
+    private readonly candidate: ReplayItem,
+  ) {
+    this.shapeQueues = groupByShape([...queue, candidate]);
+    this.free = start.machines.map((machine) => ({ ...machine.free }));
+    this.events = new EventQueue(start.events);
+    this.unstartedCandidates = candidate.count;
+  }
+
+  run(): ReplayResult {
+    this.start.machines.forEach((machine, index) => {
+      if (machine.readyIn <= 0) this.startTasks(index, 0);
+    });
+    if (this.unstartedCandidates === 0) return { wait: 0 };
+    let now = 0;
+    for (let count = 0; count < MAX_EVENTS; count++) {
+      const event = this.events.next();
+      if (event === undefined) return { wait: Infinity };
+      now = Math.max(now, event.at);
+      this.apply(event, now);
+      if (this.unstartedCandidates === 0) return { wait: now };
+    }
+    return { wait: now };
+  }
+
+  private apply({ machineIndex, released }: ReplayEvent, now: number): void {
+    const free = this.free[machineIndex];
+    const machine = this.start.machines[machineIndex];
+    if (free === undefined || machine === undefined) return;
+    subtractResources(free, released, -1);
+    if (machine.readyIn <= now) this.startTasks(machineIndex, now);
+  }
+
+  /** Starts what the machine has room for: in the order of the queue, later work backfilled. */
+  private startTasks(machineIndex: number, now: number): void {
+    const machine = this.start.machines[machineIndex];
+    const free = this.free[machineIndex];
+    if (machine === undefined || free === undefined) return;
+    for (;;) {
+      const shapeQueue = this.firstThatFits(machine, free);
+      const next = shapeQueue?.items[shapeQueue.head];
+      if (shapeQueue === null || next === undefined) return;
+      this.startTask(next, machineIndex, free, now);
+      if (next.unstarted === 0) this.advance(shapeQueue);
+    }
+  }
+
+  /** The shape whose first item is the earliest in the queue of those that fit the machine. */
+  private firstThatFits(machine: ReplayMachine, free: Resources): ShapeQueue | null {
+    let first: ShapeQueue | null = null;
+    let firstOrder = Infinity;
+    for (const shapeQueue of this.shapeQueues) {
+      const { spec, zone, items, head } = shapeQueue;
+      const next = items[head];
+      if (next === undefined || next.order > firstOrder) continue;
+      if (!fits(free, spec) || !satisfiesConstraints(spec, zone, machine)) continue;
+      first = shapeQueue;
+      firstOrder = next.order;
+    }
+    return first;
+  }
+
+  private startTask(next: QueuedItem, machineIndex: number, free: Resources, now: number): void {
+    const { spec, run } = next.item;
+    subtractResources(free, spec);
+    if (Number.isFinite(run)) this.events.add({ at: now + run, machineIndex, released: spec });
+    if (next.item === this.candidate) this.unstartedCandidates--;
+    next.unstarted--;
+  }
+
+  /** The first item of the shape is wholly started. */
+  private advance(shapeQueue: ShapeQueue): void {
+    shapeQueue.head++;
+    if (shapeQueue.head === shapeQueue.items.length) {
+      this.shapeQueues = this.shapeQueues.filter((other) => other !== shapeQueue);
+    }
   }
 }
 
-/** What ends in a replay: what ran or was getting ready at its start, and what it has started itself. */
-class Ends {
+/** The events of a replay: those known at its start, and the ends of tasks that it starts itself. */
+class EventQueue {
   private passed = 0;
-  private readonly started = new Heap<End>((a, b) => a.at - b.at);
+  private readonly added = new Heap<ReplayEvent>((a, b) => a.at - b.at);
 
-  constructor(private readonly atStart: readonly End[]) {}
+  constructor(private readonly atStart: readonly ReplayEvent[]) {}
 
-  add(end: End): void {
-    this.started.push(end);
+  add(event: ReplayEvent): void {
+    this.added.push(event);
   }
 
-  /** The next, which is taken out. */
-  next(): End | undefined {
+  /** Removes the earliest event and gives it; undefined when none is left. */
+  next(): ReplayEvent | undefined {
     const known = this.atStart[this.passed];
-    const started = this.started.peek();
-    if (known === undefined || (started !== undefined && started.at < known.at)) {
-      return this.started.pop();
+    const added = this.added.peek();
+    if (known === undefined || (added !== undefined && added.at < known.at)) {
+      return this.added.pop();
     }
     this.passed++;
     return known;
   }
 }
 
-export function replay(
-  start: ReplayStart,
-  queue: ReplayItem[],
-  candidate: ReplayItem,
-): ReplayResult {
-  const { hosts } = start;
-  if (
-    !hosts.some(
-      (h) => satisfiesConstraints(candidate.spec, candidate.zone, h) && everHolds(h, candidate),
-    )
-  ) {
-    return { wait: Infinity };
-  }
-  let lanes = lanesOf([...queue, candidate]);
-  const rooms = hosts.map((h) => ({ ...h.free }));
-  const ends = new Ends(start.ends);
-  let own = candidate.count;
-  /** Starts what this machine has room for, first come first served, later work filling in behind. */
-  const fill = (host: ReplayMachine, index: number, resources: Resources, now: number): void => {
-    for (;;) {
-      let first: Lane | null = null;
-      let order = Infinity;
-      for (const lane of lanes) {
-        const next = lane.waiting[lane.head];
-        if (next === undefined || next.order > order) continue;
-        if (!fits(resources, lane.spec) || !satisfiesConstraints(lane.spec, lane.zone, host))
-          continue;
-        [first, order] = [lane, next.order];
-      }
-      const next = first?.waiting[first.head];
-      if (first === null || next === undefined) return;
-      const { spec: need, run } = next.item;
-      subtractResources(resources, need);
-      if (Number.isFinite(run)) ends.add({ at: now + run, host: index, need });
-      if (next.item === candidate) own--;
-      if (--next.left > 0) continue;
-      first.head++;
-      if (first.head === first.waiting.length) lanes = lanes.filter((lane) => lane !== first);
-    }
-  };
-  hosts.forEach((host, index) => {
-    const room = rooms[index];
-    if (room !== undefined && host.ready <= 0) fill(host, index, room, 0);
+function groupByShape(items: ReplayItem[]): ShapeQueue[] {
+  const byShape = new Map<string, ShapeQueue>();
+  items.forEach((item, order) => {
+    const { spec, zone, count } = item;
+    const shape = shapeOf(spec, zone);
+    const shapeQueue = byShape.get(shape) ?? { spec, zone, items: [], head: 0 };
+    byShape.set(shape, shapeQueue);
+    if (count > 0) shapeQueue.items.push({ item, unstarted: count, order });
   });
-  if (own === 0) return { wait: 0 };
-  let now = 0;
-  for (let event = 0; event < MAX_EVENTS; event++) {
-    const next = ends.next();
-    if (next === undefined) return { wait: Infinity };
-    now = Math.max(now, next.at);
-    const room = rooms[next.host];
-    const host = hosts[next.host];
-    if (room === undefined || host === undefined) continue;
-    subtractResources(room, next.need, -1);
-    if (host.ready <= now) fill(host, next.host, room, now);
-    if (own === 0) return { wait: now };
-  }
-  return { wait: now };
+  return [...byShape.values()];
 }
 
-function everHolds(host: ReplayMachine, item: ReplayItem): boolean {
-  if (fits(host.free, item.spec)) return true;
-  const room = { ...host.free };
-  for (const task of host.running) subtractResources(room, task.need, -1);
-  return fits(room, item.spec);
+/** Whether the machine holds a task of the item once all that runs there has ended. */
+function couldEverHold(machine: ReplayMachine, { spec }: ReplayItem): boolean {
+  if (fits(machine.free, spec)) return true;
+  const free = { ...machine.free };
+  for (const { resources } of machine.running) subtractResources(free, resources, -1);
+  return fits(free, spec);
 }
--- a/src/coordination/scheduling/runTimes.ts
+++ b/src/coordination/scheduling/runTimes.ts
@@ -1,74 +1,59 @@
-/** Run times: what owners say, corrected per class by what was seen. */
-// Its index loads the formatters, the log reader and WebAssembly too: a third of the time of a start.
+/** Expected run times of tasks: the users' estimates, corrected per job class by what was measured. */
+// The package's index loads formatters, the log reader and WebAssembly too: a third of the time of a start.
 import histograms from 'hdr-histogram-js/dist/Int32Histogram.js';
 
 const Int32Histogram = histograms.default;
 type Histogram = InstanceType<typeof Int32Histogram>;
 
-const SCALE = 100;
-const ENOUGH = 5;
+/** Histograms hold whole numbers: ratios are recorded in hundredths. */
+const RATIO_SCALE = 100;
 
+/** The largest ratio that is recorded. */
+const MAX_RATIO = 100;
+
+/** Significant digits of the histograms. */
+const DIGITS = 1;
+
+/** Run times of a class that must be known before its estimates are corrected. */
+const MIN_SAMPLES = 5;
+
+/**
+ * Corrects estimated run times (docs/design.md, "Run times are corrected per class"): the paper assumes
+ * estimates that can be replayed, but users' estimates are mostly too high or mostly too low on a day.
+ */
 export class RunTimes {
+  /** By job class, the ratios of measured to estimated run times. */
   private readonly ratios = new Map<string, Histogram>();
-  /** Medians as of the last end of a task: a round asks for them thousands of times. */
+  /** Medians as of the last recorded run time: a round asks for them thousands of times. */
   private readonly medians = new Map<string, number>();
 
-  /** Notes that a task said to take `expect` took `actual` seconds. */
-  note(jobClass: string, expect: number, actual: number): void {
-    if (expect <= 0 || actual <= 0) return;
+  /** Records that a task estimated at `estimate` seconds ran for `actual` seconds. */
+  note(jobClass: string, estimate: number, actual: number): void {
+    if (estimate <= 0 || actual <= 0) return;
+    const largest = MAX_RATIO * RATIO_SCALE;
     let histogram = this.ratios.get(jobClass);
     if (histogram === undefined) {
-      histogram = new Int32Histogram(1, 100 * SCALE, 1);
+      histogram = new Int32Histogram(1, largest, DIGITS);
       this.ratios.set(jobClass, histogram);
     }
-    const ratio = Math.round((actual / expect) * SCALE);
-    histogram.recordValue(Math.min(100 * SCALE, Math.max(1, ratio)));
+    const ratio = Math.round((actual / estimate) * RATIO_SCALE);
+    histogram.recordValue(Math.min(largest, Math.max(1, ratio)));
     this.medians.delete(jobClass);
   }
 
-  /** Owners are often mostly too high or too low on a day; the median ratio takes that out. */
-  expected(jobClass: string, expect: number): number {
+  /** Seconds that a task estimated at `estimate` seconds is expected to run. */
+  expected(jobClass: string, estimate: number): number {
     let median = this.medians.get(jobClass);
     if (median === undefined) {
-      const histogram = this.ratios.get(jobClass);
-      const known = histogram !== undefined && histogram.totalCount >= ENOUGH;
-      median = known ? histogram.getValueAtPercentile(50) / SCALE : 1;
+      median = this.medianRatio(jobClass);
       this.medians.set(jobClass, median);
     }
-    return expect * median;
-  }
-}
-
-/** Work that arrives, in processors, averaged over a window that forgets slowly. */
-export class ArrivalRate {
-  private level = 0;
-  private at = 0;
-  private since: number | null = null;
-
-  constructor(private readonly window: number) {}
-
-  note(work: number, now: number): void {
-    this.decay(now);
-    this.since ??= now;
-    this.level += work;
-  }
-
-  seed(cpus: number, now: number): void {
-    this.at = now;
-    this.since = now - this.window;
-    this.level = cpus * this.window * (1 - Math.exp(-1));
-  }
-
-  rate(now: number): number {
-    this.decay(now);
-    if (this.since === null) return 0;
-    // Before the window is full the average is over the time that has been seen.
-    const seen = 1 - Math.exp(-Math.max(this.window / 4, now - this.since) / this.window);
-    return Math.max(0, this.level) / (this.window * seen);
+    return estimate * median;
   }
 
-  private decay(now: number): void {
-    this.level *= Math.exp(-Math.max(0, now - this.at) / this.window);
-    this.at = now;
+  private medianRatio(jobClass: string): number {
+    const histogram = this.ratios.get(jobClass);
+    if (histogram === undefined || histogram.totalCount < MIN_SAMPLES) return 1;
+    return histogram.getValueAtPercentile(50) / RATIO_SCALE;
   }
 }
--- a/src/coordination/scheduling/schedulingRounds.ts
+++ b/src/coordination/scheduling/schedulingRounds.ts
@@ -1,43 +1,44 @@
 /**
- * When rounds of decisions take place: soon after something has changed, now and then without a reason, since
- * time alone changes what is due, and never without a rest in between.
+ * When scheduling rounds run: soon after a change, from time to time without one, since time alone
+ * changes what is due, and never without a rest in between.
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import { log } from '../../base/log.js';
 
-/** How long changes are gathered for one round, as a ratio to the time between reports. */
+/** How long changes are gathered for one round, as a ratio to the heartbeat interval. */
 const GATHER = 1 / 200;
 
-/** The longest time between two rounds, as a ratio to the time between reports. */
+/** The longest time between two rounds, as a ratio to the heartbeat interval. */
 const PAUSE = 1 / 30;
 
 /**
- * Rest after a round, as a ratio to the time that it took: on a small machine rounds would else follow each
- * other without a break, and reports, users and renewals of the lease would wait for them.
+ * Rest after a round, as a ratio to its duration: on a small machine rounds would otherwise follow each
+ * other without a break, and heartbeats, users and lease renewals would wait for them.
  */
 const REST = 3;
 
 /**
- * The longest rest, as a ratio to the time between reports: a process that stood still for seconds in the middle of
- * a round would else rest for three times that, and nothing would be stored or started meanwhile.
+ * The longest rest, as a ratio to the heartbeat interval: after a process was suspended for seconds in
+ * the middle of a round, nothing would be stored or started for three times as long otherwise.
  */
 const LONGEST_REST = 1 / 2;
 
+/** Runs scheduling rounds on request and from time to time, with a rest after each. */
 export class SchedulingRounds {
   private isRequested = false;
   private isStopped = false;
   private lastEnd = -Infinity;
-  /** Seconds that the last round took, its waiting for the processor included. */
+  /** Seconds that the last round took, including its wait for the CPU. */
   private duration = 0;
 
   constructor(
     private readonly clock: Clock,
-    /** Seconds between two reports of a worker. */
+    /** Seconds between two heartbeats of a worker. */
     private readonly heartbeatInterval: number,
     private readonly runRound: () => void,
   ) {}
 
-  /** Something has changed: a round soon, gathered with what else comes meanwhile. */
+  /** Something has changed: runs a round soon, for all changes that come until then. */
   request(): void {
     if (this.isRequested) return;
     this.isRequested = true;
@@ -48,7 +49,7 @@
     }, delay * 1000);
   }
 
-  /** Goes on until `stop`. */
+  /** Runs rounds until `stop`. */
   async run(): Promise<void> {
     const pause = this.heartbeatInterval * PAUSE;
     while (!this.isStopped) {
@@ -58,11 +59,12 @@
     }
   }
 
+  /** Ends `run`; no further round begins. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Seconds until the next round may begin, whoever asks for it. */
+  /** Seconds until the next round may begin. */
   private get restLeft(): number {
     const rest = Math.min(this.duration * REST, this.heartbeatInterval * LONGEST_REST);
     return this.lastEnd + rest - this.clock.now();
--- a/src/coordination/scheduling/waitEstimates.ts
+++ b/src/coordination/scheduling/waitEstimates.ts
@@ -1,4 +1,4 @@
-/** What a part tells of the wait and the turnaround that work would see there. */
+/** Estimates of the wait, run time and image fetch that work would see at a shard (PAPER, III.A). */
 import { rankOrder, type JobSpec } from '../../protocol/job.js';
 import { isAhead, type Chunk } from '../model/chunk.js';
 import type { RunTimes } from './runTimes.js';
@@ -7,9 +7,15 @@
 import { fits, type Resources, subtractResources } from '../model/resources.js';
 import { replay, ReplayStart, type ReplayMachine, type ReplayItem } from './queueReplay.js';
 
-/** How old a snapshot of the machines may be, as a ratio to the time between reports. */
+/** How old a snapshot of the machines may be, as a ratio to the heartbeat interval. */
 const SNAPSHOT_AGE = 1 / 40;
 
+/** Floor of fetch rates, in GB a second, against division by zero. */
+const MIN_FETCH_RATE = 1e-3;
+
+/** Room for rounding where resources are divided. */
+const EPSILON = 1e-9;
+
 interface Snapshot {
   start: ReplayStart;
   /** Steady time at which it was taken. */
@@ -24,112 +30,137 @@
   queuedChunks(): Chunk[];
 }
 
+/** Estimates for one shard. */
 export class WaitEstimates {
   /**
-   * The machines as seen by work of each rank. A snapshot is used until a task is placed or a machine comes or
-   * goes, and for a fortieth of a report at the most: what has ended since then is not seen yet. After a
-   * restart peers ask dozens of times a second, and looking at each machine anew took most of the processor.
+   * The machines as work of each rank sees them. A snapshot is used until a task is placed or a machine
+   * is added or removed, and for `SNAPSHOT_AGE` at most; tasks that have ended since then are not seen
+   * yet. After a restart peers ask dozens of times a second, and looking at each machine anew took most
+   * of the CPU.
    */
   private readonly snapshots = new Map<number, Snapshot>();
 
   constructor(
     private readonly shard: QueuedShard,
     private readonly runTimes: RunTimes,
-    /** Seconds between two reports of a worker. */
+    /** Seconds between two heartbeats of a worker. */
     private readonly heartbeatInterval: number,
   ) {}
 
-  /** A task has been placed, or a machine has come or gone. */
+  /** A task has been placed, or a machine has been added or removed. */
   invalidate(): void {
     this.snapshots.clear();
   }
 
-  /** Steady time at which a placed task should end; services never do. */
+  /** Steady time at which a placed task is expected to end; Infinity for live services. */
   endOf({ chunk, attempt }: Placement, now: number): number {
     if (chunk.spec.isService) return Infinity;
     const run = this.expectedRun(chunk.spec);
     return Math.max(now, (attempt.runningSince ?? now) + run);
   }
 
-  /** Run time of one task, corrected by what was seen of its class. */
+  /** Expected run time of one task in seconds, corrected by what was measured of its class. */
   expectedRun(spec: JobSpec): number {
     return this.runTimes.expected(spec.jobClass, spec.expectedRunSeconds);
   }
 
-  /** The wait that a candidate would see here, by replaying the queue. */
+  /**
+   * Seconds until the last of the candidate's tasks would start here, by replaying the queue. `self` is
+   * the candidate's chunk where it is in the queue already: only what is ahead of it counts.
+   */
   waitFor(candidate: ReplayItem, now: number, self?: Chunk): number {
     const rank = rankOrder[candidate.spec.rank];
-    const queue = this.shard
-      .queuedChunks()
-      .filter((c) => c !== self && c.rank >= rank && (self === undefined || isAhead(c, self)))
-      .map((c) => ({
-        spec: c.spec,
-        zone: c.zone,
-        count: c.pendingCount,
-        run: c.spec.isService ? Infinity : this.expectedRun(c.spec),
-      }));
+    const queue = this.queueAhead(rank, self);
     if (queue.length === 0 && this.hasRoomNow(candidate, now)) return 0;
     const { start, at } = this.snapshot(rank, now);
     return Math.max(0, replay(start, queue, candidate).wait - (now - at));
   }
 
+  /** Seconds to fetch an image here: 0 when a machine with room has it, or no machine is allowed. */
+  fetchFor(spec: JobSpec, zone: string | null): number {
+    let shortest = Infinity;
+    for (const machine of this.shard.machines.values()) {
+      if (machine.machineType === undefined || !satisfiesConstraints(spec, zone, machine)) continue;
+      const isCached = machine.hasImage(spec.image) && fits(this.roomFor(machine, spec), spec);
+      const rate = Math.max(MIN_FETCH_RATE, machine.machineType.fetchGbPerSecond);
+      shortest = Math.min(shortest, isCached ? 0 : spec.imageGb / rate);
+    }
+    return Number.isFinite(shortest) ? shortest : 0;
+  }
+
+  /** The queue that work of the rank would come behind. */
+  private queueAhead(rank: number, self: Chunk | undefined): ReplayItem[] {
+    return this.shard
+      .queuedChunks()
+      .filter(
+        (chunk) =>
+          chunk !== self && chunk.rank >= rank && (self === undefined || isAhead(chunk, self)),
+      )
+      .map(({ spec, zone, pendingCount }) => ({
+        spec,
+        zone,
+        count: pendingCount,
+        run: spec.isService ? Infinity : this.expectedRun(spec),
+      }));
+  }
+
   private snapshot(rank: number, now: number): Snapshot {
     const known = this.snapshots.get(rank);
     if (known !== undefined && now - known.at < this.heartbeatInterval * SNAPSHOT_AGE) return known;
-    const snapshot = { start: new ReplayStart(this.replayHosts(rank, now)), at: now };
+    const snapshot = { start: new ReplayStart(this.replayMachines(rank, now)), at: now };
     this.snapshots.set(rank, snapshot);
     return snapshot;
   }
 
-  /** The machines as the replay begins; work below the rank would be stopped for the candidate. */
-  private replayHosts(rank: number, now: number): ReplayMachine[] {
-    const hosts: ReplayMachine[] = [];
+  private replayMachines(rank: number, now: number): ReplayMachine[] {
+    const machines: ReplayMachine[] = [];
     for (const machine of this.shard.machines.values()) {
-      const { type, zone, spot } = machine;
       if (machine.machineType === undefined || machine.isCordoned || machine.isLost) continue;
-      const boot = machine.firstSeenAt + machine.machineType.bootSeconds - now;
-      const ready = machine.isUp ? Math.max(0, machine.quarantinedUntil - now) : Math.max(1, boot);
-      const running: ReplayMachine['running'] = [];
-      const free = { ...machine.free };
-      for (const placement of machine.placements.values()) {
-        const need = placement.chunk.spec;
-        if (placement.chunk.rank < rank) {
-          // It would be stopped for the candidate.
-          subtractResources(free, need, -1);
-          continue;
-        }
-        const ends = this.endOf(placement, now) - now;
-        if (Number.isFinite(ends)) running.push({ ends, need });
+      machines.push(this.replayMachine(machine, machine.machineType.bootSeconds, rank, now));
+    }
+    return machines;
+  }
+
+  private replayMachine(
+    machine: Machine,
+    bootSeconds: number,
+    rank: number,
+    now: number,
+  ): ReplayMachine {
+    const { type, zone, spot } = machine;
+    const bootLeft = machine.firstSeenAt + bootSeconds - now;
+    const readyIn = machine.isUp
+      ? Math.max(0, machine.quarantinedUntil - now)
+      : Math.max(1, bootLeft);
+    const running: { endsIn: number; resources: Resources }[] = [];
+    const free = { ...machine.free };
+    for (const placement of machine.placements.values()) {
+      const { rank: placedRank, spec } = placement.chunk;
+      if (placedRank < rank) {
+        // It would be preempted for the candidate.
+        subtractResources(free, spec, -1);
+        continue;
       }
-      hosts.push({ type, zone, spot, free, ready, running });
+      const endsIn = this.endOf(placement, now) - now;
+      if (Number.isFinite(endsIn)) running.push({ endsIn, resources: spec });
     }
-    return hosts;
+    return { type, zone, spot, free, readyIn, running };
   }
 
-  /** The short cut of the replay: nothing is ahead and there is room for all of it. */
+  /** Whether all of the candidate fits right now; saves the replay where nothing is ahead of it. */
   private hasRoomNow({ spec, zone, count }: ReplayItem, now: number): boolean {
-    let left = count;
+    let unplaced = count;
     for (const machine of this.shard.machines.values()) {
       const { free } = machine;
-      if (
-        !fits(free, spec) ||
-        !machine.isSchedulable(now) ||
-        !satisfiesConstraints(spec, zone, machine)
-      )
-        continue;
-      const by = (have: number, need: number): number =>
-        need > 0 ? Math.floor(have / need + 1e-9) : Infinity;
-      left -= Math.min(
-        by(free.cpus, spec.cpus),
-        by(free.gpus, spec.gpus),
-        by(free.memoryGb, spec.memoryGb),
-      );
-      if (left <= 0) return true;
+      if (!fits(free, spec) || !machine.isSchedulable(now)) continue;
+      if (!satisfiesConstraints(spec, zone, machine)) continue;
+      unplaced -= tasksThatFit(free, spec);
+      if (unplaced <= 0) return true;
     }
     return false;
   }
 
-  /** Room for work of this rank: what is free, and what lower ranks would give up. */
+  /** Resources for work of this rank: what is free, and what lower ranks would give up. */
   private roomFor(machine: Machine, spec: JobSpec): Resources {
     const room = { ...machine.free };
     for (const { chunk } of machine.placements.values()) {
@@ -138,18 +169,15 @@
     }
     return room;
   }
+}
 
-  /** Seconds to fetch an image here: nothing when a machine with room already has it. */
-  fetchFor(spec: JobSpec, zone: string | null): number {
-    let best = Infinity;
-    for (const machine of this.shard.machines.values()) {
-      if (machine.machineType === undefined || !satisfiesConstraints(spec, zone, machine)) continue;
-      const warm = machine.hasImage(spec.image) && fits(this.roomFor(machine, spec), spec);
-      best = Math.min(
-        best,
-        warm ? 0 : spec.imageGb / Math.max(1e-3, machine.machineType.fetchGbPerSecond),
-      );
-    }
-    return Number.isFinite(best) ? best : 0;
-  }
+/** How many tasks of the job fit in these resources. */
+function tasksThatFit(free: Resources, spec: JobSpec): number {
+  const quotient = (available: number, needed: number): number =>
+    needed > 0 ? Math.floor(available / needed + EPSILON) : Infinity;
+  return Math.min(
+    quotient(free.cpus, spec.cpus),
+    quotient(free.gpus, spec.gpus),
+    quotient(free.memoryGb, spec.memoryGb),
+  );
 }
--- a/src/coordination/shard/demandEstimator.ts
+++ b/src/coordination/shard/demandEstimator.ts
@@ -3,7 +3,7 @@
 import { rankName, type JobSpec } from '../../protocol/job.js';
 import type { Demand } from '../../protocol/peerMessages.js';
 import type { Chunk } from '../model/chunk.js';
-import { ArrivalRate } from '../scheduling/runTimes.js';
+import { ArrivalRate } from '../scheduling/arrivalRate.js';
 import type { Machine } from '../model/machine.js';
 import type { WaitEstimates } from '../scheduling/waitEstimates.js';
 import { satisfiesConstraints, shapeOf } from '../scheduling/placement.js';
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -11,7 +11,8 @@
   totalChunks,
   zonesFor,
 } from '../../src/coordination/model/chunking.js';
-import { ArrivalRate, RunTimes } from '../../src/coordination/scheduling/runTimes.js';
+import { ArrivalRate } from '../../src/coordination/scheduling/arrivalRate.js';
+import { RunTimes } from '../../src/coordination/scheduling/runTimes.js';
 import { chooseShard, turnaround } from '../../src/coordination/migration/migrationPolicy.js';
 import {
   satisfiesConstraints,
@@ -41,13 +42,13 @@
   memoryGb: memory,
 });
 
-const host = (free: number, running: [number, number][] = [], ready = 0): ReplayMachine => ({
+const host = (free: number, running: [number, number][] = [], readyIn = 0): ReplayMachine => ({
   type: 'm8',
   zone: 'a',
   spot: false,
   free: room(free),
-  ready,
-  running: running.map(([ends, cpus]) => ({ ends, need: room(cpus, 0) })),
+  readyIn,
+  running: running.map(([endsIn, cpus]) => ({ endsIn, resources: room(cpus, 0) })),
 });
 
 test('the wait comes from replaying the queue', () => {
