--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,4 +1,4 @@
-/** The one elected node that rents and returns machines for all parts. */
+/** Scale-out and scale-in of all shards, by the one controller that is elected for it. */
 import { sleep } from '../../base/clock.js';
 import { describe, log } from '../../base/log.js';
 import type { MachineType } from '../../protocol/cloudProtocol.js';
@@ -10,18 +10,19 @@
 import { ScaleIn } from './scaleIn.js';
 import { ScaleOut } from './scaleOut.js';
 
-/** Time between two steps, as a ratio to the time between reports. */
+/** Time between two steps, as a ratio to the heartbeat interval. */
 const INTERVAL = 1 / 6;
 
+/** Launches and releases machines while this controller is the elected autoscaler. */
 export class Autoscaler {
-  private active = false;
+  private isElected = false;
   private stopped = false;
   private isStoringTypes = false;
   private readonly cloud: CloudClient;
   private readonly groups: MachineGroupStore;
-  private readonly renter: ScaleOut;
-  private readonly releaser: ScaleIn;
-  private readonly listing: InventorySync;
+  private readonly scaleOut: ScaleOut;
+  private readonly scaleIn: ScaleIn;
+  private readonly inventorySync: InventorySync;
 
   constructor(
     private readonly node: AutoscalingContext,
@@ -31,73 +32,75 @@
     const { cloudEndpoint, cloudRate } = settings;
     this.cloud = new CloudClient(links.services, clock, cloudEndpoint, cloudRate);
     this.groups = new MachineGroupStore(node, process);
-    this.renter = new ScaleOut(node, this.cloud, this.groups);
-    this.releaser = new ScaleIn(node, this.cloud, this.groups);
-    this.listing = new InventorySync(node, this.cloud, this.groups, (machine) =>
-      this.releaser.isReleased(machine),
+    this.scaleOut = new ScaleOut(node, this.cloud, this.groups);
+    this.scaleIn = new ScaleIn(node, this.cloud, this.groups);
+    this.inventorySync = new InventorySync(node, this.cloud, this.groups, (machine) =>
+      this.scaleIn.isReleased(machine),
     );
   }
 
-  /** This node has become the provisioner. */
+  /** This controller has been elected as the autoscaler. */
   elected(): void {
-    this.active = true;
+    this.isElected = true;
     this.groups.pending.clear();
-    this.renter.reset();
-    this.listing.expire();
-    log.info('this node rents and returns the machines');
+    this.scaleOut.reset();
+    this.inventorySync.expire();
+    log.info('this node is the autoscaler');
   }
 
-  /** Another node is the provisioner, or none. */
+  /** Another controller is the autoscaler, or none is. */
   retired(): void {
-    this.active = false;
+    this.isElected = false;
   }
 
+  /** Ends `run`. */
   stop(): void {
     this.stopped = true;
     this.groups.stop();
   }
 
-  /** Goes on until `stop`. */
+  /** Runs steps until `stop`. */
   async run(): Promise<void> {
-    const { leadership: ownership, settings } = this.node;
+    const { leadership, settings } = this.node;
     while (!this.stopped) {
       try {
-        if (this.active && ownership.isLeaseValid && this.node.machineTypes.size > 0) this.step();
+        if (this.isElected && leadership.isLeaseValid && this.node.machineTypes.size > 0)
+          this.step();
       } catch (error) {
-        log.error(`provisioner: ${describe(error)}`);
+        log.error(`autoscaler: ${describe(error)}`);
       }
       await sleep(settings.heartbeatInterval * INTERVAL);
     }
   }
 
   private step(): void {
-    const { clock, stateClient: state, stateLeaseTtl: stateTtl } = this.node;
+    const { clock, stateClient, stateLeaseTtl } = this.node;
     const now = clock.now();
     if (this.cloud.isPausing) return;
-    // What is sent into a cut may be carried out when it is over, and nobody wants it any more then.
-    if (now - state.lastServed > stateTtl / 2) return;
+    // A request sent into a partition may be carried out after it, when nobody wants it any more.
+    if (now - stateClient.lastServed > stateLeaseTtl / 2) return;
     void this.storeTypes();
-    void this.listing.readIfDue(now);
-    this.renter.continueOpen(now);
-    this.groups.prunePending((name) => this.renter.isOpen(name));
-    this.releaser.releaseDue(now, this.listing.failed);
-    this.renter.rentForDemands(now);
+    void this.inventorySync.readIfDue(now);
+    this.scaleOut.continueOpen(now);
+    this.groups.prunePending((name) => this.scaleOut.isOpen(name));
+    this.scaleIn.releaseDue(now, this.inventorySync.failed);
+    this.scaleOut.launchForDemands(now);
   }
 
-  /** Keeps the machine types for nodes that start while the cloud's interface is down. */
+  /** Stores the machine types for controllers that start while the cloud's interface is down. */
   private async storeTypes(): Promise<void> {
     const { stateCache, stateClient: state } = this.node;
-    const owner = this.groups.ownerCondition();
+    const leader = this.groups.leaderCondition();
     const stored = stateCache.get(keys.types);
     const known = (stored?.value ?? []) as MachineType[];
     const machineTypes = [...this.node.machineTypes.values()];
     const namesOf = (list: MachineType[]): string => list.map((type) => type.name).join(' ');
-    if (owner === null || this.isStoringTypes || namesOf(known) === namesOf(machineTypes)) return;
+    if (leader === null || this.isStoringTypes || namesOf(known) === namesOf(machineTypes)) return;
     this.isStoringTypes = true;
     try {
-      const when = [owner, { key: keys.types, revision: stored?.revision ?? 0 }];
+      const conditions = [leader, { key: keys.types, revision: stored?.revision ?? 0 }];
       const puts = [{ key: keys.types, value: machineTypes }];
-      const result = await state.transact({ conditions: when, puts, deletes: [] });
+      const result = await state.transact({ conditions, puts, deletes: [] });
       if (result.kind === 'applied') stateCache.note(keys.types, machineTypes, result.revision);
     } finally {
       this.isStoringTypes = false;
--- a/src/coordination/autoscaling/cloudClient.ts
+++ b/src/coordination/autoscaling/cloudClient.ts
@@ -1,26 +1,28 @@
-/** Requests to the cloud, within its rate; answers that are no answer to the question are told apart by kind. */
+/** Requests to the cloud's interface, within its rate limit. */
 import type { Clock } from '../../base/clock.js';
 import * as cloud from '../../protocol/cloudProtocol.js';
 import { RateLimiter } from '../../storage/rateLimiter.js';
 import type { HttpClient, Response } from '../../transport/httpClient.js';
 
-export type RentalAnswer =
-  | { kind: 'rented'; machines: string[] }
-  | { kind: 'no-capacity' }
+/** What has become of a request for machines; `unavailable`: it may or may not be carried out. */
+export type LaunchResult =
+  | { kind: 'launched'; machines: string[] }
+  | { kind: 'insufficient-capacity' }
   | { kind: 'malformed' }
   | { kind: 'unavailable' };
 
-/** A little below the cloud's own limit, since the other nodes ask for the machine types. */
+/** A little below the cloud's own limit, since the other controllers read the machine types. */
 const RATE_SHARE = 0.8;
 
-/** Seconds for an answer: the cloud may take a second or two when it is busy. */
+/** Timeout in seconds: the cloud may take a second or two when it is busy. */
 const TIMEOUT = 5;
 
-/** Seconds for which nothing is asked after a failure. */
+/** Seconds without requests after a failure. */
 const PAUSE_AFTER_FAILURE = 1;
 
+/** The cloud's interface: machines are listed, launched and released. */
 export class CloudClient {
-  private readonly budget: RateLimiter;
+  private readonly rateLimiter: RateLimiter;
   private failedUntil = 0;
 
   constructor(
@@ -29,15 +31,15 @@
     private readonly endpoint: string,
     rate: number,
   ) {
-    this.budget = new RateLimiter(clock, rate * RATE_SHARE, rate);
+    this.rateLimiter = new RateLimiter(clock, rate * RATE_SHARE, rate);
   }
 
-  /** It has failed a moment ago. */
+  /** Whether a request has failed less than `PAUSE_AFTER_FAILURE` ago. */
   get isPausing(): boolean {
     return this.clock.now() < this.failedUntil;
   }
 
-  /** All machines that it lists, by name; null when it did not give the whole list. */
+  /** All machines that the cloud lists, by name; null when it did not give the whole list. */
   async listMachines(): Promise<Map<string, cloud.ListedMachine> | null> {
     const found = new Map<string, cloud.ListedMachine>();
     for (let after = ''; ;) {
@@ -51,20 +53,21 @@
     }
   }
 
-  async rent(ask: cloud.RentalRequest): Promise<RentalAnswer> {
-    const answer = await this.call('POST', cloud.paths.rentals, cloud.rentalRequest(ask));
+  /** Requests machines; repeating a request with the same `ask` gives the machines of the first. */
+  async launch(request: cloud.RentalRequest): Promise<LaunchResult> {
+    const answer = await this.call('POST', cloud.paths.rentals, cloud.rentalRequest(request));
     if (answer.status === 200) {
-      return { kind: 'rented', machines: cloud.parseRented(answer.body) ?? [] };
+      return { kind: 'launched', machines: cloud.parseRented(answer.body) ?? [] };
     }
     if (answer.status === 503 && JSON.stringify(answer.body).includes('no capacity')) {
-      return { kind: 'no-capacity' };
+      return { kind: 'insufficient-capacity' };
     }
     if (answer.status === 400) return { kind: 'malformed' };
     this.pause();
     return { kind: 'unavailable' };
   }
 
-  /** True when the cloud has confirmed that the machines are gone. */
+  /** Releases machines; true when the cloud has confirmed that they are gone. */
   async release(machines: string[]): Promise<boolean> {
     const body = cloud.releaseRequest(machines);
     const answer = await this.call('POST', cloud.paths.release, body);
@@ -77,9 +80,9 @@
   }
 
   private async call(method: string, target: string, body?: unknown): Promise<Response> {
-    await this.budget.acquire(1, method === 'POST' ? 'urgent' : 'later');
+    await this.rateLimiter.acquire(1, method === 'POST' ? 'urgent' : 'later');
     const answer = await this.http.call(this.endpoint, method, target, body, TIMEOUT);
-    if (answer.status === 429) this.budget.backOff();
+    if (answer.status === 429) this.rateLimiter.backOff();
     return answer;
   }
 }
--- a/src/coordination/autoscaling/inventorySync.ts
+++ b/src/coordination/autoscaling/inventorySync.ts
@@ -1,4 +1,4 @@
-/** Follows the cloud's list: machines that nobody expected get a part, and addresses are stored. */
+/** Follows the cloud's list: unknown machines are assigned to a shard, and addresses are stored. */
 import { describe, log } from '../../base/log.js';
 import type { ListedMachine } from '../../protocol/cloudProtocol.js';
 import type { MachineGroupRecord } from '../../storage/records.js';
@@ -11,15 +11,16 @@
 const INTERVAL = 0.75;
 
 /** How long a group's record waits for the addresses of all its machines, as a ratio to the list's lag. */
-const ADDRESS_PATIENCE = 4;
+const ADDRESS_WINDOW = 4;
 
-/** Of the changes a second that are ours, what addresses may take. */
+/** Share of this controller's write rate that addresses may use. */
 const ADDRESS_SHARE = 1 / 10;
 
-/** Where a machine that is up can be asked; one that boots would seem to be silent. */
+/** The address of a running machine; a booting one would seem to be silent. */
 const addressOf = (machine: ListedMachine | undefined): string =>
   machine?.status === 'running' ? machine.address : '';
 
+/** Keeps the stored machines in line with the cloud's list. */
 export class InventorySync {
   private listed = new Map<string, ListedMachine>();
   /** Machines without a record, and since when. */
@@ -31,11 +32,11 @@
     private readonly node: AutoscalingContext,
     private readonly cloud: CloudClient,
     private readonly groups: MachineGroupStore,
-    /** Its release was confirmed: a late list may still show it. */
+    /** Whether its release was confirmed: a late list may still show it. */
     private readonly isReleased: (machine: string) => boolean,
   ) {}
 
-  /** The list is read with the next step. */
+  /** Makes the next `readIfDue` read the list. */
   expire(): void {
     this.lastRead = -Infinity;
   }
@@ -46,6 +47,7 @@
     return failed.map(({ name }) => name);
   }
 
+  /** Reads the list, if it is due, and stores what is new. */
   async readIfDue(now: number): Promise<void> {
     if (this.isReading || now - this.lastRead <= this.node.settings.cloudListLag * INTERVAL) return;
     this.isReading = true;
@@ -63,21 +65,21 @@
     }
   }
 
-  /** Machines that nobody expected (late rentals, those up from the start) get a part. */
+  /** Assigns unknown machines to shards: late scale-outs, and machines that ran from the start. */
   private async adoptUnknown(): Promise<void> {
     const { node } = this;
     const groups = new Map<string, MachineGroupRecord>();
-    const taken: { shard: string; type: string; count: number }[] = [];
+    const assigned: { shard: string; type: string; count: number }[] = [];
     for (const machine of this.longUnknown()) {
       const { name, type, zone, spot, age } = machine;
-      const shard = chooseShardFor(node, zone, '', taken);
-      taken.push({ shard, type, count: 1 });
+      const shard = chooseShardFor(node, zone, '', assigned);
+      assigned.push({ shard, type, count: 1 });
       const key = [shard, type, zone, String(spot)].join(' ');
       const group = groups.get(key) ?? { shard, type, zone, spot, machines: {} };
       groups.set(key, group);
       const address = addressOf(machine);
-      const at = node.clock.wall() - age;
-      group.machines[name] = address === '' ? { launchedAt: at } : { launchedAt: at, address };
+      const launchedAt = node.clock.wall() - age;
+      group.machines[name] = address === '' ? { launchedAt } : { launchedAt, address };
     }
     const most = groupLimit(node.settings.valueBytes);
     const stored = [...groups.values()].flatMap((group) => splitGroup(group, most));
@@ -92,27 +94,27 @@
     for (const name of this.unknownSince.keys()) {
       if (!this.listed.has(name)) this.unknownSince.delete(name);
     }
-    // The list may be older than a release by a provisioner before us; with no record of any machine
-    // there has been none.
-    const patience = inventory.size === 0 ? 0 : settings.cloudListLag;
+    // The list may be older than a release by the last autoscaler; without any recorded machine there
+    // has been no release.
+    const window = inventory.size === 0 ? 0 : settings.cloudListLag;
     const found: ListedMachine[] = [];
     for (const [name, machine] of this.listed) {
       if (inventory.get(name) !== undefined || pending.has(name) || this.isReleased(name)) continue;
       const since = this.unknownSince.get(name) ?? now;
       this.unknownSince.set(name, since);
-      if (now - since >= patience) found.push(machine);
+      if (now - since >= window) found.push(machine);
     }
     return found;
   }
 
-  /** Addresses go into the groups' records once all of a group are known, or what has come in time. */
+  /** Stores addresses once all of a group are known, or those that are known after `ADDRESS_WINDOW`. */
   private async storeAddresses(): Promise<void> {
     const { inventory, settings } = this.node;
-    // Bookkeeping: what users and starts wait for goes first.
-    let left = Math.max(1, settings.stateWriteRate * ADDRESS_SHARE);
+    // Bookkeeping: requests that users and starts wait for go first.
+    let writesLeft = Math.max(1, settings.stateWriteRate * ADDRESS_SHARE);
     for (const [name, group] of [...inventory.entries()]) {
       if (!this.hasNewAddresses(group)) continue;
-      if (--left < 0) return;
+      if (--writesLeft < 0) return;
       await this.groups.replace(new Map([[name, this.withAddresses(group)]]), 'later');
     }
   }
@@ -128,7 +130,7 @@
       if (addressOf(this.listed.get(name)) === '') missing++;
       else found++;
     }
-    const isLate = wall - oldest > this.node.settings.cloudListLag * ADDRESS_PATIENCE;
+    const isLate = wall - oldest > this.node.settings.cloudListLag * ADDRESS_WINDOW;
     return found > 0 && (missing === 0 || isLate);
   }
 
--- a/src/coordination/autoscaling/machineGroupStore.ts
+++ b/src/coordination/autoscaling/machineGroupStore.ts
@@ -1,4 +1,4 @@
-/** The stored groups of machines, written by the elected provisioner alone and under its ownership. */
+/** The stored groups of machines, written only by the elected autoscaler, on condition of its leadership. */
 import { sleep } from '../../base/clock.js';
 import { TRANSACTION_BYTES } from '../../protocol/stateProtocol.js';
 import type { RequestPriority } from '../../storage/rateLimiter.js';
@@ -10,6 +10,7 @@
 /** How often the removal of released machines from their records may fail. */
 const REMOVAL_TRIES = 20;
 
+/** Writes of machine group records. */
 export class MachineGroupStore {
   /** Machines whose group is being stored, by the group's name: they are not unknown. */
   readonly pending = new Map<string, string[]>();
@@ -22,18 +23,19 @@
     private readonly process: string,
   ) {}
 
+  /** Ends repeated writes. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** The condition that this node is the provisioner; null when it is not. */
-  ownerCondition(): { key: string; revision: number } | null {
+  /** The condition that this controller is the elected autoscaler; null when it is not. */
+  leaderCondition(): { key: string; revision: number } | null {
     const leadership = this.node.leadership.get(AUTOSCALER_DUTY);
     if (leadership === undefined || !this.node.leadership.isLeaseValid) return null;
     return { key: keys.owner(AUTOSCALER_DUTY), revision: leadership.revision };
   }
 
-  /** A name for a rental and its group that is never used again. */
+  /** A name for a scale-out and its group that is never used again. */
   nextName(): string {
     return `${this.node.settings.label}-${this.process}-${++this.sequence}`;
   }
@@ -45,37 +47,37 @@
     }
   }
 
-  /** Stores a rental's intention, unless anything under its name is stored already. */
+  /** Records a scale-out before it is requested, unless its name is stored already. */
   async create(name: string, group: MachineGroupRecord): Promise<TransactionResult> {
-    const owner = this.ownerCondition();
-    if (owner === null) return { kind: 'refused' };
+    const leader = this.leaderCondition();
+    if (leader === null) return { kind: 'refused' };
     const key = keys.group(name);
-    const when = [owner, { key, revision: 0 }];
+    const conditions = [leader, { key, revision: 0 }];
     const puts = [{ key, value: group }];
     const result = await this.node.stateClient.transact(
-      { conditions: when, puts, deletes: [] },
+      { conditions, puts, deletes: [] },
       'rental',
     );
     if (result.kind === 'applied') this.node.stateCache.note(key, group, result.revision);
     return result;
   }
 
-  /** Stores machines that no rental of ours brought, under a name that is used once. */
+  /** Stores machines that no recorded scale-out launched, under a name of their own. */
   async adopt(group: MachineGroupRecord): Promise<void> {
     const { node } = this;
     const name = this.nextName();
     const leadership = node.leadership.get(AUTOSCALER_DUTY);
     this.storing.add(name);
     this.pending.set(name, Object.keys(group.machines));
-    // Its machines are stored in no other group before this one's fate is known: a machine that were
-    // in two groups would have two owners.
+    // Its machines go into no other group before it is known whether this one is stored: a machine in
+    // two groups would belong to two shards.
     while (!this.stopped && node.leadership.get(AUTOSCALER_DUTY) === leadership) {
       if (await this.tryAdopt(name, group)) break;
     }
     this.storing.delete(name);
   }
 
-  /** True once it is known what has become of the group. */
+  /** True once it is known whether the group is stored. */
   private async tryAdopt(name: string, group: MachineGroupRecord): Promise<boolean> {
     const { node } = this;
     const result = await this.create(name, group);
@@ -88,7 +90,7 @@
     const item = await node.stateClient.get(key).catch(() => undefined);
     if (item === undefined) return false;
     if (item !== null) node.stateCache.note(key, item.value, item.revision);
-    // Neither our key nor our ownership is as we thought: a new provisioner will find them.
+    // Neither the key nor the leadership is as expected: a new autoscaler will find the machines.
     else await node.leadership.verifyLeadership(AUTOSCALER_DUTY).catch(() => undefined);
     return true;
   }
@@ -99,26 +101,26 @@
     priority: RequestPriority,
   ): Promise<TransactionResult> {
     const { stateCache, stateClient: state } = this.node;
-    const owner = this.ownerCondition();
-    if (owner === null) return { kind: 'refused' };
-    const when = [owner];
+    const leader = this.leaderCondition();
+    if (leader === null) return { kind: 'refused' };
+    const conditions = [leader];
     const puts: { key: string; value: unknown }[] = [];
-    const removes: string[] = [];
+    const deletes: string[] = [];
     for (const [name, group] of groups) {
       const key = keys.group(name);
-      when.push({ key, revision: stateCache.get(key)?.revision ?? 0 });
-      if (group === null) removes.push(key);
+      conditions.push({ key, revision: stateCache.get(key)?.revision ?? 0 });
+      if (group === null) deletes.push(key);
       else puts.push({ key, value: group });
     }
-    const result = await state.transact({ conditions: when, puts, deletes: removes }, priority);
+    const result = await state.transact({ conditions, puts, deletes }, priority);
     if (result.kind === 'applied') {
       for (const put of puts) stateCache.note(put.key, put.value, result.revision);
-      for (const key of removes) stateCache.noteRemoved(key, result.revision);
+      for (const key of deletes) stateCache.noteRemoved(key, result.revision);
     }
     return result;
   }
 
-  /** A copy of a change that got no answer may have been applied: takes the stored record. */
+  /** Reads the stored record into the cache: a change without an answer may have been applied. */
   async reread(name: string): Promise<void> {
     const { stateCache, stateClient: state } = this.node;
     const key = keys.group(name);
@@ -127,18 +129,18 @@
     else stateCache.note(key, item.value, item.revision);
   }
 
-  /** The cloud has said that they are gone: what ran there is over. */
+  /** Removes machines that the cloud has confirmed to be released: what ran there has ended. */
   async removeMachines(machines: string[]): Promise<void> {
-    const { leadership: ownership, settings } = this.node;
+    const { leadership, settings } = this.node;
     for (let failures = 0; failures < REMOVAL_TRIES;) {
       const groups = this.withoutMachines(machines);
       if (groups.size === 0) return;
       const result = await this.replace(groups, 'urgent');
-      if (result.kind === 'refused' && this.ownerCondition() === null) return;
+      if (result.kind === 'refused' && this.leaderCondition() === null) return;
       if (result.kind === 'conflict') {
-        // An earlier copy was applied, or the watch is late: look again.
+        // An earlier copy was applied, or the watch is late: read the records again.
         for (const name of groups.keys()) await this.reread(name);
-        await ownership.verifyLeadership(AUTOSCALER_DUTY);
+        await leadership.verifyLeadership(AUTOSCALER_DUTY);
       }
       if (result.kind === 'applied') continue;
       failures++;
--- a/src/coordination/autoscaling/machineGroups.ts
+++ b/src/coordination/autoscaling/machineGroups.ts
@@ -1,12 +1,12 @@
-/** Which part a machine goes to, and how many machines one record may hold: pure. */
+/** Which shard a machine goes to, and how many machines one record may hold: pure functions. */
 import { RENT_LIMIT } from '../../protocol/cloudProtocol.js';
 import type { MachineInventory } from '../../storage/machineInventory.js';
 import type { MachineGroupRecord } from '../../storage/records.js';
 
-/** A machine's name, time and address in its group's record, with room for long ones. */
+/** Bytes of a machine's name, time and address in its group's record, with room for long ones. */
 const MACHINE_BYTES = 120;
 
-/** Of a record's limit, what the machines of a group may take. */
+/** Share of a record's size limit that the machines of a group may use. */
 const RECORD_SHARE = 0.8;
 
 /** Machines that a group may have: its record, and copies of it in a transaction, stay within the limits. */
@@ -25,7 +25,7 @@
   return groups;
 }
 
-/** What is looked at to find a part for machines. */
+/** What is needed to choose a shard for machines. */
 export interface MachineGroupContext {
   shards: string[];
   zoneOf: ReadonlyMap<string, string>;
@@ -34,15 +34,15 @@
 }
 
 /**
- * Machines go to a part of their own zone, so that a cut between zones leaves parts whole: to the one
- * that wants them, or else to the one with the fewest processors.
+ * Machines go to a shard of their own zone, so that a partition between zones leaves shards whole: to the
+ * one that wants them, or else to the one with the fewest CPUs.
  */
 export function chooseShardFor(
   node: MachineGroupContext,
   zone: string,
   wanted: string,
-  /** Machines that are on their way to a part. */
-  coming: Iterable<{ shard: string; type: string; count: number }> = [],
+  /** Machines that are being launched for a shard. */
+  pending: Iterable<{ shard: string; type: string; count: number }> = [],
 ): string {
   const inZone = node.shards.filter((shard) => node.zoneOf.get(shard) === zone);
   const candidates = inZone.length > 0 ? inZone : node.shards;
@@ -56,6 +56,6 @@
   for (const shard of candidates) {
     for (const [type, count] of node.inventory.countsOf(shard)) add(shard, type, count);
   }
-  for (const { shard, type, count } of coming) add(shard, type, count);
+  for (const { shard, type, count } of pending) add(shard, type, count);
   return candidates.reduce((a, b) => ((cpus.get(b) ?? 0) < (cpus.get(a) ?? 0) ? b : a));
 }
--- a/src/coordination/autoscaling/scaleIn.ts
+++ b/src/coordination/autoscaling/scaleIn.ts
@@ -1,4 +1,4 @@
-/** Returns machines to the cloud: those that are lost, failed or no longer needed. */
+/** Releases machines that are lost, failed or no longer needed. */
 import { describe, log } from '../../base/log.js';
 import { RELEASE_LIMIT } from '../../protocol/cloudProtocol.js';
 import type { CloudClient } from './cloudClient.js';
@@ -6,10 +6,11 @@
 import type { MachineGroupStore } from './machineGroupStore.js';
 
 /** How long a released machine is remembered, as a ratio to the lag of the cloud's list. */
-const MEMORY = 10;
+const RELEASED_MEMORY = 10;
 
+/** Scale-in of all shards by the elected autoscaler. */
 export class ScaleIn {
-  /** Machines whose release was answered 200: gone, whatever a late list says. */
+  /** Machines whose release was confirmed, and when: gone, whatever a late list says. */
   private readonly released = new Map<string, number>();
   private readonly releasing = new Set<string>();
 
@@ -19,6 +20,7 @@
     private readonly groups: MachineGroupStore,
   ) {}
 
+  /** Whether the machine's release was confirmed lately. */
   isReleased(machine: string): boolean {
     return this.released.has(machine);
   }
@@ -29,13 +31,13 @@
     const due = [...this.unwanted(failed)].filter(
       (machine) => !this.releasing.has(machine) && !this.released.has(machine),
     );
-    // All at once: when hundreds fall silent together, replicas wait for each of them.
+    // All at once: when hundreds of machines are lost together, replicas wait for each of them.
     for (let from = 0; from < due.length; from += RELEASE_LIMIT) {
       void this.release(due.slice(from, from + RELEASE_LIMIT));
     }
   }
 
-  /** Those whose tasks wait to be known as over go before those that are only paid for. */
+  /** Lost machines first, since their tasks are started anew once they are released; then idle ones. */
   private unwanted(failed: string[]): Set<string> {
     const { gossiper, peers } = this.node;
     const gossips = peers.gossips().filter((gossip) => gossip.isServed);
@@ -50,7 +52,8 @@
 
   private forget(now: number): void {
     for (const [machine, at] of this.released) {
-      if (now - at > this.node.settings.cloudListLag * MEMORY) this.released.delete(machine);
+      if (now - at > this.node.settings.cloudListLag * RELEASED_MEMORY)
+        this.released.delete(machine);
     }
   }
 
--- a/src/coordination/autoscaling/scaleOut.ts
+++ b/src/coordination/autoscaling/scaleOut.ts
@@ -1,8 +1,8 @@
-/** Rents machines for what the parts lack. */
+/** Launches machines for the demands of all shards, and records each scale-out before it is requested. */
 import { describe, log } from '../../base/log.js';
 import { keys, type MachineGroupRecord } from '../../storage/records.js';
 import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
-import type { CloudClient, RentalAnswer } from './cloudClient.js';
+import type { CloudClient, LaunchResult } from './cloudClient.js';
 import type { AutoscalingContext } from './autoscalingContext.js';
 import type { MachineGroupStore } from './machineGroupStore.js';
 import { chooseShardFor, groupLimit } from './machineGroups.js';
@@ -11,18 +11,22 @@
 /** Seconds for which a live service's machine is expected to be kept. */
 const SERVICE_HORIZON = 600;
 
-/** Pauses after a refusal: from twice the time between reports, doubled, up to this ratio to it. */
+/**
+ * A kind that is out of stock is requested again after a pause: twice the heartbeat interval at first,
+ * doubled each time, up to this ratio to the interval.
+ */
 const LONGEST_PAUSE = 10;
 
-/** How long a part's demands take to count a rental, as a ratio to the time between reports. */
+/** How long a shard's demands take to count a scale-out, as a ratio to the heartbeat interval. */
 const DEMAND_LAG = 0.7;
 
-/** How soon a part's demands are looked at again after a refusal, as a ratio to the time between reports. */
+/** Cooldown of a shard after a kind was out of stock, as a ratio to the heartbeat interval. */
 const RETRY_OTHER_KIND = 1 / 5;
 
+/** A scale-out whose machines the demands may not count yet. */
 interface PendingScaleOut {
   plan: ScaleOutPlan;
-  /** Steady time until which the parts may not have counted its machines. */
+  /** Steady time until which the shards may not have counted its machines. */
   until: number;
 }
 
@@ -30,28 +34,29 @@
   `${type}/${zone}/${String(spot)}`;
 
 /**
- * The requests for so many machines, each of which fits a record. Of a kind that was out of stock one is sent to see:
- * each costs two changes of the state service, and a dozen that are refused together kept the starts of the
- * provisioner's own part waiting for minutes.
+ * Sizes of the requests for `count` machines; `most` fit a record. Of a kind that was out of stock one
+ * request is sent as a probe: each costs two changes of the state service, and a dozen that failed
+ * together delayed starts at the autoscaler's own shard for minutes.
  */
-export function requestSizes(count: number, most: number, wasRefused: boolean): number[] {
+export function requestSizes(count: number, most: number, wasOutOfStock: boolean): number[] {
   const sizes: number[] = [];
   for (let left = count; left > 0; left -= most) {
     sizes.push(Math.min(left, most));
-    if (wasRefused) break;
+    if (wasOutOfStock) break;
   }
   return sizes;
 }
 
+/** Scale-out of all shards by the elected autoscaler. */
 export class ScaleOut {
-  /** Kinds of machines of which the cloud has none, and when they are asked for again. */
-  private readonly refusals = new Map<string, { until: number; pause: number }>();
-  /** Rentals, by name, that are being stored or asked for. */
-  private readonly busy = new Set<string>();
-  /** Rentals on their way, and those whose machines the parts may not have counted yet, by name. */
-  private readonly coming = new Map<string, PendingScaleOut>();
-  /** When each part's demands are looked at again. */
-  private readonly holdOff = new Map<string, number>();
+  /** Kinds of machines that are out of stock, and the steady time at which they are requested again. */
+  private readonly outOfStock = new Map<string, { until: number; pause: number }>();
+  /** Scale-outs, by name, that are being stored or requested. */
+  private readonly inProgress = new Set<string>();
+  /** Scale-outs in progress, and those whose machines the shards may not have counted yet, by name. */
+  private readonly pending = new Map<string, PendingScaleOut>();
+  /** Steady time at which each shard's cooldown ends: its demands are not looked at before. */
+  private readonly cooldownUntil = new Map<string, number>();
 
   constructor(
     private readonly node: AutoscalingContext,
@@ -59,73 +64,80 @@
     private readonly groups: MachineGroupStore,
   ) {}
 
-  /** This node has been elected: what it knew of an earlier election's rentals is void. */
+  /** This controller has been elected: what it knew of an earlier election's scale-outs is void. */
   reset(): void {
-    this.coming.clear();
+    this.pending.clear();
   }
 
-  /** The rental has not been concluded. */
+  /** Whether the scale-out has not been concluded. */
   isOpen(name: string): boolean {
-    return this.busy.has(name) || this.node.inventory.isIntention(name);
+    return this.inProgress.has(name) || this.node.inventory.isIntention(name);
   }
 
-  /** Goes on with all intentions, also those of an earlier provisioner. */
+  /** Goes on with all recorded scale-outs, also those of an earlier autoscaler. */
   continueOpen(now: number): void {
-    for (const [name, { until }] of this.coming) if (until <= now) this.coming.delete(name);
+    for (const [name, { until }] of this.pending) if (until <= now) this.pending.delete(name);
     for (const [name, group] of this.node.inventory.entries()) {
-      if (group.requestedCount !== undefined && !this.busy.has(name)) void this.rent(name, group);
+      if (group.requestedCount !== undefined && !this.inProgress.has(name))
+        void this.launch(name, group);
     }
   }
 
-  rentForDemands(now: number): void {
+  /** Starts scale-outs for the shards' demands, except for those in cooldown. */
+  launchForDemands(now: number): void {
     const { settings, gossiper, peers } = this.node;
     const demands = [...gossiper.demands, ...peers.demands()].filter(
-      (demand) => (this.holdOff.get(demand.shard) ?? 0) <= now,
+      (demand) => (this.cooldownUntil.get(demand.shard) ?? 0) <= now,
     );
     if (demands.length === 0) return;
-    // A large rental is several requests, side by side: hundreds of machines may be missing.
+    // A large scale-out is several requests side by side: hundreds of machines may be missing.
     const most = groupLimit(settings.valueBytes);
     for (const plan of mergePlans(this.plan(demands))) {
-      for (const count of requestSizes(plan.count, most, this.wasRefused(plan))) {
-        void this.intend({ ...plan, count });
+      for (const count of requestSizes(plan.count, most, this.wasOutOfStock(plan))) {
+        void this.startScaleOut({ ...plan, count });
       }
     }
     for (const { shard } of demands) {
-      const held = this.holdOff.get(shard) ?? 0;
-      this.holdOff.set(shard, Math.max(held, now + settings.heartbeatInterval * DEMAND_LAG));
+      const cooldown = this.cooldownUntil.get(shard) ?? 0;
+      this.cooldownUntil.set(
+        shard,
+        Math.max(cooldown, now + settings.heartbeatInterval * DEMAND_LAG),
+      );
     }
   }
 
   private plan(demands: Parameters<typeof planScaleOut>[0]): ScaleOutPlan[] {
     const { node } = this;
     const { settings, machineTypes } = node;
-    const within = settings.objectives.filter((o) => o.kind === 'finished').map((o) => o.within);
-    const coming = [...this.coming.values()].map(({ plan }) => plan);
+    const windows = settings.objectives
+      .filter((objective) => objective.kind === 'finished')
+      .map((objective) => objective.within);
+    const pending = [...this.pending.values()].map(({ plan }) => plan);
     return planScaleOut(demands, {
       machineTypes: [...machineTypes.values()],
-      refused: (type, zone, spot) => this.isRefused(kindOf(type, zone, spot)),
-      partFor: (zone, wanted) => chooseShardFor(node, zone, wanted, coming),
+      isOutOfStock: (type, zone, spot) => this.isOutOfStock(kindOf(type, zone, spot)),
+      shardFor: (zone, wanted) => chooseShardFor(node, zone, wanted, pending),
       zoneOf: (shard) => node.zoneOf.get(shard),
-      coming,
-      patience: within.length > 0 ? Math.min(...within) : settings.workerLease * 2,
+      pending,
+      batchWindow: windows.length > 0 ? Math.min(...windows) : settings.workerLease * 2,
       serviceHorizon: SERVICE_HORIZON,
       promptHorizon: settings.workerLease * 2,
     });
   }
 
-  /** The last that was asked for of this kind could not be had, or not all of it. */
-  private wasRefused({ type, zone, spot }: ScaleOutPlan): boolean {
-    return this.refusals.has(kindOf(type, zone, spot));
+  /** Whether the last request for this kind got no machines, or not all of them. */
+  private wasOutOfStock({ type, zone, spot }: ScaleOutPlan): boolean {
+    return this.outOfStock.has(kindOf(type, zone, spot));
   }
 
-  private isRefused(kind: string): boolean {
-    return (this.refusals.get(kind)?.until ?? 0) > this.node.clock.now();
+  private isOutOfStock(kind: string): boolean {
+    return (this.outOfStock.get(kind)?.until ?? 0) > this.node.clock.now();
   }
 
-  /** The intention is stored before the request is sent. */
-  private async intend(plan: ScaleOutPlan): Promise<void> {
+  /** Records the scale-out before the request is sent, so that a later autoscaler can go on with it. */
+  private async startScaleOut(plan: ScaleOutPlan): Promise<void> {
     const { clock, stateCache, settings } = this.node;
-    if (this.groups.ownerCondition() === null) return;
+    if (this.groups.leaderCondition() === null) return;
     const name = this.groups.nextName();
     const { shard, type, zone, spot, count } = plan;
     const group: MachineGroupRecord = {
@@ -136,103 +148,103 @@
       machines: {},
       requestedCount: count,
     };
-    this.busy.add(name);
-    this.coming.set(name, { plan, until: Infinity });
-    // Demands that come up one by one are gathered: together they fill larger, cheaper machines.
-    this.holdOff.set(shard, clock.now() + settings.heartbeatInterval);
+    this.inProgress.add(name);
+    this.pending.set(name, { plan, until: Infinity });
+    // Demands that arrive one by one are gathered: together they fill larger, cheaper machines.
+    this.cooldownUntil.set(shard, clock.now() + settings.heartbeatInterval);
     try {
       await this.groups.create(name, group);
     } finally {
-      this.busy.delete(name);
+      this.inProgress.delete(name);
     }
-    if (stateCache.get(keys.group(name)) === undefined) this.coming.delete(name);
-    // Large rentals go out side by side; when the first has found none left, the others are not sent.
-    else if (this.isRefused(kindOf(type, zone, spot))) await this.conclude(name, null);
-    else await this.rent(name, group);
+    if (stateCache.get(keys.group(name)) === undefined) this.pending.delete(name);
+    // Requests go out side by side; once the first has found the kind out of stock, no other is sent.
+    else if (this.isOutOfStock(kindOf(type, zone, spot))) await this.conclude(name, null);
+    else await this.launch(name, group);
   }
 
-  private async rent(name: string, group: MachineGroupRecord): Promise<void> {
-    if (this.busy.has(name)) return;
-    this.busy.add(name);
+  private async launch(name: string, group: MachineGroupRecord): Promise<void> {
+    if (this.inProgress.has(name)) return;
+    this.inProgress.add(name);
     const { type, zone, spot, requestedCount: count = 0 } = group;
     try {
-      const answer = await this.cloud.rent({ ask: name, type, zone, spot, count });
-      await this.takeAnswer(name, group, answer);
+      const result = await this.cloud.launch({ ask: name, type, zone, spot, count });
+      await this.handleResult(name, group, result);
     } catch (error) {
-      log.debug(`rental: ${describe(error)}`);
+      log.debug(`scale-out: ${describe(error)}`);
     } finally {
-      this.busy.delete(name);
+      this.inProgress.delete(name);
     }
   }
 
-  private async takeAnswer(
+  private async handleResult(
     name: string,
     group: MachineGroupRecord,
-    answer: RentalAnswer,
+    result: LaunchResult,
   ): Promise<void> {
     const { shard, type, zone, spot } = group;
     const kind = kindOf(type, zone, spot);
-    switch (answer.kind) {
-      case 'rented':
-        await this.takeMachines(name, group, answer.machines);
+    switch (result.kind) {
+      case 'launched':
+        await this.recordMachines(name, group, result.machines);
         return;
-      case 'no-capacity':
-        this.refuse(kind, shard);
+      case 'insufficient-capacity':
+        this.noteOutOfStock(kind, shard);
         await this.conclude(name, null);
         return;
       case 'malformed':
-        log.error(`the cloud calls a rental of ${kind} malformed`);
+        log.error(`the cloud rejects the request for ${kind} as malformed`);
         await this.conclude(name, null);
         return;
       case 'unavailable':
-        // The intention stays and is asked for again.
+        // The record stays, and the request is sent again.
         return;
     }
   }
 
-  private async takeMachines(
+  private async recordMachines(
     name: string,
     group: MachineGroupRecord,
     names: string[],
   ): Promise<void> {
-    const { shard, type, zone, spot, requestedCount: asked = 0 } = group;
+    const { shard, type, zone, spot, requestedCount: requested = 0 } = group;
     const kind = kindOf(type, zone, spot);
-    // Until the group is stored, a list that shows them must not make unknown machines of them.
+    // Until the group is stored, machines that the list shows must not be taken for unknown ones.
     this.groups.pending.set(name, names);
-    log.info(`rented ${names.length} of ${asked} ${kind} for ${shard}: ${names.join(' ')}`);
+    log.info(`launched ${names.length} of ${requested} ${kind} for ${shard}: ${names.join(' ')}`);
     const launchedAt = this.node.clock.wall();
     const machines = Object.fromEntries(names.map((machine) => [machine, { launchedAt }]));
     await this.conclude(name, { shard, type, zone, spot, machines });
-    if (names.length < asked) this.refuse(kind, shard);
-    else this.refusals.delete(kind);
+    if (names.length < requested) this.noteOutOfStock(kind, shard);
+    else this.outOfStock.delete(kind);
   }
 
-  /** Puts a rental's machines in its intention's place; without an answer, the next step asks again. */
+  /** Replaces the record of the scale-out by its machines; without an answer the next step tries again. */
   private async conclude(name: string, group: MachineGroupRecord | null): Promise<void> {
-    const { clock, leadership: ownership, settings } = this.node;
-    const coming = this.coming.get(name);
+    const { clock, leadership, settings } = this.node;
+    const pending = this.pending.get(name);
     const count = Object.keys(group?.machines ?? {}).length;
-    if (coming !== undefined && count === 0) this.coming.delete(name);
-    else if (coming !== undefined) {
-      coming.plan.count = count;
-      // Until the part has the record and has told its new demand.
-      coming.until = clock.now() + settings.heartbeatInterval * DEMAND_LAG;
+    if (pending !== undefined && count === 0) this.pending.delete(name);
+    else if (pending !== undefined) {
+      pending.plan.count = count;
+      // Until the shard has the record and has announced its new demand.
+      pending.until = clock.now() + settings.heartbeatInterval * DEMAND_LAG;
     }
     const stored = new Map([[name, count === 0 ? null : group]]);
-    const result = await this.groups.replace(stored, 'rental');
-    if (result.kind !== 'conflict') return;
+    const replaced = await this.groups.replace(stored, 'rental');
+    if (replaced.kind !== 'conflict') return;
     await this.groups.reread(name);
-    await ownership.verifyLeadership(AUTOSCALER_DUTY);
+    await leadership.verifyLeadership(AUTOSCALER_DUTY);
   }
 
-  private refuse(kind: string, shard: string): void {
+  private noteOutOfStock(kind: string, shard: string): void {
     const { heartbeatInterval } = this.node.settings;
-    const before = this.refusals.get(kind)?.pause ?? heartbeatInterval;
+    const before = this.outOfStock.get(kind)?.pause ?? heartbeatInterval;
     const pause = Math.min(heartbeatInterval * LONGEST_PAUSE, before * 2);
     const now = this.node.clock.now();
-    this.refusals.set(kind, { until: now + pause, pause });
-    log.info(`no capacity: ${kind}`);
-    // The next best kind is asked for as soon as the part's demand is fresh again.
-    this.holdOff.set(shard, now + heartbeatInterval * RETRY_OTHER_KIND);
+    this.outOfStock.set(kind, { until: now + pause, pause });
+    log.info(`out of stock: ${kind}`);
+    // The next best kind is requested as soon as the shard's demand is up to date.
+    this.cooldownUntil.set(shard, now + heartbeatInterval * RETRY_OTHER_KIND);
   }
 }
--- a/src/coordination/autoscaling/scaleOutPlan.ts
+++ b/src/coordination/autoscaling/scaleOutPlan.ts
@@ -1,7 +1,9 @@
-/** What to rent for work that has no room: pure. */
+/** Which machines to launch for work that has no room: pure functions of demands and machine types. */
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { Demand } from '../../protocol/peerMessages.js';
+import type { Resources } from '../model/resources.js';
 
+/** Machines of one kind to launch for one shard. */
 export interface ScaleOutPlan {
   shard: string;
   type: string;
@@ -10,72 +12,59 @@
   count: number;
 }
 
+/** What planning needs to know besides the demands. */
 export interface ScaleOutContext {
   machineTypes: MachineType[];
-  /** True while the cloud has lately refused this kind. */
-  refused(type: string, zone: string, spot: boolean): boolean;
-  /** The part that machines of this zone go to, for a demand of that part. */
-  partFor(zone: string, wanted: string): string;
-  /** Zone that the demanding part is in. */
+  /** Whether the cloud has lately had no machines of this kind. */
+  isOutOfStock(type: string, zone: string, spot: boolean): boolean;
+  /** The shard that machines of this zone go to, for a demand of the shard `wanted`. */
+  shardFor(zone: string, wanted: string): string;
+  /** The zone that the demanding shard is in. */
   zoneOf(shard: string): string | undefined;
-  /** Rentals whose machines the demands do not count yet. */
-  coming: ScaleOutPlan[];
-  /** Seconds in which batch work should be through. */
-  patience: number;
-  /** How long a live service's machine is expected to be kept. */
+  /** Scale-outs whose machines the demands do not count yet. */
+  pending: ScaleOutPlan[];
+  /** Seconds in which batch work should be completed. */
+  batchWindow: number;
+  /** Seconds for which a live service's machine is expected to be kept. */
   serviceHorizon: number;
   /** The same for replicas that wait for it: the shorter, the more a quick boot is worth. */
   promptHorizon: number;
 }
 
+/** Ranks of demands in the order in which they are planned for. */
 const RANKS = ['prod', 'high', 'normal', 'idle'];
 
+/** Room for rounding where resources are divided. */
+const EPSILON = 1e-9;
+
+/** Shortest horizon of batch work, in seconds, and its ratio to the expected run time. */
+const MIN_BATCH_HORIZON = 60;
+const BATCH_HORIZON_RUNS = 2;
+
+/** Of a machine's price, what counts as wasted where one task leaves the rest to others that may come. */
+const WASTED_SHARE = 0.5;
+
+/** Price factor of machines outside the demanding shard's zone. */
+const OTHER_ZONE_FACTOR = 1.05;
+
+/** Floor of fetch rates, in GB a second, against division by zero. */
+const MIN_FETCH_RATE = 1e-3;
+
+/** How many short tasks may at most be planned to follow each other on one machine. */
+const MAX_SUCCESSIVE_TASKS = 3;
+
+/** A kind of machine for a demand. */
 interface Offer {
   type: MachineType;
   zone: string;
   spot: boolean;
+  /** Tasks that one machine holds at once. */
   fits: number;
+  /** Price for the work; the lowest is best. */
   score: number;
 }
 
-const perMachine = (type: MachineType, d: Demand): number => {
-  const by = (have: number, need: number): number =>
-    need > 0 ? Math.floor(have / need + 1e-9) : Infinity;
-  return Math.min(by(type.cpus, d.cpus), by(type.gpus, d.gpus), by(type.memoryGb, d.memoryGb));
-};
-
-function horizonOf(demand: Demand, context: ScaleOutContext): number {
-  if (!demand.isService) return Math.max(demand.expectedRunSeconds * 2, 60);
-  return demand.isUrgent ? context.promptHorizon : context.serviceHorizon;
-}
-
-function offers(demand: Demand, context: ScaleOutContext): Offer[] {
-  const found: Offer[] = [];
-  for (const type of context.machineTypes) {
-    if (demand.machineTypes !== null && !demand.machineTypes.includes(type.name)) continue;
-    const fits = perMachine(type, demand);
-    if (fits < 1) continue;
-    for (const zone of type.zones) {
-      if (demand.zone !== null && demand.zone !== zone) continue;
-      const ordinary = !demand.allowsSpot || demand.isService || demand.onDemandCount > 0;
-      for (const spot of [true, false].filter((s) => (s ? demand.allowsSpot : ordinary))) {
-        if (context.refused(type.name, zone, spot)) continue;
-        const price = spot ? type.spotPrice : type.price;
-        const used = Math.min(fits, demand.count);
-        // What else comes along may use the rest; count half of it as wasted.
-        const share = price * (0.5 / fits + 0.5 / used);
-        const horizon = horizonOf(demand, context);
-        const fetch = demand.imageGb / Math.max(1e-3, type.fetchGbPerSecond);
-        const away = zone === (context.zoneOf(demand.shard) ?? zone) ? 1 : 1.05;
-        const score = share * ((horizon + type.bootSeconds + fetch) / horizon) * away;
-        found.push({ type, zone, spot, fits, score });
-      }
-    }
-  }
-  return found.sort((a, b) => a.score - b.score);
-}
-
-/** One request for each kind and part: every request costs changes at the state service. */
+/** Merges plans of one kind and shard: each request costs changes at the state service. */
 export function mergePlans(plans: ScaleOutPlan[]): ScaleOutPlan[] {
   const merged = new Map<string, ScaleOutPlan>();
   for (const plan of plans) {
@@ -87,67 +76,143 @@
   return [...merged.values()];
 }
 
-/** Short tasks can follow each other on one machine and still be through in time. */
-function wavesOf(demand: Demand, type: MachineType, context: ScaleOutContext): number {
-  if (demand.isService) return 1;
-  const spareTime = context.patience - type.bootSeconds;
-  return Math.max(1, Math.min(3, Math.floor(spareTime / Math.max(1, demand.expectedRunSeconds))));
+/** Machines that hold the demands, each kind at the lowest price for the work; highest rank first. */
+export function planScaleOut(demands: Demand[], context: ScaleOutContext): ScaleOutPlan[] {
+  return new ScaleOutPlanner(context).plan(demands);
 }
 
-/** Machines that hold what waits, each kind at the lowest price for the work; largest rank first. */
-export function planScaleOut(demands: Demand[], context: ScaleOutContext): ScaleOutPlan[] {
-  const plans: ScaleOutPlan[] = [];
-  /** Room left on machines that are being rented for others. */
-  const spare = new Map<ScaleOutPlan, { cpus: number; memoryGb: number; gpus: number }>();
-  const machineTypes = new Map(context.machineTypes.map((t) => [t.name, t]));
-  for (const plan of context.coming) {
-    const type = machineTypes.get(plan.type);
-    if (type === undefined) continue;
-    const { cpus, memoryGb, gpus } = type;
-    const { count } = plan;
-    spare.set(plan, { cpus: cpus * count, memoryGb: memoryGb * count, gpus: gpus * count });
+class ScaleOutPlanner {
+  private readonly plans: ScaleOutPlan[] = [];
+  /** Resources left on machines that are launched for other demands. */
+  private readonly spare = new Map<ScaleOutPlan, Resources>();
+  private readonly machineTypes: ReadonlyMap<string, MachineType>;
+
+  constructor(private readonly context: ScaleOutContext) {
+    this.machineTypes = new Map(context.machineTypes.map((type) => [type.name, type]));
+    for (const plan of context.pending) {
+      const type = this.machineTypes.get(plan.type);
+      if (type !== undefined) this.spare.set(plan, multiply(type, plan.count));
+    }
   }
-  const sorted = [...demands].sort((a, b) => RANKS.indexOf(a.rank) - RANKS.indexOf(b.rank));
-  for (const demand of sorted) {
+
+  plan(demands: Demand[]): ScaleOutPlan[] {
+    const sorted = [...demands].sort((a, b) => RANKS.indexOf(a.rank) - RANKS.indexOf(b.rank));
+    for (const demand of sorted) {
+      const count = this.placeOnSpare(demand);
+      if (count > 0) this.launchFor(demand, count);
+    }
+    return this.plans;
+  }
+
+  /** Uses what is left on machines launched for others; gives the number of tasks that remain. */
+  private placeOnSpare(demand: Demand): number {
     let count = demand.count;
-    for (const [plan, room] of spare) {
-      const type = machineTypes.get(plan.type);
-      const fitsThere =
-        (demand.machineTypes === null || demand.machineTypes.includes(plan.type)) &&
-        (demand.zone === null || demand.zone === plan.zone) &&
-        (demand.allowsSpot || !plan.spot) &&
-        plan.shard === context.partFor(plan.zone, demand.shard);
-      if (!fitsThere || type === undefined || perMachine(type, demand) < 1) continue;
-      const waves = wavesOf(demand, type, context);
-      const by = (have: number, need: number): number =>
-        need > 0 ? Math.floor((have * waves) / need + 1e-9) : Infinity;
-      const tasks = Math.min(
-        count,
-        by(room.cpus, demand.cpus),
-        by(room.memoryGb, demand.memoryGb),
-        by(room.gpus, demand.gpus),
-      );
+    for (const [plan, room] of this.spare) {
+      const type = this.machineTypes.get(plan.type);
+      if (type === undefined || !this.mayUse(demand, plan) || tasksIn(type, demand) < 1) continue;
+      const successive = successiveTasks(demand, type, this.context);
+      const tasks = Math.min(count, tasksIn(room, demand, successive));
       count -= tasks;
-      room.cpus -= (tasks * demand.cpus) / waves;
-      room.memoryGb -= (tasks * demand.memoryGb) / waves;
-      room.gpus -= (tasks * demand.gpus) / waves;
+      room.cpus -= (tasks * demand.cpus) / successive;
+      room.memoryGb -= (tasks * demand.memoryGb) / successive;
+      room.gpus -= (tasks * demand.gpus) / successive;
     }
-    if (count === 0) continue;
-    const best = offers({ ...demand, count }, context)[0];
-    if (best === undefined) continue;
+    return count;
+  }
+
+  /** Whether the demand's constraints allow the planned machines, and they go to its shard. */
+  private mayUse(demand: Demand, plan: ScaleOutPlan): boolean {
+    return (
+      (demand.machineTypes === null || demand.machineTypes.includes(plan.type)) &&
+      (demand.zone === null || demand.zone === plan.zone) &&
+      (demand.allowsSpot || !plan.spot) &&
+      plan.shard === this.context.shardFor(plan.zone, demand.shard)
+    );
+  }
+
+  private launchFor(demand: Demand, wantedCount: number): void {
+    const best = offersFor({ ...demand, count: wantedCount }, this.context)[0];
+    if (best === undefined) return;
     const { type, zone, spot, fits } = best;
-    if (demand.allowsSpot && !demand.isService && !spot)
-      count = Math.min(count, demand.onDemandCount);
-    const machines = Math.ceil(count / (fits * wavesOf(demand, type, context)));
-    const shard = context.partFor(zone, demand.shard);
+    const isOnDemandBatch = demand.allowsSpot && !demand.isService && !spot;
+    const count = isOnDemandBatch ? Math.min(wantedCount, demand.onDemandCount) : wantedCount;
+    const machines = Math.ceil(count / (fits * successiveTasks(demand, type, this.context)));
+    const shard = this.context.shardFor(zone, demand.shard);
     const plan = { shard, type: type.name, zone, spot, count: machines };
-    plans.push(plan);
-    const left = Math.max(0, machines * fits - count);
-    spare.set(plan, {
-      cpus: left * demand.cpus,
-      memoryGb: left * demand.memoryGb,
-      gpus: left * demand.gpus,
-    });
+    this.plans.push(plan);
+    this.spare.set(plan, multiply(demand, Math.max(0, machines * fits - count)));
   }
-  return plans;
+}
+
+const multiply = ({ cpus, gpus, memoryGb }: Resources, count: number): Resources => ({
+  cpus: cpus * count,
+  gpus: gpus * count,
+  memoryGb: memoryGb * count,
+});
+
+/** How many tasks of the demand the resources hold, where each is used `times` times in succession. */
+function tasksIn(resources: Resources, demand: Demand, times = 1): number {
+  const quotient = (available: number, needed: number): number =>
+    needed > 0 ? Math.floor((available * times) / needed + EPSILON) : Infinity;
+  return Math.min(
+    quotient(resources.cpus, demand.cpus),
+    quotient(resources.gpus, demand.gpus),
+    quotient(resources.memoryGb, demand.memoryGb),
+  );
+}
+
+/** How many short tasks may follow each other on one machine and still complete in the window. */
+function successiveTasks(demand: Demand, type: MachineType, context: ScaleOutContext): number {
+  if (demand.isService) return 1;
+  const available = context.batchWindow - type.bootSeconds;
+  const successive = Math.floor(available / Math.max(1, demand.expectedRunSeconds));
+  return Math.max(1, Math.min(MAX_SUCCESSIVE_TASKS, successive));
+}
+
+/** The kinds of machines that the demand allows, the cheapest for the work first. */
+function offersFor(demand: Demand, context: ScaleOutContext): Offer[] {
+  const offers: Offer[] = [];
+  for (const type of context.machineTypes) {
+    if (demand.machineTypes !== null && !demand.machineTypes.includes(type.name)) continue;
+    const fits = tasksIn(type, demand);
+    if (fits < 1) continue;
+    for (const zone of type.zones) {
+      if (demand.zone !== null && demand.zone !== zone) continue;
+      for (const spot of marketsFor(demand)) {
+        if (context.isOutOfStock(type.name, zone, spot)) continue;
+        const score = scoreOf(demand, { type, zone, spot, fits }, context);
+        offers.push({ type, zone, spot, fits, score });
+      }
+    }
+  }
+  return offers.sort((a, b) => a.score - b.score);
+}
+
+/** Whether spot machines (true) and on-demand machines (false) may be launched for the demand. */
+function marketsFor(demand: Demand): boolean[] {
+  const allowsOnDemand = !demand.allowsSpot || demand.isService || demand.onDemandCount > 0;
+  return [true, false].filter((spot) => (spot ? demand.allowsSpot : allowsOnDemand));
+}
+
+function scoreOf(
+  demand: Demand,
+  { type, zone, spot, fits }: Omit<Offer, 'score'>,
+  context: ScaleOutContext,
+): number {
+  const price = spot ? type.spotPrice : type.price;
+  const used = Math.min(fits, demand.count);
+  // Work that comes later may use the rest: half of it counts as wasted.
+  const pricePerTask = price * (WASTED_SHARE / fits + WASTED_SHARE / used);
+  const horizon = horizonOf(demand, context);
+  const fetch = demand.imageGb / Math.max(MIN_FETCH_RATE, type.fetchGbPerSecond);
+  const zoneFactor = zone === (context.zoneOf(demand.shard) ?? zone) ? 1 : OTHER_ZONE_FACTOR;
+  return pricePerTask * ((horizon + type.bootSeconds + fetch) / horizon) * zoneFactor;
+}
+
+/** Seconds for which the machine is expected to be of use to the demand. */
+function horizonOf(demand: Demand, context: ScaleOutContext): number {
+  if (!demand.isService) {
+    return Math.max(demand.expectedRunSeconds * BATCH_HORIZON_RUNS, MIN_BATCH_HORIZON);
+  }
+  return demand.isUrgent ? context.promptHorizon : context.serviceHorizon;
 }
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -302,14 +302,15 @@
 });
 
 test('renting: the cheapest kind for the work, within what a job allows', () => {
-  const refused = new Set<string>();
+  const outOfStock = new Set<string>();
   const context = {
     machineTypes: [type('small', 4, 0.2, 0.08, 50), type('large', 32, 1.9, 0.7, 15)],
-    refused: (t: string, zone: string, spot: boolean) => refused.has(`${t}/${zone}/${spot}`),
-    partFor: () => 'p',
+    isOutOfStock: (t: string, zone: string, spot: boolean) =>
+      outOfStock.has(`${t}/${zone}/${spot}`),
+    shardFor: () => 'p',
     zoneOf: () => 'a',
-    coming: [] as ScaleOutPlan[],
-    patience: 60,
+    pending: [] as ScaleOutPlan[],
+    batchWindow: 60,
     serviceHorizon: 600,
     promptHorizon: 60,
   };
@@ -343,24 +344,24 @@
   ]);
   // What is on its way and not counted yet is not rented once more.
   const plan = { shard: 'p', type: 'large', zone: 'a', spot: true, count: 1 };
-  const coming: [string, Partial<ScaleOutPlan>, number, string[]][] = [
+  const pending: [string, Partial<ScaleOutPlan>, number, string[]][] = [
     ['holds all of it', {}, 8, []],
     ['holds some of it', {}, 10, ['2 small/a/true']],
     ['goes to another part', { shard: 'q' }, 8, ['8 small/a/true']],
   ];
-  for (const [name, change, count, rented] of coming) {
-    context.coming = [{ ...plan, ...change }];
+  for (const [name, change, count, rented] of pending) {
+    context.pending = [{ ...plan, ...change }];
     assert.deepEqual(kinds({ ...demand, count }), rented, name);
   }
-  context.coming = [];
-  refused.add('small/a/true');
+  context.pending = [];
+  outOfStock.add('small/a/true');
   assert.deepEqual(kinds(demand), ['1 small/b/true']);
   // Where no cheap machine is left, only what could not be through in time has machines at full price.
-  refused.add('small/b/true').add('large/a/true').add('large/b/true');
+  outOfStock.add('small/b/true').add('large/a/true').add('large/b/true');
   const batch = { ...demand, isService: false, expectedRunSeconds: 30, count: 80 };
   assert.deepEqual(kinds(batch), []);
   assert.deepEqual(kinds({ ...batch, onDemandCount: 8 }), ['1 large/a/false']);
-  for (const kind of ['small/b/true', 'large/a/true', 'large/b/true']) refused.delete(kind);
+  for (const kind of ['small/b/true', 'large/a/true', 'large/b/true']) outOfStock.delete(kind);
   const merged = mergePlans(planScaleOut([demand, { ...demand, count: 2 }], context));
   assert.equal(merged.length, 1);
 });
