--- a/src/coordination/jobs/cancellationPreparations.ts
+++ b/src/coordination/jobs/cancellationPreparations.ts
@@ -8,109 +8,131 @@
 import type { Settings } from '../../protocol/settings.js';
 import { keys, type JobRecord, type LeaderRecord } from '../../storage/records.js';
 import type { StateCache } from '../../storage/stateCache.js';
-import type { Chunk } from '../model/chunk.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
+import type { Chunk } from '../model/chunk.js';
 import type { PeerRegistry } from '../peers/peerRegistry.js';
 
-/** What is needed of a node. */
+/** What preparing cancellations needs of a node. */
 export interface CancellationContext {
-  settings: Pick<Settings, 'heartbeatInterval' | 'workerLease' | 'cancellationTimeout'>;
-  clock: Pick<Clock, 'now'>;
-  ownedShards: ReadonlyMap<string, OwnedShard>;
-  stateCache: Pick<StateCache, 'get' | 'syncedAt'>;
-  peers: Pick<PeerRegistry, 'prepareCancel'>;
+  readonly settings: Pick<Settings, 'heartbeatInterval' | 'workerLease' | 'cancellationTimeout'>;
+  readonly clock: Pick<Clock, 'now'>;
+  readonly ownedShards: ReadonlyMap<string, OwnedShard>;
+  readonly stateCache: Pick<StateCache, 'get' | 'syncedAt'>;
+  readonly peers: Pick<PeerRegistry, 'prepareCancel'>;
   /** The job waits for others: nothing of it was started, nor is there any chunk of it. */
   isBlockedOnDependencies(job: string): boolean;
+  /** Asks for a scheduling round soon. */
   requestSchedulingRound(): void;
 }
 
-/** Seconds in which a cancellation that was announced is stored or given up: its user waits no longer. */
-const STORED_WITHIN = 5;
+/** Seconds in which an announced cancellation is stored or given up: its user waits no longer. */
+const STORE_TIMEOUT_SECONDS = 5;
+
+/** Peers have this fraction of the time between two heartbeats to prepare a cancellation. */
+const PEERS_TIMEOUT_DIVISOR = 12;
 
+/** Cancellations that were announced to this node and are not known to be stored or given up. */
 export class CancellationPreparations {
-  /** Jobs whose cancellation was announced, and when. */
-  private readonly jobs = new Map<string, number>();
+  /** By job: the steady time at which its cancellation was announced. */
+  private readonly announcedAt = new Map<string, number>();
 
-  constructor(private readonly node: CancellationContext) {}
+  constructor(private readonly context: CancellationContext) {}
 
-  has(id: string): boolean {
-    return this.jobs.has(id);
+  /** The cancellation of the job was announced. */
+  has(job: string): boolean {
+    return this.announcedAt.has(job);
   }
 
-  /** A chunk that has just come here. */
+  /** Prepares a chunk that has just come to a shard of this node. */
   apply(ownedShard: OwnedShard, chunk: Chunk): void {
-    if (this.has(chunk.spec.id)) ownedShard.shard.prepareCancel(chunk, this.node.clock.now());
+    if (!this.has(chunk.spec.id)) return;
+    ownedShard.shard.prepareCancel(chunk, this.context.clock.now());
   }
 
-  /** Gives the chunks of a job that are here, end them, and can't be kept alive by anybody else. */
-  prepare(id: string): PreparedChunk[] {
-    const now = this.node.clock.now();
-    this.jobs.set(id, now);
-    const here: PreparedChunk[] = [];
-    for (const ownedShard of this.node.ownedShards.values()) {
-      for (const chunk of ownedShard.shard.chunksOf(id)) {
-        ownedShard.shard.prepareCancel(chunk, now);
-        // It may be at the part that it is on its way to.
+  /**
+   * Ends the chunks of a job at this node's shards. Gives those of which it is sure that no other node can keep
+   * them alive.
+   */
+  prepare(job: string): PreparedChunk[] {
+    const now = this.context.clock.now();
+    this.announcedAt.set(job, now);
+    const prepared: PreparedChunk[] = [];
+    for (const ownedShard of this.context.ownedShards.values()) {
+      const { shard, fencingToken } = ownedShard;
+      for (const chunk of shard.chunksOf(job)) {
+        shard.prepareCancel(chunk, now);
+        // It may be at the shard that it is on its way to.
         if (chunk.isMigrating || chunk.mayHaveMigrated) continue;
-        if (!this.isOurs(ownedShard, chunk, now)) continue;
-        here.push({
-          index: chunk.index,
-          shard: ownedShard.shard.label,
-          fencingToken: ownedShard.fencingToken,
-        });
+        if (!this.isUnderOurControl(ownedShard, chunk, now)) continue;
+        prepared.push({ index: chunk.index, shard: shard.label, fencingToken });
       }
     }
-    this.node.requestSchedulingRound();
-    return here;
+    this.context.requestSchedulingRound();
+    return prepared;
   }
 
-  /** No earlier owner of the part answers the workers of its tasks for longer than a cancellation leaves. */
-  private isOurs(ownedShard: OwnedShard, chunk: Chunk, now: number): boolean {
-    const { cancellationTimeout: cancel, workerLease, heartbeatInterval } = this.node.settings;
-    const allowance = Math.max(0, cancel - workerLease * (1 + 2 * DRIFT) - heartbeatInterval);
+  /** No earlier leader of the shard answers the workers of its tasks for longer than a cancellation may take. */
+  private isUnderOurControl(ownedShard: OwnedShard, chunk: Chunk, now: number): boolean {
+    const { cancellationTimeout, workerLease, heartbeatInterval } = this.context.settings;
+    const allowance = Math.max(
+      0,
+      cancellationTimeout - workerLease * (1 + 2 * DRIFT) - heartbeatInterval,
+    );
     if (now >= ownedShard.previousLeaderUntil - allowance) return true;
     for (const attempt of chunk.attempts.values()) {
       const machine = ownedShard.shard.machines.get(attempt.machine);
-      if (machine !== undefined && machine.highestFencingToken < ownedShard.fencingTokenAtTakeover)
-        return false;
+      if (machine === undefined) continue;
+      if (machine.highestFencingToken < ownedShard.fencingTokenAtTakeover) return false;
     }
     return true;
   }
 
-  /** True once every open chunk of a job is known to be prepared for its cancellation by the owner of its part. */
-  async prepareEverywhere(id: string, record: JobRecord): Promise<boolean> {
-    const missing = new Set<number>();
-    for (let k = 0; k < record.createdChunks; k++)
-      if (!record.doneChunks.includes(k)) missing.add(k);
-    const note = (found: PreparedChunk[]): boolean => {
-      for (const { index, shard, fencingToken } of found) {
-        const owner = this.node.stateCache.get(keys.owner(shard))?.value as
-          LeaderRecord | undefined;
-        // One that has lost the part and does not know it speaks for nobody.
-        if (owner !== undefined && owner.fencingToken <= fencingToken) missing.delete(index);
+  /** True once the leaders of all open chunks of a job are known to have prepared its cancellation. */
+  async prepareEverywhere(job: string, record: JobRecord): Promise<boolean> {
+    const unprepared = openChunks(record);
+    /** Takes what a node has prepared; true once no chunk is left. */
+    const acknowledge = (prepared: PreparedChunk[]): boolean => {
+      for (const { index, shard, fencingToken } of prepared) {
+        const leader = this.leaderRecord(shard);
+        // A node that has lost the shard and does not know it must not be counted.
+        if (leader !== undefined && leader.fencingToken <= fencingToken) unprepared.delete(index);
       }
-      return missing.size === 0;
+      return unprepared.size === 0;
     };
-    const here = this.prepare(id);
+    const prepared = this.prepare(job);
     // Should it be released from now on, its chunks are made as prepared ones, by this node.
-    if (this.node.isBlockedOnDependencies(id) || note(here)) return true;
-    return this.node.peers.prepareCancel(id, this.node.settings.heartbeatInterval / 12, note);
+    if (this.context.isBlockedOnDependencies(job) || acknowledge(prepared)) return true;
+    const timeout = this.context.settings.heartbeatInterval / PEERS_TIMEOUT_DIVISOR;
+    return this.context.peers.prepareCancel(job, timeout, acknowledge);
+  }
+
+  private leaderRecord(shard: string): LeaderRecord | undefined {
+    return this.context.stateCache.get(keys.owner(shard))?.value as LeaderRecord | undefined;
   }
 
   /**
-   * Work of a job that is still open after all could have been stored goes on. Only a node that has read the
-   * records since can tell.
+   * Resumes jobs that are still open after their cancellations must have been stored or given up. Only a node that
+   * has read the records since can tell.
    */
   sweep(): void {
-    const { ownedShards: ownedParts, stateCache: replica } = this.node;
-    for (const [id, at] of this.jobs) {
-      if (replica.syncedAt <= at + STORED_WITHIN) continue;
-      this.jobs.delete(id);
-      const record = replica.get(keys.job(id))?.value as JobRecord | undefined;
+    const { ownedShards, stateCache } = this.context;
+    for (const [job, announcedAt] of this.announcedAt) {
+      if (stateCache.syncedAt <= announcedAt + STORE_TIMEOUT_SECONDS) continue;
+      this.announcedAt.delete(job);
+      const record = stateCache.get(keys.job(job))?.value as JobRecord | undefined;
       if (record?.state !== 'open') continue;
-      for (const { shard } of ownedParts.values()) {
-        for (const chunk of shard.chunksOf(id)) shard.abandonCancellation(chunk);
+      for (const { shard } of ownedShards.values()) {
+        for (const chunk of shard.chunksOf(job)) shard.abandonCancellation(chunk);
       }
     }
   }
 }
+
+/** Indices of a job's chunks that are created and not done. */
+function openChunks({ createdChunks, doneChunks }: JobRecord): Set<number> {
+  const open = new Set<number>();
+  for (let index = 0; index < createdChunks; index++) {
+    if (!doneChunks.includes(index)) open.add(index);
+  }
+  return open;
+}
--- /dev/null
+++ b/src/coordination/jobs/jobCancellation.ts
@@ -0,0 +1,106 @@
+/** Users' cancellations: announced to all nodes, stored by the leader of the job's home shard. */
+import type { Clock } from '../../base/clock.js';
+import { acceptedAnswer, idPattern } from '../../protocol/job.js';
+import type { JobRecord } from '../../storage/records.js';
+import type { Reply } from '../../transport/httpServer.js';
+import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
+import type { PeerRegistry } from '../peers/peerRegistry.js';
+import type { JobPersistence } from '../persistence/jobPersistence.js';
+import type { CancellationPreparations } from './cancellationPreparations.js';
+import type { JobLookup } from './jobLookup.js';
+import { isolatedReply, NO_SUCH_JOB, unavailable } from './replies.js';
+import { relayToAnyPeer, replyFromPeer, REQUEST_TIMEOUT_SECONDS } from './requestRelay.js';
+
+/** Seconds that the job's leader has to answer: a little longer than it may take to store the cancellation. */
+const LEADER_TIMEOUT_SECONDS = REQUEST_TIMEOUT_SECONDS + 0.2;
+
+/** What cancelling needs of a node. */
+export interface JobCancellationContext {
+  readonly settings: { readonly label: string };
+  readonly clock: Pick<Clock, 'now'>;
+  readonly ownedShards: ReadonlyMap<string, OwnedShard>;
+  readonly leadership: { readonly isLeaseValid: boolean };
+  readonly peers: Pick<PeerRegistry, 'relay' | 'served'>;
+  readonly persistence: Pick<JobPersistence, 'cancel'>;
+  readonly cancellationPreparations: Pick<CancellationPreparations, 'prepareEverywhere'>;
+  /** Neither the state service nor any peer is in reach. */
+  readonly isIsolated: boolean;
+  /** The node that leads a shard, as far as is known here. */
+  leaderOf(shard: string): string | null;
+}
+
+/** Cancels jobs for users. */
+export class JobCancellation {
+  constructor(
+    private readonly context: JobCancellationContext,
+    private readonly lookup: JobLookup,
+  ) {}
+
+  /** Answers once the cancellation is stored, or could not be stored in the time that a user waits. */
+  async cancel(id: string, isRelayed: boolean): Promise<Reply> {
+    if (!idPattern.test(id)) return NO_SUCH_JOB;
+    const copy = this.lookup.copyOf(id);
+    if (copy !== undefined && copy.state !== 'open') return endedReply(id, copy.state);
+    if (this.context.isIsolated) return isolatedReply();
+    const record = copy ?? (await this.lookup.stored(id));
+    if (record === null) return NO_SUCH_JOB;
+    if (record === undefined) {
+      const reply = isRelayed ? null : await relayToAnyPeer(this.context, cancelRequest(id));
+      return reply ?? unavailable('out of reach');
+    }
+    if (record.state !== 'open') return endedReply(id, record.state);
+    return this.cancelOpen(id, record, isRelayed);
+  }
+
+  /** Cancels a job that is open as far as is known here, or has its leader do so. */
+  private async cancelOpen(
+    id: string,
+    { homeShard: label }: JobRecord,
+    isRelayed: boolean,
+  ): Promise<Reply> {
+    const { ownedShards, leadership } = this.context;
+    const homeShard = ownedShards.get(label);
+    const job = homeShard?.jobs.get(id);
+    if (homeShard !== undefined && job !== undefined && leadership.isLeaseValid) {
+      return this.cancelAsLeader(homeShard, job);
+    }
+    const reply = isRelayed ? null : await this.askLeader(id, label);
+    return reply ?? unavailable('the job has no owner just now');
+  }
+
+  /** Cancels a job whose home shard this node leads. */
+  private async cancelAsLeader(homeShard: OwnedShard, job: HomeJob): Promise<Reply> {
+    const { cancellationPreparations, clock, persistence } = this.context;
+    // Else a node that can't read the record would keep tasks of the job alive, or start some.
+    if (
+      job.record.state === 'open' &&
+      !(await cancellationPreparations.prepareEverywhere(job.id, job.record))
+    ) {
+      return unavailable('a node that may run tasks of the job cannot be asked just now', 2);
+    }
+    const deadline = clock.now() + REQUEST_TIMEOUT_SECONDS;
+    const state = await persistence.cancel(homeShard, job, deadline);
+    if (state !== null && state !== 'open') return endedReply(job.id, state);
+    return unavailable('the cancellation could not be stored');
+  }
+
+  /** The answer of the peer that leads the job's home shard; null where none does or it gives no answer. */
+  private async askLeader(id: string, homeShard: string): Promise<Reply | null> {
+    const { peers, settings } = this.context;
+    const leader = this.context.leaderOf(homeShard);
+    if (leader === null || leader === settings.label) return null;
+    const answer = await peers.relay(leader, cancelRequest(id), LEADER_TIMEOUT_SECONDS);
+    return answer === null ? null : replyFromPeer(answer);
+  }
+}
+
+const cancelRequest = (id: string): { method: string; target: string; body: string } => ({
+  method: 'POST',
+  target: `/v1/jobs/${id}/withdraw`,
+  body: '',
+});
+
+const endedReply = (id: string, state: Exclude<JobRecord['state'], 'open'>): Reply => ({
+  status: 200,
+  body: acceptedAnswer(id, state),
+});
--- /dev/null
+++ b/src/coordination/jobs/jobFeasibility.ts
@@ -0,0 +1,77 @@
+/** Whether a job could ever run in this cluster, and in which zones. */
+import type { MachineType } from '../../protocol/cloudProtocol.js';
+import type { JobSpec } from '../../protocol/job.js';
+import type { Settings } from '../../protocol/settings.js';
+import type { RecordFormat } from '../../storage/recordFormat.js';
+import type { ClusterTotals } from '../quota/clusterTotals.js';
+import { limitOf } from '../quota/quotaShares.js';
+import { fits } from '../model/resources.js';
+import { satisfiesConstraints } from '../scheduling/placement.js';
+
+/** What the limits and machine types are taken from. */
+export interface FeasibilityContext {
+  readonly settings: Pick<Settings, 'teams' | 'zones'>;
+  readonly recordFormat: RecordFormat;
+  readonly machineTypes: ReadonlyMap<string, MachineType>;
+  readonly clusterTotals: Pick<ClusterTotals, 'serviceHeadroomIn'>;
+}
+
+/** Why a job can never run, or null. */
+export function infeasibilityReason(context: FeasibilityContext, spec: JobSpec): string | null {
+  const { settings } = context;
+  const quotaReason = quotaInfeasibility(context, spec);
+  if (quotaReason !== null) return quotaReason;
+  if (spec.isGang && !isGangRecordable(context.recordFormat, spec)) {
+    return 'a gang of this size cannot be recorded';
+  }
+  if (spec.zone !== null && !settings.zones.includes(spec.zone)) {
+    return `unknown zone ${spec.zone}`;
+  }
+  return feasibleZones(context, spec).length > 0 ? null : 'a task fits no allowed machine type';
+}
+
+/** Why the team's limit can never hold what the job needs at a time, or null. */
+function quotaInfeasibility({ settings }: FeasibilityContext, spec: JobSpec): string | null {
+  const team = settings.teams.find(({ name }) => name === spec.team);
+  if (team === undefined) return `unknown team ${spec.team}`;
+  const limit = limitOf(team);
+  const exceedsLimit = (tasks: number): boolean =>
+    spec.cpus * tasks > limit.cpus || spec.gpus * tasks > limit.gpus;
+  if (exceedsLimit(spec.isService ? spec.taskCount : 1)) {
+    return `needs more than the limit of team ${spec.team}`;
+  }
+  if (spec.isGang && exceedsLimit(spec.taskCount)) {
+    return `all of the gang together need more than the limit of team ${spec.team}`;
+  }
+  return null;
+}
+
+/** A gang is one chunk, whose record holds an entry for each task that runs. */
+const isGangRecordable = (recordFormat: RecordFormat, spec: JobSpec): boolean =>
+  spec.taskCount * recordFormat.sizes.task * 2 <= recordFormat.capacity(1);
+
+/** Zones in which a machine type exists that can hold a task; those with most room first. */
+export function feasibleZones(context: FeasibilityContext, spec: JobSpec): string[] {
+  const headroom = new Map<string, number>();
+  for (const machineType of context.machineTypes.values()) {
+    if (!fits(machineType, spec)) continue;
+    for (const zone of machineType.zones) {
+      const machine = { type: machineType.name, zone, spot: false };
+      if (satisfiesConstraints(spec, null, machine)) headroom.set(zone, 0);
+    }
+  }
+  for (const zone of headroom.keys()) {
+    headroom.set(zone, context.clusterTotals.serviceHeadroomIn(zone));
+  }
+  const zones = [...headroom.keys()].sort();
+  // Where there is nothing to choose between zones, jobs take turns by their ids.
+  const first = zones[idHash(spec.id) % Math.max(1, zones.length)];
+  return zones.sort(
+    (a, b) =>
+      (headroom.get(b) ?? 0) - (headroom.get(a) ?? 0) || Number(b === first) - Number(a === first),
+  );
+}
+
+/** A number by which job ids are spread evenly. */
+const idHash = (id: string): number =>
+  Array.from(id).reduce((hash, character) => (hash * 31 + character.charCodeAt(0)) % 65521, 7);
--- a/src/coordination/jobs/jobLookup.ts
+++ b/src/coordination/jobs/jobLookup.ts
@@ -1,175 +1,136 @@
-/** Finds out how a job stands: from this node's copy, its owner, the store or any peer that can tell. */
-import type { JobStatus, JobView } from '../../protocol/job.js';
+/** Finds out how a job stands: from this node's copy, its leader, the store or any peer that can tell. */
+import type { JobView } from '../../protocol/job.js';
 import { keys, type JobRecord } from '../../storage/records.js';
+import type { StateCache } from '../../storage/stateCache.js';
+import type { StateClient } from '../../storage/stateClient.js';
 import type { Reply } from '../../transport/httpServer.js';
-import type { Chunk } from '../model/chunk.js';
-import { chunkRanges } from '../model/chunking.js';
-import type { Controller } from '../controller/controller.js';
-import { waitReason } from './waitReasons.js';
+import type { Pipelines } from '../pipelines/pipelines.js';
+import { finalView, openView, type JobViewContext } from './jobViews.js';
+import {
+  relayToAnyPeer,
+  REQUEST_TIMEOUT_SECONDS,
+  type RequestRelayContext,
+} from './requestRelay.js';
 
-/** Seconds in which a user is answered; PROTOCOL has them give up after five. */
-export const REQUEST_TIMEOUT_SECONDS = 4;
+/** Seconds that the leader of a job's home shard has to answer, before the store is asked. */
+const LEADER_TIMEOUT_SECONDS = 0.6;
 
-/** A user's request, as it is passed on to a peer. */
-export interface UserRequest {
-  method: string;
-  target: string;
-  body: string;
+/** Seconds in which any other peer must have answered, where the store can't be asked. */
+const PEERS_TIMEOUT_SECONDS = REQUEST_TIMEOUT_SECONDS / 5;
+
+/** What looking jobs up needs of a node. */
+export interface JobLookupContext extends JobViewContext, RequestRelayContext {
+  readonly settings: { readonly label: string };
+  readonly clock: JobViewContext['clock'];
+  readonly stateClient: Pick<StateClient, 'get'>;
+  readonly stateCache: Pick<StateCache, 'get' | 'note'>;
+  readonly pipelines: Pick<Pipelines, 'reason' | 'mayCallOpen'>;
+  /** Neither the state service nor any peer is in reach. */
+  readonly isIsolated: boolean;
+  /** The node that leads a shard, as far as is known here. */
+  leaderOf(shard: string): string | null;
 }
 
-/** What could be found out of a job; `relay` is a peer's answer to the user. */
-export interface FoundView {
-  view: JobView | null;
+/** What could be found out about a job. */
+export type LookupResult =
+  | { readonly kind: 'found'; readonly view: JobView }
+  /** A peer has answered in this node's stead. */
+  | { readonly kind: 'relayed'; readonly reply: Reply }
+  | { readonly kind: 'missing' }
   /** Nobody who can tell was in reach. */
-  isUnavailable: boolean;
-  relay?: Reply;
-}
+  | { readonly kind: 'unavailable' };
 
-const found = (view: JobView): FoundView => ({
-  view,
-  isUnavailable: false,
-});
+const found = (view: JobView): LookupResult => ({ kind: 'found', view });
+const relayed = (reply: Reply): LookupResult => ({ kind: 'relayed', reply });
 
+/** Looks jobs up for users. */
 export class JobLookup {
-  constructor(private readonly node: Controller) {}
+  constructor(private readonly context: JobLookupContext) {}
 
   /** This node's copy of a job's record. */
   copyOf(id: string): JobRecord | undefined {
-    return this.node.stateCache.get(keys.job(id))?.value as JobRecord | undefined;
+    return this.context.stateCache.get(keys.job(id))?.value as JobRecord | undefined;
   }
 
   /**
-   * The stored record; null when there is none, undefined when that can't be told. An answer may be overtaken by
-   * the watch: by then this node may have told users of what is newer.
+   * The stored record; null when there is none, undefined when that can't be told. The watch may overtake an answer:
+   * by then this node may have told users of what is newer, so its copy comes first.
    */
   async stored(id: string): Promise<JobRecord | null | undefined> {
+    const { stateClient, stateCache } = this.context;
     try {
-      const item = await this.node.stateClient.get(keys.job(id));
-      if (item !== null) this.node.stateCache.note(item.key, item.value, item.revision);
+      const item = await stateClient.get(keys.job(id));
+      if (item !== null) stateCache.note(item.key, item.value, item.revision);
       return this.copyOf(id) ?? ((item?.value ?? null) as JobRecord | null);
     } catch {
       return undefined;
     }
   }
 
-  /** What users are told of a job: how it ended, if this node has heard of that by the time that it answers. */
-  async view(id: string, mayRelay: boolean): Promise<FoundView> {
-    const answer = await this.lookUp(id, mayRelay);
+  /** What users are told of a job: how it ended, if this node has learned that by the time it answers. */
+  async view(id: string, mayRelay: boolean): Promise<LookupResult> {
+    const result = await this.lookUp(id, mayRelay);
     const copy = this.copyOf(id);
-    if (copy !== undefined && copy.state !== 'open') return found(final(copy));
+    if (copy !== undefined && copy.state !== 'open') return found(finalView(copy));
     // It may have been cancelled with a job that it needs, and this node have missed that (safety, P4).
-    if (answer.view !== null && !this.node.pipelines.mayCallOpen(id)) {
-      return { view: null, isUnavailable: true };
+    if (result.kind === 'found' && !this.context.pipelines.mayCallOpen(id)) {
+      return { kind: 'unavailable' };
     }
-    return answer;
+    return result;
   }
 
   /**
-   * A final state never changes, so any copy of it will do. All else comes from the owner of the
-   * job's home part, whose word is the latest while its ownership is valid, or from the store.
+   * A final state never changes, so any copy of it will do. All else comes from the leader of the job's home shard,
+   * whose state is the latest while its lease is valid, or from the store.
    */
-  private async lookUp(id: string, mayRelay: boolean): Promise<FoundView> {
-    const { node } = this;
+  private async lookUp(id: string, mayRelay: boolean): Promise<LookupResult> {
     const copy = this.copyOf(id);
-    if (copy !== undefined && copy.state !== 'open') return found(final(copy));
-    if (copy !== undefined && node.leadership.isLeaseValid) {
-      const ownedShard = node.ownedShards.get(copy.homeShard);
-      const job = ownedShard?.jobs.get(id);
-      if (job !== undefined && job.isUncertain !== true) return found(this.describe(job.record));
-    }
-    if (copy !== undefined && mayRelay) {
-      const owner = node.leaderOf(copy.homeShard);
-      if (owner !== null && owner !== node.settings.label) {
-        const request = { method: 'GET', target: `/v1/jobs/${id}`, body: '' };
-        const answer = await node.peers.relay(owner, request, 0.6);
-        if (answer?.status === 200) {
-          const relay = { status: 200, body: JSON.parse(answer.body) as unknown };
-          return { view: null, isUnavailable: false, relay };
-        }
-      }
+    if (copy !== undefined) {
+      if (copy.state !== 'open') return found(finalView(copy));
+      const view = this.viewAsLeader(id, copy);
+      if (view !== null) return found(view);
+      const reply = mayRelay ? await this.askLeader(id, copy) : null;
+      if (reply !== null) return relayed(reply);
     }
     // Nobody could be asked, and a user waits two seconds only.
-    if (node.isIsolated) return { view: null, isUnavailable: true };
+    if (this.context.isIsolated) return { kind: 'unavailable' };
     const record = await this.stored(id);
-    if (record === null) return { view: null, isUnavailable: false };
+    if (record === null) return { kind: 'missing' };
     if (record !== undefined) {
-      return found(record.state === 'open' ? this.describe(record) : final(record));
-    }
-    if (mayRelay) {
-      const request = { method: 'GET', target: `/v1/jobs/${id}`, body: '' };
-      const relay = await this.relayAny(request, REQUEST_TIMEOUT_SECONDS / 5);
-      if (relay !== null && (relay.status === 200 || relay.status === 404)) {
-        return { view: null, isUnavailable: false, relay };
-      }
+      return found(record.state === 'open' ? openView(this.context, record) : finalView(record));
     }
-    return { view: null, isUnavailable: true };
+    const reply = mayRelay ? await this.askAnyPeer(id) : null;
+    return reply === null ? { kind: 'unavailable' } : relayed(reply);
   }
 
-  /** An open job, its counts gathered from wherever its chunks are. */
-  private describe(record: JobRecord): JobView {
-    const { node } = this;
-    const { spec } = record;
-    if (spec === null) return final(record);
-    const ranges = chunkRanges(spec.taskCount, record.chunkSize, record.zones);
-    let done = 0;
-    let running = 0;
-    const chunks: Chunk[] = [];
-    for (let k = 0; k < record.createdChunks; k++) {
-      const range = ranges[k];
-      if (range === undefined) continue;
-      if (record.doneChunks.includes(k)) {
-        done += range.endTask - range.firstTask;
-        continue;
-      }
-      const id = `${spec.id}/${k}`;
-      const local = [...node.ownedShards.values()]
-        .map((h) => h.shard.chunks.get(id))
-        .find((c) => c !== undefined);
-      const stored = node.chunkIndex.find(id)?.record;
-      if (local !== undefined) {
-        done += local.doneTasks.size;
-        running += local.runningCount;
-        chunks.push(local);
-      } else if (stored !== undefined) {
-        for (let i = 0; i + 1 < stored.doneTasks.length; i += 2) {
-          done += (stored.doneTasks[i + 1] ?? 0) - (stored.doneTasks[i] ?? 0);
-        }
-        running += stored.attempts.length;
-      }
-    }
-    // Done is said only once it is stored: the last tasks may be over already.
-    const reason = done + running >= spec.taskCount ? null : waitReason(node, record, chunks);
-    return { status: running > 0 ? 'running' : 'queued', done, running, reason };
+  /** A job whose home shard this node leads, unless a change of its record got no answer. */
+  private viewAsLeader(id: string, copy: JobRecord): JobView | null {
+    const { leadership, ownedShards } = this.context;
+    if (!leadership.isLeaseValid) return null;
+    const job = ownedShards.get(copy.homeShard)?.jobs.get(id);
+    if (job === undefined || job.isUncertain === true) return null;
+    return openView(this.context, job.record);
   }
 
-  /** Asks nodes that the state service serves, one after the other, while the user still waits. */
-  async relayAny(request: UserRequest, patience = REQUEST_TIMEOUT_SECONDS): Promise<Reply | null> {
-    const { clock, peers } = this.node;
-    const deadline = clock.now() + patience;
-    const labels = peers.served();
-    for (const [i, label] of labels.entries()) {
-      // A silent peer must leave time for the next.
-      const left = (deadline - clock.now()) / Math.min(2, labels.length - i);
-      if (left <= 0) break;
-      const answer = await peers.relay(label, request, left);
-      if (answer !== null && answer.status !== 503) return fromRelay(answer);
-    }
-    return null;
+  /** The answer of the peer that leads the job's home shard; null where that gives none. */
+  private async askLeader(id: string, copy: JobRecord): Promise<Reply | null> {
+    const { peers, settings } = this.context;
+    const leader = this.context.leaderOf(copy.homeShard);
+    if (leader === null || leader === settings.label) return null;
+    const answer = await peers.relay(leader, readRequest(id), LEADER_TIMEOUT_SECONDS);
+    if (answer?.status !== 200) return null;
+    return { status: 200, body: JSON.parse(answer.body) as unknown };
   }
-}
 
-function final(record: JobRecord): JobView {
-  const status: JobStatus = record.state === 'cancelled' ? 'cancelled' : 'done';
-  const done = status === 'done' ? record.taskCount : 0;
-  return { status, done, running: 0, reason: null };
+  /** The answer of the first peer that knows whether there is such a job. */
+  private async askAnyPeer(id: string): Promise<Reply | null> {
+    const reply = await relayToAnyPeer(this.context, readRequest(id), PEERS_TIMEOUT_SECONDS);
+    return reply?.status === 200 || reply?.status === 404 ? reply : null;
+  }
 }
 
-export function fromRelay(answer: {
-  status: number;
-  body: string;
-  retryAfter: number | null;
-}): Reply {
-  const body = JSON.parse(answer.body) as unknown;
-  const { status, retryAfter } = answer;
-  return retryAfter === null ? { status, body } : { status, body, retryAfter };
-}
+const readRequest = (id: string): { method: string; target: string; body: string } => ({
+  method: 'GET',
+  target: `/v1/jobs/${id}`,
+  body: '',
+});
--- /dev/null
+++ b/src/coordination/jobs/jobViews.ts
@@ -0,0 +1,68 @@
+/** What users are told of a job whose record is known. */
+import type { JobStatus, JobView } from '../../protocol/job.js';
+import type { ChunkIndex } from '../../storage/chunkIndex.js';
+import type { ChunkRecord, JobRecord } from '../../storage/records.js';
+import type { Chunk } from '../model/chunk.js';
+import { chunkRanges } from '../model/chunking.js';
+import { waitReason, type WaitReasonContext } from './waitReasons.js';
+
+/** The state of this node that the progress of an open job is gathered from. */
+export interface JobViewContext extends WaitReasonContext {
+  readonly chunkIndex: Pick<ChunkIndex, 'find'>;
+}
+
+/** A job that is done or cancelled. */
+export function finalView(record: JobRecord): JobView {
+  const status: JobStatus = record.state === 'cancelled' ? 'cancelled' : 'done';
+  const done = status === 'done' ? record.taskCount : 0;
+  return { status, done, running: 0, reason: null };
+}
+
+/** An open job, its counts gathered from wherever its chunks are. */
+export function openView(context: JobViewContext, record: JobRecord): JobView {
+  const { spec } = record;
+  if (spec === null) return finalView(record);
+  const ranges = chunkRanges(spec.taskCount, record.chunkSize, record.zones);
+  let done = 0;
+  let running = 0;
+  const localChunks: Chunk[] = [];
+  for (const [index, range] of ranges.slice(0, record.createdChunks).entries()) {
+    if (record.doneChunks.includes(index)) {
+      done += range.endTask - range.firstTask;
+      continue;
+    }
+    const id = `${spec.id}/${index}`;
+    const local = localChunk(context, id);
+    const stored = context.chunkIndex.find(id)?.record;
+    if (local !== undefined) {
+      done += local.doneTasks.size;
+      running += local.runningCount;
+      localChunks.push(local);
+    } else if (stored !== undefined) {
+      done += storedDoneTasks(stored);
+      running += stored.attempts.length;
+    }
+  }
+  // Done is said only once it is stored: the last tasks may be over already.
+  const isComplete = done + running >= spec.taskCount;
+  const reason = isComplete ? null : waitReason(context, record, localChunks);
+  return { status: running > 0 ? 'running' : 'queued', done, running, reason };
+}
+
+/** A chunk that is at one of this node's shards. */
+function localChunk(context: JobViewContext, id: string): Chunk | undefined {
+  for (const { shard } of context.ownedShards.values()) {
+    const chunk = shard.chunks.get(id);
+    if (chunk !== undefined) return chunk;
+  }
+  return undefined;
+}
+
+/** Tasks that a stored chunk has done; its record has them as pairs of first and end. */
+function storedDoneTasks({ doneTasks }: ChunkRecord): number {
+  let count = 0;
+  for (let i = 0; i + 1 < doneTasks.length; i += 2) {
+    count += (doneTasks[i + 1] ?? 0) - (doneTasks[i] ?? 0);
+  }
+  return count;
+}
--- a/src/coordination/jobs/waitReasons.ts
+++ b/src/coordination/jobs/waitReasons.ts
@@ -1,63 +1,101 @@
-/** Why a job waits, in words that can be read out on the phone. */
+/** Why a job waits, in sentences that an operator can read out on the phone. */
+import type { Clock } from '../../base/clock.js';
+import type { JobSpec } from '../../protocol/job.js';
 import type { JobRecord } from '../../storage/records.js';
+import type { OwnedShard } from '../leadership/ownedShard.js';
 import type { Chunk } from '../model/chunk.js';
-import type { Controller } from '../controller/controller.js';
-import { satisfiesConstraints } from '../scheduling/placement.js';
+import type { Pipelines } from '../pipelines/pipelines.js';
 import { fits } from '../model/resources.js';
+import { satisfiesConstraints } from '../scheduling/placement.js';
+import type { Shard } from '../shard/shard.js';
+
+/** The state of this node that a reason is worked out from. */
+export interface WaitReasonContext {
+  readonly clock: Clock;
+  readonly leadership: { readonly isLeaseValid: boolean };
+  readonly pipelines: Pick<Pipelines, 'reason'>;
+  readonly ownedShards: ReadonlyMap<string, OwnedShard>;
+}
 
-export function waitReason(node: Controller, record: JobRecord, chunks: Chunk[]): string {
+/** Why a job waits; `localChunks` are those of its open chunks that are at shards of this node. */
+export function waitReason(
+  context: WaitReasonContext,
+  record: JobRecord,
+  localChunks: readonly Chunk[],
+): string {
   const { spec } = record;
   if (spec === null) return 'The job is over.';
-  const since = Math.max(0, Math.round(node.clock.wall() - record.submittedAt));
-  const tail = ` Submitted ${since} s ago.`;
-  if (!node.leadership.isLeaseValid) {
-    return `This node cannot reach the state service, so it starts nothing new for now.${tail}`;
+  const since = Math.max(0, Math.round(context.clock.wall() - record.submittedAt));
+  return `${jobReason(context, spec, localChunks)} Submitted ${since} s ago.`;
+}
+
+function jobReason(
+  context: WaitReasonContext,
+  spec: JobSpec,
+  localChunks: readonly Chunk[],
+): string {
+  if (!context.leadership.isLeaseValid) {
+    return 'This node cannot reach the state service, so it starts nothing new for now.';
   }
-  const held = node.pipelines.reason(spec.id);
-  if (held !== null) return `${held}${tail}`;
-  const chunk = chunks.find((c) => c.pendingCount > 0 || c.attempts.size > c.runningCount);
+  const dependencyReason = context.pipelines.reason(spec.id);
+  if (dependencyReason !== null) return dependencyReason;
+  const chunk = localChunks.find((c) => c.pendingCount > 0 || c.attempts.size > c.runningCount);
   if (chunk === undefined) {
-    const total = chunks.length;
-    if (total > 0) return `Its last tasks are being completed.${tail}`;
-    return `It waits at another node of the service.${tail}`;
+    if (localChunks.length > 0) return 'Its last tasks are being completed.';
+    return 'It waits at another node of the service.';
   }
-  const ownedShard = [...node.ownedShards.values()].find(
-    (h) => h.shard.chunks.get(chunk.id) === chunk,
-  );
-  const part = ownedShard?.shard;
-  if (part === undefined) return `It waits at another node of the service.${tail}`;
+  const shard = [...context.ownedShards.values()].find(
+    (ownedShard) => ownedShard.shard.chunks.get(chunk.id) === chunk,
+  )?.shard;
+  if (shard === undefined) return 'It waits at another node of the service.';
+  return chunkReason(shard, chunk, spec, context.clock.now());
+}
+
+/** Why a chunk at a shard of this node waits. */
+function chunkReason(shard: Shard, chunk: Chunk, spec: JobSpec, now: number): string {
   if (chunk.pendingCount === 0) {
-    const fetching = [...chunk.attempts.values()].filter((e) => e.state === 'fetching').length;
-    return `${fetching} task(s) have a machine and wait for image ${spec.image} (${spec.imageGb} GB) to be fetched.${tail}`;
+    const attempts = [...chunk.attempts.values()];
+    const fetching = attempts.filter((attempt) => attempt.state === 'fetching').length;
+    return `${fetching} task(s) have a machine and wait for image ${spec.image} (${spec.imageGb} GB) to be fetched.`;
   }
-  if (part.scheduler.throttledTeams.has(spec.team)) {
-    return `Team ${spec.team} is at its limit; tasks start as its others end.${tail}`;
+  if (shard.scheduler.throttledTeams.has(spec.team)) {
+    return `Team ${spec.team} is at its limit; tasks start as its others end.`;
   }
-  if (chunk.retryNotBefore > node.clock.now()) {
-    const again = Math.ceil(chunk.retryNotBefore - node.clock.now());
-    return `Its tasks failed ${chunk.failureCount} time(s) on ${chunk.failedMachines.size} machine(s); the next try is in ${again} s.${tail}`;
+  if (chunk.retryNotBefore > now) {
+    const retryIn = Math.ceil(chunk.retryNotBefore - now);
+    return `Its tasks failed ${chunk.failureCount} time(s) on ${chunk.failedMachines.size} machine(s); the next try is in ${retryIn} s.`;
   }
-  const place = chunk.zone === null ? '' : ` in zone ${chunk.zone}`;
-  const suited = [...part.machines.values()].filter(
-    (m) => satisfiesConstraints(spec, chunk.zone, m) && fits(m.capacity, spec),
-  );
-  const coming = suited.filter((m) => !m.isUp).length;
-  const ahead = [...part.chunks.values()].filter(
-    (c) =>
-      c !== chunk &&
-      c.pendingCount > 0 &&
-      (c.rank > chunk.rank || (c.rank === chunk.rank && c.submittedAt < chunk.submittedAt)),
+  return capacityReason(shard, chunk, spec);
+}
+
+/** Which machines a chunk could use, and what goes before it. */
+function capacityReason(shard: Shard, chunk: Chunk, spec: JobSpec): string {
+  const zone = chunk.zone === null ? '' : ` in zone ${chunk.zone}`;
+  const suitable = [...shard.machines.values()].filter(
+    (machine) => satisfiesConstraints(spec, chunk.zone, machine) && fits(machine.capacity, spec),
   );
-  const queue =
-    ahead.length === 0
-      ? 'Nothing is ahead of it.'
-      : `${ahead.length} job(s) with ${ahead.reduce((n, c) => n + c.pendingCount, 0)} task(s) are ahead of it.`;
-  const what = `${chunk.pendingCount} task(s) of ${spec.cpus} CPUs and ${spec.memoryGb} GB`;
-  if (suited.length === 0) {
-    return `${what} wait for a machine${place}; none is there and one is being asked for. ${queue}${tail}`;
+  const booting = suitable.filter((machine) => !machine.isUp).length;
+  const queue = queueReason(shard, chunk);
+  const demand = `${chunk.pendingCount} task(s) of ${spec.cpus} CPUs and ${spec.memoryGb} GB`;
+  if (suitable.length === 0) {
+    return `${demand} wait for a machine${zone}; none is there and one is being asked for. ${queue}`;
   }
-  if (coming > 0) {
-    return `${what} wait for room${place}; ${coming} machine(s) are on their way. ${queue}${tail}`;
+  if (booting > 0) {
+    return `${demand} wait for room${zone}; ${booting} machine(s) are on their way. ${queue}`;
   }
-  return `${what} wait for room${place} on ${suited.length} machine(s), all taken. ${queue}${tail}`;
+  return `${demand} wait for room${zone} on ${suitable.length} machine(s), all taken. ${queue}`;
+}
+
+/** How much of the shard's queue is ahead of a chunk. */
+function queueReason(shard: Shard, chunk: Chunk): string {
+  const ahead = [...shard.chunks.values()].filter(
+    (other) =>
+      other !== chunk &&
+      other.pendingCount > 0 &&
+      (other.rank > chunk.rank ||
+        (other.rank === chunk.rank && other.submittedAt < chunk.submittedAt)),
+  );
+  if (ahead.length === 0) return 'Nothing is ahead of it.';
+  const tasks = ahead.reduce((sum, other) => sum + other.pendingCount, 0);
+  return `${ahead.length} job(s) with ${tasks} task(s) are ahead of it.`;
 }
--- a/test/jobs/submissionWriter.test.ts
+++ b/test/jobs/submissionWriter.test.ts
@@ -56,7 +56,7 @@
   submit(id: string, patience = 4, at = this.now): Promise<void> {
     const s = spec({ id, taskCount: 4 });
     const chunk = (k: number): Chunk => new Chunk(s, k, 'p', at, 2 * k, 2 * k + 2, null, this.now);
-    const first = [
+    const initialChunks = [
       { shard: 'p', chunk: chunk(0) },
       { shard: 'q', chunk: chunk(1) },
     ];
@@ -72,9 +72,11 @@
       doneChunks: [],
       migratedChunks: [1],
     };
-    return this.accepting.submit(this.host, { id, record, first }, patience).then((reply) => {
-      this.answers.set(id, reply);
-    });
+    return this.accepting
+      .submit(this.host, { id, record, initialChunks }, patience)
+      .then((reply) => {
+        this.answers.set(id, reply);
+      });
   }
 
   /** How many stored buckets of the peer hold the job's second chunk. */
