--- a/src/coordination/migration/migrationInitiator.ts
+++ b/src/coordination/migration/migrationInitiator.ts
@@ -1,4 +1,4 @@
-/** Sends jobs on: the sender-initiated path of the paper, for new chunks and for those that wait. */
+/** Sender-initiated job migration (PAPER, III.A.1), for new chunks and for those that are blocked. */
 import { describe, log } from '../../base/log.js';
 import { rankName, type JobSpec } from '../../protocol/job.js';
 import type { TurnaroundEstimate } from '../../protocol/peerMessages.js';
@@ -8,23 +8,35 @@
 import type { MigrationContext } from './migrationContext.js';
 import { chooseShard, turnaround } from './migrationPolicy.js';
 
+/** The heartbeat interval divided by the peers' time to answer at a submission. */
+const SUBMISSION_TIMEOUT_DIVISOR = 40;
+
+/**
+ * Chunks of a shard that a review asks the peers about. A few at a time: many senders that read the same
+ * answers would flood one idle peer.
+ */
+const CHUNKS_PER_REVIEW = 2;
+
+/** Chooses the shard for each chunk, and migrates chunks that would start sooner elsewhere. */
 export class MigrationInitiator {
+  /** Chunks about which the peers are being asked. */
   private readonly asking = new Set<Chunk>();
 
   constructor(private readonly node: MigrationContext) {}
 
-  /** The wait that users of this class of job accept without a question to the peers. */
+  /** The wait in seconds up to which a job stays home without the peers being asked. */
   private threshold(spec: JobSpec): number {
-    // A live service's users wait for a second or so, not for ten: the objective says how long.
-    const promised = this.node.settings.objectives
-      .filter((o) => o.kind === 'wait' && o.jobClass === spec.jobClass)
-      .map((o) => o.within);
-    return Math.min(this.node.tuning.threshold, ...promised);
+    // A live service's users wait for a second or so, not for ten: its objective says how long.
+    const objectives = this.node.settings.objectives
+      .filter(({ kind, jobClass }) => kind === 'wait' && jobClass === spec.jobClass)
+      .map(({ within }) => within);
+    return Math.min(this.node.tuning.threshold, ...objectives);
   }
 
   /**
-   * Where a chunk goes: home while the wait there is short, or within the factor of the best; else
-   * the peer with the smallest turnaround (DESIGN). A chunk held to a zone starts from a part there.
+   * The shard that a chunk goes to: home while the wait there is below the threshold or within the factor
+   * of the best; otherwise the peer with the shortest turnaround (DESIGN). A chunk tied to a zone starts
+   * from a shard there. `queued` is the chunk where it is in the queue already.
    */
   async choose(
     homeShard: OwnedShard,
@@ -33,48 +45,49 @@
     count: number,
     queued?: Chunk,
   ): Promise<string> {
-    const { node } = this;
-    const { tuning } = node;
-    // A user waits for this answer. A peer that is slow to estimate is left out; once the job is stored
-    // here the peers are asked again, with the full patience.
-    const patience =
-      queued === undefined
-        ? Math.min(tuning.peerTimeout, node.settings.heartbeatInterval / 40)
-        : tuning.peerTimeout;
-    const run = homeShard.shard.waitEstimates.expectedRun(spec);
-    const wait = homeShard.shard.waitEstimates.waitFor(
-      { spec, zone, count, run },
-      node.clock.now(),
-      queued,
-    );
-    const fetch = homeShard.shard.waitEstimates.fetchFor(spec, zone);
+    const { tuning, peers, stateCache } = this.node;
+    const { label, utilisation, waitEstimates } = homeShard.shard;
+    const run = waitEstimates.expectedRun(spec);
+    const now = this.node.clock.now();
+    const wait = waitEstimates.waitFor({ spec, zone, count, run }, now, queued);
+    const fetch = waitEstimates.fetchFor(spec, zone);
     const start = spec.isService ? Math.max(wait, fetch) : wait;
-    if (start < this.threshold(spec) || !tuning.migrate) return homeShard.shard.label;
-    const estimate: TurnaroundEstimate = {
-      shard: homeShard.shard.label,
-      wait,
-      turnaround: turnaround(wait, fetch, run),
-      utilisation: homeShard.shard.utilisation,
-    };
-    const answers = await node.peers.ask(spec, zone, count, patience);
-    const others = this.estimates(spec, zone, count).filter((e) => e.shard !== estimate.shard);
-    const shard = chooseShard(estimate, [...answers, ...others], tuning);
-    const known = node.stateCache.get(keys.owner(shard)) !== undefined;
-    if (shard !== homeShard.shard.label && known) return shard;
-    // Nobody has such machines yet: a part in the zone is the one that they will be rented for.
-    if (
-      zone !== null &&
-      !Number.isFinite(wait) &&
-      node.zoneOf.get(homeShard.shard.label) !== zone
-    ) {
-      const near = answers.filter((a) => node.zoneOf.get(a.shard) === zone);
-      near.sort((a, b) => a.utilisation - b.utilisation);
-      if (near[0] !== undefined) return near[0].shard;
-    }
-    return homeShard.shard.label;
+    if (start < this.threshold(spec) || !tuning.migrate) return label;
+    const home = { shard: label, wait, turnaround: turnaround(wait, fetch, run), utilisation };
+    const answers = await peers.ask(spec, zone, count, this.peerTimeout(queued !== undefined));
+    const local = this.estimates(spec, zone, count).filter(({ shard }) => shard !== label);
+    const shard = chooseShard(home, [...answers, ...local], tuning);
+    const hasLeader = stateCache.get(keys.owner(shard)) !== undefined;
+    if (shard !== label && hasLeader) return shard;
+    // No shard has such machines yet: they will be launched for a shard in the zone.
+    if (zone === null || Number.isFinite(wait)) return label;
+    return this.leastUsedPeerIn(zone, label, answers) ?? label;
+  }
+
+  /**
+   * Seconds for the peers' answers. At a submission a user waits, and slow peers are left out; once the
+   * job is stored the peers are asked again with the full timeout.
+   */
+  private peerTimeout(isQueued: boolean): number {
+    const { tuning, settings } = this.node;
+    if (isQueued) return tuning.peerTimeout;
+    return Math.min(tuning.peerTimeout, settings.heartbeatInterval / SUBMISSION_TIMEOUT_DIVISOR);
+  }
+
+  /** The peers' least used shard in the zone; undefined if home is there itself, or none answered. */
+  private leastUsedPeerIn(
+    zone: string,
+    home: string,
+    answers: TurnaroundEstimate[],
+  ): string | undefined {
+    const { zoneOf } = this.node;
+    if (zoneOf.get(home) === zone) return undefined;
+    const inZone = answers.filter(({ shard }) => zoneOf.get(shard) === zone);
+    inZone.sort((a, b) => a.utilisation - b.utilisation);
+    return inZone[0]?.shard;
   }
 
-  /** Answers to a peer's question, one for each part owned here. */
+  /** Answers to a peer's question: an estimate for each shard that this controller leads. */
   estimates(spec: JobSpec, zone: string | null, tasks: number): TurnaroundEstimate[] {
     if (!this.node.leadership.isLeaseValid) return [];
     const now = this.node.clock.now();
@@ -91,35 +104,39 @@
   }
 
   /**
-   * Chunks that wait and have nothing running are asked for once more. DESIGN lets queued jobs stay
-   * put; but room comes and goes with the machines here, and a job would wait beside an idle peer.
+   * Asks the peers again about blocked chunks of which nothing runs. DESIGN lets queued jobs stay where
+   * they are; but machines are launched and released here, and a job would wait beside an idle peer.
    */
   review(): void {
     const { node } = this;
     if (!node.leadership.isLeaseValid || !node.tuning.migrate) return;
     const now = node.clock.now();
-    // A move costs changes at the state service, which users and starts wait for.
+    // A migration costs changes at the state service, which users and starts wait for.
     if (node.stateClient.writeDelay('later') > node.settings.heartbeatInterval / 4) return;
     for (const ownedShard of node.ownedShards.values()) {
-      // A few at a time: many senders reading the same answers would flood one idle peer. Live services
-      // first, and then those that were asked for longest ago: else the first few would be asked for again
-      // and again, and those behind them never.
-      for (const chunk of nextMigrationCandidates(ownedShard.shard.chunks.values(), 2, (chunk) => {
-        const pause = this.threshold(chunk.spec);
-        if (chunk.isNewlyReleased) return chunk.isMigratable && !this.asking.has(chunk);
-        if (chunk.blockedSince === null || now - chunk.blockedSince < pause) return false;
-        if (now - chunk.peersAskedAt < Math.max(pause, node.settings.heartbeatInterval))
-          return false;
-        return chunk.isMigratable && !this.asking.has(chunk);
-      })) {
+      const chunks = ownedShard.shard.chunks.values();
+      for (const chunk of nextMigrationCandidates(chunks, CHUNKS_PER_REVIEW, (candidate) =>
+        this.isDue(candidate, now),
+      )) {
         chunk.peersAskedAt = now;
         chunk.isNewlyReleased = false;
-        void this.sendOn(ownedShard, chunk);
+        void this.migrateIfBetter(ownedShard, chunk);
       }
     }
   }
 
-  private async sendOn(ownedShard: OwnedShard, chunk: Chunk): Promise<void> {
+  /** Whether the peers should be asked about the chunk: newly released, or blocked for long. */
+  private isDue(chunk: Chunk, now: number): boolean {
+    const threshold = this.threshold(chunk.spec);
+    if (!chunk.isNewlyReleased) {
+      if (chunk.blockedSince === null || now - chunk.blockedSince < threshold) return false;
+      const pause = Math.max(threshold, this.node.settings.heartbeatInterval);
+      if (now - chunk.peersAskedAt < pause) return false;
+    }
+    return chunk.isMigratable && !this.asking.has(chunk);
+  }
+
+  private async migrateIfBetter(ownedShard: OwnedShard, chunk: Chunk): Promise<void> {
     const { node } = this;
     this.asking.add(chunk);
     try {
@@ -138,12 +155,15 @@
   }
 }
 
-/** The first few of those that may be asked for: by rank, then by when they last were. */
+/**
+ * The first `most` chunks that are due, by rank and then by when the peers were last asked: otherwise the
+ * first few would be asked about again and again, and those behind them never.
+ */
 export function nextMigrationCandidates(
   chunks: Iterable<Chunk>,
   most: number,
-  due: (chunk: Chunk) => boolean,
+  isDue: (chunk: Chunk) => boolean,
 ): Chunk[] {
-  const found = [...chunks].filter(due);
-  return found.sort((a, b) => b.rank - a.rank || a.peersAskedAt - b.peersAskedAt).slice(0, most);
+  const due = [...chunks].filter(isDue);
+  return due.sort((a, b) => b.rank - a.rank || a.peersAskedAt - b.peersAskedAt).slice(0, most);
 }
--- a/src/coordination/peers/gossiper.ts
+++ b/src/coordination/peers/gossiper.ts
@@ -1,4 +1,4 @@
-/** Tells the peers at a steady pace what this node owns, lacks and can spare. */
+/** Sends gossip: at a steady pace the peers are told what this controller leads, lacks and can spare. */
 import type { Clock } from '../../base/clock.js';
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { Settings, Tuning } from '../../protocol/settings.js';
@@ -7,9 +7,10 @@
 import type { Shard } from '../shard/shard.js';
 import type { PeerRegistry } from './peerRegistry.js';
 
+/** Demands for machines, as a shard's estimator gives them. */
 export type Demands = ReturnType<Shard['demand']['demands']>;
 
-/** What is needed of a node. */
+/** The parts of a controller that gossip works with; `Controller` is one. */
 export interface GossipContext {
   settings: Pick<Settings, 'label' | 'heartbeatInterval' | 'workerLease' | 'teams'>;
   tuning: Pick<Tuning, 'idleRatio'>;
@@ -24,13 +25,14 @@
 }
 
 /**
- * How often peers are told, as a ratio to the time between reports. A message to each peer, with all that waits
- * worked out for it, is a tenth of a small controller's work at an eighth of a report.
+ * Time between two messages, as a ratio to the heartbeat interval. At an eighth, a message to each peer, with
+ * the demands worked out for it, would be a tenth of a small controller's work.
  */
 const INTERVAL = 1 / 5;
 
+/** Composes and sends this controller's gossip. */
 export class Gossiper {
-  /** What the parts here lacked when the peers were last told of it. */
+  /** The demands of the shards here as of the last message. */
   demands: Demands = [];
   private lastSent = -Infinity;
   private sequence = 0;
@@ -64,7 +66,7 @@
       sequence: ++this.sequence,
       sentAt: clock.wall(),
       stateDemand: state.demand,
-      // One that is leaving wants nothing back.
+      // A draining controller must not be given its shard back.
       isServed: isServed && !drain.isActive,
       shards: this.ownedShards(),
       demands: isServed ? this.demands : [],
@@ -92,7 +94,7 @@
     }));
   }
 
-  /** What teams with a guarantee use here. */
+  /** What the tasks of teams with a guarantee use here. */
   private teamUsage(): Gossip['teamUsage'] {
     const guaranteed = this.node.settings.teams.filter((team) => team.cpus > 0 || team.gpus > 0);
     return guaranteed.map(({ name: team }) => {
@@ -103,18 +105,18 @@
     });
   }
 
-  /** Machines that may be returned. */
+  /** Idle machines that may be released. */
   spareMachines(): string[] {
     const { clock, tuning } = this.node;
     return this.shards.flatMap((shard) => shard.demand.idleMachines(clock.now(), tuning.idleRatio));
   }
 
-  /** Machines that are given up for release. */
+  /** Machines that are lost and should be released. */
   lostMachines(): string[] {
-    const { clock, settings, stateClient: state, stateLeaseTtl: stateTtl } = this.node;
+    const { clock, settings, stateClient, stateLeaseTtl } = this.node;
     const now = clock.now();
-    // Without a word from the state service the network may have left us, and everybody seems lost.
-    if (now - state.lastServed > stateTtl / 2) return [];
+    // Without the state service this controller may be partitioned, and every machine seems lost.
+    if (now - stateClient.lastServed > stateLeaseTtl / 2) return [];
     const boot = (machine: Machine): number =>
       machine.machineType?.bootSeconds ?? settings.workerLease;
     return this.shards.flatMap((shard) => shard.liveness.lostMachines(now, boot, clock.wall()));
--- a/src/coordination/peers/peerRegistry.ts
+++ b/src/coordination/peers/peerRegistry.ts
@@ -1,4 +1,4 @@
-/** What this node knows of the others, and its calls to them. */
+/** What this controller knows of the others by their gossip, and its calls to them. */
 import type { Clock } from '../../base/clock.js';
 import { decodeAnswer, encodeRequest, encodeSpec } from '../../protocol/peerCodec.js';
 import type {
@@ -12,110 +12,122 @@
 import type { JobSpec } from '../../protocol/job.js';
 import type { PeerClient } from '../../transport/peerLink.js';
 
+/** Peers whose last gossip is older than this share of its validity are not asked for estimates. */
+const REACHABLE_SHARE = 0.4;
+
 interface Peer {
   label: string;
   zone: string;
   client: PeerClient;
   gossip: Gossip | null;
-  heard: number;
+  /** Steady time of the last gossip. */
+  heardAt: number;
+  /** Steady time since which the state service has served it; null: it does not. */
   servedSince: number | null;
 }
 
+/** The other controllers of the deployment. */
 export class PeerRegistry {
   private readonly peers = new Map<string, Peer>();
 
   constructor(
     private readonly clock: Clock,
-    /** Gossip older than this says nothing. */
+    /** Seconds after which gossip is ignored. */
     private readonly fresh: number,
-    /** How far apart two nodes' times of day may be. */
+    /** Seconds by which two controllers' times of day may differ. */
     private readonly skew: number,
     peers: { label: string; zone: string; client: PeerClient }[],
   ) {
-    for (const p of peers) {
-      this.peers.set(p.label, { ...p, gossip: null, heard: -Infinity, servedSince: null });
+    for (const peer of peers) {
+      this.peers.set(peer.label, { ...peer, gossip: null, heardAt: -Infinity, servedSince: null });
     }
   }
 
+  /** The labels of all peers. */
   get labels(): string[] {
     return [...this.peers.keys()];
   }
 
+  /** Closes all connections. */
   close(): void {
     for (const peer of this.peers.values()) peer.client.close();
   }
 
+  /** Takes a peer's gossip, unless it is late or older than what is known (safety, T12). */
   note(gossip: Gossip): void {
     const peer = this.peers.get(gossip.from);
     if (peer === undefined) return;
     const now = this.clock.now();
-    // A cut holds messages back and delivers them late, from earlier starts of the peer as well: what
-    // they say of machines to return, of tokens and of teams is long past.
+    // After a partition messages arrive late, also those of earlier starts of the peer: what they say
+    // of machines to release, of fencing tokens and of teams is outdated.
     const before = peer.gossip;
-    const stale = this.isLate(gossip.sentAt);
-    const behind =
+    const isStale = this.isLate(gossip.sentAt);
+    const isOutdated =
       before !== null &&
       (before.process === gossip.process
         ? gossip.sequence <= before.sequence
         : gossip.sentAt < before.sentAt - 2 * this.skew);
-    if (stale || behind) return;
-    if (!gossip.isServed || now - peer.heard > this.fresh) peer.servedSince = null;
+    if (isStale || isOutdated) return;
+    if (!gossip.isServed || now - peer.heardAt > this.fresh) peer.servedSince = null;
     if (gossip.isServed) peer.servedSince ??= now;
     peer.gossip = gossip;
-    peer.heard = now;
+    peer.heardAt = now;
   }
 
   private isFresh(peer: Peer): boolean {
-    return this.clock.now() - peer.heard <= this.fresh;
+    return this.clock.now() - peer.heardAt <= this.fresh;
   }
 
-  /** Has been up, in reach and served by the state service for this long. */
+  /** Whether the peer has been up, reachable and served by the state service for this long. */
   steady(label: string, seconds: number): boolean {
     const peer = this.peers.get(label);
     if (peer?.servedSince === null || peer === undefined || !this.isFresh(peer)) return false;
     return this.clock.now() - peer.servedSince >= seconds;
   }
 
-  /** Nodes that the state service serves, as far as we know. */
+  /** The peers that the state service serves, by their gossip. */
   served(): string[] {
     return [...this.peers.values()]
       .filter((p) => this.isFresh(p) && p.gossip?.isServed === true)
       .map((p) => p.label);
   }
 
-  /** The process that a node's messages come from lately; null: it has not been heard of. */
+  /** The process that a peer's messages come from; null: there has been no gossip lately. */
   processOf(label: string): string | null {
     const peer = this.peers.get(label);
     return peer !== undefined && this.isFresh(peer) ? (peer.gossip?.process ?? null) : null;
   }
 
+  /** The latest gossip of each peer, where it is fresh. */
   gossips(): Gossip[] {
     return [...this.peers.values()].flatMap((p) =>
       p.gossip !== null && this.isFresh(p) ? [p.gossip] : [],
     );
   }
 
-  /** What the others ask of the state service. */
+  /** The peers' demands on the state service. */
   needs(): Gossip['stateDemand'][] {
     return this.gossips().map((g) => g.stateDemand);
   }
 
+  /** The demands for machines of all peers' shards. */
   demands(): Demand[] {
     return this.gossips().flatMap((g) => g.demands);
   }
 
-  /** Who hosts a part, by the peers' own word. */
+  /** Who leads a shard, by the peers' gossip; the highest fencing token counts. */
   hostOf(shard: string): { label: string; fencingToken: number } | null {
     let best: { label: string; fencingToken: number } | null = null;
     for (const gossip of this.gossips()) {
-      const host = gossip.shards.find((h) => h.shard === shard);
-      if (host !== undefined && host.fencingToken > (best?.fencingToken ?? -1)) {
-        best = { label: gossip.from, fencingToken: host.fencingToken };
+      const announced = gossip.shards.find((candidate) => candidate.shard === shard);
+      if (announced !== undefined && announced.fencingToken > (best?.fencingToken ?? -1)) {
+        best = { label: gossip.from, fencingToken: announced.fencingToken };
       }
     }
     return best;
   }
 
+  /** Sends gossip to all peers, without waiting for their answers. */
   gossip(gossip: Gossip, timeout: number): void {
     const body = encodeRequest({ Gossip: gossip });
     for (const peer of this.peers.values()) {
@@ -124,8 +136,8 @@
   }
 
   /**
-   * Asks all peers at once; those that are silent for `timeout` are ignored, and so are, without a
-   * question, those whose gossip has stopped: else each submission during a cut waits for the timeout.
+   * Asks all peers at once for turnaround estimates (DESIGN); those silent for `timeout` are ignored. Peers
+   * whose gossip has stopped are not asked: each submission in a partition would wait for the timeout.
    */
   async ask(
     spec: JobSpec,
@@ -134,10 +146,10 @@
     timeout: number,
   ): Promise<(TurnaroundEstimate & { node: string })[]> {
     const body = encodeRequest({ Ask: { spec: encodeSpec(spec), zone, tasks } });
-    const talking = [...this.peers.values()].filter(
-      (p) => this.clock.now() - p.heard <= this.fresh * 0.4,
+    const reachable = [...this.peers.values()].filter(
+      (p) => this.clock.now() - p.heardAt <= this.fresh * REACHABLE_SHARE,
     );
-    const calls = talking.map(async (peer) => {
+    const calls = reachable.map(async (peer) => {
       try {
         const answer = decodeAnswer(await peer.client.call(body, timeout));
         if (!('Estimates' in answer)) return [];
@@ -149,14 +161,14 @@
     return (await Promise.all(calls)).flat();
   }
 
-  /** A late message may tell of a cancellation that was long given up. */
+  /** Whether a message sent at this time of day is late: what it says may have been given up since. */
   isLate(at: number): boolean {
     return this.clock.wall() - at > this.fresh + 2 * this.skew;
   }
 
   /**
-   * Tells all peers that a job is about to be cancelled. `note` takes their answers as they come and says
-   * whether they are enough; false when they were not.
+   * Announces a cancellation to all peers. `note` takes each answer and says whether the answers so far are
+   * enough; the result is false if they never were.
    */
   prepareCancel(
     job: string,
@@ -170,7 +182,7 @@
           const answer = decodeAnswer(await client.call(body, timeout));
           if ('PreparedChunks' in answer && note(answer.PreparedChunks.of)) resolve(true);
         } catch {
-          // Out of reach: what it has is not known to have ended.
+          // Unreachable: its tasks are not known to have ended.
         }
       });
       void Promise.all(calls).then(() => {
@@ -179,6 +191,7 @@
     });
   }
 
+  /** Forwards a request to a peer; null if it does not answer. */
   async relay(label: string, relay: Relay, timeout: number): Promise<Relayed | null> {
     const peer = this.peers.get(label);
     if (peer === undefined) return null;
--- a/src/coordination/quota/clusterTotals.ts
+++ b/src/coordination/quota/clusterTotals.ts
@@ -1,17 +1,18 @@
-/** Sums over all parts: those owned here by our own count, the others by their owners' last gossip. */
+/** Sums over all shards: those led here by their own counts, the others by their leaders' last gossip. */
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { OwnedQuotaShard } from './quotaContext.js';
 import type { TeamResources, StarvedJob } from './teamUsage.js';
 
+/** Usage, starved jobs and headroom of the whole cluster. */
 export class ClusterTotals {
   constructor(
     private readonly ownedShards: ReadonlyMap<string, OwnedQuotaShard>,
     private readonly peers: { gossips(): Gossip[] },
-    /** The zone of each part's node. */
+    /** The zone of each shard. */
     private readonly zoneOf: ReadonlyMap<string, string>,
   ) {}
 
-  /** What a team's tasks take at all parts but one. */
+  /** What a team's tasks use at all shards but one. */
   usedElsewhere(team: string, except: string): TeamResources {
     const used = { cpus: 0, gpus: 0 };
     const add = (amount: TeamResources): void => {
@@ -21,13 +22,13 @@
     for (const { shard } of this.ownedShards.values()) {
       if (shard.label !== except) add(shard.teamUsage.usedBy(team));
     }
-    for (const { teamUsage: entries } of this.peers.gossips()) {
-      for (const entry of entries) if (entry.team === team) add(entry);
+    for (const { teamUsage } of this.peers.gossips()) {
+      for (const entry of teamUsage) if (entry.team === team) add(entry);
     }
     return used;
   }
 
-  /** The first in the queue's order of a team's starved jobs, of all parts but one. */
+  /** The first in queue order of a team's starved jobs, of all shards but one; null: there is none. */
   starvedElsewhere(team: string, except: string): StarvedJob | null {
     const here = [...this.ownedShards.values()].flatMap(({ shard }) =>
       shard.label === except ? [] : [...shard.scheduler.starvedJobs.values()],
@@ -41,7 +42,7 @@
     return first;
   }
 
-  /** Processors for live services in the parts of a zone. */
+  /** CPUs for live services in the shards of a zone. */
   serviceHeadroomIn(zone: string): number {
     const isThere = (shard: string): boolean => this.zoneOf.get(shard) === zone;
     let cpus = 0;
@@ -49,8 +50,9 @@
       if (isThere(shard.label)) cpus += shard.demand.serviceHeadroom();
     }
     for (const gossip of this.peers.gossips()) {
-      for (const host of gossip.shards) {
-        if (isThere(host.shard) && !this.ownedShards.has(host.shard)) cpus += host.serviceHeadroom;
+      for (const announced of gossip.shards) {
+        if (isThere(announced.shard) && !this.ownedShards.has(announced.shard))
+          cpus += announced.serviceHeadroom;
       }
     }
     return cpus;
--- a/src/coordination/quota/quotaShares.ts
+++ b/src/coordination/quota/quotaShares.ts
@@ -1,6 +1,6 @@
 /**
- * Team limits across parts: shares of each limit are handed out in the state service, and their sum
- * never passes the limit. A part uses no more than its share, whatever may still run included.
+ * Team limits across shards: each shard has a stored share of each limit, and the sum of the shares never
+ * exceeds the limit. A shard uses no more than its share, including what may still run.
  */
 import { describe, log } from '../../base/log.js';
 import type { Team } from '../../protocol/settings.js';
@@ -18,10 +18,10 @@
 });
 
 /**
- * The shares after one part has taken what it needs, from what is unshared only. What is used may be more than
- * the part's share: an adopter counts tasks whose ends its predecessor had not stored, and a share raised to
- * that would be the room for others once the ends are known, beyond the limit. Pure, so that the sum can be
- * tested.
+ * The shares after one shard has taken what it wants of what no shard has. Its usage may exceed its share:
+ * after a failover the new leader counts tasks whose ends the last one had not stored. A share raised to that
+ * usage could exceed the limit together with the others' once the ends are known. A pure function, so that
+ * the sum can be tested.
  */
 export function reshare(
   shares: QuotaRecord,
@@ -42,22 +42,23 @@
   return { ...shares, [shard]: mine };
 }
 
-/** A smaller share that may be stored already: binds until the record has a higher stamp than `stamp`. */
+/** A reduced share that may be stored already: it binds until the record has a revision above `revision`. */
 interface PendingReduction {
   share: TeamResources;
   revision: number;
 }
 
+/** Usable shares of this controller's shards, and their rebalancing. */
 export class QuotaShares<Owned extends OwnedQuotaShard = OwnedQuotaShard> {
-  private busy = false;
-  /** By team and part. */
+  private isBalancing = false;
+  /** By shard and team. */
   private readonly reductions = new Map<string, PendingReduction>();
 
   constructor(private readonly node: QuotaContext<Owned>) {}
 
-  /** How much of a team's limit a part may use; null: there is no limit. */
+  /** How much of a team's limit a shard may use; null: there is no limit. */
   allowance(shard: string, name: string): TeamResources | null {
-    const team = this.node.settings.teams.find((t) => t.name === name);
+    const team = this.node.settings.teams.find(({ name: other }) => other === name);
     if (team === undefined) return null;
     const limit = limitOf(team);
     if (!isLimited(limit)) return null;
@@ -68,7 +69,7 @@
     };
   }
 
-  /** The stored share, or less where a reduction of it is on its way. */
+  /** The stored share, or less while a reduction of it is being stored. */
   private usableShare(shard: string, team: string): TeamResources {
     const stored = this.node.stateCache.get(keys.quota(team));
     const share = (stored?.value as QuotaRecord | undefined)?.[shard] ?? noTeamResources();
@@ -77,10 +78,10 @@
     return smaller(share, reduction.share);
   }
 
-  /** Takes share for what waits here, and gives back what others are short of. */
+  /** Takes shares for work that is queued here, and gives back what other shards are short of. */
   async balance(): Promise<void> {
-    if (this.busy || !this.node.leadership.isLeaseValid) return;
-    this.busy = true;
+    if (this.isBalancing || !this.node.leadership.isLeaseValid) return;
+    this.isBalancing = true;
     try {
       for (const team of this.node.settings.teams) {
         const limit = limitOf(team);
@@ -91,43 +92,52 @@
     } catch (error) {
       log.debug(`quotas: ${describe(error)}`);
     } finally {
-      this.busy = false;
+      this.isBalancing = false;
     }
   }
 
   private async balanceTeam(team: Team, label: string, limit: TeamResources): Promise<void> {
     const ownedShard = this.node.ownedShards.get(label);
     if (ownedShard === undefined) return;
-    const { shard } = ownedShard;
+    const { teamUsage, scheduler } = ownedShard.shard;
     const key = keys.quota(team.name);
     const stored = this.node.stateCache.get(key);
     const revision = stored?.revision ?? 0;
     const shares = (stored?.value ?? {}) as QuotaRecord;
-    const used = shard.teamUsage.usedBy(team.name);
-    const want = shard.scheduler.wanted(team.name);
-    const wanted = reshare(shares, label, used, want, limit);
+    const used = teamUsage.usedBy(team.name);
+    const newShares = reshare(shares, label, used, scheduler.wanted(team.name), limit);
     const before = this.usableShare(label, team.name);
-    const after = wanted[label] ?? before;
-    const isMore = after.cpus > before.cpus || after.gpus > before.gpus;
-    const isLess = after.cpus < before.cpus || after.gpus < before.gpus;
-    if (!isMore && !(isLess && this.isThrottledElsewhere(team.name))) return;
-    // What shrinks binds at once, before it is stored; what grows may be used only once it is stored.
+    const after = newShares[label] ?? before;
+    const mayReduce = isBelow(after, before) && this.isThrottledElsewhere(team.name);
+    if (!isBelow(before, after) && !mayReduce) return;
+    // A reduction binds at once, before it is stored; an increase only once it is stored.
     this.reductions.set(reductionKey(label, team.name), {
       share: smaller(before, after),
       revision,
     });
+    await this.store(ownedShard, key, newShares, revision);
+  }
+
+  /** Stores new shares if nobody has changed them; otherwise reads them again. */
+  private async store(
+    ownedShard: Owned,
+    key: string,
+    shares: QuotaRecord,
+    revision: number,
+  ): Promise<void> {
+    const { persistence, stateCache, stateClient } = this.node;
     const transaction: Transaction = {
       conditions: [{ key, revision }],
-      puts: [{ key, value: wanted }],
+      puts: [{ key, value: shares }],
       deletes: [],
     };
-    const result = await this.node.persistence.write(ownedShard, transaction);
+    const result = await persistence.write(ownedShard, transaction);
     if (result.kind === 'applied') {
-      this.node.stateCache.note(key, wanted, result.revision);
+      stateCache.note(key, shares, result.revision);
       return;
     }
-    const item = await this.node.stateClient.get(key);
-    if (item !== null) this.node.stateCache.note(key, item.value, item.revision);
+    const item = await stateClient.get(key);
+    if (item !== null) stateCache.note(key, item.value, item.revision);
   }
 
   private isThrottledElsewhere(team: string): boolean {
@@ -138,6 +148,10 @@
 const isLimited = (limit: TeamResources): boolean =>
   Number.isFinite(limit.cpus) || Number.isFinite(limit.gpus);
 
+/** Whether one amount is below the other in either resource. */
+const isBelow = (one: TeamResources, other: TeamResources): boolean =>
+  one.cpus < other.cpus || one.gpus < other.gpus;
+
 const reductionKey = (shard: string, team: string): string => `${shard} ${team}`;
 
 const smaller = (one: TeamResources, other: TeamResources): TeamResources => ({
--- a/src/coordination/quota/teamUsage.ts
+++ b/src/coordination/quota/teamUsage.ts
@@ -1,23 +1,23 @@
-/** What teams' tasks use of a part, against their limits and guarantees. */
+/** What teams' tasks use of a shard, against their limits and guarantees. */
 import type { JobSpec } from '../../protocol/job.js';
 
-/** Processors and accelerators. */
+/** CPUs and accelerators. */
 export interface TeamResources {
   cpus: number;
   gpus: number;
 }
 
-/** What a part has to know of the rest of the cluster. */
+/** What a shard has to know of the rest of the cluster. */
 export interface ClusterView {
-  /** How much of a team's limit this part may use; null: no limit. */
+  /** How much of a team's limit this shard may use; null: no limit. */
   allowance(team: string): TeamResources | null;
   /** What a team is guaranteed; 0: nothing. */
   guarantee(team: string): TeamResources;
-  /** What a team's tasks take at the other parts, as last heard. */
+  /** What a team's tasks use at the other shards, by the last gossip. */
   usedElsewhere(team: string): TeamResources;
-  /** The first of a team's jobs that waits too long for the team's limit at another part. */
+  /** The first of a team's jobs that is starved by the team's limit at another shard; null: none is. */
   starvedElsewhere(team: string): StarvedJob | null;
-  /** The highest rank of the jobs that need a job; below every rank when none does. */
+  /** The highest rank of the jobs that depend on a job; below every rank when none does. */
   inheritedRank(job: string): number;
 }
 
@@ -29,9 +29,10 @@
   rank: number;
 }
 
+/** Nothing of both; a new object each time. */
 export const noTeamResources = (): TeamResources => ({ cpus: 0, gpus: 0 });
 
-/** The view of a part that is the only one. */
+/** The view of a shard that is the only one. */
 export const singleShardView: ClusterView = {
   allowance: () => null,
   guarantee: noTeamResources,
@@ -43,13 +44,14 @@
 /** Room for rounding where amounts are added and taken away again. */
 const EPSILON = 1e-6;
 
+/** What each team's tasks use of one shard. */
 export class TeamUsage {
   /** Kept up to date, since each decision asks for it. */
   private readonly used = new Map<string, TeamResources>();
 
   constructor(private readonly cluster: ClusterView) {}
 
-  /** So many more tasks of it stay within this part's share of its team's limit. */
+  /** Whether so many more tasks of the job stay within this shard's share of its team's limit. */
   withinAllowance(spec: JobSpec, tasks = 1): boolean {
     const allowance = this.cluster.allowance(spec.team);
     if (allowance === null) return true;
@@ -66,7 +68,7 @@
     return { cpus: here.cpus + there.cpus, gpus: here.gpus + there.gpus };
   }
 
-  /** One more task of it stays within its team's guarantee. */
+  /** Whether one more task of the job stays within its team's guarantee. */
   isEntitled(spec: JobSpec): boolean {
     const guarantee = this.cluster.guarantee(spec.team);
     if (guarantee.cpus === 0 && guarantee.gpus === 0) return false;
@@ -84,12 +86,12 @@
     return { cpus: used.cpus - guarantee.cpus, gpus: used.gpus - guarantee.gpus };
   }
 
-  /** What a team's tasks take here, those that may still run included. */
+  /** What a team's tasks use here, including those that may still run. */
   usedBy(team: string): Readonly<TeamResources> {
     return this.used.get(team) ?? noTeamResources();
   }
 
-  /** Counts tasks that have been placed here, or, below zero, are over. */
+  /** Counts tasks that have been placed here, or, below zero, have ended. */
   add(spec: JobSpec, tasks: number): void {
     const used = this.used.get(spec.team) ?? noTeamResources();
     this.used.set(spec.team, used);
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -44,8 +44,8 @@
 /** Below every rank: work that its team only borrows the room for, against an entitled team. */
 const BORROWED_RANK = -1;
 
-/** How long a service waits for a preemption at its image, as a ratio to the heartbeat interval. */
-const IMAGE_PREEMPTION_WINDOW = 1 / 6;
+/** The heartbeat interval divided by how long a service waits for a preemption at its image. */
+const IMAGE_PREEMPTION_DIVISOR = 6;
 
 /** The rank up to which a chunk may preempt: its own, whatever rank it has inherited. */
 const preemptingRank = (chunk: Chunk): number => rankOrder[chunk.spec.rank];
@@ -86,7 +86,7 @@
   makeRoomAtImage(chunk: Chunk, now: number): boolean {
     const { spec, preemptingSince } = chunk;
     if (chunk.pendingCount === 0) return false;
-    const window = this.heartbeatInterval * IMAGE_PREEMPTION_WINDOW;
+    const window = this.heartbeatInterval / IMAGE_PREEMPTION_DIVISOR;
     if (preemptingSince !== null && now - preemptingSince > window) return false;
     const machines = this.machinesWithImage(chunk, now);
     if (machines.some((machine) => fits(machine.free, spec))) return false;
