--- /dev/null
+++ b/src/coordination/leadership/leaderRecords.ts
@@ -0,0 +1,153 @@
+/**
+ * The stored leader records. A leader's record stands under the leader's lease; fencing tokens come from one counter, so
+ * that any new leadership has a token above every earlier one.
+ */
+import { sleep, type Clock } from '../../base/clock.js';
+import type { KeyValue } from '../../protocol/stateProtocol.js';
+import { keys, type FencingTokenRecord, type LeaderRecord } from '../../storage/records.js';
+import type { StateCache } from '../../storage/stateCache.js';
+import type { StateClient, TransactionResult } from '../../storage/stateClient.js';
+import { lastLeadersAfterHandOver, previousLeaders } from './lastLeaders.js';
+import type { StateLease } from './stateLease.js';
+
+/** How often a record that is handed over is tried to be removed. */
+const MAX_REMOVAL_ATTEMPTS = 5;
+
+/** This node's leadership of one shard. */
+export interface Leadership {
+  fencingToken: number;
+  /** The revision of the leader record. */
+  revision: number;
+  /**
+   * Time of day at which the last node but this lost the shard without handing it over: it may still answer
+   * the shard's workers for a while. 0: there is none. A restart of this node changes nothing of it.
+   */
+  previousLeaderLostAt: number;
+}
+
+/** Who writes the records. */
+export interface LeaderRecordsOptions {
+  label: string;
+  process: string;
+  /** The lease at the state service, in seconds. */
+  leaseTtl: number;
+  /** Seconds for which a node may answer workers after its lease. */
+  leaderGracePeriod: number;
+}
+
+/** Writes and removes leader records, each in one transaction with the fencing token counter. */
+export class LeaderRecords {
+  constructor(
+    private readonly client: Pick<StateClient, 'get' | 'transact'>,
+    private readonly stateCache: Pick<StateCache, 'note' | 'noteRemoved'>,
+    private readonly clock: Pick<Clock, 'wall'>,
+    private readonly lease: Pick<StateLease, 'id'>,
+    private readonly options: LeaderRecordsOptions,
+  ) {}
+
+  /**
+   * Makes this node the leader with the next fencing token if `mayWrite` accepts the stored record and its revision (0:
+   * there is none). Null where that was not possible just now.
+   */
+  async write(
+    shard: string,
+    mayWrite: (leader: LeaderRecord | null, revision: number) => boolean,
+  ): Promise<Leadership | null> {
+    const key = keys.owner(shard);
+    const counter = await this.client.get(keys.token);
+    const before = await this.client.get(key);
+    const leader = (before?.value ?? null) as LeaderRecord | null;
+    const beforeRevision = before?.revision ?? 0;
+    const leaseId = this.lease.id;
+    if (!mayWrite(leader, beforeRevision) || leaseId === null) {
+      if (before !== null) this.stateCache.note(key, before.value, before.revision);
+      return null;
+    }
+    const { label: node, process } = this.options;
+    const { tokens, previousLeaderLostAt } = this.advance(counter, shard);
+    const record: LeaderRecord = { node, fencingToken: tokens.lastToken, process };
+    const result = await this.client.transact(
+      {
+        conditions: [
+          { key: keys.token, revision: counter?.revision ?? 0 },
+          { key, revision: beforeRevision },
+        ],
+        puts: [
+          { key: keys.token, value: tokens },
+          { key, value: record, leaseId },
+        ],
+        deletes: [],
+      },
+      'ownership',
+    );
+    const revision = await this.writtenRevision(key, record, result);
+    if (revision === null) return null;
+    this.stateCache.note(key, record, revision);
+    return { fencingToken: record.fencingToken, revision, previousLeaderLostAt };
+  }
+
+  /** Removes this node's record, for the shard's home node or, with `isForAnyPeer`, for whoever claims it first. */
+  async remove(
+    shard: string,
+    { fencingToken, revision }: Leadership,
+    isForAnyPeer: () => boolean,
+  ): Promise<void> {
+    const key = keys.owner(shard);
+    for (let attempt = 0; attempt < MAX_REMOVAL_ATTEMPTS; attempt++) {
+      const counter = await this.client.get(keys.token);
+      const tokens = (counter?.value ?? { lastToken: fencingToken }) as FencingTokenRecord;
+      const lastLeaders = lastLeadersAfterHandOver(tokens.lastLeaders, shard, isForAnyPeer());
+      const value: FencingTokenRecord = { ...tokens, lastLeaders };
+      const result = await this.client.transact(
+        {
+          conditions: [
+            { key, revision },
+            { key: keys.token, revision: counter?.revision ?? 0 },
+          ],
+          puts: [{ key: keys.token, value }],
+          deletes: [key],
+        },
+        'ownership',
+      );
+      if (result.kind === 'applied') this.stateCache.noteRemoved(key, result.revision);
+      if (result.kind === 'applied') return;
+      if (result.kind === 'conflict' && result.failed.includes(key)) return;
+      await sleep(this.options.leaseTtl / 10);
+    }
+  }
+
+  /** The fencing token counter after this node has become the shard's leader. */
+  private advance(
+    counter: KeyValue | null,
+    shard: string,
+  ): { tokens: FencingTokenRecord; previousLeaderLostAt: number } {
+    const { label: node, leaderGracePeriod } = this.options;
+    const before = (counter?.value ?? { lastToken: 0 }) as FencingTokenRecord;
+    const lostAtByNode = previousLeaders(
+      before.lastLeaders?.[shard],
+      node,
+      this.clock.wall(),
+      leaderGracePeriod,
+    );
+    const lastLeaders = { ...before.lastLeaders, [shard]: { node, lostAtByNode } };
+    return {
+      tokens: { lastToken: before.lastToken + 1, lastLeaders },
+      previousLeaderLostAt: Math.max(0, ...Object.values(lostAtByNode)),
+    };
+  }
+
+  /** The revision at which the record was written; null: it was not. */
+  private async writtenRevision(
+    key: string,
+    { fencingToken, process }: LeaderRecord,
+    result: TransactionResult,
+  ): Promise<number | null> {
+    if (result.kind === 'applied') return result.revision === 0 ? null : result.revision;
+    if (result.kind !== 'unknown' && result.kind !== 'conflict') return null;
+    // It may have been applied all the same.
+    const stored = await this.client.get(key);
+    const leader = stored?.value as LeaderRecord | undefined;
+    const isOurs = leader?.fencingToken === fencingToken && leader.process === process;
+    return stored !== null && isOurs ? stored.revision : null;
+  }
+}
--- a/src/coordination/leadership/recordFollower.ts
+++ b/src/coordination/leadership/recordFollower.ts
@@ -15,7 +15,12 @@
 } from '../../storage/records.js';
 import type { OwnedShard } from './ownedShard.js';
 import type { ShardLoader } from './shardLoader.js';
-import type { Pipelines } from '../pipelines/pipelines.js';
+
+/** Follows the records of jobs. */
+export interface JobFollower {
+  /** A job's record has changed. */
+  note(id: string, record: JobRecord): void;
+}
 
 /** What is needed of a node. */
 export interface RecordFollowerContext {
@@ -24,7 +29,7 @@
   inventory: MachineInventory;
   chunkIndex: ChunkIndex;
   nodeCapabilities: NodeCapabilities;
-  pipelines: Pick<Pipelines, 'note'>;
+  pipelines: JobFollower;
   /** Follows the records of staged upgrades. */
   noteRollout(change: KeyValueChange): void;
   ownedShards: ReadonlyMap<string, OwnedShard>;
--- a/src/coordination/leadership/shardLoader.ts
+++ b/src/coordination/leadership/shardLoader.ts
@@ -6,12 +6,23 @@
 import type { StateCache } from '../../storage/stateCache.js';
 import type { StateClient } from '../../storage/stateClient.js';
 import type { RecordFormat } from '../../storage/recordFormat.js';
-import type { JobPersistence } from '../persistence/jobPersistence.js';
 import { createOwnedShard, type HomeJob, type OwnedShard } from './ownedShard.js';
 import type { Leadership } from './shardLeadership.js';
 import type { Shard } from '../shard/shard.js';
 import { Bucket } from '../persistence/bucket.js';
-import type { CancellationPreparations } from '../jobs/cancellationPreparations.js';
+import type { Chunk } from '../model/chunk.js';
+
+/** Applies cancellations that are being prepared. */
+export interface ChunkCancellation {
+  /** A chunk has just come to a shard that this node leads. */
+  apply(ownedShard: OwnedShard, chunk: Chunk): void;
+}
+
+/** Creates the chunks of jobs. */
+export interface ChunkCreation {
+  /** Creates those chunks of a home job that are not stored yet. */
+  acceptMissing(ownedShard: OwnedShard, job: HomeJob): void;
+}
 
 /** What is needed of a node. */
 export interface ShardLoaderContext {
@@ -19,8 +30,8 @@
   inventory: Pick<MachineInventory, 'of'>;
   stateCache: Pick<StateCache, 'get' | 'entriesWithPrefix' | 'noteRemoved'>;
   stateClient: Pick<StateClient, 'get'>;
-  cancellationPreparations: Pick<CancellationPreparations, 'apply'>;
-  persistence: Pick<JobPersistence, 'acceptMissing'>;
+  cancellationPreparations: ChunkCancellation;
+  persistence: ChunkCreation;
   recordFormat: RecordFormat;
   requestSchedulingRound(): void;
 }
