--- /dev/null
+++ b/test/autoscaling/scaleOutPlan.test.ts
@@ -0,0 +1,86 @@
+/** Which machines are launched for demands. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import {
+  mergePlans,
+  planScaleOut,
+  type ScaleOutPlan,
+} from '../../src/coordination/autoscaling/scaleOutPlan.js';
+
+const type = (name: string, cpus: number, price: number, spotPrice: number, boot: number) => ({
+  name,
+  cpus,
+  gpus: 0,
+  memoryGb: cpus * 4,
+  fetchGbPerSecond: 1,
+  cacheGb: 50,
+  price,
+  spotPrice,
+  bootSeconds: boot,
+  zones: ['a', 'b'],
+});
+
+test('renting: the cheapest kind for the work, within what a job allows', () => {
+  const outOfStock = new Set<string>();
+  const context = {
+    machineTypes: [type('small', 4, 0.2, 0.08, 50), type('large', 32, 1.9, 0.7, 15)],
+    isOutOfStock: (t: string, zone: string, spot: boolean) =>
+      outOfStock.has(`${t}/${zone}/${spot}`),
+    shardFor: () => 'p',
+    zoneOf: () => 'a',
+    pending: [] as ScaleOutPlan[],
+    batchWindow: 60,
+    serviceHorizon: 600,
+    promptHorizon: 60,
+  };
+  const demand = {
+    shard: 'p',
+    cpus: 4,
+    gpus: 0,
+    memoryGb: 4,
+    machineTypes: null,
+    zone: null,
+    allowsSpot: true,
+    rank: 'normal',
+    isService: true,
+    image: 'i',
+    imageGb: 1,
+    count: 1,
+    isUrgent: false,
+    onDemandCount: 0,
+    expectedRunSeconds: 0,
+  };
+  const kinds = (d: typeof demand): string[] =>
+    planScaleOut([d], context).map((p) => `${p.count} ${p.type}/${p.zone}/${p.spot}`);
+  assert.deepEqual(kinds(demand), ['1 small/a/true']);
+  assert.deepEqual(kinds({ ...demand, allowsSpot: false, count: 8 }), ['8 small/a/false']);
+  assert.deepEqual(kinds({ ...demand, zone: 'b' as unknown as null }), ['1 small/b/true']);
+  assert.deepEqual(kinds({ ...demand, cpus: 5 }), ['1 large/a/true']);
+  assert.deepEqual(kinds({ ...demand, cpus: 64 }), []);
+  // Replicas that wait get what boots sooner, where it is not much dearer.
+  assert.deepEqual(kinds({ ...demand, allowsSpot: false, count: 8, isUrgent: true }), [
+    '1 large/a/false',
+  ]);
+  // What is on its way and not counted yet is not rented once more.
+  const plan = { shard: 'p', type: 'large', zone: 'a', spot: true, count: 1 };
+  const pending: [string, Partial<ScaleOutPlan>, number, string[]][] = [
+    ['holds all of it', {}, 8, []],
+    ['holds some of it', {}, 10, ['2 small/a/true']],
+    ['goes to another part', { shard: 'q' }, 8, ['8 small/a/true']],
+  ];
+  for (const [name, change, count, rented] of pending) {
+    context.pending = [{ ...plan, ...change }];
+    assert.deepEqual(kinds({ ...demand, count }), rented, name);
+  }
+  context.pending = [];
+  outOfStock.add('small/a/true');
+  assert.deepEqual(kinds(demand), ['1 small/b/true']);
+  // Where no cheap machine is left, only what could not be through in time has machines at full price.
+  outOfStock.add('small/b/true').add('large/a/true').add('large/b/true');
+  const batch = { ...demand, isService: false, expectedRunSeconds: 30, count: 80 };
+  assert.deepEqual(kinds(batch), []);
+  assert.deepEqual(kinds({ ...batch, onDemandCount: 8 }), ['1 large/a/false']);
+  for (const kind of ['small/b/true', 'large/a/true', 'large/b/true']) outOfStock.delete(kind);
+  const merged = mergePlans(planScaleOut([demand, { ...demand, count: 2 }], context));
+  assert.equal(merged.length, 1);
+});
--- /dev/null
+++ b/test/model/chunking.test.ts
@@ -0,0 +1,87 @@
+/** How jobs are cut into chunks. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import {
+  chunkRanges,
+  chunkSize,
+  mayCreateChunk,
+  totalChunks,
+  zonesFor,
+} from '../../src/coordination/model/chunking.js';
+import type { JobRecord } from '../../src/storage/records.js';
+import { spec } from '../support/spec.js';
+
+test('chunks cover all tasks once, and a spread job has at most half in a zone', () => {
+  for (const tasks of [1, 2, 3, 5, 9, 100]) {
+    for (const size of [1, 2, 3, 50, 200]) {
+      for (const zones of [[], ['a'], ['a', 'b']]) {
+        const ranges = chunkRanges(tasks, size, zones);
+        const record = { spec: spec({ taskCount: tasks }), chunkSize: size, zones } as JobRecord;
+        assert.equal(totalChunks(record), ranges.length);
+        const seen = ranges.flatMap((r) =>
+          Array.from({ length: r.endTask - r.firstTask }, (_, i) => r.firstTask + i),
+        );
+        assert.deepEqual(seen, [...Array(tasks).keys()]);
+        assert.ok(ranges.every((r) => r.endTask - r.firstTask <= size));
+        if (zones.length < 2) continue;
+        for (const zone of zones) {
+          const there = ranges.filter((r) => r.zone === zone);
+          const count = there.reduce((n, r) => n + r.endTask - r.firstTask, 0);
+          assert.ok(count <= Math.ceil(tasks / 2), `${count} of ${tasks} in ${zone}`);
+        }
+      }
+    }
+  }
+});
+
+test('zones that jobs are held to', () => {
+  const cases: [Parameters<typeof spec>[0], string[], string[]][] = [
+    [{}, ['a', 'b'], []],
+    [{ spreadZones: true }, ['b', 'a'], ['b', 'a']],
+    [{ sameZone: true }, ['b', 'a'], ['b']],
+    [{ spreadZones: true, zone: 'a' }, ['b', 'a'], ['a', 'a']],
+    [{ spreadZones: true, sameZone: true }, ['b', 'a'], ['b', 'b']],
+    [{ spreadZones: true }, ['a'], ['a', 'a']],
+  ];
+  for (const [changes, byRoom, expected] of cases) {
+    assert.deepEqual(zonesFor(spec(changes), byRoom), expected, JSON.stringify(changes));
+  }
+});
+
+test('the second half of a spread job in one zone waits for the first', () => {
+  const record = (finished: number[]): JobRecord => ({
+    spec: spec({ taskCount: 5, spreadZones: true }),
+    homeShard: 'p',
+    state: 'open',
+    taskCount: 5,
+    submittedAt: 0,
+    chunkSize: 2,
+    zones: ['a', 'a'],
+    createdChunks: 0,
+    doneChunks: finished,
+    migratedChunks: [],
+  });
+  // Halves of 3 and 2 tasks in chunks of 2: chunks 0 and 1 are the first half.
+  assert.deepEqual(
+    [0, 1, 2].map((k) => mayCreateChunk(record([0]), k)),
+    [true, true, false],
+  );
+  assert.ok(mayCreateChunk(record([0, 1]), 2));
+});
+
+test('chunks fit a part and a record', () => {
+  const cases: [string, number, number, number, number, number, number][] = [
+    ['what the part can run at once', 4, 60, 128, 273, 3, 32],
+    ['what a record can hold', 1, 100_000, 100_000, 136, 5, 136],
+    ['a part without machines gets the job whole', 4, 60, 0, 273, 3, 60],
+    ['a small part: no more than two chunks for each part', 4, 60, 8, 273, 3, 10],
+    ['never less than eight', 4, 12, 8, 273, 3, 8],
+  ];
+  for (const [name, cpus, tasks, partCpus, mostTasks, parts, size] of cases) {
+    assert.equal(
+      chunkSize(spec({ cpus, taskCount: tasks }), partCpus, mostTasks, parts),
+      size,
+      name,
+    );
+  }
+});
--- /dev/null
+++ b/test/scheduling/runTimes.test.ts
@@ -0,0 +1,13 @@
+/** Corrected run times. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { RunTimes } from '../../src/coordination/scheduling/runTimes.js';
+
+test('run times are corrected by the median of what was seen', () => {
+  const times = new RunTimes();
+  for (const actual of [20, 21, 20, 19]) times.note('c', 10, actual);
+  assert.equal(times.expected('c', 10), 10, 'four say too little');
+  times.note('c', 10, 400);
+  assert.ok(Math.abs(times.expected('c', 10) - 20) < 2);
+  assert.equal(times.expected('other', 10), 10);
+});
