--- a/test/cluster/cluster.test.ts
+++ b/test/cluster/cluster.test.ts
@@ -83,7 +83,7 @@
     assert.ok(cluster.cloud.released.includes(first), 'the silent machine was not ended first');
   }));
 
-test('a team limit holds across parts', () => {
+test('a team limit holds across shards', () => {
   const teams = '[[settings.teams]]\nname = "crew"\ncpus_max = 4.0';
   return withCluster({ nodes: 3, runs: brief, teams }, async (cluster) => {
     const stopWatching = watchUse(cluster);
@@ -128,7 +128,7 @@
     assert.equal(cluster.cloud.starts.length, 3);
   }));
 
-test('a bucket that its owner missed is taken up', () =>
+test('a bucket that its leader missed is taken up', () =>
   withCluster({ nodes: 1, runs: brief }, async (cluster) => {
     const spec = jobSpec({ id: 'wk-000081', taskCount: 2 });
     const shared = { spec, homeShard: 'drone-0', submittedAt: 1 };
@@ -153,7 +153,7 @@
     await until('its tasks have run', () => cluster.cloud.starts.length === 2);
   }));
 
-test('while the end of a job is stored without an answer, its owner speaks by the store alone', () =>
+test('while the end of a job is stored without an answer, its leader speaks by the store alone', () =>
   withCluster({ nodes: 1, runs: brief }, async (cluster) => {
     // Others may have read the record and told users that the job is done.
     let lose = true;
@@ -215,7 +215,7 @@
   ['a service above its limit', submission('wk-000406', { ...service, Pieces: 9 }), 422],
   ['a task above its limit', submission('wk-000407', { Cores: 7 }), 422],
 ];
-test('odd requests get the same answers at each node, also after a restart', () => {
+test('unusual requests get the same answers at each node, also after a restart', () => {
   const teams = '[[settings.teams]]\nname = "crew"\ncpus_max = 6.0';
   return withCluster({ nodes: 2, runs: brief, teams }, async (cluster) => {
     const ask = async (at: string, method: string, path: string, body?: unknown) => {
--- a/test/cluster/outages.test.ts
+++ b/test/cluster/outages.test.ts
@@ -2,31 +2,34 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
-import { accept, adopted, service, status, withCluster } from '../support/users.js';
+import { accept, service, status, takenOver, withCluster } from '../support/users.js';
 
 const outages: {
   name: string;
-  strike: (cluster: Cluster) => Promise<void> | void;
+  inject: (cluster: Cluster) => Promise<void> | void;
   mend?: (cluster: Cluster) => Promise<void> | void;
 }[] = [
-  { name: 'a crash that is not mended: a peer adopts the part', strike: (c) => c.crash('drone-0') },
   {
-    name: 'a crash and a restart at once: the node takes its part back',
-    strike: async (c) => {
+    name: 'a crash without a restart: a peer takes the shard over',
+    inject: (c) => c.crash('drone-0'),
+  },
+  {
+    name: 'a crash and a restart at once: the node takes its shard back',
+    inject: async (c) => {
       c.crash('drone-0');
       await c.boot('drone-0');
     },
   },
   {
     name: 'a crash of all',
-    strike: async (c) => {
+    inject: async (c) => {
       for (const label of [...c.nodes.keys()]) c.crash(label);
       for (const label of ['drone-0', 'drone-1', 'drone-2']) await c.boot(label);
     },
   },
   {
     name: 'a crash of all, twice in a row',
-    strike: async (c) => {
+    inject: async (c) => {
       for (let turn = 0; turn < 2; turn++) {
         for (const label of [...c.nodes.keys()]) c.crash(label);
         await pause(0.2);
@@ -36,11 +39,11 @@
   },
   {
     name: 'the state service refuses one node alone, for good',
-    strike: (c) => void c.state.refused.add('drone-0'),
+    inject: (c) => void c.state.refused.add('drone-0'),
   },
   {
     name: 'the state service refuses everybody for a while',
-    strike: (c) => void c.state.refused.add('*'),
+    inject: (c) => void c.state.refused.add('*'),
     mend: async (c) => {
       await pause(1.2);
       c.state.refused.clear();
@@ -48,7 +51,7 @@
   },
   {
     name: 'a node loses the state service and its peers, but not its workers',
-    strike: async (c) => {
+    inject: async (c) => {
       c.state.refused.add('drone-0');
       c.apart.add('drone-0');
       await until('it says that it is cut off, at once and when to come back', async () => {
@@ -58,7 +61,7 @@
       await until('the load balancer is told', async () => {
         return (await c.call('drone-0', 'GET', '/ready')).status === 503;
       });
-      await adopted(c, 'drone-0');
+      await takenOver(c, 'drone-0');
     },
     mend: (c) => {
       c.state.refused.clear();
@@ -67,7 +70,7 @@
   },
   {
     name: 'all nodes, the state service and a cut, one after the other',
-    strike: async (c) => {
+    inject: async (c) => {
       c.apart.add('drone-1');
       c.state.refused.add('*');
       for (const label of [...c.nodes.keys()]) c.crash(label);
@@ -82,7 +85,7 @@
   },
   {
     name: 'crashes and restarts within a fraction of a second, again and again',
-    strike: async (c) => {
+    inject: async (c) => {
       for (const label of ['drone-0', 'drone-1', 'drone-0', 'drone-2', 'drone-0']) {
         c.crash(label);
         await c.boot(label);
@@ -92,7 +95,7 @@
   },
 ];
 
-for (const { name, strike, mend } of outages) {
+for (const { name, inject, mend } of outages) {
   test(`replicas run on, new work is taken, nothing runs twice: ${name}`, () =>
     withCluster(
       { nodes: 3, runs: (task) => (task.startsWith('wk-00001') ? Infinity : 0.3) },
@@ -102,7 +105,7 @@
           return (await status(cluster, 'drone-0', 'wk-000011')).running === 2;
         });
         await accept(cluster, 'drone-0', submission('wk-000021', { Pieces: 6 }));
-        await strike(cluster);
+        await inject(cluster);
         await mend?.(cluster);
         await until('the batch job is done', async () => {
           return (await status(cluster, 'drone-1', 'wk-000021')).Status === 'done';
@@ -120,7 +123,7 @@
     ));
 }
 
-test('a machine that reports but gets no answer is ended, and its replicas go elsewhere', () =>
+test('a machine that sends heartbeats but gets no answer is released, and its replicas go elsewhere', () =>
   withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
     await accept(cluster, 'drone-0', submission('wk-000091', { ...service, Pieces: 1 }));
     const on = (): string | undefined =>
@@ -133,7 +136,7 @@
     assert.ok(cluster.cloud.released.includes(first), 'the deaf machine was not ended first');
   }));
 
-test('late copies of reports change nothing, also after a restart and a release', () =>
+test('late copies of heartbeats change nothing, also after a restart and a release', () =>
   withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
     await accept(cluster, 'drone-0', submission('wk-000095', { ...service, Pieces: 3 }));
     await until('it runs', async () => {
@@ -183,15 +186,15 @@
     });
   }));
 
-test('a report that was overtaken by an answer still keeps its machine from being given up', () =>
+test('a heartbeat that was overtaken by an answer still keeps its machine from being given up', () =>
   withCluster({ nodes: 1, runs: () => Infinity }, async (cluster) => {
     await accept(cluster, 'drone-0', submission('wk-000098', { ...service, Pieces: 1 }));
     await until('it runs', async () => {
       return (await status(cluster, 'drone-0', 'wk-000098')).running === 1;
     });
     const [worker] = cluster.cloud.workers.values();
-    const part = cluster.nodes.get('drone-0')?.controller.ownedShards.get('drone-0')?.shard;
-    const machine = part?.machines.get(worker?.name ?? '');
+    const shard = cluster.nodes.get('drone-0')?.controller.ownedShards.get('drone-0')?.shard;
+    const machine = shard?.machines.get(worker?.name ?? '');
     if (worker === undefined || machine === undefined) throw new Error('no machine');
     worker.hanging = true;
     await pause(0.5);
--- a/test/cluster/overlappingFaults.test.ts
+++ b/test/cluster/overlappingFaults.test.ts
@@ -1,4 +1,4 @@
-/** Troubles that meet, on whole controllers: the table in docs/safety.md names the meeting of each case. */
+/** Overlapping faults, on whole controllers: the table in docs/safety.md names the faults of each case. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
--- a/test/cluster/overlappingRequests.test.ts
+++ b/test/cluster/overlappingRequests.test.ts
@@ -1,6 +1,6 @@
 /**
- * Troubles that meet users' requests, on whole controllers: the table in docs/safety.md names the meeting of
- * each case.
+ * Faults that overlap with users' requests, on whole controllers: the table in docs/safety.md names the faults
+ * of each case.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -9,7 +9,7 @@
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
 import {
   accept,
-  adopted,
+  takenOver,
   service,
   status,
   watchUse,
@@ -57,7 +57,7 @@
   cluster.state.swallow = (body: TxnBody): boolean => {
     const put = body.Then?.find((operation) => operation.Put === key);
     if (put === undefined) return false;
-    // In whichever layout it is stored: an open job's state is left out of the compact one.
+    // In whichever record format it is stored: an open job's state is left out of the compact one.
     const record = layoutFor().decode(key, put.Value) as JobRecord;
     if (record.state !== state) return false;
     if (lost.count >= 1) return false;
@@ -94,7 +94,7 @@
     const lost = loseAnswers(cluster, `b/job/${id}`, 'cancelled');
     let isConfirmed = false;
     const path = `/v1/jobs/${id}`;
-    // The owner hears of it last: by the answer that is lost, and not by its watch.
+    // The leader hears of it last: by the answer that is lost, and not by its watch.
     cluster.state.unwatched.add('drone-0');
     const cancelling = cancel(cluster, ['drone-0'], id).then(() => (isConfirmed = true));
     let isOver = false;
@@ -145,13 +145,13 @@
     }
   }));
 
-test('jobs are cancelled while a part changes hands: what is confirmed starts no more and ends in time', () =>
+test('jobs are cancelled while a shard changes hands: what is confirmed starts no more and ends in time', () =>
   withCluster({ nodes: 2, lease: 3, runs: () => Infinity }, async (cluster) => {
     const ids = ['wk-000831', 'wk-000832', 'wk-000833', 'wk-000834'];
     for (const id of ids) await accept(cluster, 'drone-0', submission(id, service));
     const run = (): boolean => ids.every((id) => tasksOf(cluster, id).length === 2);
     await until('all run', run);
-    // Users go on asking at both nodes while one ends, its part is adopted, and it takes the part back.
+    // Users go on asking at both nodes while one ends, its shard is taken over, and it takes the shard back.
     const confirmed = ids.map(async (id, index) => {
       await pause(index * 0.5);
       await cancel(cluster, ['drone-0', 'drone-1'], id);
@@ -162,7 +162,7 @@
       return { id, starts };
     });
     cluster.crash('drone-0');
-    await adopted(cluster, 'drone-0');
+    await takenOver(cluster, 'drone-0');
     await cluster.boot('drone-0');
     for (const { id, starts } of await Promise.all(confirmed)) {
       const later = cluster.cloud.starts.slice(starts).filter((task) => task.startsWith(id));
@@ -234,9 +234,9 @@
     await pause(0.2);
     cluster.state.refused.add('drone-0');
     cluster.apart.add('drone-0');
-    const adopter = await adopted(cluster, 'drone-0');
+    const newLeader = await takenOver(cluster, 'drone-0');
     await until('the new leader is heard', () =>
-      [...cluster.cloud.workers.values()].some((worker) => worker.seenToken >= adopter.token),
+      [...cluster.cloud.workers.values()].some((worker) => worker.seenToken >= newLeader.token),
     );
     for (const worker of cluster.cloud.workers.values()) worker.holdsCommands = false;
     await until('all run', () => tasksOf(cluster, id).length === 3);
@@ -245,7 +245,7 @@
     assert.equal(tasksOf(cluster, 'wk-000911').length, 1);
   }));
 
-test('an owner crashes before the ends of tasks are stored: its adopter fills no more than the limit', () =>
+test('a leader crashes before the ends of tasks are stored: the next leader fills no more than the limit', () =>
   withCluster(
     {
       nodes: 2,
@@ -278,7 +278,7 @@
     },
   ));
 
-/** Whether a stored bucket, in either layout, tells of ended tasks of a chunk. */
+/** Whether a stored bucket, in either record format, tells of ended tasks of a chunk. */
 function hasDone(key: string, value: unknown, chunk: string): boolean {
   const { chunks } = layoutFor().decode(key, value) as BucketRecord;
   return (chunks[chunk]?.doneTasks.length ?? 0) > 0;
--- a/test/mixed/measureRollout.ts
+++ b/test/mixed/measureRollout.ts
@@ -138,7 +138,7 @@
     const quiet = new Probe(rollout, 'quiet');
     await pause(5);
     await quiet.stop();
-    const { pieces } = rollout.forms;
+    const { fragments } = rollout.forms;
     const writes = cluster.state.writes;
     const began = performance.now();
     const probe = new Probe(rollout, 'busy');
@@ -149,7 +149,7 @@
     const { compressed } = rollout.forms;
     const changes = cluster.state.writes - writes;
     console.log(
-      `migration with ${jobs} jobs: ${pieces} pieces before, ${compressed} compressed records after`,
+      `migration with ${jobs} jobs: ${fragments} fragments before, ${compressed} compressed records after`,
     );
     console.log(`  ${seconds.toFixed(1)} s, ${changes} changes of the store, the probe's included`);
     console.log(
--- a/test/mixed/productionBuild.ts
+++ b/test/mixed/productionBuild.ts
@@ -19,7 +19,7 @@
   return production;
 }
 
-/** The last commit of version 0.3.0, which knows of marks and nothing of a cluster version. */
+/** The last commit of version 0.3.0, which knows of node capabilities and nothing of a cluster version. */
 export const RELEASE_0_3 = '2bcbffccdca50e61d611d72b09f6c0c0294edcd7';
 
 export const buildProduction = (): string => buildCommit(productionCommit());
--- a/test/mixed/rolloutTrial.ts
+++ b/test/mixed/rolloutTrial.ts
@@ -19,7 +19,7 @@
 /** Until the level must have changed once the faults are over. */
 const LEVEL_S = 40;
 
-/** As in the coming limits: most records of the trial are stored in pieces. */
+/** As in the coming limits: most records of the trial are stored in fragments. */
 const NEXT_LIMITS = 'value_kb = 2.0\ntxn_ops = 8';
 
 export type RolloutKind = 'rolled back' | 'returned old' | 'upgraded';
--- a/test/pipelines/pipelines.test.ts
+++ b/test/pipelines/pipelines.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
-import { accept, adopted, service, settled, status, withCluster } from '../support/users.js';
+import { accept, service, settled, status, takenOver, withCluster } from '../support/users.js';
 
 const [FIRST, SECOND, THIRD] = ['wk-000901', 'wk-000902', 'wk-000903'];
 
@@ -136,7 +136,7 @@
       async () => (await told(cluster, 'drone-0', FIRST)) === 'done',
     );
     cluster.crash('drone-1');
-    await adopted(cluster, 'drone-1');
+    await takenOver(cluster, 'drone-1');
     await until(
       'the last is done',
       async () => (await told(cluster, 'drone-0', THIRD)) === 'done',
--- a/test/rollout/rollout.test.ts
+++ b/test/rollout/rollout.test.ts
@@ -14,12 +14,12 @@
   try {
     await rollout.start();
     const users = rollout.submit();
-    await until('large records are stored in pieces', () => rollout.forms.pieces > 0);
+    await until('large records are stored in fragments', () => rollout.forms.fragments > 0);
     assert.deepEqual(rollout.forms.compressed, 0);
     for (const label of LABELS) await rollout.replace(label, withFeatures);
     await rollout.untilLevel(3);
     assert.equal(rollout.forms.hasBarrier, true);
-    assert.equal(rollout.forms.pieces, 0);
+    assert.equal(rollout.forms.fragments, 0);
     assert.ok(rollout.forms.compressed > 0);
     const body = { to: 2, by: 'anna', confirm: true };
     await until('the lowering is accepted', async () => {
@@ -65,7 +65,7 @@
   }
 });
 
-test('a controller that returns with rollouts off after the raise is refused, and its part is taken over', async () => {
+test('a controller that returns with rollouts off after the raise is refused, and its shard is taken over', async () => {
   const rollout = new RolloutCluster(withFeatures);
   const { cluster } = rollout;
   let reason = '';
@@ -81,10 +81,10 @@
     await until('it is refused', () => reason !== '');
     assert.match(reason, /rollouts to be switched on/);
     cluster.crash('drone-2');
-    await until('a peer has its part', () => {
-      const owner = cluster.state.rows.get(keys.owner('drone-2'))?.value as
+    await until('a peer has its shard', () => {
+      const leader = cluster.state.rows.get(keys.owner('drone-2'))?.value as
         StoredOwnerRecord | undefined;
-      return owner !== undefined && owner.node !== 'drone-2' && owner.token > before.token;
+      return leader !== undefined && leader.node !== 'drone-2' && leader.token > before.token;
     });
     await rollout.restart('drone-2', withFeatures);
     await rollout.finish();
@@ -95,7 +95,7 @@
   }
 });
 
-test('an ownership key of a process that published no levels does not keep a part from being served', async () => {
+test('a leader key of a process that published no levels does not keep a shard from being served', async () => {
   const rollout = new RolloutCluster(withFeatures);
   const { cluster } = rollout;
   try {
@@ -104,8 +104,8 @@
     cluster.crash('drone-2');
     const key = keys.owner('drone-2');
     await until('its key is gone', () => {
-      const owner = cluster.state.rows.get(key)?.value as StoredOwnerRecord | undefined;
-      return owner?.node !== 'drone-2';
+      const leader = cluster.state.rows.get(key)?.value as StoredOwnerRecord | undefined;
+      return leader?.node !== 'drone-2';
     });
     // An old process that had loaded before the barrier writes its key again and again.
     const stored = cluster.state.rows.get(key);
@@ -116,9 +116,9 @@
       Then: [{ Put: key, Value: value }],
     });
     assert.equal(written.status, 200);
-    await until('a peer has taken the part over', () => {
-      const owner = cluster.state.rows.get(key)?.value as StoredOwnerRecord;
-      return owner.node !== 'drone-2';
+    await until('a peer has taken the shard over', () => {
+      const leader = cluster.state.rows.get(key)?.value as StoredOwnerRecord;
+      return leader.node !== 'drone-2';
     });
   } finally {
     await rollout.close();
@@ -179,7 +179,7 @@
     await pause(1);
     assert.equal(drain?.isDone, true);
     await cluster.call('drone-0', 'POST', `${rolloutPath}/undrain`, {});
-    await until('it has its part back', () => rollout.hasItsPart('drone-0'));
+    await until('it has its shard back', () => rollout.leadsItsShard('drone-0'));
     await rollout.finish();
     await users;
     assert.deepEqual(rollout.users.history.violations, []);
--- a/test/support/fleet.ts
+++ b/test/support/fleet.ts
@@ -31,7 +31,7 @@
 export interface MessageFaults {
   /** Of the direct commands, those that are held up, get no answer, and are carried out once, late. */
   lateCommands: number;
-  /** Of the reports, those of which a copy arrives again later. */
+  /** Of the heartbeats, those of which a copy arrives again later. */
   copiedReports: number;
   /** Seconds that a message is late. */
   delay: () => number;
@@ -44,17 +44,17 @@
   private readonly ends = new Map<HeldAttempt, NodeJS.Timeout>();
   private node = 0;
   private stopped = false;
-  /** A hanging machine neither reports nor carries anything out. */
+  /** A hanging machine neither sends heartbeats nor carries anything out. */
   hanging = false;
-  /** Its reports arrive, but no answer, question or order gets to it. */
+  /** Its heartbeats arrive, but no answer, probe or command gets to it. */
   deaf = false;
-  /** Direct commands are held up on their way, while reports, answers and questions pass. */
+  /** Direct commands are held up on their way, while heartbeats, answers and probes pass. */
   holdsCommands = false;
   /** It reaches no controller, while direct commands and questions reach it. */
   cutOff = false;
   /** Between the controllers and it; null: it is asked directly. */
   private link: Link | null = null;
-  /** All reports that it has sent. */
+  /** All heartbeats that it has sent. */
   readonly sent: string[] = [];
   private readonly server = new HttpServer((r) => this.serve(r), options);
   address = '';
@@ -94,7 +94,7 @@
 
   /**
    * Its way in is cut: what is sent on open connections is held and delivered at the end, no new connection comes up. Its
-   * own reports and their answers pass.
+   * own heartbeats and their answers pass.
    */
   set cutIn(isCut: boolean) {
     this.link?.set({ holdsForward: isCut });
@@ -123,7 +123,7 @@
     }, seconds * 1000).unref();
   }
 
-  /** The highest token that it has seen. */
+  /** The highest fencing token that it has seen. */
   get seenToken(): number {
     return this.model.token;
   }
@@ -159,8 +159,8 @@
   }
 
   /**
-   * The lease counts from when the answered report was sent and ends at its moment, also while a report is on
-   * its way: a check between two reports came up to a second late, and the new owner was blamed for that.
+   * The lease counts from when the answered heartbeat was sent and ends at its moment, also while a heartbeat is on
+   * its way: a check between two heartbeats came up to a second late, and the new leader was blamed for that.
    */
   private renewLease(sent: number): void {
     clearTimeout(this.leaseTimer);
@@ -213,7 +213,7 @@
     }
   }
 
-  /** A copy of a report arrives again, perhaps at the next leader. */
+  /** A copy of a heartbeat arrives again, perhaps at the next leader. */
   private copyLater(http: HttpClient, address: string, report: unknown): void {
     const faults = this.fleet.messageFaults;
     if (faults === null || faults.random() >= faults.copiedReports) return;
--- a/test/support/link.ts
+++ b/test/support/link.ts
@@ -1,5 +1,5 @@
 /**
- * A connection between two parts of a soak's cluster that a fault can hold, refuse or delay, each direction by itself. Bytes
+ * A connection between two processes of a soak's cluster that a fault can hold, refuse or delay, each direction by itself. Bytes
  * that are held are delivered in order once the interruption ends, also when their sender has given up; a connection that
  * was begun meanwhile and given up never comes up.
  */
--- a/test/support/rolloutCluster.ts
+++ b/test/support/rolloutCluster.ts
@@ -19,7 +19,7 @@
 export class RolloutCluster {
   readonly cluster: Cluster;
   readonly users: TrialUsers;
-  private readonly visits: Promise<void>[] = [];
+  private readonly userSessions: Promise<void>[] = [];
   private isSubmitting = true;
   private readonly random = seededRandom(5);
   private submitted = 0;
@@ -41,19 +41,19 @@
 
   async start(): Promise<void> {
     await this.cluster.start();
-    await until('all own their parts', () => LABELS.every((label) => this.hasItsPart(label)));
+    await until('all lead their shards', () => LABELS.every((label) => this.leadsItsShard(label)));
   }
 
   /** Users come until `finish`. */
   async submit(): Promise<void> {
     while (this.isSubmitting) {
       const id = `wk-${String(500_000 + this.submitted++)}`;
-      this.visits.push(this.users.user(id));
+      this.userSessions.push(this.users.user(id));
       await pause(0.15 + this.random() * 0.2);
     }
   }
 
-  /** All jobs get where they are going. */
+  /** Ends the submissions; resolves when all jobs are over. */
   async finish(): Promise<void> {
     this.isSubmitting = false;
     await until('all jobs are over', () => this.users.unfinished.length === 0, 30);
@@ -63,7 +63,7 @@
     this.isSubmitting = false;
     this.users.isOver = true;
     this.cluster.close();
-    await Promise.allSettled(this.visits);
+    await Promise.allSettled(this.userSessions);
   }
 
   /** Drains a node, ends it, and starts another build in its place. */
@@ -83,10 +83,10 @@
     cluster.crash(label);
     cluster.builds.set(label, build);
     await cluster.boot(label);
-    await until(`${label} has its part back`, () => this.hasItsPart(label));
+    await until(`${label} has its shard back`, () => this.leadsItsShard(label));
   }
 
-  hasItsPart(label: string): boolean {
+  leadsItsShard(label: string): boolean {
     return this.cluster.nodes.get(label)?.controller.ownedShards.has(label) === true;
   }
 
@@ -113,11 +113,11 @@
   }
 
   /** Records that the store holds in each form. */
-  get forms(): { pieces: number; compressed: number; hasBarrier: boolean } {
+  get forms(): { fragments: number; compressed: number; hasBarrier: boolean } {
     const rows = [...this.cluster.state.rows.entries()];
     const isCompressed = (value: unknown): boolean => (value as { v?: number } | null)?.v === 3;
     return {
-      pieces: rows.filter(([key]) => key.startsWith('b/piece/')).length,
+      fragments: rows.filter(([key]) => key.startsWith('b/piece/')).length,
       compressed: rows.filter(([, { value }]) => isCompressed(value)).length,
       hasBarrier: this.cluster.state.rows.has(BARRIER_KEY),
     };
--- a/test/support/users.ts
+++ b/test/support/users.ts
@@ -16,9 +16,9 @@
   const cluster = new Cluster(options);
   try {
     await cluster.start();
-    await until('all parts have owners', () => {
-      const held = [...cluster.state.rows.keys()].filter((k) => k.startsWith('b/own/'));
-      return held.length === options.nodes + 1;
+    await until('all shards have leaders', () => {
+      const leaderKeys = [...cluster.state.rows.keys()].filter((k) => k.startsWith('b/own/'));
+      return leaderKeys.length === options.nodes + 1;
     });
     await until('all are ready', async () => {
       for (const label of cluster.nodes.keys()) {
@@ -84,17 +84,17 @@
   };
 }
 
-interface Owner {
+interface StoredLeader {
   node: string;
   token: number;
 }
 
-/** Waits until the part of a node has another owner. */
-export async function adopted(cluster: Cluster, label: string): Promise<Owner> {
-  const owner = (): Owner | undefined =>
-    cluster.state.rows.get(`b/own/${label}`)?.value as Owner | undefined;
-  await until('its part is adopted', () => (owner()?.node ?? label) !== label);
-  const adopter = owner();
-  if (adopter === undefined) throw new Error('the part has no owner');
-  return adopter;
+/** Waits until the shard of a node has another leader. */
+export async function takenOver(cluster: Cluster, label: string): Promise<StoredLeader> {
+  const leader = (): StoredLeader | undefined =>
+    cluster.state.rows.get(`b/own/${label}`)?.value as StoredLeader | undefined;
+  await until('its shard is taken over', () => (leader()?.node ?? label) !== label);
+  const newLeader = leader();
+  if (newLeader === undefined) throw new Error('the shard has no leader');
+  return newLeader;
 }
--- a/test/trials/trialUsers.ts
+++ b/test/trials/trialUsers.ts
@@ -121,10 +121,10 @@
   async user(id: string, waitsOn: string[] = []): Promise<void> {
     const draw = this.random();
     const team = draw < 0.6 ? 'crew' : 'guests';
-    const pieces = 1 + Math.floor(this.random() * this.options.mostTasks);
+    const tasks = 1 + Math.floor(this.random() * this.options.mostTasks);
     const drawn = this.random() < CANCELLED_SHARE ? this.random() * 4 : Infinity;
     const first = Math.floor(this.random() * this.options.nodes);
-    const work = { Owner: team, Pieces: pieces, Cores: CPUS_PER_TASK };
+    const work = { Owner: team, Pieces: tasks, Cores: CPUS_PER_TASK };
     const extra = this.options.extra(id);
     // A service ends when its user cancels it.
     const isService = extra['Shape'] === 'daemon';
@@ -134,7 +134,7 @@
       ...(waitsOn.length === 0 ? work : { ...work, WaitsOn: waitsOn }),
     });
     const began = performance.now();
-    this.history.submitted(id, { team, cpus: CPUS_PER_TASK, tasks: pieces, waitsOn });
+    this.history.submitted(id, { team, cpus: CPUS_PER_TASK, tasks, waitsOn });
     for (let turn = first; !this.isOver && !this.over.has(id); turn++) {
       const seconds = (performance.now() - began) / 1000;
       const node = this.nodeAt(turn);
