--- a/src/coordination/pipelines/dependencyAdmission.ts
+++ b/src/coordination/pipelines/dependencyAdmission.ts
@@ -10,6 +10,7 @@
   stored(job: string): Promise<JobRecord | null | undefined>;
 }
 
+/** How the jobs that a job names stand. */
 export type DependencyCheck =
   /** All are known and none is cancelled; `pending` are not done. */
   | { kind: 'open'; pending: string[] }
--- a/src/coordination/pipelines/dependencyGraph.ts
+++ b/src/coordination/pipelines/dependencyGraph.ts
@@ -17,6 +17,7 @@
   dependencyCancelledAt: number | null;
 }
 
+/** What follows for jobs from a change of the graph. */
 export interface DependencyEvents {
   /** All jobs that it needs are done. */
   onReleased(job: string): void;
@@ -26,6 +27,7 @@
   onRankChanged(job: string): void;
 }
 
+/** The open jobs that depend on others, kept up to date from the stored states of jobs. */
 export class DependencyGraph {
   private readonly dependents = new Map<string, Dependent>();
   /** By a job that is not done: those that name it. */
@@ -73,12 +75,12 @@
   private add(job: string, needs: readonly string[], rank: number, now: number): void {
     if (needs.length === 0 || this.dependents.has(job)) return;
     const pending = new Set<string>();
-    let isDoomed = false;
+    let needsCancelledJob = false;
     for (const need of needs) {
       const state = this.stateOf(need);
       if (state === 'done') continue;
       pending.add(need);
-      isDoomed ||= state === 'cancelled' || this.jobsWithCancelledDependency.has(need);
+      needsCancelledJob ||= state === 'cancelled' || this.jobsWithCancelledDependency.has(need);
     }
     if (pending.size === 0) return;
     this.dependents.set(job, { pending, rank, dependencyCancelledAt: null });
@@ -86,7 +88,7 @@
       const waiters = this.waiters.get(need) ?? new Set<string>();
       this.waiters.set(need, waiters.add(job));
     }
-    if (isDoomed) this.noteDependencyCancelled([job], now);
+    if (needsCancelledJob) this.noteDependencyCancelled([job], now);
     else this.rerank(pending);
   }
 
@@ -128,7 +130,7 @@
     const open = [...jobs];
     for (let job = open.pop(); job !== undefined; job = open.pop()) {
       const dependent = this.dependents.get(job);
-      if (dependent === undefined || dependent.dependencyCancelledAt !== null) continue;
+      if (dependent?.dependencyCancelledAt !== null) continue;
       dependent.dependencyCancelledAt = now;
       this.jobsWithCancelledDependency.add(job);
       this.events.onDependencyCancelled(job);
@@ -156,7 +158,7 @@
 
   private effectiveRank(job: string): number {
     const dependent = this.dependents.get(job);
-    if (dependent === undefined || dependent.dependencyCancelledAt !== null) return -Infinity;
+    if (dependent?.dependencyCancelledAt !== null) return -Infinity;
     return Math.max(dependent.rank, this.inheritedRank(job));
   }
 }
--- a/src/coordination/pipelines/pipelines.ts
+++ b/src/coordination/pipelines/pipelines.ts
@@ -11,12 +11,12 @@
 const CANCEL_SHARE = 1 / 3;
 
 /** Cancellations of jobs that need a cancelled one that are stored at a time: starts wait for changes too. */
-const MOST_WRITES = 4;
+const MAX_CONCURRENT_WRITES = 4;
 
 /** Names in the reason of a job that waits. */
-const MOST_NAMES = 4;
+const MAX_NAMES = 4;
 
-/** What is needed of a node. */
+/** What following dependencies needs of a node. */
 export interface PipelineContext {
   settings: { cancellationTimeout: number };
   clock: Pick<Clock, 'now'>;
@@ -26,18 +26,19 @@
   requestSchedulingRound(): void;
 }
 
+/** The dependencies between jobs as this node knows them, and what they mean for its shards. */
 export class Pipelines {
   private readonly graph: DependencyGraph;
   /** Jobs whose cancellation is being stored. */
-  private readonly writing = new Set<string>();
+  private readonly jobsBeingCancelled = new Set<string>();
 
-  constructor(private readonly node: PipelineContext) {
+  constructor(private readonly context: PipelineContext) {
     this.graph = new DependencyGraph((job) => this.recordOf(job)?.state, {
       onReleased: (job) => {
         this.release(job);
       },
       onDependencyCancelled: () => {
-        this.node.requestSchedulingRound();
+        this.context.requestSchedulingRound();
       },
       onRankChanged: (job) => {
         this.rerank(job);
@@ -46,16 +47,16 @@
   }
 
   private recordOf(job: string): JobRecord | undefined {
-    return this.node.stateCache.get(keys.job(job))?.value as JobRecord | undefined;
+    return this.context.stateCache.get(keys.job(job))?.value as JobRecord | undefined;
   }
 
   /** Follows the copy of the records. */
   note(job: string, record: JobRecord): void {
-    const { stateCache: replica, clock } = this.node;
+    const { stateCache, clock } = this.context;
     const { spec, state } = record;
     const rank = spec === null ? -Infinity : inheritableRank(spec);
     // What the first reading finds may have been cancelled long ago.
-    const learnedAt = replica.loaded ? clock.now() : -Infinity;
+    const learnedAt = stateCache.loaded ? clock.now() : -Infinity;
     this.graph.note(job, state, spec?.dependencies ?? [], rank, learnedAt);
   }
 
@@ -75,11 +76,11 @@
    */
   mayCallOpen(job: string): boolean {
     if (!this.isBlockedOnDependencies(job)) return true;
-    const patience = this.node.settings.cancellationTimeout * CANCEL_SHARE;
-    const now = this.node.clock.now();
-    const doomedAt = this.graph.dependencyCancelledAt(job);
-    if (doomedAt !== null && now - doomedAt > patience) return false;
-    return now - this.node.stateCache.syncedAt <= patience;
+    const maxAge = this.context.settings.cancellationTimeout * CANCEL_SHARE;
+    const now = this.context.clock.now();
+    const dependencyCancelledAt = this.graph.dependencyCancelledAt(job);
+    if (dependencyCancelledAt !== null && now - dependencyCancelledAt > maxAge) return false;
+    return now - this.context.stateCache.syncedAt <= maxAge;
   }
 
   /** Why it waits, in words for the phone. */
@@ -89,36 +90,36 @@
       return 'A job that it needs was cancelled, so it is being cancelled too.';
     }
     const blockers = this.graph.blockersOf(job);
-    const names = blockers.slice(0, MOST_NAMES).join(', ');
-    const more = blockers.length > MOST_NAMES ? ` and ${blockers.length - MOST_NAMES} more` : '';
+    const names = blockers.slice(0, MAX_NAMES).join(', ');
+    const more = blockers.length > MAX_NAMES ? ` and ${blockers.length - MAX_NAMES} more` : '';
     return `It waits for ${blockers.length} job(s) to be done first: ${names}${more}.`;
   }
 
   private release(job: string): void {
-    for (const ownedShard of this.node.ownedShards.values()) {
+    for (const ownedShard of this.context.ownedShards.values()) {
       const known = ownedShard.jobs.get(job);
-      if (known !== undefined) this.node.persistence.acceptMissing(ownedShard, known);
+      if (known !== undefined) this.context.persistence.acceptMissing(ownedShard, known);
     }
-    this.node.requestSchedulingRound();
+    this.context.requestSchedulingRound();
   }
 
   private rerank(job: string): void {
-    for (const { shard } of this.node.ownedShards.values()) shard.updateRank(job);
+    for (const { shard } of this.context.ownedShards.values()) shard.updateRank(job);
   }
 
-  /** Stores jobs that need a cancelled one as cancelled, where this node is their home's owner. */
-  cancelDependents(patience: number): void {
+  /** Stores jobs that need a cancelled one as cancelled, where this node leads their home shard. */
+  cancelDependents(timeoutSeconds: number): void {
     for (const id of this.graph.withCancelledDependency) {
-      if (this.writing.size >= MOST_WRITES) return;
-      if (this.writing.has(id)) continue;
+      if (this.jobsBeingCancelled.size >= MAX_CONCURRENT_WRITES) return;
+      if (this.jobsBeingCancelled.has(id)) continue;
       const home = this.recordOf(id)?.homeShard;
-      const ownedShard = home === undefined ? undefined : this.node.ownedShards.get(home);
+      const ownedShard = home === undefined ? undefined : this.context.ownedShards.get(home);
       const job = ownedShard?.jobs.get(id);
       if (ownedShard === undefined || job === undefined) continue;
-      this.writing.add(id);
-      void this.node.persistence
-        .cancel(ownedShard, job, this.node.clock.now() + patience)
-        .finally(() => this.writing.delete(id));
+      this.jobsBeingCancelled.add(id);
+      void this.context.persistence
+        .cancel(ownedShard, job, this.context.clock.now() + timeoutSeconds)
+        .finally(() => this.jobsBeingCancelled.delete(id));
     }
   }
 }
