--- a/src/coordination/leadership/authority.ts
+++ b/src/coordination/leadership/authority.ts
@@ -1,12 +1,13 @@
 /**
- * What this node may do for a part at this moment: the one place that weighs ownership, token, lease and grace (safety, O5,
- * O6, O8). Asked at the last moment before something leaves.
+ * What this node may do for a shard at this moment: the one place that weighs leadership, fencing token, lease and grace
+ * period (safety, O5, O6, O8). It is asked at the last moment before a command or an answer is sent.
  */
 import type { Clock } from '../../base/clock.js';
-import type { ShardLeadership } from './shardLeadership.js';
-import type { OwnedShard } from './ownedShard.js';
 import type { PeerRegistry } from '../peers/peerRegistry.js';
+import type { OwnedShard } from './ownedShard.js';
+import type { ShardLeadership } from './shardLeadership.js';
 
+/** What is needed of a node. */
 export interface AuthorityContext {
   leadership: Pick<ShardLeadership, 'isLeaseValid' | 'leaseExpiresAt'>;
   peers: Pick<PeerRegistry, 'hostOf'>;
@@ -16,8 +17,8 @@
 }
 
 /**
- * Whether a worker's report gets a 200, which renews its lease. `deposed`: its worker has seen a token above ours; `adopted`: a
- * peer says that it owns the part; `silent`: an adopter may count on our silence by now.
+ * Whether a worker's heartbeat gets a 200, which renews the worker's lease. `deposed`: the worker has seen a fencing token
+ * above ours; `adopted`: a peer says that it leads the shard; `silent`: a new leader may rely on our silence by now.
  */
 export type HeartbeatDecision =
   | { kind: 'answer' }
@@ -25,30 +26,31 @@
   | { kind: 'adopted'; owner: string }
   | { kind: 'silent' };
 
+/** Decides what this node may do for a shard. */
 export class Authority {
   constructor(private readonly node: AuthorityContext) {}
 
-  /** Work may be started, and anything else that only the owner may do. */
-  mayAct(host: Pick<OwnedShard, 'isOwned'>): boolean {
-    return host.isOwned && this.node.leadership.isLeaseValid;
+  /** Whether work may be started, and anything else done that only the leader may do. */
+  mayAct(ownedShard: Pick<OwnedShard, 'isOwned'>): boolean {
+    return ownedShard.isOwned && this.node.leadership.isLeaseValid;
   }
 
-  /** Tasks that users have asked to cancel may be ended without a valid lease too: that can't be wrong. */
-  mayEnd(host: Pick<OwnedShard, 'isOwned'>): boolean {
-    return host.isOwned;
+  /** Whether cancelled tasks may be stopped. That needs no valid lease: it can't be wrong. */
+  mayEnd(ownedShard: Pick<OwnedShard, 'isOwned'>): boolean {
+    return ownedShard.isOwned;
   }
 
-  /** `seenToken`: the highest token that the worker has seen. */
+  /** Decides on a heartbeat; `seenToken` is the highest fencing token that the worker has seen. */
   decideHeartbeat(ownedShard: OwnedShard, seenToken: number): HeartbeatDecision {
-    const { leadership: ownership, peers, clock, leaderGracePeriod: grace } = this.node;
-    // Another owner is entitled now; we would be ignored for as long as we held the worker here.
+    const { leadership, peers, clock, leaderGracePeriod } = this.node;
+    // There is another leader; the worker would ignore our commands for as long as it stayed with us.
     if (seenToken > ownedShard.fencingToken) return { kind: 'deposed' };
-    // Our own lease has lapsed and a peer says that it has adopted the part: send the worker there,
-    // or it would stay with us, and the adopter would take a healthy machine for a lost one.
-    const told = ownership.isLeaseValid ? null : peers.hostOf(ownedShard.shard.label);
-    if (told !== null && told.fencingToken > ownedShard.fencingToken)
-      return { kind: 'adopted', owner: told.label };
-    const isSilent = !ownedShard.isOwned || clock.now() > ownership.leaseExpiresAt + grace;
-    return isSilent ? { kind: 'silent' } : { kind: 'answer' };
+    // Our own lease has expired and a peer says that it leads the shard: send the worker there, or it would stay
+    // with us, and the peer would take a healthy machine for a lost one.
+    const leader = leadership.isLeaseValid ? null : peers.hostOf(ownedShard.shard.label);
+    if (leader !== null && leader.fencingToken > ownedShard.fencingToken)
+      return { kind: 'adopted', owner: leader.label };
+    const isPastGracePeriod = clock.now() > leadership.leaseExpiresAt + leaderGracePeriod;
+    return !ownedShard.isOwned || isPastGracePeriod ? { kind: 'silent' } : { kind: 'answer' };
   }
 }
--- a/src/coordination/leadership/ownedShard.ts
+++ b/src/coordination/leadership/ownedShard.ts
@@ -1,15 +1,15 @@
-/** A part that a node hosts, and the jobs whose home it is. */
+/** A shard that this node leads, and the jobs whose home it is. */
 import type { JobRecord } from '../../storage/records.js';
 import type { ShardLeadership } from './shardLeadership.js';
 import type { Shard } from '../shard/shard.js';
 import type { Bucket } from '../persistence/bucket.js';
 
-/** A job whose home is a part that we host. */
+/** A job whose home is a shard that this node leads. */
 export interface HomeJob {
   id: string;
   record: JobRecord;
   revision: number;
-  /** A change of its record is on its way. */
+  /** A write of its record is in flight. */
   isWriteInFlight: boolean;
   /**
    * A change of its record got no answer: others may have read it already, and told users that the job is over.
@@ -18,32 +18,36 @@
   isUncertain?: boolean;
 }
 
-/** A part that this node hosts: its own, or one adopted from a peer. */
+/** A shard that this node leads: its own, or one taken over from a peer. */
 export interface OwnedShard {
   shard: Shard;
   fencingToken: number;
   revision: number;
-  /** False once the part is lost: nothing is written or started for it any more. */
+  /** False once the leadership is lost: nothing is written or started for the shard any more. */
   isOwned: boolean;
   jobs: Map<string, HomeJob>;
-  /** The part's stored chunks, by their buckets' names. */
+  /** The shard's stored chunks, by their buckets' names. */
   buckets: Map<string, Bucket>;
   /** Until when starts of batch work are gathered, so that they do not use up the changes of users. */
   batchStartsUntil: number;
-  /** Transactions on their way. */
+  /** Transactions in flight. */
   writesInFlight: number;
   fencingTokenAdvancedAt: number;
-  /** Steady time until which a node that owned the part before may answer its workers. */
+  /** Steady time until which a previous leader may still answer the shard's workers. */
   previousLeaderUntil: number;
-  /** The token with which we got it: a worker that has seen it takes nothing from earlier owners. */
+  /** The fencing token of the takeover: a worker that has seen it executes no command of earlier leaders. */
   readonly fencingTokenAtTakeover: number;
 }
 
+/**
+ * A shard that was just gained, without jobs and chunks. Times are steady; `previousLeaderUntil`: until when a previous
+ * leader may answer its workers.
+ */
 export function createOwnedShard(
   shard: Shard,
   { fencingToken, revision }: { fencingToken: number; revision: number },
   now: number,
-  previousOwnerUntil = now,
+  previousLeaderUntil = now,
 ): OwnedShard {
   shard.fencingToken = fencingToken;
   return {
@@ -56,20 +60,20 @@
     batchStartsUntil: 0,
     writesInFlight: 0,
     fencingTokenAdvancedAt: now,
-    previousLeaderUntil: previousOwnerUntil,
+    previousLeaderUntil,
     fencingTokenAtTakeover: fencingToken,
   };
 }
 
 /**
- * Gives the part a higher token and a new revision: orders and transactions of ours that are still on their way are refused
- * from then on. False where that was not possible just now.
+ * Gives the shard a higher fencing token and a new revision: commands and transactions of ours that are still in flight
+ * are refused from then on. False where that was not possible just now.
  */
 export async function advanceFencingToken(
-  ownership: Pick<ShardLeadership, 'advanceFencingToken'>,
+  shardLeadership: Pick<ShardLeadership, 'advanceFencingToken'>,
   ownedShard: OwnedShard,
 ): Promise<boolean> {
-  const leadership = await ownership.advanceFencingToken(ownedShard.shard.label);
+  const leadership = await shardLeadership.advanceFencingToken(ownedShard.shard.label);
   if (leadership === null || !ownedShard.isOwned) return false;
   ownedShard.fencingToken = leadership.fencingToken;
   ownedShard.shard.fencingToken = leadership.fencingToken;
--- a/src/coordination/leadership/recordFollower.ts
+++ b/src/coordination/leadership/recordFollower.ts
@@ -1,4 +1,4 @@
-/** What changes of the stored records mean to this node: machines, jobs and chunks of its parts follow them. */
+/** Applies changes of the stored records to the machines, jobs and chunks of the shards that this node leads. */
 import type { Clock } from '../../base/clock.js';
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { KeyValueChange } from '../../protocol/stateProtocol.js';
@@ -36,13 +36,14 @@
   requestSchedulingRound(): void;
 }
 
+/** Follows the changes of the state cache. */
 export class RecordFollower {
   constructor(
     private readonly node: RecordFollowerContext,
     private readonly loader: Pick<ShardLoader, 'noteBucket'>,
   ) {}
 
-  /** One record has changed in this node's copy. */
+  /** One record has changed in this node's state cache. */
   follow(change: KeyValueChange): void {
     const { node } = this;
     const [, kind, name = '', bucket = ''] = change.key.split('/');
@@ -81,7 +82,7 @@
     for (const ownedShard of this.node.ownedShards.values()) {
       for (const chunk of ownedShard.shard.chunksOf(id)) {
         if (record.state === 'cancelled') ownedShard.shard.cancel(chunk, now);
-        // Its home has counted it as over.
+        // Its home shard has counted it as done.
         else if (record.state === 'done' || record.doneChunks.includes(chunk.index)) {
           ownedShard.shard.retireChunk(chunk, now);
         }
--- a/src/coordination/leadership/shardLoader.ts
+++ b/src/coordination/leadership/shardLoader.ts
@@ -1,4 +1,4 @@
-/** Makes a part from its stored records, and takes up records that come to it later. */
+/** Loads a shard from its stored records, and takes up records that come to it later. */
 import type { Clock } from '../../base/clock.js';
 import { describe, log } from '../../base/log.js';
 import { keys, type JobRecord, type BucketRecord } from '../../storage/records.js';
@@ -36,13 +36,14 @@
   requestSchedulingRound(): void;
 }
 
+/** Loads the shards that this node gains. */
 export class ShardLoader {
   /** Stored buckets without a counterpart in memory, seen once. */
   private readonly unmatched = new Set<string>();
 
   constructor(private readonly node: ShardLoaderContext) {}
 
-  /** `renewed`: steady time until which another node may answer the part's workers. */
+  /** `renewed`: steady time until which another node may answer the shard's workers. */
   load(shard: Shard, leadership: Leadership, renewed: number): OwnedShard {
     const { node } = this;
     const now = node.clock.now();
@@ -75,7 +76,7 @@
     }
   }
 
-  /** Takes up one bucket of a part, but for chunks that are over and run nowhere; those go with its next change. */
+  /** Takes up one bucket of a shard, but for chunks that are over and run nowhere; those go with its next change. */
   loadBucket(ownedShard: OwnedShard, name: string, value: BucketRecord, revision: number): void {
     const { node } = this;
     const now = node.clock.now();
@@ -100,7 +101,7 @@
 
   /**
    * A stored bucket has changed. Only what was just sent here is taken up: nothing of it can have been started
-   * by this part's owners.
+   * by this shard's leaders.
    */
   noteBucket(ownedShard: OwnedShard, name: string, value: BucketRecord, revision: number): void {
     if (ownedShard.buckets.has(name)) return;
@@ -110,7 +111,7 @@
     this.node.requestSchedulingRound();
   }
 
-  /** Takes up stored buckets of an owned part that are not in memory: changes that the watch has missed. */
+  /** Takes up stored buckets of an owned shard that are not in memory: changes that the watch has missed. */
   adoptUnmatched(ownedShard: OwnedShard): void {
     const prefix = keys.runs(ownedShard.shard.label);
     for (const [key] of this.node.stateCache.entriesWithPrefix(prefix)) {
