--- a/src/coordination/commands/commandDispatcher.ts
+++ b/src/coordination/commands/commandDispatcher.ts
@@ -1,4 +1,5 @@
 /** What machines are told and asked: orders, questions to those that are silent, doubts settled. */
+import { cancellationStops, dueCommands, hasDueCommand } from '../model/dueCommands.js';
 import { describe, log } from '../../base/log.js';
 import {
   commandsRequest,
@@ -87,8 +88,12 @@
   /** Without a valid lease only the ends that users have asked for may be sent: those can't be wrong. */
   private isDue(ownedShard: OwnedShard, machine: Machine): boolean {
     if (!this.node.authority.mayEnd(ownedShard)) return false;
-    if (!this.node.authority.mayAct(ownedShard)) return machine.cancellationStops().length > 0;
-    return machine.hasDueCommand(this.node.clock.now(), this.node.settings.heartbeatInterval * 1.5);
+    if (!this.node.authority.mayAct(ownedShard)) return cancellationStops(machine).length > 0;
+    return hasDueCommand(
+      machine,
+      this.node.clock.now(),
+      this.node.settings.heartbeatInterval * 1.5,
+    );
   }
 
   private async sendDueCommands(ownedShard: OwnedShard, machine: Machine): Promise<void> {
@@ -99,8 +104,8 @@
     const { heartbeatInterval } = this.node.settings;
     if (!this.isDue(ownedShard, machine)) return;
     const commands: Command[] = this.node.authority.mayAct(ownedShard)
-      ? machine.dueCommands(true, this.node.clock.now(), heartbeatInterval * 1.5)
-      : machine.cancellationStops();
+      ? dueCommands(machine, this.node.clock.now(), heartbeatInterval * 1.5)
+      : cancellationStops(machine);
     const { fencingToken } = ownedShard;
     const started = commands.flatMap((o) => {
       const placement = o.verb === 'start' ? machine.placements.get(o.task) : undefined;
@@ -195,14 +200,14 @@
 
   /** Asks a machine whose report is overdue: a hanging one is told from one that can't reach us. */
   async probe(ownedShard: OwnedShard, machine: Machine): Promise<void> {
-    if (machine.isProbeInFlight || machine.address === '') return;
-    const silent = machine.missedProbes > 0;
+    if (machine.reachability.isProbeInFlight || machine.address === '') return;
+    const silent = machine.reachability.missedProbes > 0;
     // A question to a silent machine holds its socket until its time is up. When a zone is cut off they
     // are hundreds, and those that answer still must be asked: half of the sockets are left for them.
     if (silent && this.probesToSilentMachines >= this.node.settings.maxSockets / 12) return;
-    machine.isProbeInFlight = true;
+    machine.reachability.isProbeInFlight = true;
     const sent = this.node.clock.now();
-    machine.lastProbeAt = sent;
+    machine.reachability.lastProbeAt = sent;
     if (silent) this.probesToSilentMachines++;
     const { address } = machine;
     const timeout = this.node.settings.heartbeatInterval / 3;
@@ -228,16 +233,16 @@
     } catch (error) {
       // Not asked for want of sockets: healthy machines would be taken for silent ones.
       if (!(error instanceof HttpCallError && error.local)) {
-        machine.missedProbes++;
-        machine.firstMissedProbeAt ??= sent;
+        machine.reachability.missedProbes++;
+        machine.reachability.firstMissedProbeAt ??= sent;
       }
     } finally {
-      machine.isProbeInFlight = false;
+      machine.reachability.isProbeInFlight = false;
       if (silent) this.probesToSilentMachines--;
     }
     // Where time was lost with waiting, the second question goes at once, not with the next round.
     const waited = this.node.clock.now() - sent >= timeout / 2;
-    if (waited && machine.missedProbes === 1 && ownedShard.isOwned)
+    if (waited && machine.reachability.missedProbes === 1 && ownedShard.isOwned)
       void this.probe(ownedShard, machine);
   }
 
@@ -269,9 +274,13 @@
   private probeUnreached(ownedShard: OwnedShard): void {
     const unreached: Machine[] = [];
     for (const machine of ownedShard.shard.machines.values()) {
-      if (machine.lastReachedAt === null && machine.address !== '') unreached.push(machine);
+      if (machine.reachability.lastReachedAt === null && machine.address !== '')
+        unreached.push(machine);
     }
-    unreached.sort((a, b) => a.lastProbeAt - b.lastProbeAt || b.serviceCpus - a.serviceCpus);
+    unreached.sort(
+      (a, b) =>
+        a.reachability.lastProbeAt - b.reachability.lastProbeAt || b.serviceCpus - a.serviceCpus,
+    );
     const most = Math.ceil(this.affordableProbes * this.node.settings.heartbeatInterval);
     for (const machine of unreached.slice(0, most)) void this.probe(ownedShard, machine);
   }
@@ -281,9 +290,9 @@
     const { heartbeatInterval } = this.node.settings;
     const machines = [...ownedShard.shard.machines.values()].filter((machine) => machine.isUp);
     // Those that were asked longest ago go first, since not all may get their turn.
-    machines.sort((a, b) => a.lastProbeAt - b.lastProbeAt);
+    machines.sort((a, b) => a.reachability.lastProbeAt - b.reachability.lastProbeAt);
     const doubtful = [...ownedShard.shard.machines.values()].some(
-      (machine) => machine.missedProbes > 0,
+      (machine) => machine.reachability.missedProbes > 0,
     );
     // Only those with live services are asked so often: in a large part they are the fewer.
     const serviceCpus = machines.reduce((n, machine) => n + (machine.serviceCpus > 0 ? 1 : 0), 0);
@@ -292,13 +301,13 @@
       Math.max(0.3, serviceCpus / this.affordableProbes / heartbeatInterval),
     );
     for (const machine of machines) {
-      if (machine.lastReachedAt === null) continue;
+      if (machine.reachability.lastReachedAt === null) continue;
       ownedShard.shard.pendingCommands.add(machine);
       // Where live services run, silence is noticed within a second or two; elsewhere when a report
       // is overdue.
       // When one does not answer, all are asked: others that answer show that the fault is not ours.
       const patience = machine.serviceCpus > 0 || doubtful ? watchful : 1.3;
-      if (now - machine.lastReachedAt > heartbeatInterval * patience)
+      if (now - machine.reachability.lastReachedAt > heartbeatInterval * patience)
         void this.probe(ownedShard, machine);
     }
   }
@@ -307,7 +316,7 @@
   private queueCancellationStops(): void {
     for (const { shard } of this.node.ownedShards.values()) {
       for (const machine of shard.machines.values()) {
-        if (machine.cancellationStops().length > 0) shard.pendingCommands.add(machine);
+        if (cancellationStops(machine).length > 0) shard.pendingCommands.add(machine);
       }
     }
     this.send();
@@ -321,7 +330,8 @@
     const { heartbeatInterval } = this.node.settings;
     if (now - ownedShard.fencingTokenAdvancedAt < heartbeatInterval) return;
     const stuck = [...ownedShard.shard.machines.values()].filter((machine) => {
-      const { unacknowledgedStartSince: inDoubtSince, lastReachedAt: reached } = machine;
+      const { unacknowledgedStartSince: inDoubtSince } = machine;
+      const { lastReachedAt: reached } = machine.reachability;
       // One that our answers do not reach would not see the new token either.
       const isHeard = reached !== null && now - reached < heartbeatInterval * 2;
       if (inDoubtSince === null || !isHeard || now - inDoubtSince <= heartbeatInterval)
--- a/src/coordination/reconciliation/attemptTermination.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -40,7 +40,7 @@
       return reportedAttempt.state === 'ended' ? new AttemptTermination('ended', now) : null;
     }
     // It was here and is no more.
-    const mayCome = attempt.unacknowledgedStart.mayStillExecute(machine.highestFencingToken);
+    const mayCome = machine.mayStartStillExecute(attempt);
     if (attempt.wasReported) return mayCome ? null : new AttemptTermination('absent', now);
     // It never came and is not to be started any longer.
     const isUnwanted = attempt.stop !== null || attempt.isInherited;
@@ -68,9 +68,7 @@
   /** No start was sent, so nothing can come of it; null: one was, or is on its way. */
   static asNeverSent(machine: Machine, attempt: Attempt, now: number): AttemptTermination | null {
     const mayCome =
-      attempt.wasReported ||
-      attempt.startSentInAnswer ||
-      attempt.unacknowledgedStart.mayStillExecute(machine.highestFencingToken);
+      attempt.wasReported || attempt.startSentInAnswer || machine.mayStartStillExecute(attempt);
     return mayCome || machine.hasCommandInFlight ? null : new AttemptTermination('never-sent', now);
   }
 }
--- a/src/coordination/reconciliation/heartbeatEndpoint.ts
+++ b/src/coordination/reconciliation/heartbeatEndpoint.ts
@@ -1,4 +1,5 @@
 /** Reports of workers: answered by the owner of the machine's part, wherever they arrive. */
+import { cancellationStops, commandsForAnswer } from '../model/dueCommands.js';
 import { log } from '../../base/log.js';
 import {
   heartbeatAnswer,
@@ -26,7 +27,7 @@
  * than answering them.
  */
 function needsProbe(machine: Machine, heartbeat: Heartbeat, fencingToken: number): boolean {
-  if (machine.missedProbes > 0) return true;
+  if (machine.reachability.missedProbes > 0) return true;
   return (
     !machine.isUp &&
     (heartbeat.attempts.length === 0 || heartbeat.highestFencingToken >= fencingToken)
@@ -90,8 +91,8 @@
     const { heartbeatInterval: reportTime } = node.settings;
     const commands =
       newer && mayAct
-        ? machine.commandsForAnswer(now, reportTime * 1.5, reportTime)
-        : machine.cancellationStops();
+        ? commandsForAnswer(machine, now, reportTime * 1.5, reportTime)
+        : cancellationStops(machine);
     for (const command of commands) {
       const placement = command.verb === 'start' ? machine.placements.get(command.task) : undefined;
       if (placement !== undefined) placement.attempt.startSentInAnswer = true;
--- a/src/coordination/reconciliation/heartbeatReconciler.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -2,7 +2,8 @@
 import type { Heartbeat, ReportedAttempt } from '../../protocol/workerProtocol.js';
 import { AttemptTermination, type LeaseTimes } from './attemptTermination.js';
 import type { Chunk, Attempt } from '../model/chunk.js';
-import { attemptKey, type Machine, type Placement } from '../model/machine.js';
+import { attemptKey, EndedAttempt } from '../model/endedAttempt.js';
+import type { Machine, Placement } from '../model/machine.js';
 import type { UnknownAttempts } from './unknownAttempts.js';
 
 /**
@@ -74,8 +75,8 @@
     const before = machine.isSchedulable(now);
     const isUnsolicited = from !== 'answer';
     const newSession =
-      heartbeat.agentEpoch > machine.agentEpoch && machine.lastHeartbeatAt !== null;
-    const isFirstOfSession = newSession || machine.lastHeartbeatAt === null;
+      heartbeat.agentEpoch > machine.agentEpoch && machine.reachability.lastHeartbeatAt !== null;
+    const isFirstOfSession = newSession || machine.reachability.lastHeartbeatAt === null;
     // The first that is known stays: a late copy must not send orders elsewhere.
     if (machine.address === '') machine.address = heartbeat.address;
     machine.agentEpoch = heartbeat.agentEpoch;
@@ -84,9 +85,13 @@
       machine.highestFencingToken,
       heartbeat.highestFencingToken,
     );
-    machine.lastHeartbeatAt = now;
+    machine.reachability.lastHeartbeatAt = now;
     // At once, not with the next sweep: a machine that has just come up is waited for.
-    if (isUnsolicited) [machine.lastUnsolicitedHeartbeatAt, machine.isPartitioned] = [now, false];
+    if (isUnsolicited)
+      [machine.reachability.lastUnsolicitedHeartbeatAt, machine.reachability.isPartitioned] = [
+        now,
+        false,
+      ];
     if (from !== 'report') machine.markReached(now);
     machine.preemptionDeadline =
       heartbeat.preemptionWarning === null ? null : now + heartbeat.preemptionWarning;
@@ -208,19 +213,9 @@
     attempt: Attempt,
     now: number,
   ): void {
-    const version = chunk.version;
     const { attemptNumber, task, unacknowledgedStart, startSentInAnswer } = attempt;
-    const endedAttempt = {
-      endedAt: now,
-      startSentInAnswer,
-      hasUnacknowledgedStart: (): boolean =>
-        unacknowledgedStart.mayStillExecute(machine.highestFencingToken),
-      // Its end must be stored first; and a start that may still come would run it once more.
-      mayAcknowledge: (): boolean =>
-        (chunk.storedVersion >= version || chunk.isDropped) &&
-        !endedAttempt.hasUnacknowledgedStart() &&
-        !endedAttempt.startSentInAnswer,
-    };
+    const start = { unacknowledgedStart, machine };
+    const endedAttempt = new EndedAttempt(chunk, now, startSentInAnswer, start);
     machine.endedAttempts.set(attemptKey(chunk.taskName(task), attemptNumber), endedAttempt);
   }
 
@@ -257,13 +252,7 @@
         if (chunk.attempts.has(number)) continue;
         chunk.doneTasks.add(number);
         this.shard.noteChunkChanged(chunk, now);
-        const version = chunk.version;
-        machine.endedAttempts.set(key, {
-          endedAt: now,
-          startSentInAnswer: false,
-          hasUnacknowledgedStart: () => false,
-          mayAcknowledge: () => chunk.storedVersion >= version || chunk.isDropped,
-        });
+        machine.endedAttempts.set(key, new EndedAttempt(chunk, now, false, null));
       }
     }
   }
--- a/src/coordination/reconciliation/machineLiveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -30,8 +30,8 @@
   /** Silent machines: what ran there is over once nobody can have renewed the lease that long. */
   sweep(now: number): void {
     for (const machine of this.shard.machines.values()) {
-      machine.isPartitioned =
-        now - (machine.lastUnsolicitedHeartbeatAt ?? machine.firstSeenAt) >
+      machine.reachability.isPartitioned =
+        now - (machine.reachability.lastUnsolicitedHeartbeatAt ?? machine.firstSeenAt) >
         this.options.workerLease / 2;
       if (machine.placements.size === 0) continue;
       const termination = AttemptTermination.byLeaseExpiry(machine, this.options, now);
@@ -54,8 +54,10 @@
     const lost: string[] = [];
     for (const machine of this.shard.machines.values()) {
       // Its last owner may be alive and answer it: that we can't reach it says nothing of the machine.
-      if (machine.lastReachedAt === null && machine.leaseRenewedAt > now) continue;
-      const isNew = machine.lastReachedAt === null && machine.firstMissedProbeAt === null;
+      if (machine.reachability.lastReachedAt === null && machine.leaseRenewedAt > now) continue;
+      const isNew =
+        machine.reachability.lastReachedAt === null &&
+        machine.reachability.firstMissedProbeAt === null;
       const isLost = isNew
         ? this.neverCame(machine, now, wall, bootOf(machine))
         : this.isLost(machine, now);
@@ -74,17 +76,18 @@
       shard: this.shard.label,
       machine: machine.name,
       tasks: machine.placements.size,
-      silentFor: now - (machine.lastReachedAt ?? machine.firstSeenAt),
+      silentFor: now - (machine.reachability.lastReachedAt ?? machine.firstSeenAt),
     });
   }
 
   private mostAreSilent(): boolean {
     let asked = 0;
     let silent = 0;
-    for (const { lastReachedAt: reached, missedProbes: missed } of this.shard.machines.values()) {
-      if (reached === null && missed === 0) continue;
+    for (const { reachability } of this.shard.machines.values()) {
+      const { lastReachedAt, missedProbes } = reachability;
+      if (lastReachedAt === null && missedProbes === 0) continue;
       asked++;
-      if (missed > 0) silent++;
+      if (missedProbes > 0) silent++;
     }
     return silent * 2 > asked;
   }
@@ -102,14 +105,18 @@
 
   private isLost(machine: Machine, now: number): boolean {
     const { heartbeatInterval } = this.options;
-    const silentFor = now - (machine.lastReachedAt ?? machine.firstSeenAt);
-    const since = machine.firstMissedProbeAt;
-    if (since === null || machine.missedProbes < 2 || silentFor < heartbeatInterval * 0.8)
+    const silentFor = now - (machine.reachability.lastReachedAt ?? machine.firstSeenAt);
+    const since = machine.reachability.firstMissedProbeAt;
+    if (
+      since === null ||
+      machine.reachability.missedProbes < 2 ||
+      silentFor < heartbeatInterval * 0.8
+    )
       return false;
     const { answering, silent } = this.othersSince(machine, since);
     const isAlone = answering === 0 && silent === 0 && silentFor > heartbeatInterval * 3;
     // When a cut ends most answer at once. The others have not been asked since, and were released as lost.
-    const askedSince = machine.lastProbeAt >= this.mostSilentAt;
+    const askedSince = machine.reachability.lastProbeAt >= this.mostSilentAt;
     return isAlone || (answering > silent && askedSince);
   }
 
@@ -119,8 +126,9 @@
     let silent = 0;
     for (const other of this.shard.machines.values()) {
       if (other === machine || other.isLost) continue;
-      if (other.lastReachedAt !== null && other.lastReachedAt > since) answering++;
-      else if (other.missedProbes > 0) silent++;
+      if (other.reachability.lastReachedAt !== null && other.reachability.lastReachedAt > since)
+        answering++;
+      else if (other.reachability.missedProbes > 0) silent++;
     }
     return { answering, silent };
   }
--- a/src/coordination/shard/demandEstimator.ts
+++ b/src/coordination/shard/demandEstimator.ts
@@ -79,7 +79,7 @@
       machine.preemptionDeadline !== null
     )
       return false;
-    if (machine.isUp && machine.isPartitioned) return false;
+    if (machine.isUp && machine.reachability.isPartitioned) return false;
     return !machine.isUp || machine.quarantinedUntil <= now;
   }
 
--- a/test/commands/commandDispatcher.test.ts
+++ b/test/commands/commandDispatcher.test.ts
@@ -70,15 +70,15 @@
 test('machines that are silent hold half of the sockets for machines, and take turns', async () => {
   const pending: ((error: Error) => void)[] = [];
   const { part, orders, asked } = fixture(40, () => new Promise((_, no) => pending.push(no)));
-  for (const machine of part.machines.values()) machine.missedProbes = 1;
+  for (const machine of part.machines.values()) machine.reachability.missedProbes = 1;
   const most = SOCKETS / 12;
   orders.sweep();
   assert.equal(asked.length, most);
   // A healthy one is asked all the same.
   const [healthy] = part.machines.values();
   if (healthy === undefined) throw new Error('no machine');
-  healthy.missedProbes = 0;
-  healthy.isProbeInFlight = false;
+  healthy.reachability.missedProbes = 0;
+  healthy.reachability.isProbeInFlight = false;
   orders.sweep();
   assert.equal(asked.filter((a) => a === 'h:0').length, 2);
   for (let turn = 0; turn < 4; turn++) {
@@ -93,7 +93,7 @@
   const { part, orders, asked, clock } = fixture(1000, () => new Promise(() => undefined));
   // Before the leases that an earlier owner gave have run out.
   clock.at = 1;
-  for (const machine of part.machines.values()) machine.lastReachedAt = null;
+  for (const machine of part.machines.values()) machine.reachability.lastReachedAt = null;
   const live = spec({ id: 'wk-1', taskCount: 1, isService: true });
   const record = new Chunk(live, 0, 'p', 0, 0, 1, null, 0).record();
   const entries = [{ task: 0, attemptNumber: 1, machine: 'n-999', agentEpoch: 1 }];
@@ -124,7 +124,7 @@
     orders.sweep();
     await new Promise((resolve) => setImmediate(resolve));
     await new Promise((resolve) => setImmediate(resolve));
-    assert.equal(part.machines.get('n-0')?.missedProbes, missed);
+    assert.equal(part.machines.get('n-0')?.reachability.missedProbes, missed);
   });
 }
 
--- a/test/commands/costs.test.ts
+++ b/test/commands/costs.test.ts
@@ -1,4 +1,9 @@
 /** Costs that were won back on small controllers, held by counts: messages, questions and visits. */
+import {
+  commandsForAnswer,
+  dueCommands,
+  hasDueCommand,
+} from '../../src/coordination/model/dueCommands.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { AuditTrail } from '../../src/coordination/audit/auditTrail.js';
@@ -84,19 +89,19 @@
 
 test('a reap alone is no reason for a command, and waits for company in the answers to reports', () => {
   const { part, machine } = withLeftover(1);
-  assert.equal(machine.hasDueCommand(1, AGAIN), false);
-  assert.deepEqual(machine.commandsForAnswer(1 + REPORT / 2, AGAIN, REPORT), []);
-  const alone = machine.commandsForAnswer(1 + REPORT, AGAIN, REPORT);
+  assert.equal(hasDueCommand(machine, 1, AGAIN), false);
+  assert.deepEqual(commandsForAnswer(machine, 1 + REPORT / 2, AGAIN, REPORT), []);
+  const alone = commandsForAnswer(machine, 1 + REPORT, AGAIN, REPORT);
   assert.deepEqual(
     alone.map((order) => order.verb),
     ['acknowledge'],
   );
   const next = addChunk(part, 'wk-2');
   part.scheduler.runRound(2, () => false);
-  assert.equal(machine.hasDueCommand(2, AGAIN), false, 'its placement is not stored');
+  assert.equal(hasDueCommand(machine, 2, AGAIN), false, 'its placement is not stored');
   next.storedVersion = next.version;
-  assert.equal(machine.hasDueCommand(2, AGAIN), true);
-  const together = machine.commandsForAnswer(2, AGAIN, REPORT);
+  assert.equal(hasDueCommand(machine, 2, AGAIN), true);
+  const together = commandsForAnswer(machine, 2, AGAIN, REPORT);
   assert.deepEqual(
     together.map((order) => order.verb),
     ['acknowledge', 'start'],
@@ -110,7 +115,7 @@
     name: 'a stop that has just been sent',
     strike: (part: Shard, machine: Machine) => {
       stopAll(part, machine);
-      machine.dueCommands(true, 2, AGAIN);
+      dueCommands(machine, 2, AGAIN);
     },
     due: false,
   },
@@ -135,8 +140,8 @@
     const running = { task: 'wk-1/0', attemptNumber: 1, cause: null, hasCheckpoint: false };
     report(part, machine, 1, [{ ...running, state: 'running' }]);
     strike(part, machine);
-    assert.equal(machine.hasDueCommand(3, AGAIN), due);
-    assert.equal(machine.dueCommands(true, 3, AGAIN).length > 0, due);
+    assert.equal(hasDueCommand(machine, 3, AGAIN), due);
+    assert.equal(dueCommands(machine, 3, AGAIN).length > 0, due);
   });
 }
 
--- a/test/reconciliation/machineLiveness.test.ts
+++ b/test/reconciliation/machineLiveness.test.ts
@@ -57,8 +57,8 @@
     const machine = b.machine('n-1', false);
     const rest = ['n-2', 'n-3'].map((n) => b.machine(n, false));
     for (const m of othersAnswer ? [machine] : [machine, ...rest]) {
-      m.missedProbes = 3;
-      m.firstMissedProbeAt = b.now;
+      m.reachability.missedProbes = 3;
+      m.reachability.firstMissedProbeAt = b.now;
     }
     b.now += 12;
     if (othersAnswer) for (const m of rest) b.report(m, []);
@@ -80,8 +80,8 @@
   };
   const adopted = b.part.addMachine('n-1', record, b.now, b.now + 36);
   const other = b.machine('n-2', false);
-  adopted.missedProbes = 3;
-  adopted.firstMissedProbeAt = b.now;
+  adopted.reachability.missedProbes = 3;
+  adopted.reachability.firstMissedProbeAt = b.now;
   b.now += 12;
   b.report(other, []);
   assert.deepEqual(
@@ -102,8 +102,8 @@
   const since = b.now;
   for (let n = 0; n < 3; n++) {
     b.now += 3;
-    machine.missedProbes++;
-    machine.firstMissedProbeAt ??= since + 1;
+    machine.reachability.missedProbes++;
+    machine.reachability.firstMissedProbeAt ??= since + 1;
     b.report(machine, [{}], {}, 'report');
     b.report(other, []);
   }
@@ -123,8 +123,8 @@
   const machines = [1, 2, 3, 4].map((n) => b.machine(`n-${n}`));
   const lost = (): string[] => b.part.liveness.lostMachines(b.now, () => 30, 1000);
   for (const machine of machines) {
-    machine.missedProbes = 3;
-    machine.firstMissedProbeAt = machine.lastProbeAt = b.now + 1;
+    machine.reachability.missedProbes = 3;
+    machine.reachability.firstMissedProbeAt = machine.reachability.lastProbeAt = b.now + 1;
   }
   b.now += 20;
   assert.deepEqual(lost(), []);
@@ -133,7 +133,7 @@
   assert.deepEqual(lost(), [], 'it was last asked during the cut');
   const [silent] = machines;
   if (silent === undefined) throw new Error('no machine');
-  silent.lastProbeAt = b.now + 1;
+  silent.reachability.lastProbeAt = b.now + 1;
   b.now += 3;
   assert.deepEqual(lost(), ['n-1']);
 });
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -1,7 +1,9 @@
 /** A part: starts once they are stored, cancellations, adoption. */
+import { cancellationStops, dueCommands } from '../../src/coordination/model/dueCommands.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Chunk } from '../../src/coordination/model/chunk.js';
+import { Machine } from '../../src/coordination/model/machine.js';
 import { Bench } from '../support/bench.js';
 import { spec } from '../support/spec.js';
 
@@ -12,7 +14,17 @@
   b.decide();
   assert.deepEqual(b.verbs(machine), []);
   b.store(chunk);
-  assert.deepEqual(machine.dueCommands(false, b.now, 4), []);
+  const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
+  const withheld = new Machine(
+    machine.name,
+    record,
+    () => b.types,
+    b.now,
+    () => false,
+  );
+  for (const placement of machine.placements.values()) withheld.place(placement);
+  assert.equal(withheld.placements.size, 1);
+  assert.deepEqual(dueCommands(withheld, b.now, 4), []);
   assert.deepEqual(b.verbs(machine), ['start wk-1/0 1']);
 });
 
@@ -62,12 +74,12 @@
   b.store(runs, waits);
   const on = runs.attempts.get(0)?.machine === machine.name ? machine : other;
   b.report(on, [{}]);
-  assert.deepEqual(on.cancellationStops(), []);
+  assert.deepEqual(cancellationStops(on), []);
   b.part.prepareCancel(runs, b.now);
   b.part.prepareCancel(waits, b.now);
   const halt = { verb: 'stop', task: 'wk-1/0', attemptNumber: 1, gracePeriod: 0 };
   // With every answer: one of them may be lost, and the next would renew the lease.
-  assert.deepEqual([on.cancellationStops(), on.cancellationStops()], [[halt], [halt]]);
+  assert.deepEqual([cancellationStops(on), cancellationStops(on)], [[halt], [halt]]);
   assert.deepEqual(waits.attempts.size, 0, 'its start was never sent, so nothing can come of it');
   b.report(on, [{ state: 'ended', cause: 'halted' }]);
   b.decide();
--- a/test/support/bench.ts
+++ b/test/support/bench.ts
@@ -1,4 +1,5 @@
 /** A part on a clock of its own, with one type of machine, and reports made by hand. */
+import { dueCommands } from '../../src/coordination/model/dueCommands.js';
 import { seededRandom } from '../../src/base/random.js';
 import { Chunk } from '../../src/coordination/model/chunk.js';
 import { RunTimes } from '../../src/coordination/scheduling/runTimes.js';
@@ -102,8 +103,8 @@
 
   /** Two questions to it have got no answer. */
   leaveUnanswered(machine: Machine): void {
-    machine.missedProbes = 2;
-    machine.firstMissedProbeAt = this.now;
+    machine.reachability.missedProbes = 2;
+    machine.reachability.firstMissedProbeAt = this.now;
   }
 
   decide(): void {
@@ -116,8 +117,6 @@
   }
 
   verbs(machine: Machine): string[] {
-    return machine
-      .dueCommands(true, this.now, 4)
-      .map((o) => `${o.verb} ${o.task} ${o.attemptNumber}`);
+    return dueCommands(machine, this.now, 4).map((o) => `${o.verb} ${o.task} ${o.attemptNumber}`);
   }
 }
--- a/test/support/commandBench.ts
+++ b/test/support/commandBench.ts
@@ -2,6 +2,7 @@
  * A part and its orders on a clock of its own, with workers that follow PROTOCOL behind a network that a test scripts:
  * commands arrive, are held and arrive late, or are never sent. It tells which tasks were on two machines at once.
  */
+import { commandsForAnswer } from '../../src/coordination/model/dueCommands.js';
 import { AuditTrail } from '../../src/coordination/audit/auditTrail.js';
 import type { Chunk } from '../../src/coordination/model/chunk.js';
 import type { Machine } from '../../src/coordination/model/machine.js';
@@ -98,7 +99,7 @@
     this.bench.now += REPORT_S;
     this.hello(machine);
     const worker = this.worker(machine);
-    const orders = machine.commandsForAnswer(this.bench.now, REPORT_S * 1.5, REPORT_S);
+    const orders = commandsForAnswer(machine, this.bench.now, REPORT_S * 1.5, REPORT_S);
     worker.answer(worker.session, heartbeatAnswer(TOKEN, orders));
   }
 
