--- a/src/storage/stateClient.ts
+++ b/src/storage/stateClient.ts
@@ -12,6 +12,13 @@
 /** The state service could not be asked, or refused: nothing is known to have been carried out. */
 export class StateServiceUnavailableError extends Error {}
 
+/** The state service gave an answer that is not of its protocol. */
+class UnexpectedAnswerError extends StateServiceUnavailableError {
+  constructor() {
+    super('odd answer');
+  }
+}
+
 export type TransactionResult =
   | { kind: 'applied'; revision: number }
   | { kind: 'conflict'; failed: string[] }
@@ -141,9 +148,7 @@
       try {
         response = await this.call(method, target, body, timeout);
       } catch (error) {
-        throw new StateServiceUnavailableError(
-          error instanceof Error ? error.message : 'no answer',
-        );
+        throw noAnswer(error);
       }
       if (response.status === 503) throw new StateServiceUnavailableError('state service refuses');
       if (response.status !== 429) return response;
@@ -170,8 +175,7 @@
     const response = await this.ask('GET', wire.paths.key(key));
     if (response.status === 404) return null;
     const item = wire.parseItem(response.body);
-    if (response.status !== 200 || item === null)
-      throw new StateServiceUnavailableError('odd answer');
+    if (response.status !== 200 || item === null) throw new UnexpectedAnswerError();
     return item;
   }
 
@@ -245,8 +249,7 @@
       const target = wire.paths.range(prefix, after, wire.RANGE_PAGE);
       const response = await this.ask('GET', target, undefined, this.options.timeout * 3);
       const page = wire.parseRange(response.body);
-      if (response.status !== 200 || page === null)
-        throw new StateServiceUnavailableError('odd answer');
+      if (response.status !== 200 || page === null) throw new UnexpectedAnswerError();
       for (const item of page.items) rows.set(item.key, item);
       epoch ??= page.revision;
       const last = page.items[page.items.length - 1];
@@ -399,7 +402,7 @@
   async grantLease(ttl: number): Promise<number> {
     const response = await this.ask('POST', wire.paths.grants, wire.leaseRequest(ttl));
     const hold = wire.parseLease(response.body);
-    if (hold === null) throw new StateServiceUnavailableError('odd answer');
+    if (hold === null) throw new UnexpectedAnswerError();
     return hold;
   }
 
@@ -409,7 +412,7 @@
     try {
       response = await this.call('POST', wire.paths.extend(hold), undefined, timeout);
     } catch (error) {
-      throw new StateServiceUnavailableError(error instanceof Error ? error.message : 'no answer');
+      throw noAnswer(error);
     }
     if (response.status === 404) return false;
     if (response.status !== 200)
@@ -427,8 +430,7 @@
     const response = await this.ask('GET', target, undefined, hold + this.options.timeout);
     if (response.status === 410) return null;
     const told = wire.parseLog(response.body);
-    if (response.status !== 200 || told === null)
-      throw new StateServiceUnavailableError('odd answer');
+    if (response.status !== 200 || told === null) throw new UnexpectedAnswerError();
     return { revision: told.revision, changes: await this.joinChanges(told.changes) };
   }
 
@@ -455,6 +457,9 @@
   }
 }
 
+const noAnswer = (cause: unknown): StateServiceUnavailableError =>
+  new StateServiceUnavailableError(cause instanceof Error ? cause.message : 'no answer', { cause });
+
 /** The pieces that a head names, as far as they are known. */
 const fragmentsOf = (
   head: wire.KeyValue,
