--- a/src/coordination/leadership/shardLeadership.ts
+++ b/src/coordination/leadership/shardLeadership.ts
@@ -169,7 +169,7 @@
 
   private lose(shard: string): void {
     if (!this.leaderships.delete(shard)) return;
-    log.info(`part ${shard} is no longer ours`);
+    log.info(`shard ${shard}: leadership lost`);
     this.events.onLost(shard);
   }
 
@@ -228,7 +228,7 @@
     this.shardsInTransition.add(shard);
     void work()
       .catch((error: unknown) => {
-        log.debug(`ownership of ${shard}: ${describe(error)}`);
+        log.debug(`leadership of ${shard}: ${describe(error)}`);
       })
       .finally(() => this.shardsInTransition.delete(shard));
   }
@@ -247,7 +247,7 @@
     // run, another lease may be valid by now, and a peer the leader.
     if (!this.isLeaseValid || this.lease.id !== leaseId || this.leaderships.has(shard)) return;
     this.leaderships.set(shard, leadership);
-    log.info(`part ${shard} is ours with token ${leadership.fencingToken}`);
+    log.info(`shard ${shard}: leadership gained with fencing token ${leadership.fencingToken}`);
     this.events.onGained(shard, leadership);
   }
 
@@ -255,7 +255,7 @@
   private async handOver(shard: string): Promise<void> {
     const leadership = this.leaderships.get(shard);
     if (leadership === undefined) return;
-    log.info(`handing part ${shard} back`);
+    log.info(`shard ${shard}: handing leadership over`);
     this.events.onLost(shard);
     this.leaderships.delete(shard);
     await this.events.awaitWrites(shard);
--- a/src/coordination/leadership/stateLease.ts
+++ b/src/coordination/leadership/stateLease.ts
@@ -56,7 +56,7 @@
   }
 
   private end(): void {
-    log.info('our lease at the state service has ended; giving up all parts');
+    log.info('the lease at the state service has expired; giving up all shards');
     this.activeId = null;
     this.validUntil = -Infinity;
     this.onEnded();
--- a/src/storage/nodeCapabilities.ts
+++ b/src/storage/nodeCapabilities.ts
@@ -33,7 +33,7 @@
     if (record.recordFormat < RECORD_FORMAT_VERSION || !this.unmarked.delete(label)) return;
     if (!this.isUpgraded) return;
     this.recordFormat.useCompact();
-    log.info('every node can read the present layout of records; it is used from now on');
+    log.info('every node can read the present record format; it is used from now on');
   }
 
   /** Marks this node, unless the copy of the records shows that it is marked. */
--- a/test/tools/soak.test.ts
+++ b/test/tools/soak.test.ts
@@ -60,7 +60,7 @@
     ['error unhandled: x is not a function', true],
     ['error audit at=1 node=drone-0 event=invariant-violated invariant=attempt-vanished', true],
     ['error loop: TypeError', true],
-    ['info part drone-0 is no longer ours', false],
+    ['info shard drone-0: leadership lost', false],
   ] as const) {
     const log = new SoakLog();
     log.add('drone-0', line);
