--- a/src/base/log.ts
+++ b/src/base/log.ts
@@ -1,3 +1,4 @@
+/** The log of the process, and how errors read in it. */
 import loglevel from 'loglevel';
 
 // Standard output is kept for the command line's answers; every log line goes to standard error.
--- a/src/base/random.ts
+++ b/src/base/random.ts
@@ -1,3 +1,4 @@
+/** The source of random numbers, passed in wherever one is needed. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
--- a/src/coordination/commands/commandDispatcher.ts
+++ b/src/coordination/commands/commandDispatcher.ts
@@ -23,7 +23,7 @@
 /** Machines that one core may ask in a second without noticing it. */
 const PROBES_PER_CORE = 120;
 
-/** How long an ended attempt whose start is in doubt stays in reports, as a ratio to the time between reports. */
+/** How long an ended attempt whose start is unacknowledged stays in heartbeats, as a ratio to the time between heartbeats. */
 const UNACKNOWLEDGED_END_INTERVALS = 4;
 
 /** A round may have commands for hundreds of machines; sent at once they would keep reports waiting. */
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Sends orders; what became of them, and the report that came back. */
+  /** Sends orders; what became of them, and the heartbeat that came back. */
   private async exchange(
     ownedShard: OwnedShard,
     { address, agentEpoch, name }: Machine,
@@ -152,13 +152,13 @@
       startsWork ? authority.mayAct(ownedShard) : authority.mayEnd(ownedShard);
     const target = workerPaths.orders;
     try {
-      const patience = settings.heartbeatInterval / 2;
+      const timeout = settings.heartbeatInterval / 2;
       const answer = await links.machines.call(
-        ...[address, 'POST', target, body, patience, mayLeave],
+        ...[address, 'POST', target, body, timeout, mayLeave],
       );
       return { outcome: outcomeOf(answer.status), heartbeat: parseHeartbeat(answer.body) };
     } catch (error) {
-      log.debug(`orders to ${name}: ${describe(error)}`);
+      log.debug(`commands to ${name}: ${describe(error)}`);
       const isUnsent = error instanceof HttpCallError && error.unsent;
       return { outcome: isUnsent ? 'unsent' : 'unanswered', heartbeat: null };
     }
@@ -266,7 +266,7 @@
     this.node.requestSchedulingRound();
   }
 
-  /** Questions a second that this node can afford for each part: more would take the processor from users. */
+  /** Questions a second that this node can afford for each shard: more would take the processor from users. */
   private get affordableProbes(): number {
     return (PROBES_PER_CORE * this.node.settings.cores) / this.node.ownedShards.size;
   }
@@ -298,7 +298,7 @@
     const doubtful = [...ownedShard.shard.machines.values()].some(
       (machine) => machine.reachability.missedProbes > 0,
     );
-    // Only those with live services are asked so often: in a large part they are the fewer.
+    // Only those with live services are asked so often: in a large shard they are the fewer.
     const serviceCpus = machines.reduce((n, machine) => n + (machine.serviceCpus > 0 ? 1 : 0), 0);
     const watchful = Math.min(
       1.3,
@@ -307,11 +307,11 @@
     for (const machine of machines) {
       if (machine.reachability.lastReachedAt === null) continue;
       ownedShard.shard.pendingCommands.add(machine);
-      // Where live services run, silence is noticed within a second or two; elsewhere when a report
+      // Where live services run, silence is noticed within a second or two; elsewhere when a heartbeat
       // is overdue.
       // When one does not answer, all are asked: others that answer show that the fault is not ours.
-      const patience = machine.serviceCpus > 0 || doubtful ? watchful : 1.3;
-      if (now - machine.reachability.lastReachedAt > heartbeatInterval * patience)
+      const silenceIntervals = machine.serviceCpus > 0 || doubtful ? watchful : 1.3;
+      if (now - machine.reachability.lastReachedAt > heartbeatInterval * silenceIntervals)
         void this.probe(ownedShard, machine);
     }
   }
@@ -327,8 +327,8 @@
   }
 
   /**
-   * A start stays in doubt until its worker has seen a higher token: get one when something has to wait for that. All
-   * workers report a higher token at once, so a task that just runs, its start in doubt or not, is no reason for one.
+   * A start stays in doubt until its worker has seen a higher fencing token: get one when something has to wait for that. All
+   * workers report a higher fencing token at once, so a task that just runs, its start unacknowledged or not, is no reason for one.
    */
   private resolveUnacknowledgedStarts(ownedShard: OwnedShard, now: number): void {
     const { heartbeatInterval } = this.node.settings;
@@ -336,7 +336,7 @@
     const stuck = [...ownedShard.shard.machines.values()].filter((machine) => {
       const { unacknowledgedStartSince: inDoubtSince } = machine;
       const { lastReachedAt: reached } = machine.reachability;
-      // One that our answers do not reach would not see the new token either.
+      // One that our answers do not reach would not see the new fencing token either.
       const isHeard = reached !== null && now - reached < heartbeatInterval * 2;
       if (inDoubtSince === null || !isHeard || now - inDoubtSince <= heartbeatInterval)
         return false;
--- a/src/coordination/leadership/lastLeaders.ts
+++ b/src/coordination/leadership/lastLeaders.ts
@@ -39,7 +39,8 @@
   if (lastLeader !== undefined) lostAtByNode[lastLeader.node] = wallTime;
   return Object.fromEntries(
     Object.entries(lostAtByNode).filter(
-      ([other, lostAt]) => other !== node && wallTime - lostAt <= gracePeriod * 2,
+      ([other, leadershipLostAt]) =>
+        other !== node && wallTime - leadershipLostAt <= gracePeriod * 2,
     ),
   );
 }
--- a/src/coordination/leadership/leaderRecords.ts
+++ b/src/coordination/leadership/leaderRecords.ts
@@ -1,6 +1,6 @@
 /**
  * The stored leader records. A leader's record stands under the leader's lease; fencing tokens come from one counter, so
- * that any new leadership has a token above every earlier one.
+ * that any new leadership has a fencing token above every earlier one.
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import type { KeyValue } from '../../protocol/stateProtocol.js';
--- a/src/coordination/leadership/shardLeadership.ts
+++ b/src/coordination/leadership/shardLeadership.ts
@@ -133,10 +133,10 @@
       this.lose(shard);
   }
 
-  /** Another node may lead the shard with this token: if it is above ours, the shard is ours no longer. */
+  /** Another node may lead the shard with this fencing token: if it is above ours, the shard is ours no longer. */
   stepDownIfFenced(shard: string, fencingToken: number): void {
     const leadership = this.leaderships.get(shard);
-    // While a claim or a higher token of ours is under way its record may be known before its answer.
+    // While a claim or a higher fencing token of ours is under way its record may be known before its answer.
     if (
       leadership !== undefined &&
       fencingToken > leadership.fencingToken &&
--- a/src/coordination/model/bucket.ts
+++ b/src/coordination/model/bucket.ts
@@ -1,4 +1,4 @@
-/** Some chunks of a part that are stored in one record. */
+/** Some chunks of a shard that are stored in one record. */
 import type { BucketRecord } from '../../storage/records.js';
 import type { RecordFormat } from '../../storage/recordFormat.js';
 import type { Chunk, ChunkBucket } from './chunk.js';
@@ -15,7 +15,7 @@
   isDirty = false;
   /**
    * A transaction that creates its record got no answer. Were the record removed, that transaction could be
-   * applied late and bring back chunks that are at other parts by then. So the record stays, empty if need
+   * applied late and bring back chunks that are at other shards by then. So the record stays, empty if need
    * be, for as long as the ownership that the transaction is conditional on.
    */
   isUncertain = false;
@@ -29,7 +29,7 @@
 
   constructor(
     readonly name: string,
-    /** The record's stamp; 0 while there is none. */
+    /** The record's revision; 0 while there is none. */
     public revision: number,
     private readonly recordFormat: RecordFormat,
   ) {}
--- a/src/coordination/model/chunk.ts
+++ b/src/coordination/model/chunk.ts
@@ -1,3 +1,4 @@
+/** Chunks: ranges of a job's tasks, and the attempts that are, or may be, on machines. */
 import { rankOrder, type JobSpec } from '../../protocol/job.js';
 import type { TaskState } from '../../protocol/workerProtocol.js';
 import { fromRanges, toRanges, type ChunkRecord } from '../../storage/records.js';
@@ -22,7 +23,7 @@
   runningSince: number | null;
   /** Whether a start sent straight to the worker may still be carried out. */
   readonly unacknowledgedStart: UnacknowledgedStart;
-  /** A start rides in the answer to a report; the worker's next report settles it. */
+  /** A start rides in the answer to a heartbeat; the worker's next heartbeat settles it. */
   startSentInAnswer: boolean;
   stop: { gracePeriod: number; sentAt: number | null } | null;
 }
@@ -51,7 +52,7 @@
   isJobStored = false;
   /** Where it is stored, or is about to be. */
   bucket: ChunkBucket | null = null;
-  /** A move to another part got no answer: until its bucket is written again it may have gone. */
+  /** A move to another shard got no answer: until its bucket is written again it may have gone. */
   mayHaveMigrated = false;
   /** A record beyond the limit that it was in before, which still has a copy of it. */
   retiredFrom: ChunkBucket | null = null;
@@ -61,9 +62,9 @@
   isCancelled = false;
   /** Steady time at which its job's cancellation was announced; null: nobody wants it cancelled. */
   cancellationPreparedAt: number | null = null;
-  /** A transaction that hands it to another part is on its way. */
+  /** A transaction that hands it to another shard is on its way. */
   isMigrating = false;
-  /** Set once its record is gone from this part. */
+  /** Set once its record is gone from this shard. */
   isDropped = false;
   /** Nothing is started before this time, after failures. */
   retryNotBefore = 0;
--- a/src/coordination/model/chunking.ts
+++ b/src/coordination/model/chunking.ts
@@ -61,7 +61,7 @@
 
 /**
  * Tasks a chunk: what a part of this size can run at once, within bounds of a record's size. Each chunk
- * costs changes at the state service, so a job has no more chunks than two for each part, and a part
+ * costs changes at the state service, so a job has no more chunks than two for each shard, and a shard
  * that has no machines yet gets it whole: they are rented for it.
  */
 export function chunkSize(
@@ -71,7 +71,7 @@
   mostTasks: number,
   shards: number,
 ): number {
-  // A gang starts whole, so one part must hold it whole.
+  // A gang starts whole, so one shard must hold it whole.
   if (spec.isGang) return spec.taskCount;
   const fits = partCpus > 0 ? Math.floor(partCpus / spec.cpus) : spec.taskCount;
   const least = Math.max(8, Math.ceil(spec.taskCount / (2 * shards)));
--- a/src/coordination/model/reportedAttempts.ts
+++ b/src/coordination/model/reportedAttempts.ts
@@ -1,6 +1,6 @@
 /**
  * What a worker last reported of the attempts on its machine. A task may stand in it more than once, in any order: an attempt
- * that has ended stays until it is reaped, and the next one of the same task may run beside it.
+ * that has ended stays until it is acknowledged, and the next one of the same task may run beside it.
  */
 import type { ReportedAttempt } from '../../protocol/workerProtocol.js';
 
--- a/src/coordination/model/unacknowledgedStart.ts
+++ b/src/coordination/model/unacknowledgedStart.ts
@@ -12,15 +12,15 @@
   /** The token of the command that is on its way. There is one at a time for a machine. */
   private tokenInFlight = NO_TOKEN;
 
-  /** `unanswered`: the highest token of a command that got no answer. */
+  /** `unanswered`: the highest fencing token of a command that got no answer. */
   constructor(private unansweredToken = NO_TOKEN) {}
 
-  /** A worker that has seen a token carries out nothing that was sent under a lower one. */
+  /** A worker that has seen a fencing token carries out nothing that was sent under a lower one. */
   mayStillExecute(seenToken: number): boolean {
     return Math.max(this.tokenInFlight, this.unansweredToken) >= seenToken;
   }
 
-  /** A command with the start leaves under this token. */
+  /** A command with the start leaves under this fencing token. */
   noteSent(fencingToken: number): void {
     this.tokenInFlight = fencingToken;
   }
@@ -33,11 +33,11 @@
         this.unansweredToken = Math.max(this.unansweredToken, fencingToken);
         return;
       case 'refused':
-        // The worker is past the token or the session, and so past those of all earlier commands.
+        // The worker is past the fencing token or the agent epoch, and so past those of all earlier commands.
         this.unansweredToken = NO_TOKEN;
         return;
       case 'executed':
-        // The worker has seen this token. A copy under the same one is carried out all the same.
+        // The worker has seen this fencing token. A copy under the same one is carried out all the same.
         if (this.unansweredToken < fencingToken) this.unansweredToken = NO_TOKEN;
         return;
       case 'unsent':
--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the stored chunks in line with what the parts know. Each transaction is conditional on the
- * part's ownership key and on the bucket it changes; a bucket's record is made from memory when its turn
+ * Keeps the stored chunks in line with what the shards know. Each transaction is conditional on the
+ * shard's leader key and on the bucket it changes; a bucket's record is made from memory when its turn
  * comes, so that it holds all that has changed meanwhile.
  */
 import { sleep, type Clock } from '../../base/clock.js';
@@ -18,7 +18,7 @@
 /** What the writer asks and tells its owner. */
 export interface BucketWriterEvents {
   isLeaseValid(): boolean;
-  /** An ownership key was not as we thought. */
+  /** A leader key was not as we thought. */
   verifyLeadership(shard: string): Promise<void>;
   /** Chunks were stored: their starts may go out. */
   stored(ownedShard: OwnedShard, chunks: Chunk[]): void;
@@ -43,7 +43,7 @@
   process: string;
 }
 
-/** Transactions of a part that may be on their way. */
+/** Transactions of a shard that may be on their way. */
 const TRANSACTIONS = 3;
 
 /** Of a transaction's and of a record's limit, what is used: sizes are worked out, not measured. */
@@ -71,7 +71,7 @@
     private readonly options: BucketWriterOptions,
   ) {}
 
-  /** Every write of a part goes through here: under its ownership, and only while that is valid. */
+  /** Every write of a shard goes through here: under its ownership, and only while that is valid. */
   async write(
     ownedShard: OwnedShard,
     transaction: Transaction,
@@ -96,7 +96,7 @@
 
   /**
    * Buckets from before the present limits, whose records may not be written any more: their chunks go to others, as
-   * the state service allows (safety, V5). A single chunk that is too large is stored in pieces.
+   * the state service allows (safety, V5). A single chunk that is too large is stored in fragments.
    */
   private retireLargeBuckets(ownedShard: OwnedShard): void {
     for (const bucket of ownedShard.buckets.values()) {
@@ -125,13 +125,13 @@
     const { linger } = this.options;
     const isBusy =
       this.client.writeDelay('later') > linger / 2 || this.client.writeLoad > BUSY_LOAD;
-    const patience = linger * (isBusy ? BUSY_PATIENCE : 1);
+    const maxDelay = linger * (isBusy ? BUSY_PATIENCE : 1);
     const isGathering = now < ownedShard.batchStartsUntil;
     const due = new Map<Bucket, RequestPriority>();
     for (const chunk of ownedShard.shard.unsavedChunks) {
       const bucket = bucketOf(chunk);
       if (bucket === null || bucket.isWriteInFlight || due.get(bucket) === 'urgent') continue;
-      const isOld = chunk.dirtySince !== null && now - chunk.dirtySince >= patience;
+      const isOld = chunk.dirtySince !== null && now - chunk.dirtySince >= maxDelay;
       if (isAwaited(chunk) && (chunk.spec.isService || !isGathering)) due.set(bucket, 'urgent');
       else if (isOld) due.set(bucket, 'later');
     }
@@ -169,7 +169,7 @@
     if (ownedShard.writesInFlight < TRANSACTIONS) send();
   }
 
-  /** Puts that a bucket of this size takes: a large one is stored in pieces. */
+  /** Puts that a bucket of this size takes: a large one is stored in fragments. */
   private operationsFor(ownedShard: OwnedShard, bucket: Bucket, bytes: number): number {
     const { recordFormat } = this.options;
     if (!recordFormat.isCompact) return 1;
@@ -269,7 +269,7 @@
   ): void {
     for (const { chunk, at } of stored) {
       chunk.storedVersion = Math.max(chunk.storedVersion, at);
-      // Written under the stamp that a move of it would have needed: that can't be applied any more.
+      // Written under the revision that a move of it would have needed: that can't be applied any more.
       chunk.mayHaveMigrated = false;
       if (chunk.version === chunk.storedVersion) ownedShard.shard.unsavedChunks.delete(chunk);
       else chunk.dirtySince ??= this.clock.now();
@@ -302,7 +302,7 @@
       const record = item?.value as BucketRecord | undefined;
       for (const chunk of [...bucket.chunks]) {
         if (!chunk.mayHaveMigrated) continue;
-        // Its move was applied after all, or never will be, since the stamp has changed.
+        // Its move was applied after all, or never will be, since the revision has changed.
         if (record?.chunks[chunk.id] === undefined)
           ownedShard.shard.migrateAway(chunk, this.clock.now());
         else chunk.mayHaveMigrated = false;
@@ -314,7 +314,7 @@
   }
 
   /**
-   * Hands a chunk, of which nothing is on any machine, to another part, in one transaction. `extra` are
+   * Hands a chunk, of which nothing is on any machine, to another shard, in one transaction. `extra` are
    * changes that belong to it: its home notes that it has left.
    */
   async move(
--- a/src/coordination/persistence/jobPersistence.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -1,5 +1,5 @@
 /**
- * Brings the records of jobs in line with what the parts know: chunks that are over, jobs that are
+ * Brings the records of jobs in line with what the shards know: chunks that are over, jobs that are
  * done, chunks that are cut or move. A transaction that got no answer is repeated under the same
  * conditions, so that at most one of the copies is ever applied.
  */
@@ -51,7 +51,7 @@
     return this.bucketWriter.write.bind(this.bucketWriter);
   }
 
-  /** One pass over all owned parts; starts what is due and returns. */
+  /** One pass over all owned shards; starts what is due and returns. */
   writeDueBuckets(): void {
     if (!this.host.isLeaseValid()) return;
     for (const ownedShard of this.host.ownedShards.values()) {
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Looks at all jobs of the owned parts, in case a change was missed. */
+  /** Looks at all jobs of the owned shards, in case a change was missed. */
   review(): void {
     if (!this.host.isLeaseValid()) return;
     for (const [id, { shard, record }] of this.chunkIndex.entries()) {
@@ -96,7 +96,7 @@
     }
   }
 
-  /** Hands a chunk, of which nothing is on any machine, to another part. */
+  /** Hands a chunk, of which nothing is on any machine, to another shard. */
   async move(ownedShard: OwnedShard, chunk: Chunk, to: string): Promise<void> {
     if (chunk.homeShard !== ownedShard.shard.label) {
       await this.bucketWriter.move(ownedShard, chunk, to, { conditions: [], puts: [] });
@@ -211,7 +211,7 @@
 
   /**
    * Takes up the chunks of a home job that are neither here nor stored: nothing of them was started. So it is where a
-   * part is loaded, where a change that cut a chunk got no answer, and where a job no longer waits for others.
+   * shard is loaded, where a change that cut a chunk got no answer, and where a job no longer waits for others.
    */
   acceptMissing(homeShard: OwnedShard, job: HomeJob): void {
     if (
@@ -261,7 +261,7 @@
     return job.record.state === 'open' ? null : job.record.state;
   }
 
-  /** Large jobs are cut step by step, so that no part holds more of them than it can run. */
+  /** Large jobs are cut step by step, so that no shard holds more of them than it can run. */
   private createMoreChunks(homeShard: OwnedShard, job: HomeJob): void {
     const { record } = job;
     if (job.isWriteInFlight || record.spec === null || record.state !== 'open') return;
--- a/src/coordination/persistence/missingChunks.ts
+++ b/src/coordination/persistence/missingChunks.ts
@@ -3,7 +3,7 @@
 import { Chunk } from '../model/chunk.js';
 import { chunkRanges } from '../model/chunking.js';
 
-/** Made anew where the home part does not have them; `record` is as stored, with all that it says of moves. */
+/** Made anew where the home shard does not have them; `record` is as stored, with all that it says of moves. */
 export function missingChunks(
   id: string,
   record: JobRecord,
--- a/src/coordination/reconciliation/attemptTermination.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -23,13 +23,13 @@
     readonly evidenceAt: number,
   ) {}
 
-  /** By the newest report of its machine, which has been taken in already; null: it may still be there, or come. */
+  /** By the newest heartbeat of its machine, which has been taken in already; null: it may still be there, or come. */
   static byHeartbeat(
     machine: Machine,
     { chunk, attempt }: Placement,
     now: number,
   ): AttemptTermination | null {
-    // The worker killed everything when its lease ran out; nothing of that session comes back.
+    // The worker killed everything when its lease ran out; nothing of that agent epoch comes back.
     if (machine.agentEpoch > attempt.agentEpoch)
       return new AttemptTermination('new-agent-epoch', now);
     const reportedAttempt = machine.reportedAttempts.find(
--- a/src/coordination/reconciliation/heartbeatReconciler.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -1,4 +1,4 @@
-/** What workers' reports say of machines and of the attempts that are, or may be, there. */
+/** What workers' heartbeats say of machines and of the attempts that are, or may be, there. */
 import type { Heartbeat, ReportedAttempt } from '../../protocol/workerProtocol.js';
 import { AttemptTermination, type LeaseTimes } from './attemptTermination.js';
 import type { Chunk, Attempt } from '../model/chunk.js';
@@ -7,12 +7,12 @@
 import type { UnknownAttempts } from './unknownAttempts.js';
 
 /**
- * Where a report comes from: a worker's own, which may be late or get no answer; one that follows an
+ * Where a heartbeat comes from: a worker's own, which may be late or get no answer; one that follows an
  * answer of ours on the same connection; the answer to a question or command of ours.
  */
 export type HeartbeatOrigin = 'unsolicited' | 'follow-up' | 'response';
 
-/** What a report says: nothing, since it is older than what is known; nothing new; or something new. */
+/** What a heartbeat says: nothing, since it is older than what is known; nothing new; or something new. */
 export type HeartbeatEffect = 'stale' | 'unchanged' | 'changed';
 
 /** Of a machine's pace, how much one task that has ended counts: one odd task says little. */
@@ -62,7 +62,7 @@
   ) {}
 
   /**
-   * Takes a worker's report. Most say nothing new, and nothing has to be decided anew for them: with
+   * Takes a worker's heartbeat. Most say nothing new, and nothing has to be decided anew for them: with
    * hundreds of machines that would be most of a node's work.
    */
   apply(
@@ -103,7 +103,7 @@
     }
     if (changed) this.shard.unknownAttempts.note(machine);
     this.claimOrphanedResults(machine, now);
-    // A worker's lease counts from when its session began, also one that reaches no controller and only answers.
+    // A worker's lease counts from when its agent epoch began, also one that reaches no controller and only answers.
     if (isFirstOfSession && machine.placements.size === 0)
       machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
     if (machine.preemptionDeadline !== null) this.checkpointBeforePreemption(machine, now);
@@ -124,7 +124,7 @@
     }
   }
 
-  /** What a newer report says of one attempt. */
+  /** What a newer heartbeat says of one attempt. */
   private reconcileAttempt(
     machine: Machine,
     placement: Placement,
--- a/src/coordination/reconciliation/machineLiveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -1,4 +1,4 @@
-/** Which machines of a part are silent, and since when what ran there is over. */
+/** Which machines of a shard are silent, and since when what ran there is over. */
 import { AttemptTermination, type LeaseTimes } from './attemptTermination.js';
 import type { Machine, Placement } from '../model/machine.js';
 import type { AuditTrail } from '../audit/auditTrail.js';
--- a/src/coordination/reconciliation/unknownAttempts.ts
+++ b/src/coordination/reconciliation/unknownAttempts.ts
@@ -1,5 +1,5 @@
 /**
- * Attempts that run on machines of a part and that the part does not know: each is ended as soon as it is seen. A task of
+ * Attempts that run on machines of a shard and that the shard does not know: each is ended as soon as it is seen. A task of
  * which such an attempt runs is started nowhere else meanwhile (safety, T18).
  */
 import type { Machine } from '../model/machine.js';
--- a/src/coordination/rollout/driverRecordAccess.ts
+++ b/src/coordination/rollout/driverRecordAccess.ts
@@ -37,7 +37,7 @@
     });
   }
 
-  /** Why this node must not be drained for a driver with this token, or by hand (null); null: it may (safety, R7). */
+  /** Why this node must not be drained for a driver with this fencing token, or by hand (null); null: it may (safety, R7). */
   drainObstacle(token: number | null): string | null {
     const { record } = this.read();
     if (token === null) {
--- a/src/coordination/shard/demandEstimator.ts
+++ b/src/coordination/shard/demandEstimator.ts
@@ -1,4 +1,4 @@
-/** What should be rented for a part, and which of its machines may be returned: pure. */
+/** What should be rented for a shard, and which of its machines may be returned: pure. */
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import { rankName, type JobSpec } from '../../protocol/job.js';
 import type { Demand } from '../../protocol/peerMessages.js';
@@ -145,9 +145,9 @@
       Math.max(1, m.capacity.cpus);
     for (const machine of idle.sort((a, b) => price(b) - price(a))) {
       if (machine.isCordoned || waits) continue;
-      const patience = (machine.machineType?.bootSeconds ?? 60) * idleRatio;
+      const idleSeconds = (machine.machineType?.bootSeconds ?? 60) * idleRatio;
       const { cpus } = machine.capacity;
-      if (now - machine.idleSince < patience || surplus < cpus) continue;
+      if (now - machine.idleSince < idleSeconds || surplus < cpus) continue;
       if (!machine.spot && liveRoom - cpus < reserve) continue;
       if (this.countsForBatch(machine, now)) surplus -= cpus;
       if (!machine.spot && !machine.isUnresponsive) liveRoom -= cpus;
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,5 +1,5 @@
 /**
- * One part: its machines, its queue and what runs where. No I/O: reports come in, orders and changed
+ * One shard: its machines, its queue and what runs where. No I/O: reports come in, orders and changed
  * records go out, and the clock is passed in.
  */
 import type { Random } from '../../base/random.js';
@@ -101,7 +101,7 @@
       this.terminateAttempt(machine, placement, termination, now);
   }
 
-  /** Not while another attempt of the task runs on a machine of the part: then what we know is wrong, and it waits. */
+  /** Not while another attempt of the task runs on a machine of the shard: then what we know is wrong, and it waits. */
   private mayStart(task: string, now: number): boolean {
     const holder = this.unknownAttempts.holderOf(
       task,
@@ -126,7 +126,7 @@
     this.audit.note({ event: 'invariant-violated', invariant, shard: this.label, detail });
   }
 
-  /** The chunks of a job that are here; any of them may be at other parts. */
+  /** The chunks of a job that are here; any of them may be at other shards. */
   chunksOf(job: string): Chunk[] {
     return [...(this.chunksByJob.get(job) ?? [])];
   }
@@ -154,7 +154,7 @@
       rule: termination.rule,
       evidenceAge: now - termination.evidenceAt,
     });
-    // A worker forgets what it has shown us only by our reap, or with its session; an adopter's reap has a higher token.
+    // A worker forgets what it has shown us only by our acknowledgement, or with its agent epoch; an adopter's acknowledgement has a higher fencing token.
     const isDeposed = machine.highestFencingToken > this.fencingToken;
     if (termination.rule === 'absent' && !attempt.isInherited && !isDeposed) {
       this.reportInvariantViolation(
@@ -193,9 +193,9 @@
       .join(' ');
     const count = (test: (m: Machine) => boolean): number => machines.filter(test).length;
     return (
-      `part ${this.label}: ${machines.length} machines, ${count((m) => !m.isUp)} not up (${silent}), ` +
-      `${count((m) => m.isCordoned)} leaving, ${count((m) => m.preemptionDeadline !== null)} noticed, ` +
-      `${count((m) => m.quarantinedUntil > now)} shunned, ${free} CPUs free, ${this.waitingTaskCount} tasks wait`
+      `shard ${this.label}: ${machines.length} machines, ${count((m) => !m.isUp)} not up (${silent}), ` +
+      `${count((m) => m.isCordoned)} cordoned, ${count((m) => m.preemptionDeadline !== null)} with a preemption notice, ` +
+      `${count((m) => m.quarantinedUntil > now)} quarantined, ${free} CPUs free, ${this.waitingTaskCount} tasks wait`
     );
   }
 
@@ -246,7 +246,7 @@
         state: 'fetching',
         placedAt: now,
         runningSince: null,
-        // Whatever the last owner sent is settled once the worker has seen our token.
+        // Whatever the last owner sent is settled once the worker has seen our fencing token.
         unacknowledgedStart: new UnacknowledgedStart(fencingToken - 1),
         startSentInAnswer: false,
         stop: null,
@@ -261,7 +261,7 @@
     return chunk;
   }
 
-  /** It goes to another part, and so does the work that had arrived with it. */
+  /** It goes to another shard, and so does the work that had arrived with it. */
   migrateAway(chunk: Chunk, now: number): void {
     this.demand.noteArrival(chunk, -1, now);
     this.dropChunk(chunk);
--- a/src/protocol/peerMessages.ts
+++ b/src/protocol/peerMessages.ts
@@ -1,6 +1,6 @@
 /** What controllers tell and ask each other, as the rest of the program knows it. `peerCodec.ts` maps it to the wire. */
 
-/** Work of one shape that a part cannot place now. */
+/** Work of one shape that a shard cannot place now. */
 export interface Demand {
   shard: string;
   cpus: number;
@@ -48,7 +48,7 @@
   idleMachines: string[];
   /** Machines that are silent and should be ended, so that their tasks are known to be over. */
   lostMachines: string[];
-  /** What teams' tasks take at the sender's parts. */
+  /** What teams' tasks take at the sender's shards. */
   teamUsage: { team: string; cpus: number; gpus: number }[];
   /** Teams whose share of the limit is too small for what waits here. */
   throttledTeams: string[];
@@ -78,7 +78,7 @@
   sentAt: number;
 }
 
-/** A chunk that runs no more, at the owner of its part. */
+/** A chunk that runs no more, at the owner of its shard. */
 export interface PreparedChunk {
   index: number;
   shard: string;
--- a/src/protocol/peerWire.ts
+++ b/src/protocol/peerWire.ts
@@ -4,7 +4,7 @@
  */
 import avro from 'avsc';
 
-/** Work of one shape that a part cannot place now. */
+/** Work of one shape that a shard cannot place now. */
 export interface WireDemand {
   part: string;
   cpus: number;
@@ -67,7 +67,7 @@
   at: number;
 }
 
-/** A chunk that runs no more, at the owner of its part. */
+/** A chunk that runs no more, at the owner of its shard. */
 export interface WirePreparedChunk {
   index: number;
   part: string;
--- a/src/protocol/routes.ts
+++ b/src/protocol/routes.ts
@@ -7,7 +7,7 @@
   jobs: '/v1/jobs',
   /** A job, or its cancellation. */
   job: /^\/v1\/jobs\/([^/]+)(?:\/(withdraw))?$/,
-  /** Ours: parts, queues and machines, for `barrowlb status`. */
+  /** Ours: shards, queues and machines, for `barrowlb status`. */
   overview: '/v1/overview',
 };
 
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -186,7 +186,7 @@
   sample: number;
   /** Seconds that one round of decisions may take. */
   roundBudget: number;
-  /** False: no job leaves its home part. */
+  /** False: no job leaves its home shard. */
   migrate: boolean;
   /** Seconds a machine stays idle before it is returned, as a ratio to its boot time. */
   idleRatio: number;
--- a/src/protocol/stateProtocol.ts
+++ b/src/protocol/stateProtocol.ts
@@ -15,7 +15,7 @@
 
 /** A compare-and-swap: all puts and deletes are applied if every condition holds, or none. */
 export interface Transaction {
-  /** Keys and the stamps they must have; 0: must not exist. */
+  /** Keys and the revisions they must have; 0: must not exist. */
   conditions: { key: string; revision: number }[];
   puts: { key: string; value: unknown; leaseId?: number }[];
   deletes: string[];
--- a/src/storage/chunkIndex.ts
+++ b/src/storage/chunkIndex.ts
@@ -33,7 +33,7 @@
     const key = `${shard}/${bucket}`;
     for (const id of this.members.get(key) ?? []) {
       const known = this.chunks.get(id);
-      // It may stand on another bucket by now, at this part or another.
+      // It may stand on another bucket by now, at this shard or another.
       const here = known?.shard === shard && known.bucket === bucket;
       if (here && value?.chunks[id] === undefined) this.chunks.delete(id);
     }
--- a/src/storage/compactRecords.ts
+++ b/src/storage/compactRecords.ts
@@ -1,4 +1,4 @@
-/** Layout 2 of stored records: what has its usual value is left out, and tasks are gathered by machine. */
+/** Format 2 of stored records: what has its usual value is left out, and tasks are gathered by machine. */
 import type { JobSpec } from '../protocol/job.js';
 import {
   fromStoredSpec,
@@ -36,7 +36,7 @@
   away?: number[];
 }
 
-/** A machine, its session, and a task and its attempt for each task on it. */
+/** A machine, its agent epoch, and a task and its attempt for each task on it. */
 type CompactEntries = [string, number, ...number[]];
 
 interface CompactChunk {
--- a/src/storage/fragments.ts
+++ b/src/storage/fragments.ts
@@ -1,4 +1,4 @@
-/** Records beyond the state service's limit are stored in pieces: a head under their own key, and the rest apart. */
+/** Records beyond the state service's limit are stored in fragments: a head under their own key, and the rest apart. */
 import { keys, FRAGMENTS } from './records.js';
 
 /** The first piece of a record that is stored in several. */
@@ -30,7 +30,7 @@
 export const bytesOf = (value: unknown): number =>
   value === undefined ? 0 : Buffer.byteLength(JSON.stringify(value));
 
-/** How many pieces belong to a value besides its head. */
+/** How many fragments belong to a value besides its head. */
 export const fragmentCount = (value: unknown): number => {
   const { pieces, text } = (value ?? {}) as Partial<FragmentHead>;
   return typeof pieces === 'number' && typeof text === 'string' ? pieces : 0;
@@ -40,7 +40,7 @@
 export const isKeptAsIs = (value: unknown): boolean =>
   fragmentCount(value) > 0 && (value as FragmentHead).kept === true;
 
-/** The value of a head and its pieces; a record without pieces is its head. */
+/** The value of a head and its fragments; a record without fragments is its head. */
 export function joinFragments(head: unknown, pieces: unknown[]): unknown {
   if (pieces.length === 0) return head;
   const texts = [head, ...pieces].map((piece) => (piece as Fragment).text);
@@ -50,7 +50,7 @@
 /** Whether a key holds a fragment of another record. */
 export const isFragmentKey = (key: string): boolean => key.startsWith(FRAGMENTS);
 
-/** What is put for a value that takes several pieces; the first is under its own key. */
+/** What is put for a value that takes several fragments; the first is under its own key. */
 export function splitIntoFragments(
   key: string,
   value: unknown,
--- a/src/storage/machineInventory.ts
+++ b/src/storage/machineInventory.ts
@@ -19,7 +19,7 @@
 export class MachineInventory {
   private readonly machines = new Map<string, InventoryEntry>();
   private readonly groups = new Map<string, MachineGroupRecord>();
-  /** Machines of each type, by part. */
+  /** Machines of each type, by shard. */
   private readonly counts = new Map<string, Map<string, number>>();
 
   /** How many machines there are. */
@@ -53,7 +53,7 @@
     return this.groups.entries();
   }
 
-  /** How many machines of each type a part has. */
+  /** How many machines of each type a shard has. */
   countsOf(shard: string): ReadonlyMap<string, number> {
     return this.counts.get(shard) ?? new Map<string, number>();
   }
--- a/src/storage/nodeCapabilities.ts
+++ b/src/storage/nodeCapabilities.ts
@@ -1,6 +1,6 @@
 /**
- * Which nodes can read the present layout of records. Each marks itself in the store, once; when all have, records are
- * written in that layout (safety, V2).
+ * Which nodes can read the present record format. Each marks itself in the store, once; when all have, records are
+ * written in that record format (safety, V2).
  */
 import { describe, log } from '../base/log.js';
 import { keys, type NodeCapabilityRecord } from './records.js';
--- a/src/storage/recordFormat.ts
+++ b/src/storage/recordFormat.ts
@@ -1,8 +1,8 @@
 /**
- * How records are laid out in the state service. Layout 1 is that of version 0.2, whose nodes read it by its field
- * names and pass over fields they don't know. Layout 2 leaves out what has its usual value and gathers tasks by machine,
- * so that a chunk of the usual size fits in a record of 2 KiB. Both are read at all times; layout 2 is written once
- * every node can read it (safety, V2). Beyond the limit of a value records are stored in pieces, or compressed where
+ * How records are laid out in the state service. Format 1 is that of version 0.2, whose nodes read it by its field
+ * names and pass over fields they don't know. Format 2 leaves out what has its usual value and gathers tasks by machine,
+ * so that a chunk of the usual size fits in a record of 2 KiB. Both are read at all times; format 2 is written once
+ * every node can read it (safety, V2). Beyond the limit of a value records are stored in fragments, or compressed where
  * the cluster's version allows that (safety, R5).
  */
 import type { MachineType } from '../protocol/cloudProtocol.js';
@@ -64,7 +64,7 @@
   StoredTokenRecord,
 } from './storedRecords.js';
 
-/** The layout that this version can write; a node's mark in the store names it. */
+/** The record format that this version can write; a node's capability record in the store names it. */
 export const RECORD_FORMAT_VERSION = 2;
 
 /** What a chunk's record takes at the most, beside its description. */
@@ -86,7 +86,7 @@
 /** How a record of more than one value's size is stored; `plain` is any other. */
 export type StoredForm = 'plain' | 'pieces' | 'compressed';
 
-/** Only records whose every change is made under an ownership key are compressed, so that it can be taken back. */
+/** Only records whose every change is made under a leader key are compressed, so that it can be taken back. */
 const isCompressible = (key: string): boolean =>
   key.startsWith(JOBS) || key.startsWith(BUCKETS) || key.startsWith(GROUPS);
 
@@ -123,7 +123,7 @@
     return this.version === 2;
   }
 
-  /** Every node reads layout 2. */
+  /** Every node reads format 2. */
   useCompact(): void {
     this.version = 2;
     this.descriptions = new WeakMap();
@@ -168,7 +168,7 @@
     return bytesOf(this.encode(key, value));
   }
 
-  /** Puts that a value takes: more than one where it is stored in pieces. */
+  /** Puts that a value takes: more than one where it is stored in fragments. */
   operations(key: string, value: unknown): number {
     return this.encodePuts(key, value).length;
   }
@@ -236,7 +236,7 @@
     return bytesOf(compressed) < bytes ? compressed : null;
   }
 
-  /** A stored value, its pieces joined, as the program knows it. */
+  /** A stored value, its fragments joined, as the program knows it. */
   decode(key: string, stored: unknown): unknown {
     if (stored === null || stored === undefined || key === BARRIER_KEY) return stored;
     if (isCompressed(stored)) return this.decodeCompressed(key, stored);
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -1,14 +1,14 @@
 /**
  * What is kept in the state service. All keys share one prefix, so that one watch follows them all.
  *
- *   b/token              the counter that tokens come from, and which node had each part last
+ *   b/token              the counter that tokens come from, and which node had each shard last
  *   b/types              the machine types, as the cloud last told them
- *   b/own/PART           who owns a part (held by the owner's lease)
- *   b/job/ID             a job: its description, home part and state
- *   b/run/PART/SHELF     some chunks of jobs, at the part that runs them
- *   b/fleet/ASK          a rental that was or will be sent, then its machines, and their part
- *   b/quota/TEAM         how a team's limit is shared out to the parts
- *   b/node/LABEL         which layout a node can read; a node of the first version has none
+ *   b/own/SHARD           who owns a shard (held by the owner's lease)
+ *   b/job/ID             a job: its description, home shard and state
+ *   b/run/SHARD/BUCKET     some chunks of jobs, at the shard that runs them
+ *   b/fleet/RENTAL          a rental that was or will be sent, then its machines, and their shard
+ *   b/quota/TEAM         how a team's limit is shared out to the shards
+ *   b/node/LABEL         which record format a node can read; a node of the first version has none
  *   b/rollout/…           the cluster's version, and what concerns it (packages/rollout)
  *   b/run/~barrier/level the lowest level that a reader of the records needs
  *   b/piece/KEY/N        what did not fit in the record under KEY
@@ -63,7 +63,7 @@
 }
 
 /**
- * An owner's key goes with its lease; that another node may still answer a part's workers must outlast it.
+ * An owner's key goes with its lease; that another node may still answer a shard's workers must outlast it.
  */
 export interface FencingTokenRecord {
   lastToken: number;
@@ -73,7 +73,7 @@
 /** Who led a shard last, and who may not know that it leads no longer. */
 export interface LastLeader {
   node: string;
-  /** Nodes that lost the part to another, and the time of day at which they did: they may not know it. */
+  /** Nodes that lost the shard to another, and the time of day at which they did: they may not know it. */
   lostAtByNode: Record<string, number>;
 }
 
@@ -106,8 +106,8 @@
   createdChunks: number;
   doneChunks: number[];
   /**
-   * Chunks that have ever left the home part. Any other that is neither done nor on a bucket of the home
-   * part has not been stored yet: nothing of it was started, and its home has it.
+   * Chunks that have ever left the home shard. Any other that is neither done nor on a bucket of the home
+   * shard has not been stored yet: nothing of it was started, and its home has it.
    */
   migratedChunks: number[];
 }
@@ -154,7 +154,7 @@
   address?: string;
 }
 
-/** Machines of one kind and part that came together. */
+/** Machines of one kind and shard that came together. */
 export interface MachineGroupRecord {
   shard: string;
   type: string;
--- a/src/storage/stateClient.ts
+++ b/src/storage/stateClient.ts
@@ -1,3 +1,4 @@
+/** The calls to the state service: reads, watches, leases and transactions, within this node's share of its rate. */
 import type { Clock } from '../base/clock.js';
 import { sleep } from '../base/clock.js';
 import { log } from '../base/log.js';
@@ -48,7 +49,7 @@
   form: StoredForm;
 }
 
-/** How often a record in pieces is read while others change it between the reads. */
+/** How often a record in fragments is read while others change it between the reads. */
 const FRAGMENT_READ_ATTEMPTS = 5;
 
 /** What the state service answers to a put under a lease that has ended. */
@@ -65,7 +66,7 @@
   lastServed = -Infinity;
   /** Steady time of the last refusal or silence. */
   lastFailed = -Infinity;
-  /** How many pieces each record had when it was last read or written, if any. */
+  /** How many fragments each record had when it was last read or written, if any. */
   private readonly fragmentCounts = new Map<string, number>();
   /** How records that are not stored plainly are stored, as they were last read or written. */
   private readonly forms = new Map<string, StoredForm>();
@@ -162,7 +163,7 @@
     }
   }
 
-  /** One record, its pieces joined. */
+  /** One record, its fragments joined. */
   async get(key: string): Promise<wire.KeyValue | null> {
     for (let tries = 0; tries < FRAGMENT_READ_ATTEMPTS; tries++) {
       const head = await this.getRow(key);
@@ -183,7 +184,7 @@
     return item;
   }
 
-  /** A head with its pieces, all of one revision; null when they are not. */
+  /** A head with its fragments, all of one revision; null when they are not. */
   private join(
     head: wire.KeyValue,
     pieces: (wire.KeyValue | null | undefined)[],
@@ -293,7 +294,7 @@
     return items;
   }
 
-  /** A record by what is known of its pieces, else read by itself; null: it is gone, or cannot be read. */
+  /** A record by what is known of its fragments, else read by itself; null: it is gone, or cannot be read. */
   private async joinOrRead(
     head: wire.KeyValue,
     pieces: (wire.KeyValue | undefined)[],
@@ -342,7 +343,7 @@
     return result;
   }
 
-  /** The transaction as it is sent: values in their layout, large ones in pieces. */
+  /** The transaction as it is sent: values in their record format, large ones in fragments. */
   private encodeTxn(transaction: wire.Transaction): {
     stored: wire.Transaction;
     written: WrittenRecord[];
@@ -365,7 +366,7 @@
     return { stored: { conditions: transaction.conditions, puts, deletes: removes }, written };
   }
 
-  /** Operations that a change of one record takes, those on its pieces included; null: its removal. */
+  /** Operations that a change of one record takes, those on its fragments included; null: its removal. */
   operations(key: string, value: unknown): number {
     const before = 1 + (this.fragmentCounts.get(key) ?? 0);
     return value === null ? before : Math.max(before, this.recordFormat.operations(key, value));
@@ -440,7 +441,7 @@
     return { revision: told.revision, changes: await this.joinChanges(told.changes) };
   }
 
-  /** A head and its pieces are changed together, so a log that has the one has the others. */
+  /** A head and its fragments are changed together, so a log that has the one has the others. */
   private async joinChanges(changes: wire.KeyValueChange[]): Promise<wire.KeyValueChange[]> {
     const pieces = new Map<string, wire.KeyValue>();
     const versioned = (key: string, revision: number): string => `${key}@${revision}`;
@@ -466,7 +467,7 @@
 const noAnswer = (cause: unknown): StateServiceUnavailableError =>
   new StateServiceUnavailableError(cause instanceof Error ? cause.message : 'no answer', { cause });
 
-/** The pieces that a head names, as far as they are known. */
+/** The fragments that a head names, as far as they are known. */
 const fragmentsOf = (
   head: wire.KeyValue,
   find: (key: string) => wire.KeyValue | undefined,
--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -1,3 +1,4 @@
+/** An HTTP/1.1 client that keeps connections, with a limit on how many are open. */
 import net from 'node:net';
 import { HttpParser, type HttpMessage } from './httpParser.js';
 import { parseAddress } from './address.js';
