--- a/test/jobs/submissionWriter.test.ts
+++ b/test/jobs/submissionWriter.test.ts
@@ -122,7 +122,7 @@
 
 test('a job that somebody else has stored does not hold up those that came with it', async () => {
   const c = new Counter();
-  const other = { state: 'open', at: 77, home: 'q' };
+  const other = { state: 'open', submittedAt: 77, homeShard: 'q' };
   c.store.rows.set(keys.job('wk-2'), { key: keys.job('wk-2'), value: other, revision: 9 });
   await Promise.all(['wk-1', 'wk-2', 'wk-3'].map((id) => c.submit(id)));
   assert.deepEqual(
--- a/test/peers/peerRegistry.test.ts
+++ b/test/peers/peerRegistry.test.ts
@@ -87,7 +87,7 @@
       deletes: [],
     });
     if (key !== undefined) {
-      const value = { node: key, token: 4, process: 'before' };
+      const value = { node: key, fencingToken: 4, process: 'before' };
       await store.transact({
         conditions: [],
         puts: [{ key: keys.owner('p'), value }],
--- a/test/persistence/recordLimits.test.ts
+++ b/test/persistence/recordLimits.test.ts
@@ -221,7 +221,7 @@
   const recordFormat = layoutFor(LIMITS.value, TXN_OPS, true);
   const machines = Array.from({ length: groupLimit(LIMITS.value) }, (_, i) => [
     `n-${String(i).padStart(9, '0')}`,
-    { at: 1764637200.123, address: '10.255.255.255:65535' },
+    { launchedAt: 1764637200.123, address: '10.255.255.255:65535' },
   ]);
   const group: MachineGroupRecord = {
     ...{ shard: 'drone-100', type: 'panyard-large', zone: 'port-of-spain', spot: true },
@@ -229,7 +229,7 @@
   };
   const labels = Array.from({ length: 12 }, (_, i) => `drone-${i}`);
   const lost = Object.fromEntries(labels.map((label) => [label, 1764637200.123]));
-  const owners = labels.map((label) => [label, { node: 'drone-11', lost: { ...lost } }]);
+  const owners = labels.map((label) => [label, { node: 'drone-11', lostAtByNode: { ...lost } }]);
   const token: FencingTokenRecord = { lastToken: 99_999, lastLeaders: Object.fromEntries(owners) };
   const shares = Object.fromEntries(labels.map((label) => [label, { cpus: 123456.5, gpus: 123 }]));
   const job: JobRecord = {
--- a/test/reconciliation/heartbeatReconciler.test.ts
+++ b/test/reconciliation/heartbeatReconciler.test.ts
@@ -309,7 +309,7 @@
 
 test("what an adopter loads and does not find is over, not started: the room it had may be a peer's by now", () => {
   for (const { name, tasks, entries } of [
-    { name: 'it is there', tasks: [{ task: 'wk-1/0', attempt: 1 }], entries: 1 },
+    { name: 'it is there', tasks: [{ task: 'wk-1/0', attemptNumber: 1 }], entries: 1 },
     { name: 'it is not', tasks: [], entries: 0 },
   ]) {
     const b = new Bench();
