--- a/eslint.config.js
+++ b/eslint.config.js
@@ -119,7 +119,7 @@
           patterns: [
             {
               group: ['**/protocol/job.js', './job.js'],
-              importNames: ['jobAnswer', 'acceptedAnswer'],
+              importNames: ['jobViewAnswer', 'jobStatusAnswer'],
               message: 'Use jobs/replies.ts: a state goes with the evidence that it is told on.',
             },
           ],
--- a/packages/rollout/src/clusterView.ts
+++ b/packages/rollout/src/clusterView.ts
@@ -3,11 +3,11 @@
 import {
   decodeMember,
   decodePresence,
-  decodeUnlessDamaged,
+  decodeOrNull,
   rolloutKeys,
   type ClusterVersion,
 } from './records.js';
-import { unchanged, type RecordCopy } from './store.js';
+import { unchangedCondition, type RecordCache } from './store.js';
 import type { ClusterSnapshot, NodeView, OwnerView } from './versionPlan.js';
 
 /** What the service knows beside the records of this package. */
@@ -17,14 +17,14 @@
   /** All shards, and the duties that have a leader as shards do. */
   shards: string[];
   /** The process that a node's messages come from; null: not heard of lately. */
-  heardProcess(label: string): string | null;
+  observedProcess(label: string): string | null;
   /** Who leads a shard, by its leader key. */
-  owner(shard: string): OwnerView;
+  ownerOf(shard: string): OwnerView;
 }
 
 /** What is known of a node, by its records; `heardProcess` as the service hears of it. */
 export function viewNode(
-  copy: Pick<RecordCopy, 'get'>,
+  copy: Pick<RecordCache, 'get'>,
   label: string,
   heardProcess: string | null,
 ): NodeView {
@@ -33,17 +33,17 @@
   const stored = copy.get(key);
   const member = copy.get(memberKey);
   const isKnown =
-    member !== undefined &&
-    decodeUnlessDamaged(() => decodeMember(memberKey, member.value)) !== null;
-  if (stored === undefined) return { label, presence: null, isKnown, heardProcess };
-  const value = decodeUnlessDamaged(() => decodePresence(key, stored.value));
+    member !== undefined && decodeOrNull(() => decodeMember(memberKey, member.value)) !== null;
+  if (stored === undefined)
+    return { label, presence: null, hasPublished: isKnown, observedProcess: heardProcess };
+  const value = decodeOrNull(() => decodePresence(key, stored.value));
   const presence = value === null ? null : { value, revision: stored.revision };
-  return { label, presence, isKnown, heardProcess };
+  return { label, presence, hasPublished: isKnown, observedProcess: heardProcess };
 }
 
 /** The cluster as the records show it. `damage`: why the stored version cannot be believed. */
 export function viewCluster(
-  copy: Pick<RecordCopy, 'get'>,
+  copy: Pick<RecordCache, 'get'>,
   service: ServiceView,
   version: ClusterVersion,
   damage: string | null,
@@ -59,10 +59,10 @@
   return {
     version,
     damage,
-    versionCondition: unchanged(copy, rolloutKeys.version),
-    nodes: service.nodes.map((label) => viewNode(copy, label, service.heardProcess(label))),
-    owners: service.shards.map((shard) => service.owner(shard)),
-    walk: {
+    versionCondition: unchangedCondition(copy, rolloutKeys.version),
+    nodes: service.nodes.map((label) => viewNode(copy, label, service.observedProcess(label))),
+    owners: service.shards.map((shard) => service.ownerOf(shard)),
+    migration: {
       unfinished: walks.filter(({ progress }) => !progress.isFinished).map(({ shard }) => shard),
       quarantined,
     },
--- a/packages/rollout/src/driver/controllerApi.ts
+++ b/packages/rollout/src/driver/controllerApi.ts
@@ -8,7 +8,7 @@
 }
 
 /** What came of a change of the record; `unknown`: it may be stored. */
-export type DriverWrite =
+export type DriverWriteOutcome =
   { kind: 'stored'; revision: number } | { kind: 'conflict' } | { kind: 'unknown' };
 
 /** What a driver asks of the controllers; any of them answers for the stored record. */
@@ -18,7 +18,7 @@
   /** Null: no controller tells. */
   level(): Promise<number | null>;
   read(): Promise<StoredDriver | null>;
-  write(revision: number, record: DriverRecord): Promise<DriverWrite>;
+  write(revision: number, record: DriverRecord): Promise<DriverWriteOutcome>;
   drain(label: string, token: number): Promise<void>;
   hold(by: string, reason: string): Promise<void>;
   /** Ends the hold of that name. */
--- a/packages/rollout/src/driver/driver.ts
+++ b/packages/rollout/src/driver/driver.ts
@@ -5,7 +5,12 @@
 import type { RolloutPlan } from './plan.js';
 import { ReplacementCommands } from './replacementCommands.js';
 import { advance, type RolloutAction } from './rolloutMachine.js';
-import { resumeRecord, rollbackObstacle, startRecord, turnBack } from './rolloutTransitions.js';
+import {
+  resumeRecord,
+  rollbackObstacle,
+  startRecord,
+  startRollback,
+} from './rolloutTransitions.js';
 
 /** Share of the permit's time for which a driver still acts after its last renewal. */
 const ACTING_SHARE = 1 / 2;
@@ -54,7 +59,7 @@
     const obstacle = rollbackObstacle(stored.record, this.plan, await this.environment.api.level());
     if (obstacle !== null) throw new DriverRefusedError(`cannot roll back: ${obstacle}`);
     await this.takeOver(stored, (record) =>
-      turnBack(record, 'an operator rolled it back', this.wall),
+      startRollback(record, 'an operator rolled it back', this.wall),
     );
   }
 
@@ -75,7 +80,7 @@
     const { record, actions } = advance(before, this.plan, seen);
     const stored = await this.store({ ...record, permit: renewed(before.permit) });
     if (stored === null) return this.reread();
-    this.commands.forgetSettled(stored);
+    this.commands.forgetFinished(stored);
     if (stored.cause.text !== before.cause.text) this.environment.report(stored.cause.text);
     for (const action of actions) await this.act(action, stored.permit.token);
     return stored;
--- a/packages/rollout/src/driver/driverRecord.ts
+++ b/packages/rollout/src/driver/driverRecord.ts
@@ -67,5 +67,5 @@
 export const decodeHealth = decoderOf(healthSchema);
 
 /** States in which a controller may be away, or not well yet. */
-export const isAway = ({ state }: ControllerProgress): boolean =>
+export const isInProgress = ({ state }: ControllerProgress): boolean =>
   state !== 'waiting' && state !== 'done';
--- a/packages/rollout/src/driver/observation.ts
+++ b/packages/rollout/src/driver/observation.ts
@@ -33,7 +33,7 @@
 }
 
 /** How the cluster is worse off than at the baseline; null: it is not. */
-export function conditionProblem(
+export function describeDegradation(
   seen: Pick<Observation, 'controllers'>,
   baseline: Baseline | null,
   limits: Pick<RolloutPlan, 'replicaShare' | 'waitingFactor'>,
--- a/packages/rollout/src/driver/plan.ts
+++ b/packages/rollout/src/driver/plan.ts
@@ -7,7 +7,7 @@
 export class PlanError extends Error {}
 
 /** What is done when a controller does not come back well. */
-export type FailureReaction = 'pause' | 'rollback';
+export type FailurePolicy = 'pause' | 'rollback';
 
 /** What operators ask of a rollout. */
 export interface RolloutPlan {
@@ -24,15 +24,15 @@
   rollbackCommand: string[] | null;
   /** Controllers that may be away at a time. */
   concurrency: number;
-  drains: boolean;
+  drainsFirst: boolean;
   /** Seconds until a controller must have given up its shards, and until it must be back. */
   drainTimeout: number;
   startTimeout: number;
   /** Seconds for which the cluster must be well before the next controller. */
   soak: number;
-  onFailure: FailureReaction;
+  onFailure: FailurePolicy;
   /** False: an operator finalises the level. */
-  finalizes: boolean;
+  autoFinalize: boolean;
   /** Seconds without a sign of life after which another driver may go on. */
   permitTtl: number;
   /** Of the live replicas that ran before a controller was replaced, what must run again. */
@@ -156,12 +156,12 @@
     rollbackVersion: reader.optional('rollback.version'),
     rollbackCommand: rollbackCommand === null ? null : words(rollbackCommand),
     concurrency,
-    drains: reader.choice('drain', ['true', 'false']) === 'true',
+    drainsFirst: reader.choice('drain', ['true', 'false']) === 'true',
     drainTimeout: reader.number('drain.timeout', 30, 0),
     startTimeout: reader.number('start.timeout', 120, 0),
     soak: reader.number('soak', 30, 0),
     onFailure,
-    finalizes: reader.choice('finalize', ['auto', 'manual']) === 'auto',
+    autoFinalize: reader.choice('finalize', ['auto', 'manual']) === 'auto',
     permitTtl: reader.number('permit.ttl', 15, 1),
     replicaShare: reader.number('health.replicas', 1, 0),
     waitingFactor: reader.number('health.waiting', 2, 1),
@@ -181,7 +181,7 @@
 }
 
 /** The command for one controller. */
-export const commandFor = (command: string[], label: string, version: string | null): string[] =>
+export const expandCommand = (command: string[], label: string, version: string | null): string[] =>
   command.map((word) =>
     word.replaceAll('{controller}', label).replaceAll('{version}', version ?? ''),
   );
--- a/packages/rollout/src/driver/replacementCommands.ts
+++ b/packages/rollout/src/driver/replacementCommands.ts
@@ -2,7 +2,7 @@
 import type { DriverEnvironment } from './controllerApi.js';
 import type { DriverRecord } from './driverRecord.js';
 import type { CommandResult } from './observation.js';
-import { commandFor, type RolloutPlan } from './plan.js';
+import { expandCommand, type RolloutPlan } from './plan.js';
 
 /** Runs at most one command for each controller at a time, and keeps what came of it. */
 export class ReplacementCommands {
@@ -29,7 +29,7 @@
     const command = isForward ? plan.command : (plan.rollbackCommand ?? []);
     const version = isForward ? plan.version : plan.rollbackVersion;
     this.byController.set(label, { kind: 'running' });
-    this.run(commandFor(command, label, version), token).then(
+    this.run(expandCommand(command, label, version), token).then(
       () => this.byController.set(label, { kind: 'ended' }),
       (error: unknown) => {
         const reason = error instanceof Error ? error.message : String(error);
@@ -39,7 +39,7 @@
   }
 
   /** A result counts once: the same controller may be replaced again, by a rollback. */
-  forgetSettled({ controllers }: DriverRecord): void {
+  forgetFinished({ controllers }: DriverRecord): void {
     for (const label of [...this.byController.keys()]) {
       if (controllers[label]?.state !== 'replacing') this.byController.delete(label);
     }
--- a/packages/rollout/src/driver/rolloutMachine.ts
+++ b/packages/rollout/src/driver/rolloutMachine.ts
@@ -3,19 +3,24 @@
  * driver stores the new record before it acts on it.
  */
 import {
-  conditionProblem,
+  describeDegradation,
   measureTotals,
   unreadyControllers,
   type Observation,
 } from './observation.js';
 import {
-  isAway,
+  isInProgress,
   type ControllerProgress,
   type ControllerState,
   type DriverRecord,
 } from './driverRecord.js';
 import type { RolloutPlan } from './plan.js';
-import { freshProgress, pauseRecord, rollbackObstacle, turnBack } from './rolloutTransitions.js';
+import {
+  initialProgress,
+  pauseRecord,
+  rollbackObstacle,
+  startRollback,
+} from './rolloutTransitions.js';
 
 /** What the driver does once the record is stored. */
 export type RolloutAction =
@@ -25,7 +30,7 @@
   | { kind: 'finalize' };
 
 /** The record to be stored, and what to do once it is. */
-export interface Advance {
+export interface AdvanceResult {
   record: DriverRecord;
   actions: RolloutAction[];
 }
@@ -37,7 +42,7 @@
   | { kind: 'fail'; reason: string };
 
 /** One step of the rollout. */
-export function advance(record: DriverRecord, plan: RolloutPlan, seen: Observation): Advance {
+export function advance(record: DriverRecord, plan: RolloutPlan, seen: Observation): AdvanceResult {
   if (record.phase !== 'running') return { record, actions: [] };
   return new StepPlanner(record, plan, seen).plan();
 }
@@ -49,7 +54,7 @@
     private readonly seen: Observation,
   ) {}
 
-  plan(): Advance {
+  plan(): AdvanceResult {
     const reasons: string[] = [];
     for (const label of this.inOrder()) {
       const step = this.stepOf(label);
@@ -70,7 +75,7 @@
   }
 
   private progressOf(label: string): ControllerProgress {
-    return this.record.controllers[label] ?? freshProgress(this.seen.wall);
+    return this.record.controllers[label] ?? initialProgress(this.seen.wall);
   }
 
   private set(label: string, changes: Partial<ControllerProgress>): void {
@@ -110,7 +115,7 @@
 
   private begin(label: string, { conditionSince }: ControllerProgress): Step {
     const { controllers } = this.record;
-    const away = Object.keys(controllers).filter((other) => isAway(this.progressOf(other)));
+    const away = Object.keys(controllers).filter((other) => isInProgress(this.progressOf(other)));
     if (away.length >= this.rollout.concurrency) return { kind: 'stay', reason: '' };
     // One that has crashed is replaced as well, but no other is taken away beside it.
     const down = unreadyControllers(this.seen).filter(
@@ -124,7 +129,7 @@
     }
     this.record = { ...this.record, baseline: measureTotals(this.seen) };
     const before = this.seen.controllers.get(label) ?? null;
-    const isDrained = this.rollout.drains && before !== null;
+    const isDrained = this.rollout.drainsFirst && before !== null;
     return { kind: 'go', to: isDrained ? 'draining' : 'replacing', process: before?.process ?? '' };
   }
 
@@ -171,7 +176,7 @@
 
   private settle({ since, conditionSince }: ControllerProgress): Step {
     const { wall } = this.seen;
-    const problem = conditionProblem(this.seen, this.record.baseline, this.rollout);
+    const problem = describeDegradation(this.seen, this.record.baseline, this.rollout);
     if (problem === null) {
       const from = conditionSince ?? wall;
       if (wall - from >= this.rollout.soak) return { kind: 'go', to: 'done' };
@@ -187,18 +192,18 @@
     return this.seen.wall - since > seconds;
   }
 
-  private fail(cause: string): Advance {
+  private fail(cause: string): AdvanceResult {
     const { record, rollout, seen } = this;
     const obstacle = rollbackObstacle(record, rollout, seen.level);
     const isTurned =
       rollout.onFailure === 'rollback' && record.direction === 'forward' && obstacle === null;
     const next = isTurned
-      ? turnBack(record, cause, seen.wall)
+      ? startRollback(record, cause, seen.wall)
       : pauseRecord(record, cause, seen.wall);
     return { record: next, actions: [] };
   }
 
-  private finish(reasons: string[]): Advance {
+  private finish(reasons: string[]): AdvanceResult {
     const isOver = Object.values(this.record.controllers).every(({ state }) => state === 'done');
     if (isOver) {
       const phase = this.record.direction === 'forward' ? 'done' : 'rolled-back';
@@ -206,7 +211,7 @@
         text: phase === 'done' ? 'all controllers were replaced' : 'all controllers are back',
         since: this.seen.wall,
       };
-      const actions: RolloutAction[] = this.rollout.finalizes ? [{ kind: 'finalize' }] : [];
+      const actions: RolloutAction[] = this.rollout.autoFinalize ? [{ kind: 'finalize' }] : [];
       return { record: { ...this.record, phase, cause }, actions };
     }
     const text = reasons.join('; ') || this.record.cause.text;
--- a/packages/rollout/src/driver/rolloutTransitions.ts
+++ b/packages/rollout/src/driver/rolloutTransitions.ts
@@ -3,7 +3,7 @@
 import type { RolloutPlan } from './plan.js';
 
 /** The progress of a controller that nothing was done with yet. */
-export const freshProgress = (wall: number): ControllerProgress => ({
+export const initialProgress = (wall: number): ControllerProgress => ({
   state: 'waiting',
   since: wall,
   process: null,
@@ -27,16 +27,16 @@
     permit,
     baseline: null,
     levelAtStart: level,
-    controllers: Object.fromEntries(plan.order.map((label) => [label, freshProgress(wall)])),
+    controllers: Object.fromEntries(plan.order.map((label) => [label, initialProgress(wall)])),
   };
 }
 
 /** Starts the rollback: the controllers that were touched are put back, the last one first. */
-export function turnBack(record: DriverRecord, cause: string, wall: number): DriverRecord {
+export function startRollback(record: DriverRecord, cause: string, wall: number): DriverRecord {
   const controllers = Object.entries(record.controllers).map(([label, progress]) => {
     const isUntouched = record.direction === 'forward' && progress.state === 'waiting';
     const next: ControllerProgress = {
-      ...freshProgress(wall),
+      ...initialProgress(wall),
       state: isUntouched ? 'done' : 'waiting',
     };
     return [label, next] as const;
--- a/packages/rollout/src/levels.ts
+++ b/packages/rollout/src/levels.ts
@@ -40,12 +40,12 @@
   }
 
   /** The lowest level that this build reads. */
-  get lowest(): number {
+  get lowestLevel(): number {
     return this.features[0]?.level ?? 0;
   }
 
   /** The highest level that this build reads and may write. */
-  get highest(): number {
+  get highestLevel(): number {
     return this.features[this.features.length - 1]?.level ?? 0;
   }
 
@@ -55,8 +55,8 @@
   }
 
   /** The highest level that may be used: up to the first feature that is switched off. */
-  wanted(isOn: (name: string) => boolean): number {
-    let level = this.lowest;
+  enabledLevel(isOn: (name: string) => boolean): number {
+    let level = this.lowestLevel;
     for (const feature of this.features) {
       if (feature.isSwitched && !isOn(feature.name)) return level;
       level = feature.level;
@@ -65,7 +65,7 @@
   }
 
   /** Features that stop being written when the level falls so far; those that cannot be undone make it impossible. */
-  undoneBy(from: number, to: number): Feature[] {
+  disabledByLowering(from: number, to: number): Feature[] {
     return this.features.filter(({ level }) => level > to && level <= from);
   }
 }
--- a/packages/rollout/src/migration/migrator.ts
+++ b/packages/rollout/src/migration/migrator.ts
@@ -2,8 +2,8 @@
  * Converts the records of one shard in place, a few in each step, from a stored cursor. The shard's leader runs it;
  * the next leader goes on where it stopped.
  */
-import { decodeUnlessDamaged, rolloutKeys } from '../records.js';
-import { applyChange, type Condition, type RecordCopy, type RecordStore } from '../store.js';
+import { decodeOrNull, rolloutKeys } from '../records.js';
+import { applyChange, type Condition, type RecordCache, type RecordStore } from '../store.js';
 import {
   decodeProgress,
   emptyProgress,
@@ -27,7 +27,7 @@
   /** The leader key as this node holds it; null: it does not lead the shard any more. */
   leadership(): Condition | null;
   /** Keys of records in a form that they should not have, in their order, after a cursor; at most so many. */
-  outdated(after: string, most: number): string[];
+  outdatedKeys(after: string, most: number): string[];
   /** Brings one record into the wanted form. */
   convert(key: string): Promise<Conversion>;
 }
@@ -44,23 +44,23 @@
 }
 
 /** What came of a step. */
-export type MigrationStep = 'finished' | 'advanced' | 'waiting' | 'not-leader';
+export type MigrationStepResult = 'finished' | 'advanced' | 'waiting' | 'not-leader';
 
 /** Converts records step by step; its state is the stored progress alone. */
 export class Migrator {
   constructor(
     private readonly store: RecordStore,
-    private readonly copy: RecordCopy,
+    private readonly copy: RecordCache,
     private readonly options: MigratorOptions,
   ) {}
 
   /** Converts some records of a shard, as part of a walk. Doing it twice is the same as doing it once. */
-  async step(shard: MigratedShard, walk: number): Promise<MigrationStep> {
+  async step(shard: MigratedShard, walk: number): Promise<MigrationStepResult> {
     const before = readProgress(this.copy, shard.label, walk);
     if (before.isFinished) return 'finished';
     if (!this.options.mayWrite()) return 'waiting';
     const most = Math.max(1, this.options.operations - 1);
-    const keys = shard.outdated(before.cursor, most);
+    const keys = shard.outdatedKeys(before.cursor, most);
     let progress = before;
     for (const key of keys) {
       const conversion = await shard.convert(key);
@@ -86,7 +86,10 @@
     return withQuarantined(moved, key, conversion.reason, this.options.quarantineNames);
   }
 
-  private async save(shard: MigratedShard, progress: MigrationProgress): Promise<MigrationStep> {
+  private async save(
+    shard: MigratedShard,
+    progress: MigrationProgress,
+  ): Promise<MigrationStepResult> {
     const leadership = shard.leadership();
     if (leadership === null) return 'not-leader';
     const key = rolloutKeys.migration(shard.label);
@@ -102,13 +105,13 @@
 
 /** A shard's progress in a walk; a damaged record, or one of an earlier walk, counts as none. */
 export function readProgress(
-  copy: Pick<RecordCopy, 'get'>,
+  copy: Pick<RecordCache, 'get'>,
   shard: string,
   walk: number,
 ): MigrationProgress {
   const key = rolloutKeys.migration(shard);
   const stored = copy.get(key);
   if (stored === undefined) return emptyProgress(walk);
-  const progress = decodeUnlessDamaged(() => decodeProgress(key, stored.value));
+  const progress = decodeOrNull(() => decodeProgress(key, stored.value));
   return progress?.walk === walk ? progress : emptyProgress(walk);
 }
--- a/packages/rollout/src/operations.ts
+++ b/packages/rollout/src/operations.ts
@@ -1,7 +1,7 @@
 /** What operators may ask of the cluster's version. Each is one change of its record, refused with a reason. */
 import { covers, type FeatureTable } from './levels.js';
 import { rolloutKeys, type ClusterVersion } from './records.js';
-import { applyChange, type Condition, type RecordCopy, type RecordStore } from './store.js';
+import { applyChange, type Condition, type RecordCache, type RecordStore } from './store.js';
 
 /** What an operator asks for. */
 export type Operation =
@@ -56,13 +56,13 @@
   wall: number,
 ): Planned {
   if (version.phase !== 'steady') return { reason: `the level is ${version.phase} just now` };
-  const range = { min: features.lowest, max: version.level - 1 };
+  const range = { min: features.lowestLevel, max: version.level - 1 };
   if (!covers(range, to)) {
     return {
       reason: `the cluster is at level ${version.level}; it can be lowered to ${range.min} at least`,
     };
   }
-  const undone = features.undoneBy(version.level, to);
+  const undone = features.disabledByLowering(version.level, to);
   const lasting = undone.find(({ undo }) => undo === null);
   if (lasting !== undefined) {
     return { reason: `${lasting.name} (level ${lasting.level}) cannot be taken back` };
@@ -87,7 +87,7 @@
 }
 
 /** The cluster's version as the operator's controller knows it. */
-export interface OperatedCluster {
+export interface OperationContext {
   version: ClusterVersion;
   versionCondition: Condition;
   /** Why the version's record cannot be believed. */
@@ -97,8 +97,8 @@
 /** Stores what an operator asks for. */
 export async function operate(
   store: RecordStore,
-  copy: Pick<RecordCopy, 'note'>,
-  cluster: OperatedCluster,
+  copy: Pick<RecordCache, 'note'>,
+  cluster: OperationContext,
   operation: Operation,
   features: FeatureTable,
   wall: number,
--- a/packages/rollout/src/participant.ts
+++ b/packages/rollout/src/participant.ts
@@ -2,7 +2,7 @@
 import { isDeepStrictEqual } from 'node:util';
 import type { LevelRange } from './levels.js';
 import { rolloutKeys, type ClusterVersion, type Member, type Presence } from './records.js';
-import { applyChange, unchanged, type RecordCopy, type RecordStore } from './store.js';
+import { applyChange, unchangedCondition, type RecordCache, type RecordStore } from './store.js';
 
 /** What a node publishes, and how it complies. */
 export interface ParticipantOptions {
@@ -13,13 +13,13 @@
   /** The highest level that this node is switched to. */
   wants: number;
   /** Makes this node do as the version says, before it answers; false: not done yet. */
-  comply: (version: ClusterVersion) => Promise<boolean>;
+  applyVersion: (version: ClusterVersion) => Promise<boolean>;
 }
 
 /** What a participant needs to know of its node. */
 export interface ParticipantNode {
   /** The node's lease at the store; null while it has none. */
-  readonly hold: number | null;
+  readonly leaseId: number | null;
   readonly version: ClusterVersion;
 }
 
@@ -32,22 +32,22 @@
 
   constructor(
     private readonly store: RecordStore,
-    private readonly copy: RecordCopy,
+    private readonly copy: RecordCache,
     private readonly node: ParticipantNode,
     private readonly options: ParticipantOptions,
   ) {}
 
   /** Whether this process's record is stored under its present lease. */
   get isPublished(): boolean {
-    return this.writtenUnder !== null && this.writtenUnder === this.node.hold;
+    return this.writtenUnder !== null && this.writtenUnder === this.node.leaseId;
   }
 
   /** Stores what is not stored yet. */
   async reconcile(): Promise<void> {
-    if (this.isBusy || this.node.hold === null) return;
+    if (this.isBusy || this.node.leaseId === null) return;
     this.isBusy = true;
     try {
-      await this.publish(this.node.hold);
+      await this.publish(this.node.leaseId);
     } finally {
       this.isBusy = false;
     }
@@ -57,7 +57,7 @@
     const { version } = this.node;
     const isAnswered = this.answered?.answer === version.proposal;
     if (isAnswered && this.writtenUnder === hold && this.isStored()) return;
-    if (!isAnswered && !(await this.options.comply(version))) return;
+    if (!isAnswered && !(await this.options.applyVersion(version))) return;
     const { label, process, range, wants } = this.options;
     const member: Member = { ...range, wants, process };
     const presence: Presence = { ...member, answer: version.proposal };
@@ -66,8 +66,8 @@
     const isNewMember = !isDeepStrictEqual(this.copy.get(memberKey)?.value, member);
     const outcome = await applyChange(this.store, this.copy, {
       conditions: [
-        unchanged(this.copy, key),
-        ...(isNewMember ? [unchanged(this.copy, memberKey)] : []),
+        unchangedCondition(this.copy, key),
+        ...(isNewMember ? [unchangedCondition(this.copy, memberKey)] : []),
       ],
       puts: [
         { key, value: presence, leaseId: hold },
--- a/packages/rollout/src/records.ts
+++ b/packages/rollout/src/records.ts
@@ -54,7 +54,7 @@
 }
 
 /** Decodes a record; null for a damaged one, where that counts as none. Other errors are thrown on. */
-export function decodeUnlessDamaged<Value>(decode: () => Value): Value | null {
+export function decodeOrNull<Value>(decode: () => Value): Value | null {
   try {
     return decode();
   } catch (error) {
--- a/packages/rollout/src/status.ts
+++ b/packages/rollout/src/status.ts
@@ -2,7 +2,7 @@
 import type { FeatureTable } from './levels.js';
 import { readProgress } from './migration/migrator.js';
 import type { ClusterVersion } from './records.js';
-import type { RecordCopy } from './store.js';
+import type { RecordCache } from './store.js';
 import {
   planVersion,
   type Blocker,
@@ -57,7 +57,7 @@
   private readonly since = new Map<string, number>();
 
   /** The blockers with the time of day at which each was first seen without a break. */
-  note(blockers: Blocker[], wall: number): (Blocker & { since: number })[] {
+  update(blockers: Blocker[], wall: number): (Blocker & { since: number })[] {
     const keyOf = ({ cause, subject }: Blocker): string => `${cause} ${subject}`;
     const present = new Set(blockers.map(keyOf));
     for (const key of [...this.since.keys()]) if (!present.has(key)) this.since.delete(key);
@@ -84,7 +84,7 @@
 
 /** What the status is put together from. */
 export interface StatusSource {
-  copy: Pick<RecordCopy, 'get'>;
+  copy: Pick<RecordCache, 'get'>;
   snapshot: ClusterSnapshot;
   features: FeatureTable;
   shards: string[];
--- a/packages/rollout/src/store.ts
+++ b/packages/rollout/src/store.ts
@@ -8,7 +8,7 @@
 }
 
 /** A node's copy of the records, a little behind the store. */
-export interface RecordCopy {
+export interface RecordCache {
   get(key: string): StoredRecord | undefined;
   entriesWithPrefix(prefix: string): Iterable<[string, StoredRecord]>;
   /** Takes up a change that this node made itself, ahead of the watch. */
@@ -42,7 +42,7 @@
 }
 
 /** The condition that a record is as the copy shows it. */
-export const unchanged = (copy: Pick<RecordCopy, 'get'>, key: string): Condition => ({
+export const unchangedCondition = (copy: Pick<RecordCache, 'get'>, key: string): Condition => ({
   key,
   revision: copy.get(key)?.revision ?? 0,
 });
@@ -50,7 +50,7 @@
 /** Applies a change and takes it up in the copy. */
 export async function applyChange(
   store: RecordStore,
-  copy: Pick<RecordCopy, 'note'>,
+  copy: Pick<RecordCache, 'note'>,
   change: RecordChange,
 ): Promise<ChangeOutcome> {
   const outcome = await store.transact(change);
--- a/packages/rollout/src/versionCoordinator.ts
+++ b/packages/rollout/src/versionCoordinator.ts
@@ -7,7 +7,7 @@
   applyChange,
   type ChangeOutcome,
   type Condition,
-  type RecordCopy,
+  type RecordCache,
   type RecordStore,
 } from './store.js';
 import {
@@ -29,7 +29,7 @@
 export interface CoordinatorOptions extends PlanOptions {
   barrierKey: string;
   /** Reads the store and names records that are in a form which they should not have any more. */
-  findLeftovers: (version: ClusterVersion) => Promise<string[]>;
+  findOutdatedRecords: (version: ClusterVersion) => Promise<string[]>;
   log: (line: string) => void;
 }
 
@@ -42,7 +42,7 @@
 
   constructor(
     private readonly store: RecordStore,
-    private readonly copy: Pick<RecordCopy, 'note'>,
+    private readonly copy: Pick<RecordCache, 'note'>,
     private readonly lease: LeaderLease,
     private readonly snapshot: () => ClusterSnapshot,
     private readonly options: CoordinatorOptions,
@@ -87,7 +87,7 @@
   /** Reads what is stored; records in an old form are walked through once more. */
   private async verify(lease: Condition, snapshot: ClusterSnapshot): Promise<StepResult> {
     const { version, versionCondition } = snapshot;
-    const leftovers = await this.options.findLeftovers(version);
+    const leftovers = await this.options.findOutdatedRecords(version);
     const isClean = leftovers.length === 0;
     if (!isClean) {
       this.options.log(
--- a/packages/rollout/src/versionPlan.ts
+++ b/packages/rollout/src/versionPlan.ts
@@ -9,9 +9,9 @@
   /** Its record under its lease, with the record's revision; null: there is none, or a damaged one. */
   presence: { value: Presence; revision: number } | null;
   /** It has published a range of levels at some time. */
-  isKnown: boolean;
+  hasPublished: boolean;
   /** The process that its messages come from; null: it has not been heard of lately. */
-  heardProcess: string | null;
+  observedProcess: string | null;
 }
 
 /** Who leads one shard, by its leader key. */
@@ -23,7 +23,7 @@
 }
 
 /** How far the walk through the records has come. */
-export interface WalkView {
+export interface MigrationView {
   /** Shards whose leaders have not finished the present walk. */
   unfinished: string[];
   /** Records that could not be converted. */
@@ -38,7 +38,7 @@
   versionCondition: Condition;
   nodes: NodeView[];
   owners: OwnerView[];
-  walk: WalkView;
+  migration: MigrationView;
 }
 
 /** Why the version cannot change; the names are part of `GET /v1/rollout`. */
@@ -83,7 +83,7 @@
 const FIXED_CONDITIONS = 2;
 
 /** How many nodes fit the conditions of one transaction: a presence record and a leader key for each. */
-export const nodesThatFit = (conditions: number): number =>
+export const maxNodesPerTransaction = (conditions: number): number =>
   Math.floor((conditions - FIXED_CONDITIONS) / 2);
 
 function blockerOfNode(node: NodeView, target: number, isRaise: boolean): Blocker | null {
@@ -92,12 +92,12 @@
     subject: node.label,
     detail,
   });
-  const { presence, heardProcess } = node;
+  const { presence, observedProcess: heardProcess } = node;
   if (presence === null) {
     if (heardProcess !== null) {
       return blocker('publishes-no-levels', 'it serves with an older build, or with rollouts off');
     }
-    if (!node.isKnown) return blocker('never-seen', 'it has never published what it reads');
+    if (!node.hasPublished) return blocker('never-seen', 'it has never published what it reads');
     return blocker('away', 'it is down, or cut off from the state service');
   }
   const { min, max, wants, process } = presence.value;
@@ -134,7 +134,7 @@
     }));
 }
 
-function walkBlockers({ walk }: ClusterSnapshot): Blocker[] {
+function walkBlockers({ migration: walk }: ClusterSnapshot): Blocker[] {
   return [
     ...walk.unfinished.map((shard): Blocker => ({
       cause: 'walking',
@@ -150,7 +150,7 @@
 }
 
 /** Nodes that keep the level from becoming `target`. */
-export const blockersOfNodes = (
+export const nodeBlockers = (
   { nodes }: ClusterSnapshot,
   target: number,
   isRaise: boolean,
@@ -171,7 +171,7 @@
   features: FeatureTable;
   presenceKey: (label: string) => string;
   /** From this level on, builds that know of no cluster version are kept out by the barrier. */
-  barrierFrom: number;
+  barrierMinLevel: number;
 }
 
 /** The next step; each is planned anew from what is stored, so that any lease holder can go on. */
@@ -193,7 +193,7 @@
   const isVerified = version.walk === 0 || version.verified === version.proposal;
   if (!isVerified) return planVerification(snapshot, version.level);
   if (next === undefined) return { kind: 'none' };
-  const blockers = blockersOfNodes(snapshot, next, true);
+  const blockers = nodeBlockers(snapshot, next, true);
   if (version.hold !== null) blockers.unshift(heldBy(version));
   if (blockers.length > 0) return { kind: 'wait', blockers };
   return propose(snapshot, { ...version, phase: 'raising', target: next }, 'propose');
@@ -222,7 +222,7 @@
 function planRaise(snapshot: ClusterSnapshot, options: PlanOptions): Decision {
   const { version } = snapshot;
   const { target, level, proposal, walk } = version;
-  const blockers = blockersOfNodes(snapshot, target, true);
+  const blockers = nodeBlockers(snapshot, target, true);
   const isImpossible = blockers.some(
     ({ cause }) => cause === 'cannot-read' || cause === 'switched-off',
   );
@@ -261,7 +261,7 @@
 /** Only while every node is known to write the wanted form can the absence of another be proven. */
 function planVerification(snapshot: ClusterSnapshot, level: number): Decision {
   const blockers = [
-    ...blockersOfNodes(snapshot, level, false),
+    ...nodeBlockers(snapshot, level, false),
     ...unanswered(snapshot),
     ...foreignOwners(snapshot),
     ...walkBlockers(snapshot),
@@ -273,7 +273,7 @@
   what: 'raise' | 'lower',
   snapshot: ClusterSnapshot,
   version: ClusterVersion,
-  { presenceKey, barrierFrom }: PlanOptions,
+  { presenceKey, barrierMinLevel: barrierFrom }: PlanOptions,
 ): Decision {
   const barrier = version.level >= barrierFrom ? { readers: version.level } : null;
   const conditions = allConditions(snapshot, presenceKey);
--- a/packages/rollout/src/versionTracker.ts
+++ b/packages/rollout/src/versionTracker.ts
@@ -51,7 +51,7 @@
   }
 
   /** Follows the version's record; null: it has been removed. */
-  noteVersion(value: unknown): void {
+  updateVersion(value: unknown): void {
     if (value === null) {
       this.version = initialVersion(this.initialLevel);
       this.damage = null;
@@ -68,7 +68,7 @@
   }
 
   /** Follows the barrier's record; one that cannot be read is taken for the highest. */
-  noteBarrier(key: string, value: unknown): void {
+  updateBarrier(key: string, value: unknown): void {
     if (value === null) {
       this.barrier = 0;
       return;
--- a/packages/rollout/test/features.test.ts
+++ b/packages/rollout/test/features.test.ts
@@ -51,7 +51,7 @@
   ];
   for (const [on, level] of cases) {
     assert.equal(
-      features.wanted((name) => on.includes(name)),
+      features.enabledLevel((name) => on.includes(name)),
       level,
       on.join(),
     );
--- a/packages/rollout/test/hardCases.test.ts
+++ b/packages/rollout/test/hardCases.test.ts
@@ -252,7 +252,7 @@
 test('a node that is cut from the store at the raise holds it back until it is served again', async () => {
   const cluster = await answeredCluster(allGuards);
   // Its lease runs out, and it does not know.
-  cluster.store.endHold(nodeOf(cluster, 'n2').hold ?? 0);
+  cluster.store.endHold(nodeOf(cluster, 'n2').leaseId ?? 0);
   for (let i = 0; i < 4; i++) for (const label of ['n0', 'n1']) await tend(cluster, label);
   assert.equal(cluster.version.level, 2);
   await tendAll(cluster);
@@ -283,9 +283,9 @@
   for (const value of damaged) {
     assert.throws(() => decodeVersion(rolloutKeys.version, value), DamagedRecordError);
     const tracker = new VersionTracker(features, { min: 2, max: 4 }, 2);
-    tracker.noteVersion(good);
+    tracker.updateVersion(good);
     if (value === null) continue;
-    tracker.noteVersion(value);
+    tracker.updateVersion(value);
     assert.equal(tracker.current.level, 3);
     assert.match(tracker.damage ?? '', /b\/rollout\/version is damaged/);
     // Nothing new is written while nobody can tell the level.
@@ -310,8 +310,8 @@
   ];
   for (const [max, value, barrier, level] of cases) {
     const tracker = new VersionTracker(features, { min: 2, max }, 2);
-    tracker.noteVersion(value);
-    tracker.noteBarrier(BARRIER, barrier);
+    tracker.updateVersion(value);
+    tracker.updateBarrier(BARRIER, barrier);
     assert.equal(tracker.refusal?.level ?? null, level, JSON.stringify({ max, value, barrier }));
   }
 });
--- a/packages/rollout/test/migrator.test.ts
+++ b/packages/rollout/test/migrator.test.ts
@@ -32,7 +32,7 @@
     return {
       label: 'p',
       leadership: () => (this.isLeader ? { key: OWNER, revision } : null),
-      outdated: (after, most) =>
+      outdatedKeys: (after, most) =>
         [...this.old]
           .filter((key) => key > after)
           .sort()
--- a/packages/rollout/test/plan.test.ts
+++ b/packages/rollout/test/plan.test.ts
@@ -1,19 +1,25 @@
 /** The plan of a rollout: what is read, and what is refused before anything is touched. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { checkControllers, commandFor, parsePlan, PlanError } from '../src/driver/plan.js';
+import { checkControllers, expandCommand, parsePlan, PlanError } from '../src/driver/plan.js';
 import { planFor, planText } from './support/simulatedControllers.js';
 
 test('a plan is read, with its usual values', () => {
   const plan = planFor(['a', 'b'], { concurrency: '', 'drain.timeout': '' });
   assert.deepEqual(plan.order, ['a', 'b']);
   assert.deepEqual(plan.command, ['replace', '{controller}', '{version}']);
-  const { concurrency, drains, drainTimeout, onFailure, finalizes } = plan;
+  const {
+    concurrency,
+    drainsFirst: drains,
+    drainTimeout,
+    onFailure,
+    autoFinalize: finalizes,
+  } = plan;
   assert.deepEqual(
     { concurrency, drains, drainTimeout, onFailure, finalizes },
     { concurrency: 1, drains: true, drainTimeout: 30, onFailure: 'pause', finalizes: true },
   );
-  assert.deepEqual(commandFor(plan.command, 'a', plan.version), ['replace', 'a', '2.0']);
+  assert.deepEqual(expandCommand(plan.command, 'a', plan.version), ['replace', 'a', '2.0']);
   assert.notEqual(plan.digest, planFor(['b', 'a']).digest);
 });
 
--- a/packages/rollout/test/support/simulatedCluster.ts
+++ b/packages/rollout/test/support/simulatedCluster.ts
@@ -14,7 +14,7 @@
   rolloutKeys,
   type ClusterVersion,
 } from '../../src/records.js';
-import { unchanged, type RecordChange, type RecordStore } from '../../src/store.js';
+import { unchangedCondition, type RecordChange, type RecordStore } from '../../src/store.js';
 import { VersionCoordinator } from '../../src/versionCoordinator.js';
 import { VersionTracker } from '../../src/versionTracker.js';
 import { features } from './features.js';
@@ -65,7 +65,7 @@
   readonly participant: Participant;
   readonly coordinator: VersionCoordinator;
   readonly migrator: Migrator;
-  hold: number | null;
+  leaseId: number | null;
   /** What it owns, with the stamp under which it does. */
   readonly held = new Map<string, { revision: number; token: number }>();
   /** A build without a version reads all records before it owns anything. */
@@ -80,13 +80,13 @@
     wants: number,
   ) {
     const { store } = cluster;
-    this.hold = store.grant();
+    this.leaseId = store.grant();
     this.copy = new SimulatedCopy(store);
     this.tracker = new VersionTracker(features, range, INITIAL);
     this.isLoaded = isVersioned || !this.seesBarrier;
     this.participant = new Participant(store, this.copy, this.participantView(), {
       ...{ label, process, range, wants: Math.min(wants, range.max) },
-      comply: (version) => this.comply(version),
+      applyVersion: (version) => this.comply(version),
     });
     this.coordinator = this.createCoordinator();
     this.migrator = new Migrator(store, this.copy, {
@@ -98,11 +98,11 @@
     this.follow();
   }
 
-  private participantView(): { readonly hold: number | null; readonly version: ClusterVersion } {
+  private participantView(): { readonly leaseId: number | null; readonly version: ClusterVersion } {
     const current = (): ClusterVersion => this.tracker.current;
-    const hold = (): number | null => this.hold;
+    const hold = (): number | null => this.leaseId;
     return {
-      get hold() {
+      get leaseId() {
         return hold();
       },
       get version() {
@@ -128,8 +128,8 @@
     };
     return new VersionCoordinator(store, copy, lease, () => this.snapshot(), {
       ...{ features, presenceKey: rolloutKeys.presence, barrierKey: BARRIER, log: () => undefined },
-      barrierFrom: BARRIER_FROM,
-      findLeftovers: (version) =>
+      barrierMinLevel: BARRIER_FROM,
+      findOutdatedRecords: (version) =>
         Promise.resolve(guards.verification ? cluster.leftovers(version) : []),
     });
   }
@@ -154,8 +154,8 @@
     const service = {
       nodes: cluster.labels,
       shards: cluster.labels,
-      heardProcess: () => null,
-      owner: (shard: string) => {
+      observedProcess: () => null,
+      ownerOf: (shard: string) => {
         const stored = copy.get(ownerKey(shard));
         const owner = (stored?.value ?? null) as Owner | null;
         return { shard, key: ownerKey(shard), revision: stored?.revision ?? 0, owner };
@@ -173,8 +173,8 @@
 
   private follow(): void {
     if (!this.isVersioned) return;
-    this.tracker.noteVersion(this.copy.get(rolloutKeys.version)?.value ?? null);
-    this.tracker.noteBarrier(BARRIER, this.copy.get(BARRIER)?.value ?? null);
+    this.tracker.updateVersion(this.copy.get(rolloutKeys.version)?.value ?? null);
+    this.tracker.updateBarrier(BARRIER, this.copy.get(BARRIER)?.value ?? null);
     for (const [key, { revision }] of this.held) {
       if (this.copy.get(key)?.revision !== revision) this.held.delete(key);
     }
@@ -191,7 +191,7 @@
   /** Writes the ownership key of a shard, or of the lease holder's duty. */
   claim(key: string): void {
     const { store } = this.cluster;
-    if (this.hold === null || this.isRefused || !this.isLoaded || this.held.has(key)) return;
+    if (this.leaseId === null || this.isRefused || !this.isLoaded || this.held.has(key)) return;
     if (this.isVersioned && this.isFenced && !this.participant.isPublished) return;
     const stored = this.copy.get(key);
     const owner = stored?.value as Owner | undefined;
@@ -200,7 +200,7 @@
     const value: Owner = { node: this.label, process: this.process, token };
     const outcome = store.apply({
       conditions: [{ key, revision: stored?.revision ?? 0 }],
-      puts: [{ key, value, leaseId: this.hold }],
+      puts: [{ key, value, leaseId: this.leaseId }],
       deletes: [],
     });
     if (outcome.kind !== 'applied') return;
@@ -221,11 +221,11 @@
   private comply({ phase }: ClusterVersion): Promise<boolean> {
     if (phase !== 'lowering' || !this.cluster.guards.restamp) return Promise.resolve(true);
     for (const [key, { revision, token }] of [...this.held]) {
-      if (this.hold === null) return Promise.resolve(false);
+      if (this.leaseId === null) return Promise.resolve(false);
       const value: Owner = { node: this.label, process: this.process, token };
       const outcome = this.cluster.store.apply({
         conditions: [{ key, revision }],
-        puts: [{ key, value, leaseId: this.hold }],
+        puts: [{ key, value, leaseId: this.leaseId }],
         deletes: [],
       });
       if (outcome.kind !== 'applied') return Promise.resolve(false);
@@ -251,7 +251,7 @@
     const change: RecordChange = {
       conditions: [
         { key: ownerKey(this.label), revision: mine.revision },
-        unchanged(this.copy, key),
+        unchangedCondition(this.copy, key),
       ],
       puts: [{ key, value }],
       deletes: [],
@@ -274,7 +274,7 @@
         const mine = this.held.get(key);
         return mine === undefined ? null : { key, revision: mine.revision };
       },
-      outdated: (after, most) =>
+      outdatedKeys: (after, most) =>
         [...this.copy.entriesWithPrefix(recordsOf(this.label))]
           .filter(([name, { value }]) => name > after && (value as LevelRecord).form !== this.form)
           .map(([name]) => name)
@@ -305,7 +305,7 @@
 
   async operate(operation: Operation): Promise<void> {
     const version = this.tracker.current;
-    const versionCondition = unchanged(this.copy, rolloutKeys.version);
+    const versionCondition = unchangedCondition(this.copy, rolloutKeys.version);
     const cluster = { version, versionCondition, damage: this.tracker.damage };
     await operate(this.cluster.store, this.copy, cluster, operation, features, 0);
   }
@@ -351,8 +351,8 @@
 
   kill(label: string): void {
     const node = this.nodes.get(label);
-    if (node !== undefined && node.hold !== null)
-      this.orphanedHolds.set(`${label}-${node.hold}`, node.hold);
+    if (node !== undefined && node.leaseId !== null)
+      this.orphanedHolds.set(`${label}-${node.leaseId}`, node.leaseId);
     this.nodes.delete(label);
   }
 
@@ -364,15 +364,15 @@
       this.orphanedHolds.delete(name);
     }
     const node = this.nodes.get(label);
-    if (node !== undefined && node.hold !== null) this.store.endHold(node.hold);
+    if (node !== undefined && node.leaseId !== null) this.store.endHold(node.leaseId);
   }
 
   /** A node finds its lease ended, and gets another. */
   renew(label: string): void {
     const node = this.nodes.get(label);
-    if (node === undefined || (node.hold !== null && this.store.holds.has(node.hold))) return;
+    if (node === undefined || (node.leaseId !== null && this.store.holds.has(node.leaseId))) return;
     node.held.clear();
-    node.hold = this.store.grant();
+    node.leaseId = this.store.grant();
   }
 
   get version(): ClusterVersion {
--- a/packages/rollout/test/support/simulatedControllers.ts
+++ b/packages/rollout/test/support/simulatedControllers.ts
@@ -1,5 +1,9 @@
 /** Controllers as a rollout driver sees them: they drain, end, start after a while, and may come back badly. */
-import type { ControllerApi, DriverWrite, StoredDriver } from '../../src/driver/controllerApi.js';
+import type {
+  ControllerApi,
+  DriverWriteOutcome,
+  StoredDriver,
+} from '../../src/driver/controllerApi.js';
 import type { ControllerHealth, DriverRecord } from '../../src/driver/driverRecord.js';
 import { parsePlan, type RolloutPlan } from '../../src/driver/plan.js';
 
@@ -92,7 +96,7 @@
     return this.stored.record;
   }
 
-  write(revision: number, record: DriverRecord): Promise<DriverWrite> {
+  write(revision: number, record: DriverRecord): Promise<DriverWriteOutcome> {
     if (revision !== this.stored.revision) return Promise.resolve({ kind: 'conflict' });
     this.stored = { record: structuredClone(record), revision: revision + 1 };
     if (this.losesWrites > 0) {
--- a/packages/rollout/test/support/simulatedStore.ts
+++ b/packages/rollout/test/support/simulatedStore.ts
@@ -1,5 +1,5 @@
 /** A store in memory with stamps, leases and answers that get lost, and copies of it that lag behind. */
-import type { ChangeOutcome, RecordChange, RecordCopy, StoredRecord } from '../../src/store.js';
+import type { ChangeOutcome, RecordChange, RecordCache, StoredRecord } from '../../src/store.js';
 
 interface Row extends StoredRecord {
   hold: number | null;
@@ -77,7 +77,7 @@
 }
 
 /** A copy that knows of changes only when it is synchronised. */
-export class SimulatedCopy implements RecordCopy {
+export class SimulatedCopy implements RecordCache {
   private readonly rows = new Map<string, StoredRecord>();
 
   /** Hears of every change of the copy, as the service's own does. */
--- a/packages/rollout/test/versionPlan.test.ts
+++ b/packages/rollout/test/versionPlan.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { initialVersion, rolloutKeys, type ClusterVersion, type Presence } from '../src/records.js';
 import {
-  nodesThatFit,
+  maxNodesPerTransaction,
   planVersion,
   type BlockerCause,
   type ClusterSnapshot,
@@ -12,7 +12,7 @@
 } from '../src/versionPlan.js';
 import { features } from './support/features.js';
 
-const options = { features, presenceKey: rolloutKeys.presence, barrierFrom: 3 };
+const options = { features, presenceKey: rolloutKeys.presence, barrierMinLevel: 3 };
 
 const presence = (changes: Partial<Presence> = {}): Presence => ({
   ...{ min: 2, max: 3, wants: 3, process: 'x', answer: 0 },
@@ -21,7 +21,7 @@
 
 function node(label: string, value: Presence | null, changes: Partial<NodeView> = {}): NodeView {
   const stored = value === null ? null : { value, revision: 10 };
-  return { label, presence: stored, isKnown: true, heardProcess: null, ...changes };
+  return { label, presence: stored, hasPublished: true, observedProcess: null, ...changes };
 }
 
 function snapshot(
@@ -40,7 +40,7 @@
       revision: 7,
       owner: { node: label, process: 'x' },
     })),
-    walk: { unfinished: [], quarantined: [] },
+    migration: { unfinished: [], quarantined: [] },
     ...changes,
   };
 }
@@ -54,9 +54,9 @@
   const good = presence();
   const cases: [string, NodeView, BlockerCause][] = [
     ['down', node('b', null), 'away'],
-    ['new in the settings', node('b', null, { isKnown: false }), 'never-seen'],
-    ['back with an old build', node('b', null, { heardProcess: 'y' }), 'publishes-no-levels'],
-    ['another process talks', node('b', good, { heardProcess: 'y' }), 'other-process'],
+    ['new in the settings', node('b', null, { hasPublished: false }), 'never-seen'],
+    ['back with an old build', node('b', null, { observedProcess: 'y' }), 'publishes-no-levels'],
+    ['another process talks', node('b', good, { observedProcess: 'y' }), 'other-process'],
     ['too old', node('b', presence({ max: 2, wants: 2 })), 'cannot-read'],
     ['too new', node('b', presence({ min: 4, max: 5, wants: 5 })), 'cannot-read'],
     ['not switched on', node('b', presence({ wants: 2 })), 'switched-off'],
@@ -124,7 +124,9 @@
     { unfinished: ['a'], quarantined: [] },
     { unfinished: [], quarantined: ['b/job/x'] },
   ]) {
-    const given = snapshot({ ...lowering, verified: 0 }, two(presence({ answer: 5 })), { walk });
+    const given = snapshot({ ...lowering, verified: 0 }, two(presence({ answer: 5 })), {
+      migration: walk,
+    });
     assert.equal(planVersion(given, options).kind, 'wait');
   }
 });
@@ -160,6 +162,6 @@
     [20, 9],
     [12, 5],
   ]) {
-    assert.equal(nodesThatFit(conditions), nodes);
+    assert.equal(maxNodesPerTransaction(conditions), nodes);
   }
 });
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -16,4 +16,4 @@
   new Promise((resolve) => setTimeout(resolve, Math.max(0, seconds * 1000)));
 
 /** Bound on how far two steady clocks drift apart (PROTOCOL: 0.05 %), taken twice for good measure. */
-export const DRIFT = 0.001;
+export const MAX_CLOCK_DRIFT = 0.001;
--- a/src/base/log.ts
+++ b/src/base/log.ts
@@ -18,5 +18,5 @@
 export const log = loglevel;
 
 /** An error as log lines show it: its message, or the value itself where it is no error. */
-export const describe = (error: unknown): string =>
+export const describeError = (error: unknown): string =>
   error instanceof Error ? error.message : String(error);
--- a/src/cli/controllerApi.ts
+++ b/src/cli/controllerApi.ts
@@ -2,11 +2,11 @@
 import {
   decodeDriver,
   decodeHealth,
-  decodeUnlessDamaged,
+  decodeOrNull,
   type ControllerApi,
   type ControllerHealth,
   type DriverRecord,
-  type DriverWrite,
+  type DriverWriteOutcome,
   type RolloutStatus,
   type StoredDriver,
 } from '@barrowlb/rollout';
@@ -41,7 +41,7 @@
     if (response === null) return null;
     if (response.status === 404) return this.olderHealth(label);
     if (response.status !== 200) return null;
-    return decodeUnlessDamaged(() => decodeHealth('health', response.body));
+    return decodeOrNull(() => decodeHealth('health', response.body));
   }
 
   /** Of a build without rollouts, by what it answers to everybody; it cannot be drained. */
@@ -90,7 +90,7 @@
   }
 
   /** Stores the record if it still has this revision. */
-  async write(revision: number, record: DriverRecord): Promise<DriverWrite> {
+  async write(revision: number, record: DriverRecord): Promise<DriverWriteOutcome> {
     const response = await this.askAny('POST', `${rolloutPath}/driver`, {
       stamp: revision,
       record,
--- a/src/cli/rollout.ts
+++ b/src/cli/rollout.ts
@@ -12,14 +12,14 @@
   type RolloutStatus,
 } from '@barrowlb/rollout';
 import { sleep, systemClock } from '../base/clock.js';
-import { readText } from '../protocol/settings.js';
+import { readTextFile } from '../protocol/settings.js';
 import { rolloutPath } from '../protocol/routes.js';
 import { HttpControllerApi } from './controllerApi.js';
 import { query, QueryError } from './query.js';
 import { describeDriver, describeStatus } from './rolloutReport.js';
 
 /** Prints one line for the operator. */
-export const say = (line: string): void => {
+export const printLine = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
@@ -36,7 +36,7 @@
  * Asks a controller for a change.
  * @throws {QueryError} with the controller's reason, if it refuses.
  */
-export async function change(
+export async function requestChange(
   server: string,
   name: string,
   body: unknown,
@@ -46,7 +46,7 @@
   if (response.status === 200) return;
   if (response.status === 503 && attemptsLeft > 1) {
     await sleep(CHANGE_RETRY_DELAY_S);
-    await change(server, name, body, attemptsLeft - 1);
+    await requestChange(server, name, body, attemptsLeft - 1);
     return;
   }
   const { error } = (response.body ?? {}) as { error?: string };
@@ -67,7 +67,7 @@
   const lines = describeStatus(status.body as RolloutStatus, now);
   const { record } = driver.body as { record: DriverRecord | null };
   if (record !== null) lines.push(...describeDriver(record, now));
-  say(lines.join('\n'));
+  printLine(lines.join('\n'));
 }
 
 async function runCommand([program = '', ...args]: string[], token: number): Promise<void> {
@@ -90,12 +90,12 @@
     run: runCommand,
     clock: systemClock,
     sleep,
-    report: say,
+    report: printLine,
   });
 }
 
 async function readPlan(path: string): Promise<{ plan: RolloutPlan; api: HttpControllerApi }> {
-  const plan = parsePlan(readText(path));
+  const plan = parsePlan(readTextFile(path));
   const api = new HttpControllerApi(plan.addresses);
   const known = await api.controllers();
   if (known !== null) checkControllers(plan, known);
@@ -103,15 +103,15 @@
 }
 
 /** How a driver begins its work: the driver's method. */
-export type Beginning = 'start' | 'resume' | 'rollBack';
+export type DriveMode = 'start' | 'resume' | 'rollBack';
 
 /** Runs a rollout to its end; anything but a good end is an exit code other than 0. */
-export async function drive(path: string, beginning: Beginning): Promise<void> {
+export async function runDriver(path: string, beginning: DriveMode): Promise<void> {
   const { plan, api } = await readPlan(path);
   const driver = createDriver(plan, api);
   await driver[beginning]();
   const record = await driver.run();
-  say(`rollout ${record.name}: ${record.phase}: ${record.cause.text}`);
+  printLine(`rollout ${record.name}: ${record.phase}: ${record.cause.text}`);
   if (record.phase === 'paused') process.exitCode = 1;
 }
 
@@ -119,7 +119,7 @@
 export async function pause(path: string, reason: string): Promise<void> {
   const { api } = await readPlan(path);
   await pauseRollout(api, reason, systemClock.wall());
-  say('the rollout is paused');
+  printLine('the rollout is paused');
 }
 
 /** Turns errors of the package into errors of the command line, which are printed as one line. */
--- a/src/cli/rolloutCommands.ts
+++ b/src/cli/rolloutCommands.ts
@@ -1,6 +1,6 @@
 /** `barrowlb rollout …` and `barrowlb drain`: their arguments. What they do is loaded when one is called. */
 import type { Command } from 'commander';
-import type { Beginning } from './rollout.js';
+import type { DriveMode } from './rollout.js';
 
 type RolloutModule = typeof import('./rollout.js');
 
@@ -12,7 +12,7 @@
 
 /** Asks a controller for a change, and says what was done. */
 const request = (server: string, name: string, body: unknown, done: string): Promise<void> =>
-  withRollout(async ({ change, say }) => {
+  withRollout(async ({ requestChange: change, printLine: say }) => {
     await change(server, name, body);
     say(done);
   });
@@ -47,7 +47,7 @@
 }
 
 function addDriverCommands(rollout: Command): void {
-  const beginnings: [string, Beginning, string][] = [
+  const beginnings: [string, DriveMode, string][] = [
     ['start', 'start', 'begin a rollout, or go on where its driver has died'],
     ['resume', 'resume', 'go on after a pause'],
     ['rollback', 'rollBack', 'put the controllers that were replaced back'],
@@ -58,7 +58,7 @@
       .description(text)
       .requiredOption(...PLAN)
       .action((options: { plan: string }) =>
-        withRollout(({ drive }) => drive(options.plan, beginning)),
+        withRollout(({ runDriver: drive }) => drive(options.plan, beginning)),
       );
   }
   rollout
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,13 +1,13 @@
 /** Scale-out and scale-in of all shards, by the one controller that is elected for it. */
 import { sleep } from '../../base/clock.js';
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import { keys } from '../../storage/records.js';
 import { CloudClient } from './cloudClient.js';
 import type { AutoscalingContext } from './autoscalingContext.js';
 import { MachineGroupStore } from './machineGroupStore.js';
 import { InventorySync } from './inventorySync.js';
-import { OpenRentals } from './openRentals.js';
+import { UnansweredLaunches } from './unansweredLaunches.js';
 import { ScaleIn } from './scaleIn.js';
 import { ScaleOut } from './scaleOut.js';
 
@@ -30,10 +30,10 @@
     process: string,
   ) {
     const { clock, links, settings } = node;
-    const { cloudEndpoint, cloudRate } = settings;
+    const { cloudEndpoint, cloudRequestRate: cloudRate } = settings;
     this.cloud = new CloudClient(links.services, clock, cloudEndpoint, cloudRate);
     this.groups = new MachineGroupStore(node, process);
-    const openRentals = new OpenRentals(node);
+    const openRentals = new UnansweredLaunches(node);
     this.scaleOut = new ScaleOut(node, this.cloud, this.groups, openRentals);
     this.scaleIn = new ScaleIn(node, this.cloud, this.groups);
     const isReleased = (machine: string): boolean => this.scaleIn.isReleased(machine);
@@ -41,16 +41,16 @@
   }
 
   /** This controller has been elected as the autoscaler. */
-  elected(): void {
+  onElected(): void {
     this.isElected = true;
     this.groups.pending.clear();
     this.scaleOut.reset();
-    this.inventorySync.expire();
+    this.inventorySync.invalidate();
     log.info('this node is the autoscaler');
   }
 
   /** Another controller is the autoscaler, or none is. */
-  retired(): void {
+  onElectionLost(): void {
     this.isElected = false;
   }
 
@@ -68,7 +68,7 @@
         if (this.isElected && leadership.isLeaseValid && this.node.machineTypes.size > 0)
           this.step();
       } catch (error) {
-        log.error(`autoscaler: ${describe(error)}`);
+        log.error(`autoscaler: ${describeError(error)}`);
       }
       await sleep(settings.heartbeatInterval * INTERVAL);
     }
@@ -92,17 +92,18 @@
   private async storeTypes(): Promise<void> {
     const { stateCache, stateClient: state } = this.node;
     const leader = this.groups.leaderCondition();
-    const stored = stateCache.get(keys.types);
+    const stored = stateCache.get(keys.machineTypes);
     const known = (stored?.value ?? []) as MachineType[];
     const machineTypes = [...this.node.machineTypes.values()];
     const namesOf = (list: MachineType[]): string => list.map((type) => type.name).join(' ');
     if (leader === null || this.isStoringTypes || namesOf(known) === namesOf(machineTypes)) return;
     this.isStoringTypes = true;
     try {
-      const conditions = [leader, { key: keys.types, revision: stored?.revision ?? 0 }];
-      const puts = [{ key: keys.types, value: machineTypes }];
+      const conditions = [leader, { key: keys.machineTypes, revision: stored?.revision ?? 0 }];
+      const puts = [{ key: keys.machineTypes, value: machineTypes }];
       const result = await state.transact({ conditions, puts, deletes: [] });
-      if (result.kind === 'applied') stateCache.note(keys.types, machineTypes, result.revision);
+      if (result.kind === 'applied')
+        stateCache.note(keys.machineTypes, machineTypes, result.revision);
     } finally {
       this.isStoringTypes = false;
     }
--- a/src/coordination/autoscaling/cloudClient.ts
+++ b/src/coordination/autoscaling/cloudClient.ts
@@ -43,8 +43,8 @@
   async listMachines(): Promise<Map<string, cloud.ListedMachine> | null> {
     const found = new Map<string, cloud.ListedMachine>();
     for (let after = ''; ;) {
-      const answer = await this.call('GET', cloud.paths.list(after, cloud.LIST_PAGE));
-      const page = answer.status === 200 ? cloud.parseList(answer.body) : null;
+      const answer = await this.call('GET', cloud.paths.list(after, cloud.LIST_PAGE_SIZE));
+      const page = answer.status === 200 ? cloud.parseMachineList(answer.body) : null;
       if (page === null) return null;
       for (const machine of page.machines) found.set(machine.name, machine);
       const last = page.machines[page.machines.length - 1];
@@ -57,7 +57,7 @@
   async launch(request: cloud.RentalRequest): Promise<LaunchResult> {
     const answer = await this.call('POST', cloud.paths.rentals, cloud.rentalRequest(request));
     if (answer.status === 200) {
-      return { kind: 'launched', machines: cloud.parseRented(answer.body) ?? [] };
+      return { kind: 'launched', machines: cloud.parseRentedMachines(answer.body) ?? [] };
     }
     if (answer.status === 503 && JSON.stringify(answer.body).includes('no capacity')) {
       return { kind: 'insufficient-capacity' };
--- a/src/coordination/autoscaling/inventorySync.ts
+++ b/src/coordination/autoscaling/inventorySync.ts
@@ -1,12 +1,12 @@
 /** Follows the cloud's list: unknown machines are assigned to a shard, and addresses are stored. */
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import type { ListedMachine } from '../../protocol/cloudProtocol.js';
 import type { MachineGroupRecord } from '../../storage/records.js';
 import type { CloudClient } from './cloudClient.js';
 import type { AutoscalingContext } from './autoscalingContext.js';
 import type { MachineGroupStore } from './machineGroupStore.js';
 import { VanishedMachines } from './vanishedMachines.js';
-import type { OpenRentals } from './openRentals.js';
+import type { UnansweredLaunches } from './unansweredLaunches.js';
 import { chooseShardFor, groupLimit, splitGroup } from './machineGroups.js';
 
 /** How often the list is read, as a ratio to the time that it lags behind. */
@@ -41,7 +41,7 @@
     private readonly node: AutoscalingContext,
     private readonly cloud: CloudClient,
     private readonly groups: MachineGroupStore,
-    private readonly openRentals: Pick<OpenRentals, 'mayHaveLaunched'>,
+    private readonly openRentals: Pick<UnansweredLaunches, 'mayHaveLaunched'>,
     /** Whether its release was confirmed: a late list may still show it. */
     private readonly isReleased: (machine: string) => boolean,
   ) {
@@ -49,7 +49,7 @@
   }
 
   /** Makes the next `readIfDue` read the list. */
-  expire(): void {
+  invalidate(): void {
     this.lastRead = -Infinity;
   }
 
@@ -71,7 +71,7 @@
       await this.adoptUnknown();
       await this.storeAddresses();
     } catch (error) {
-      log.debug(`machine list: ${describe(error)}`);
+      log.debug(`machine list: ${describeError(error)}`);
     } finally {
       this.isReading = false;
       this.lastRead = this.node.clock.now();
--- a/src/coordination/autoscaling/machineGroupStore.ts
+++ b/src/coordination/autoscaling/machineGroupStore.ts
@@ -1,10 +1,10 @@
 /** The stored groups of machines, written only by the elected autoscaler, on condition of its leadership. */
 import { sleep } from '../../base/clock.js';
-import { TRANSACTION_BYTES } from '../../protocol/stateProtocol.js';
+import { MAX_TRANSACTION_CHANGE_BYTES } from '../../protocol/stateProtocol.js';
 import type { RequestPriority } from '../../storage/rateLimiter.js';
 import { keys, type MachineGroupRecord } from '../../storage/records.js';
 import type { TransactionResult } from '../../storage/stateClient.js';
-import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
+import { AUTOSCALER_ROLE } from '../leadership/shardLeadership.js';
 import type { AutoscalingContext } from './autoscalingContext.js';
 
 /** How often the removal of released machines from their records may fail. */
@@ -30,9 +30,9 @@
 
   /** The condition that this controller is the elected autoscaler; null when it is not. */
   leaderCondition(): { key: string; revision: number } | null {
-    const leadership = this.node.leadership.get(AUTOSCALER_DUTY);
+    const leadership = this.node.leadership.get(AUTOSCALER_ROLE);
     if (leadership === undefined || !this.node.leadership.isLeaseValid) return null;
-    return { key: keys.owner(AUTOSCALER_DUTY), revision: leadership.revision };
+    return { key: keys.leader(AUTOSCALER_ROLE), revision: leadership.revision };
   }
 
   /** A name for a scale-out and its group that is never used again. */
@@ -58,7 +58,7 @@
   async create(name: string, group: MachineGroupRecord): Promise<TransactionResult> {
     const leader = this.leaderCondition();
     if (leader === null) return { kind: 'refused' };
-    const key = keys.group(name);
+    const key = keys.machineGroup(name);
     const conditions = [leader, { key, revision: 0 }];
     const puts = [{ key, value: group }];
     const result = await this.node.stateClient.transact(
@@ -73,12 +73,12 @@
   async adopt(group: MachineGroupRecord): Promise<void> {
     const { node } = this;
     const name = this.nextName();
-    const leadership = node.leadership.get(AUTOSCALER_DUTY);
+    const leadership = node.leadership.get(AUTOSCALER_ROLE);
     this.storing.add(name);
     this.pending.set(name, Object.keys(group.machines));
     // Its machines go into no other group before it is known whether this one is stored: a machine in
     // two groups would belong to two shards.
-    while (!this.stopped && node.leadership.get(AUTOSCALER_DUTY) === leadership) {
+    while (!this.stopped && node.leadership.get(AUTOSCALER_ROLE) === leadership) {
       if (await this.tryAdopt(name, group)) break;
     }
     this.storing.delete(name);
@@ -93,12 +93,12 @@
       await sleep(node.settings.heartbeatInterval / 6);
       return false;
     }
-    const key = keys.group(name);
+    const key = keys.machineGroup(name);
     const item = await node.stateClient.get(key).catch(() => undefined);
     if (item === undefined) return false;
     if (item !== null) node.stateCache.note(key, item.value, item.revision);
     // Neither the key nor the leadership is as expected: a new autoscaler will find the machines.
-    else await node.leadership.verifyLeadership(AUTOSCALER_DUTY).catch(() => undefined);
+    else await node.leadership.verifyLeadership(AUTOSCALER_ROLE).catch(() => undefined);
     return true;
   }
 
@@ -114,7 +114,7 @@
     const puts: { key: string; value: unknown }[] = [];
     const deletes: string[] = [];
     for (const [name, group] of groups) {
-      const key = keys.group(name);
+      const key = keys.machineGroup(name);
       conditions.push({ key, revision: stateCache.get(key)?.revision ?? 0 });
       if (group === null) deletes.push(key);
       else puts.push({ key, value: group });
@@ -130,7 +130,7 @@
   /** Reads the stored record into the cache: a change without an answer may have been applied. */
   async reread(name: string): Promise<void> {
     const { stateCache, stateClient: state } = this.node;
-    const key = keys.group(name);
+    const key = keys.machineGroup(name);
     const item = await state.get(key);
     if (item === null) stateCache.noteRemoved(key, Infinity);
     else stateCache.note(key, item.value, item.revision);
@@ -147,7 +147,7 @@
       if (result.kind === 'conflict') {
         // An earlier copy was applied, or the watch is late: read the records again.
         for (const name of groups.keys()) await this.reread(name);
-        await leadership.verifyLeadership(AUTOSCALER_DUTY);
+        await leadership.verifyLeadership(AUTOSCALER_ROLE);
       }
       if (result.kind === 'applied') continue;
       failures++;
@@ -165,16 +165,17 @@
       inventory.groupsOf(machine).map((name) => ({ machine, name })),
     );
     for (const { machine, name } of claims) {
-      const stored = stateCache.get(keys.group(name))?.value as MachineGroupRecord | undefined;
+      const stored = stateCache.get(keys.machineGroup(name))?.value as
+        MachineGroupRecord | undefined;
       const before = groups.get(name) ?? stored;
       if (before === undefined) continue;
       if (!groups.has(name)) bytes += JSON.stringify(before).length;
       const rest = Object.entries(before.machines).filter(([other]) => other !== machine);
       const after = rest.length === 0 ? null : { ...before, machines: Object.fromEntries(rest) };
       const others = [...operations].filter(([other]) => other !== name);
-      const cost = state.operations(keys.group(name), after);
+      const cost = state.operations(keys.machineGroup(name), after);
       const all = others.reduce((sum, [, count]) => sum + count, cost);
-      if (groups.size > 0 && (all > settings.txnOps || bytes > TRANSACTION_BYTES)) break;
+      if (groups.size > 0 && (all > settings.txnOps || bytes > MAX_TRANSACTION_CHANGE_BYTES)) break;
       groups.set(name, after);
       operations.set(name, cost);
     }
--- a/src/coordination/autoscaling/machineGroups.ts
+++ b/src/coordination/autoscaling/machineGroups.ts
@@ -1,5 +1,5 @@
 /** Which shard a machine goes to, and how many machines one record may hold: pure functions. */
-import { RENT_LIMIT } from '../../protocol/cloudProtocol.js';
+import { MAX_RENTAL_COUNT } from '../../protocol/cloudProtocol.js';
 import type { MachineInventory } from '../../storage/machineInventory.js';
 import type { MachineGroupRecord } from '../../storage/records.js';
 
@@ -12,7 +12,7 @@
 /** Machines that a group may have: its record, and copies of it in a transaction, stay within the limits. */
 export function groupLimit(valueBytes: number): number {
   const fitting = Math.floor((valueBytes * RECORD_SHARE) / MACHINE_BYTES);
-  return Math.max(1, Math.min(RENT_LIMIT, fitting));
+  return Math.max(1, Math.min(MAX_RENTAL_COUNT, fitting));
 }
 
 /** The same machines in groups of at most `most`. */
--- a/src/coordination/autoscaling/scaleIn.ts
+++ b/src/coordination/autoscaling/scaleIn.ts
@@ -1,6 +1,6 @@
 /** Releases machines that are lost, failed, gone or no longer needed. */
-import { describe, log } from '../../base/log.js';
-import { RELEASE_LIMIT } from '../../protocol/cloudProtocol.js';
+import { describeError, log } from '../../base/log.js';
+import { MAX_RELEASE_COUNT } from '../../protocol/cloudProtocol.js';
 import type { CloudClient } from './cloudClient.js';
 import type { AutoscalingContext } from './autoscalingContext.js';
 import type { MachineGroupStore } from './machineGroupStore.js';
@@ -32,8 +32,8 @@
       (machine) => !this.releasing.has(machine) && !this.released.has(machine),
     );
     // All at once: when hundreds of machines are lost together, replicas wait for each of them.
-    for (let from = 0; from < due.length; from += RELEASE_LIMIT) {
-      void this.release(due.slice(from, from + RELEASE_LIMIT));
+    for (let from = 0; from < due.length; from += MAX_RELEASE_COUNT) {
+      void this.release(due.slice(from, from + MAX_RELEASE_COUNT));
     }
   }
 
@@ -68,7 +68,7 @@
       for (const machine of machines) this.released.set(machine, now);
       await this.groups.removeMachines(machines);
     } catch (error) {
-      log.debug(`release: ${describe(error)}`);
+      log.debug(`release: ${describeError(error)}`);
     } finally {
       for (const machine of machines) this.releasing.delete(machine);
     }
--- a/src/coordination/autoscaling/scaleOut.ts
+++ b/src/coordination/autoscaling/scaleOut.ts
@@ -1,11 +1,11 @@
 /** Launches machines for the demands of all shards, and records each scale-out before it is requested. */
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import { keys, type MachineGroupRecord } from '../../storage/records.js';
-import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
+import { AUTOSCALER_ROLE } from '../leadership/shardLeadership.js';
 import type { CloudClient, LaunchResult } from './cloudClient.js';
 import type { AutoscalingContext } from './autoscalingContext.js';
 import type { MachineGroupStore } from './machineGroupStore.js';
-import type { OpenRentals } from './openRentals.js';
+import type { UnansweredLaunches } from './unansweredLaunches.js';
 import { chooseShardFor, groupLimit } from './machineGroups.js';
 import { mergePlans, planScaleOut, type ScaleOutPlan } from './scaleOutPlan.js';
 
@@ -63,7 +63,7 @@
     private readonly node: AutoscalingContext,
     private readonly cloud: CloudClient,
     private readonly groups: MachineGroupStore,
-    private readonly openRentals: OpenRentals,
+    private readonly openRentals: UnansweredLaunches,
   ) {}
 
   /** This controller has been elected: what it knew of an earlier election's scale-outs is void. */
@@ -160,7 +160,7 @@
     } finally {
       this.inProgress.delete(name);
     }
-    if (stateCache.get(keys.group(name)) === undefined) this.forgetUnrecorded(name);
+    if (stateCache.get(keys.machineGroup(name)) === undefined) this.forgetUnrecorded(name);
     // Requests go out side by side; once the first has found the kind out of stock, no other is sent.
     else if (this.isOutOfStock(kindOf(type, zone, spot))) await this.conclude(name, null);
     else await this.launch(name, group);
@@ -177,10 +177,10 @@
     this.inProgress.add(name);
     const { type, zone, spot, requestedCount: count = 0 } = group;
     try {
-      const result = await this.cloud.launch({ ask: name, type, zone, spot, count });
+      const result = await this.cloud.launch({ idempotencyKey: name, type, zone, spot, count });
       await this.handleResult(name, group, result);
     } catch (error) {
-      log.debug(`scale-out: ${describe(error)}`);
+      log.debug(`scale-out: ${describeError(error)}`);
     } finally {
       this.inProgress.delete(name);
     }
@@ -258,7 +258,7 @@
     const replaced = await this.groups.replace(stored, 'rental');
     if (replaced.kind !== 'conflict') return;
     await this.groups.reread(name);
-    await leadership.verifyLeadership(AUTOSCALER_DUTY);
+    await leadership.verifyLeadership(AUTOSCALER_ROLE);
   }
 
   private noteOutOfStock(kind: string, shard: string): void {
--- a/src/coordination/autoscaling/openRentals.ts
+++ b/src/coordination/autoscaling/unansweredLaunches.ts
@@ -3,7 +3,7 @@
 import type { AutoscalingContext } from './autoscalingContext.js';
 
 /** The recorded rentals without an answer. */
-export class OpenRentals {
+export class UnansweredLaunches {
   /** Steady time at which this process has recorded each of its own rentals. */
   private readonly recordedAt = new Map<string, number>();
 
--- a/src/coordination/commands/commandAudit.ts
+++ b/src/coordination/commands/commandAudit.ts
@@ -8,7 +8,7 @@
 import type { CommandOutcome, CommandRoute } from '../audit/commandOutcome.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import type { ShardLeadership } from '../leadership/shardLeadership.js';
-import type { SealedCommands } from '../model/commandTokens.js';
+import type { CommandBatch } from '../model/commandTokens.js';
 import { attemptKey } from '../model/endedAttempt.js';
 import type { Machine } from '../model/machine.js';
 import { assertNoCancelledStarts } from './cancelledTaskMonitor.js';
@@ -31,7 +31,7 @@
   noteSent(
     ownedShard: OwnedShard,
     machine: Machine,
-    { commands, token, startToken }: SealedCommands,
+    { commands, token, startToken }: CommandBatch,
     route: CommandRoute,
   ): void {
     const { leadership, clock, audit } = this.node;
@@ -59,7 +59,7 @@
   noteOutcome(
     ownedShard: OwnedShard,
     machine: Machine,
-    { commands, token }: SealedCommands,
+    { commands, token }: CommandBatch,
     outcome: CommandOutcome,
     report: Heartbeat | null,
   ): void {
--- a/src/coordination/commands/commandDispatcher.ts
+++ b/src/coordination/commands/commandDispatcher.ts
@@ -5,9 +5,9 @@
   RESEND_INTERVALS,
   unconditionalStops,
 } from '../model/dueCommands.js';
-import type { SealedCommands } from '../model/commandTokens.js';
+import type { CommandBatch } from '../model/commandTokens.js';
 import type { StartCommands } from '../model/startCommands.js';
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import {
   commandsRequest,
   parseHeartbeat,
@@ -70,7 +70,7 @@
       for (const attempt of chunk.attempts.values()) {
         if (attempt.wasReported) continue;
         const machine = ownedShard.shard.machines.get(attempt.machine);
-        if (machine !== undefined) ownedShard.shard.pendingCommands.add(machine);
+        if (machine !== undefined) ownedShard.shard.machinesWithDueCommands.add(machine);
       }
     }
     this.send();
@@ -80,9 +80,9 @@
   /** Sends the commands that are due, a few in each turn of the event loop. */
   send(): void {
     for (const ownedShard of this.node.ownedShards.values()) {
-      for (const machine of ownedShard.shard.pendingCommands) {
+      for (const machine of ownedShard.shard.machinesWithDueCommands) {
         if (machine.hasCommandInFlight || machine.address === '' || machine.isReassigned) continue;
-        ownedShard.shard.pendingCommands.delete(machine);
+        ownedShard.shard.machinesWithDueCommands.delete(machine);
         // Questions go on until it answers one; orders meanwhile would only hold sockets.
         if (machine.isUnresponsive || !this.isDue(ownedShard, machine)) continue;
         this.turns.add(() => {
@@ -106,11 +106,11 @@
 
   private async sendDueCommands(ownedShard: OwnedShard, machine: Machine): Promise<void> {
     if (machine.hasCommandInFlight) {
-      ownedShard.shard.pendingCommands.add(machine);
+      ownedShard.shard.machinesWithDueCommands.add(machine);
       return;
     }
     if (!this.isDue(ownedShard, machine)) return;
-    const message = this.sealDueCommands(ownedShard, machine);
+    const message = this.prepareDueCommands(ownedShard, machine);
     const starts = startCommandsOf(machine, message.commands);
     // From now on they may be carried out, late or once more.
     for (const start of starts) start.noteSent(message.token);
@@ -128,20 +128,20 @@
     if (this.isDue(ownedShard, machine)) this.sendAgainLater(ownedShard, machine);
   }
 
-  private sealDueCommands(ownedShard: OwnedShard, machine: Machine): SealedCommands {
+  private prepareDueCommands(ownedShard: OwnedShard, machine: Machine): CommandBatch {
     const now = this.node.clock.now();
     const commands: Command[] = this.node.authority.mayAct(ownedShard)
       ? dueCommands(machine, now, this.resendAfter)
       : unconditionalStops(machine);
-    const { tokens } = ownedShard.shard;
+    const { fencingTokens: tokens } = ownedShard.shard;
     const seenToken = machine.highestFencingToken;
-    return machine.commandTokens.seal(commands, tokens, { seenToken, mayRaise: true });
+    return machine.commandTokens.assignToken(commands, tokens, { seenToken, mayRaise: true });
   }
 
   private sendAgainLater({ shard }: OwnedShard, machine: Machine): void {
     setTimeout(
       () => {
-        shard.pendingCommands.add(machine);
+        shard.machinesWithDueCommands.add(machine);
         this.node.requestSchedulingRound();
       },
       (this.node.settings.heartbeatInterval / 6) * 1000,
@@ -152,14 +152,14 @@
   private async exchange(
     ownedShard: OwnedShard,
     { address, agentEpoch, name }: Machine,
-    { commands, token }: SealedCommands,
+    { commands, token }: CommandBatch,
   ): Promise<{ outcome: CommandOutcome; heartbeat: Heartbeat | null }> {
     const { links, settings, authority } = this.node;
     const body = commandsRequest(token, agentEpoch, commands);
     const startsWork = commands.some(({ verb }) => verb === 'start');
     const mayLeave = (): boolean =>
       startsWork ? authority.mayAct(ownedShard) : authority.mayEnd(ownedShard);
-    const target = workerPaths.orders;
+    const target = workerPaths.commands;
     try {
       const timeout = settings.heartbeatInterval / 2;
       const answer = await links.machines.call(
@@ -167,7 +167,7 @@
       );
       return { outcome: outcomeOf(answer.status), heartbeat: parseHeartbeat(answer.body) };
     } catch (error) {
-      log.debug(`commands to ${name}: ${describe(error)}`);
+      log.debug(`commands to ${name}: ${describeError(error)}`);
       const isUnsent = error instanceof HttpCallError && error.unsent;
       return { outcome: isUnsent ? 'unsent' : 'unanswered', heartbeat: null };
     }
@@ -193,7 +193,7 @@
   private queueUnconditionalStops(): void {
     for (const { shard } of this.node.ownedShards.values()) {
       for (const machine of shard.machines.values()) {
-        if (unconditionalStops(machine).length > 0) shard.pendingCommands.add(machine);
+        if (unconditionalStops(machine).length > 0) shard.machinesWithDueCommands.add(machine);
       }
     }
     this.send();
@@ -204,13 +204,13 @@
    * a higher fencing token. Where a machine has used up those of the leadership, another block is stored.
    */
   private raiseTokens(ownedShard: OwnedShard, now: number): void {
-    const { machines, tokens } = ownedShard.shard;
+    const { machines, fencingTokens: tokens } = ownedShard.shard;
     let isUsedUp = false;
     for (const machine of machines.values()) {
-      isUsedUp ||= machine.commandTokens.isUsedUp(tokens);
+      isUsedUp ||= machine.commandTokens.isExhausted(tokens);
       // A command on its way would be refused.
       if (machine.hasCommandInFlight || !machine.isBlockedByStartCommand) continue;
-      machine.commandTokens.raise(tokens);
+      machine.commandTokens.raiseToken(tokens);
     }
     if (isUsedUp) this.storeNextBlock(ownedShard, now);
   }
@@ -219,7 +219,7 @@
     if (now - ownedShard.fencingTokenAdvancedAt < this.node.settings.heartbeatInterval) return;
     ownedShard.fencingTokenAdvancedAt = now;
     advanceFencingToken(this.node.leadership, ownedShard).catch((error: unknown) => {
-      log.debug(`fencing tokens of ${ownedShard.shard.label}: ${describe(error)}`);
+      log.debug(`fencing tokens of ${ownedShard.shard.label}: ${describeError(error)}`);
     });
   }
 }
--- a/src/coordination/commands/heartbeatEndpoint.ts
+++ b/src/coordination/commands/heartbeatEndpoint.ts
@@ -15,7 +15,7 @@
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import type { ShardLeadership } from '../leadership/shardLeadership.js';
 import { commandsForAnswer, RESEND_INTERVALS, unconditionalStops } from '../model/dueCommands.js';
-import type { SealedCommands } from '../model/commandTokens.js';
+import type { CommandBatch } from '../model/commandTokens.js';
 import type { Machine } from '../model/machine.js';
 import type { PeerRegistry } from '../peers/peerRegistry.js';
 import { CancelledTaskMonitor } from './cancelledTaskMonitor.js';
@@ -129,9 +129,9 @@
     machine: Machine,
     mayAct: boolean,
     now: number,
-  ): SealedCommands {
+  ): CommandBatch {
     const commands = this.commandsFor(machine, mayAct, now);
-    return machine.commandTokens.seal(commands, shard.tokens, {
+    return machine.commandTokens.assignToken(commands, shard.fencingTokens, {
       seenToken: machine.highestFencingToken,
       // The answer may overtake a command that is on its way, which would then be refused.
       mayRaise: !machine.hasCommandInFlight,
--- a/src/coordination/commands/machineProber.ts
+++ b/src/coordination/commands/machineProber.ts
@@ -79,7 +79,7 @@
       if (effect === 'changed') this.node.requestSchedulingRound();
     } catch (error) {
       // Not asked for want of sockets: healthy machines would be taken for silent ones.
-      const wasAsked = !(error instanceof HttpCallError && error.local);
+      const wasAsked = !(error instanceof HttpCallError && error.isLocal);
       if (wasAsked) machine.reachability.noteMissedProbe(sentAt);
     }
   }
@@ -126,7 +126,7 @@
     );
     for (const machine of machines) {
       if (machine.reachability.lastReachedAt === null) continue;
-      ownedShard.shard.pendingCommands.add(machine);
+      ownedShard.shard.machinesWithDueCommands.add(machine);
       // Where live services run, silence is noticed within a second or two; elsewhere when a heartbeat
       // is overdue.
       // When one does not answer, all are asked: others that answer show that the fault is not ours.
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -24,7 +24,7 @@
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import { RecordFollower } from '../leadership/recordFollower.js';
 import {
-  AUTOSCALER_DUTY,
+  AUTOSCALER_ROLE,
   type Leadership,
   type ShardLeadership,
 } from '../leadership/shardLeadership.js';
@@ -38,7 +38,7 @@
 import { QuotaShares } from '../quota/quotaShares.js';
 import { Drain } from '../rollout/drain.js';
 import type { RolloutService } from '../rollout/rolloutService.js';
-import { withoutRollout, type RolloutSetup } from '../rollout/rolloutSetup.js';
+import { rolloutDisabled, type RolloutSetup } from '../rollout/rolloutSetup.js';
 import { RunTimes } from '../scheduling/runTimes.js';
 import { SchedulingRounds } from '../scheduling/schedulingRounds.js';
 import { createClusterView } from './clusterView.js';
@@ -51,7 +51,7 @@
   createPersistence,
   createStateCache,
   createStateClient,
-  type Links,
+  type HttpClients,
 } from './wiring.js';
 
 /** A node of the cluster. */
@@ -101,9 +101,9 @@
     readonly tuning: Tuning,
     readonly clock: Clock,
     readonly random: Random,
-    readonly links: Links,
+    readonly links: HttpClients,
     readonly process: string,
-    readonly rolloutSetup: RolloutSetup = withoutRollout((reason) => {
+    readonly rolloutSetup: RolloutSetup = rolloutDisabled((reason) => {
       log.error(reason);
     }),
   ) {
@@ -250,24 +250,26 @@
   }
 
   /** Follows the records of staged upgrades; a node without them must not serve beyond a barrier. */
-  noteRollout(change: KeyValueChange): void {
-    if (this.rollout !== null) this.rollout.note(change);
+  applyRolloutChange(change: KeyValueChange): void {
+    if (this.rollout !== null) this.rollout.handleRecordChange(change);
     else if (change.key === BARRIER_KEY && !change.removed) {
-      this.rolloutSetup.refused('the cluster stores records that need rollouts to be switched on');
+      this.rolloutSetup.onRefused(
+        'the cluster stores records that need rollouts to be switched on',
+      );
     }
   }
 
   /** Takes in a peer's gossip. A shard that it leads with a higher fencing token is ours no longer. */
   receiveGossip(gossip: Gossip): void {
-    this.peers.note(gossip);
+    this.peers.receiveGossip(gossip);
     for (const { shard, fencingToken } of gossip.shards)
       this.leadership.stepDownIfFenced(shard, fencingToken);
   }
 
   /** The label of a shard's leader, by its stored record or a newer gossip; null: none is known. */
   leaderOf(shard: string): string | null {
-    const stored = this.stateCache.get(keys.owner(shard))?.value as LeaderRecord | undefined;
-    const gossiped = this.peers.hostOf(shard);
+    const stored = this.stateCache.get(keys.leader(shard))?.value as LeaderRecord | undefined;
+    const gossiped = this.peers.leaderOf(shard);
     if (gossiped !== null && gossiped.fencingToken > (stored?.fencingToken ?? 0))
       return gossiped.label;
     return stored?.node ?? gossiped?.label ?? null;
@@ -275,19 +277,20 @@
 
   /** What is due from time to time, whatever has changed. */
   private reconcile(): void {
-    this.persistence.review();
+    this.persistence.reconcileJobs();
     this.cancellationPreparations.sweep();
     this.adoptUnmatchedBuckets();
-    this.migration.review();
-    void this.nodeCapabilities.ensure();
+    this.migration.reviewBlockedChunks();
+    void this.nodeCapabilities.publish();
     this.commands.sweep();
-    void this.quotas.balance();
+    void this.quotas.rebalance();
     void this.rollout?.reconcile();
   }
 
   private adoptUnmatchedBuckets(): void {
     if (!this.leadership.isLeaseValid) return;
-    for (const ownedShard of this.ownedShards.values()) this.loader.adoptUnmatched(ownedShard);
+    for (const ownedShard of this.ownedShards.values())
+      this.loader.loadUnmatchedBuckets(ownedShard);
   }
 
   private runSchedulers(): void {
@@ -302,12 +305,12 @@
   }
 
   private onLeadershipGained(shard: string, leadership: Leadership): void {
-    if (shard === AUTOSCALER_DUTY) this.autoscaler.elected();
+    if (shard === AUTOSCALER_ROLE) this.autoscaler.onElected();
     else this.takeover.onGained(shard, leadership);
   }
 
   private onLeadershipLost(shard: string): void {
-    if (shard === AUTOSCALER_DUTY) this.autoscaler.retired();
+    if (shard === AUTOSCALER_ROLE) this.autoscaler.onElectionLost();
     else this.takeover.onLost(shard);
   }
 }
--- a/src/coordination/controller/gateway.ts
+++ b/src/coordination/controller/gateway.ts
@@ -9,7 +9,7 @@
 import { HeartbeatEndpoint } from '../commands/heartbeatEndpoint.js';
 import type { RolloutRoutes } from '../rollout/rolloutRoutes.js';
 import type { Controller } from './controller.js';
-import { overview } from './overview.js';
+import { createOverview } from './overview.js';
 
 /** Requests that keep machines and this node in service: they go before users' requests under any load. */
 export const isEssential = ({ target }: HttpMessage): boolean =>
@@ -59,7 +59,7 @@
   }
 
   /** Answers a message of a peer. */
-  async peer(body: Buffer): Promise<Buffer> {
+  async handlePeerMessage(body: Buffer): Promise<Buffer> {
     return encodeAnswer(await this.answerPeer(decodeRequest(body)));
   }
 
@@ -70,7 +70,7 @@
     }
     if (path === paths.ready) return this.node.isReady ? { status: 200, body: {} } : STARTING;
     if (path === paths.overview && method === 'GET') {
-      return { status: 200, body: overview(this.node) };
+      return { status: 200, body: createOverview(this.node) };
     }
     if (path.startsWith(rolloutPath)) {
       return this.rollout?.handle(method, path, body) ?? ROLLOUT_OFF;
@@ -108,7 +108,9 @@
     }
     if ('Ask' in request) {
       const { spec, zone, tasks } = request.Ask;
-      return { Estimates: { of: this.node.migration.estimates(decodeSpec(spec), zone, tasks) } };
+      return {
+        Estimates: { of: this.node.migration.estimateTurnarounds(decodeSpec(spec), zone, tasks) },
+      };
     }
     if ('PrepareCancel' in request) {
       const { job, sentAt } = request.PrepareCancel;
--- a/src/coordination/controller/loops.ts
+++ b/src/coordination/controller/loops.ts
@@ -1,9 +1,13 @@
 /** Loops that run until the node stops. */
 import { sleep } from '../../base/clock.js';
-import { describe, log } from '../../base/log.js';
-import { parseTypes, paths as cloudPaths, type MachineType } from '../../protocol/cloudProtocol.js';
+import { describeError, log } from '../../base/log.js';
+import {
+  parseMachineTypes,
+  paths as cloudPaths,
+  type MachineType,
+} from '../../protocol/cloudProtocol.js';
 import type { Settings } from '../../protocol/settings.js';
-import type { Links } from './wiring.js';
+import type { HttpClients } from './wiring.js';
 
 /** Seconds that the cloud has for its answer about machine types. */
 const MACHINE_TYPES_TIMEOUT_S = 4;
@@ -35,7 +39,7 @@
 /** What the refresh of machine types needs of a node. */
 export interface MachineTypesContext extends StoppableContext {
   readonly settings: Pick<Settings, 'cloudEndpoint' | 'cloudListLag'>;
-  readonly links: Pick<Links, 'services'>;
+  readonly links: Pick<HttpClients, 'services'>;
   machineTypes: Map<string, MachineType>;
 }
 
@@ -48,7 +52,7 @@
         node.machineTypes = new Map(machineTypes.map((type) => [type.name, type]));
       }
     } catch (error) {
-      log.debug(`machine types: ${describe(error)}`);
+      log.debug(`machine types: ${describeError(error)}`);
     }
     const isKnown = node.machineTypes.size > 0;
     await sleep(isKnown ? node.settings.cloudListLag * 8 : MACHINE_TYPES_RETRY_S);
@@ -67,5 +71,5 @@
     undefined,
     MACHINE_TYPES_TIMEOUT_S,
   );
-  return answer.status === 200 ? parseTypes(answer.body) : null;
+  return answer.status === 200 ? parseMachineTypes(answer.body) : null;
 }
--- a/src/coordination/controller/overview.ts
+++ b/src/coordination/controller/overview.ts
@@ -19,7 +19,7 @@
 type MachineOverview = ShardOverview['machines'][number];
 
 /** The answer of `/v1/overview`. */
-export function overview(context: OverviewContext): Overview {
+export function createOverview(context: OverviewContext): Overview {
   const { settings, clock, leadership, audit, ownedShards } = context;
   const now = clock.now();
   return {
--- a/src/coordination/controller/wiring.ts
+++ b/src/coordination/controller/wiring.ts
@@ -4,7 +4,7 @@
 import type { KeyValueChange } from '../../protocol/stateProtocol.js';
 import type { ChunkIndex } from '../../storage/chunkIndex.js';
 import type { RecordFormat } from '../../storage/recordFormat.js';
-import { BUCKETS, ROOT } from '../../storage/records.js';
+import { BUCKET_PREFIX, KEY_PREFIX } from '../../storage/records.js';
 import { StateCache } from '../../storage/stateCache.js';
 import { StateClient } from '../../storage/stateClient.js';
 import type { HttpClient } from '../../transport/httpClient.js';
@@ -25,7 +25,7 @@
 const WRITES_POLL_INTERVAL_S = 0.01;
 
 /** HTTP connections of this node's own making. */
-export interface Links {
+export interface HttpClients {
   services: Pick<HttpClient, 'call'>;
   machines: Pick<HttpClient, 'call'>;
 }
@@ -44,7 +44,7 @@
 /** Creates the client of the state service. */
 export function createStateClient(
   node: Pick<NodeContext, 'settings' | 'clock' | 'shards'> & {
-    readonly links: Links;
+    readonly links: HttpClients;
     readonly recordFormat: RecordFormat;
   },
 ): StateClient {
@@ -66,7 +66,7 @@
   onChange: (change: KeyValueChange) => void,
 ): StateCache {
   const watch = watchTimings(node.settings, node.shards.length);
-  return new StateCache(node.stateClient, ROOT, node.clock, watch, onChange);
+  return new StateCache(node.stateClient, KEY_PREFIX, node.clock, watch, onChange);
 }
 
 /** Creates the registry of the peers, with a connection to each. */
@@ -86,9 +86,12 @@
 export interface LeadershipWiringContext extends NodeContext {
   readonly stateClient: StateClient;
   readonly stateCache: StateCache;
-  readonly peers: Pick<PeerRegistry, 'steady'>;
+  readonly peers: Pick<PeerRegistry, 'hasBeenServedFor'>;
   /** Null while staged upgrades are switched off. */
-  readonly rollout: Pick<RolloutService, 'isCurrent' | 'admitClaims' | 'isEntitled'> | null;
+  readonly rollout: Pick<
+    RolloutService,
+    'isCurrent' | 'mayClaimShards' | 'isLeaderCompatible'
+  > | null;
 }
 
 /** Creates the leadership of shards. `node`'s peers and rollout are used from its start on only. */
@@ -112,10 +115,10 @@
       }
     },
     isReadyToLead: (label) =>
-      node.peers.steady(label, settings.heartbeatInterval / 2) &&
+      node.peers.hasBeenServedFor(label, settings.heartbeatInterval / 2) &&
       node.rollout?.isCurrent(label) !== false,
-    mayClaim: () => node.rollout?.admitClaims() !== false,
-    isEntitled: (leader) => node.rollout?.isEntitled(leader) !== false,
+    mayClaim: () => node.rollout?.mayClaimShards() !== false,
+    isLeaderCompatible: (leader) => node.rollout?.isLeaderCompatible(leader) !== false,
   });
 }
 
@@ -139,7 +142,7 @@
     isBeingCancelled: (job: string) => node.cancellationPreparations.stateOf(job) !== 'none',
     isBlockedOnDependencies: (job: string) => node.isBlockedOnDependencies(job),
     get hasUnreadableChunks() {
-      return stateClient.hasUnreadable(BUCKETS);
+      return stateClient.hasUnreadable(BUCKET_PREFIX);
     },
     isLeaseValid: () => node.leadership.isLeaseValid,
     verifyLeadership: (shard: string) => node.leadership.verifyLeadership(shard),
@@ -150,8 +153,8 @@
   return new JobPersistence(stateClient, stateCache, chunkIndex, clock, owner, {
     txnOps: settings.txnOps,
     recordFormat: node.recordFormat,
-    linger: settings.heartbeatInterval / 2,
-    retry: settings.heartbeatInterval / 15,
+    flushDelay: settings.heartbeatInterval / 2,
+    retryDelay: settings.heartbeatInterval / 15,
     process: node.process,
   });
 }
--- a/src/coordination/jobs/acknowledgements.ts
+++ b/src/coordination/jobs/cancellationAcknowledgements.ts
@@ -2,10 +2,10 @@
 import type { PreparedChunk } from '../../protocol/peerMessages.js';
 import { keys, type JobRecord, type LeaderRecord } from '../../storage/records.js';
 import type { StateCache } from '../../storage/stateCache.js';
-import { CancellationEvidence, openChunks } from '../persistence/cancellationEvidence.js';
+import { CancellationEvidence, openChunkIndices } from '../persistence/cancellationEvidence.js';
 
 /** What is missing of a cancellation's acknowledgements, and what they rest on. */
-export class Acknowledgements {
+export class CancellationAcknowledgements {
   private readonly open: ReadonlySet<number>;
   /** Chunks that count, with the shard that they are at. */
   private readonly shardByChunk = new Map<number, string>();
@@ -19,19 +19,19 @@
     home: { fencingToken: number; revision: number },
     private readonly stateCache: Pick<StateCache, 'get'>,
   ) {
-    this.open = openChunks(record);
+    this.open = openChunkIndices(record);
     this.leaders.set(record.homeShard, home);
   }
 
   /** Takes what a node has acknowledged; true once no open chunk is left. */
-  take(prepared: readonly PreparedChunk[]): boolean {
+  add(prepared: readonly PreparedChunk[]): boolean {
     for (const chunk of prepared) this.takeOne(chunk);
     return this.isComplete;
   }
 
   private takeOne(prepared: PreparedChunk): void {
     const { index, shard, fencingToken } = prepared;
-    const cached = this.stateCache.get(keys.owner(shard));
+    const cached = this.stateCache.get(keys.leader(shard));
     const known = (cached?.value as LeaderRecord | undefined)?.fencingToken ?? -1;
     // A leader that has lost the shard and does not know it must not be counted.
     if (known > fencingToken) return;
@@ -49,10 +49,10 @@
   }
 
   /** Looks again at acknowledgements that were ahead of this node's copy; true once no open chunk is left. */
-  takeEarly(): boolean {
+  retryDeferred(): boolean {
     const { early } = this;
     this.early = [];
-    return this.take(early);
+    return this.add(early);
   }
 
   /** Open chunks that no leader has acknowledged. */
--- a/src/coordination/jobs/cancellationPreparations.ts
+++ b/src/coordination/jobs/cancellationPreparations.ts
@@ -3,8 +3,8 @@
  * starts nothing more. The record alone would not do: a node that the state service refuses can't read it, goes
  * on answering its workers, and would keep cancelled tasks alive for longer than they may be (safety, C1).
  */
-import { DRIFT, type Clock } from '../../base/clock.js';
-import { describe, log } from '../../base/log.js';
+import { MAX_CLOCK_DRIFT, type Clock } from '../../base/clock.js';
+import { describeError, log } from '../../base/log.js';
 import type { PreparedChunk } from '../../protocol/peerMessages.js';
 import type { Settings } from '../../protocol/settings.js';
 import { keys } from '../../storage/records.js';
@@ -18,7 +18,7 @@
 import type { PeerRegistry } from '../peers/peerRegistry.js';
 import type { CancellationEvidence } from '../persistence/cancellationEvidence.js';
 import type { JobCancellationState } from '../quota/teamUsage.js';
-import { Acknowledgements } from './acknowledgements.js';
+import { CancellationAcknowledgements } from './cancellationAcknowledgements.js';
 
 /** What preparing cancellations needs of a node. */
 export interface CancellationContext {
@@ -126,9 +126,9 @@
     const { cancellationTimeout, workerLease, heartbeatInterval } = this.context.settings;
     const allowance = Math.max(
       0,
-      cancellationTimeout - workerLease * (1 + 2 * DRIFT) - heartbeatInterval,
+      cancellationTimeout - workerLease * (1 + 2 * MAX_CLOCK_DRIFT) - heartbeatInterval,
     );
-    if (now >= ownedShard.previousLeaderUntil - allowance) return true;
+    if (now >= ownedShard.previousLeaderMayAnswerUntil - allowance) return true;
     for (const attempt of chunk.attempts.values()) {
       const machine = ownedShard.shard.machines.get(attempt.machine);
       if (machine === undefined) continue;
@@ -145,7 +145,11 @@
     const { id, record } = job;
     const { fencingToken, revision } = homeShard;
     const home = { fencingToken, revision };
-    const acknowledgements = new Acknowledgements(record, home, this.context.stateCache);
+    const acknowledgements = new CancellationAcknowledgements(
+      record,
+      home,
+      this.context.stateCache,
+    );
     const own = this.announce(id, homeShard);
     const evidence = this.context.isBlockedOnDependencies(id)
       ? acknowledgements.evidenceOfBlockedJob
@@ -163,17 +167,17 @@
 
   private async collect(
     job: string,
-    acknowledgements: Acknowledgements,
+    acknowledgements: CancellationAcknowledgements,
     own: PreparedChunk[],
   ): Promise<CancellationEvidence | null> {
     const { peers, settings } = this.context;
     const timeout = settings.heartbeatInterval / PEERS_TIMEOUT_DIVISOR;
-    if (!acknowledgements.take(own)) {
-      await peers.prepareCancel(job, timeout, (prepared) => acknowledgements.take(prepared));
+    if (!acknowledgements.add(own)) {
+      await peers.prepareCancel(job, timeout, (prepared) => acknowledgements.add(prepared));
     }
     if (acknowledgements.evidence === null && acknowledgements.shardsToRead.length > 0) {
       await Promise.all(acknowledgements.shardsToRead.map((shard) => this.readLeader(shard)));
-      acknowledgements.takeEarly();
+      acknowledgements.retryDeferred();
     }
     return acknowledgements.evidence;
   }
@@ -181,10 +185,10 @@
   /** Brings a leader record of this node's copy up to date. */
   private async readLeader(shard: string): Promise<void> {
     try {
-      const item = await this.context.stateClient.get(keys.owner(shard));
+      const item = await this.context.stateClient.get(keys.leader(shard));
       if (item !== null) this.context.stateCache.note(item.key, item.value, item.revision);
     } catch (error) {
-      log.debug(`leader of ${shard}: ${describe(error)}`);
+      log.debug(`leader of ${shard}: ${describeError(error)}`);
     }
   }
 
@@ -246,7 +250,7 @@
     if (now - ownedShard.fencingTokenAdvancedAt < settings.workerLease / 2) return;
     ownedShard.fencingTokenAdvancedAt = now;
     advanceFencingToken(leadership, ownedShard).catch((error: unknown) => {
-      log.debug(`advance ${ownedShard.shard.label}: ${describe(error)}`);
+      log.debug(`advance ${ownedShard.shard.label}: ${describeError(error)}`);
     });
   }
 
--- a/src/coordination/jobs/initialPlacement.ts
+++ b/src/coordination/jobs/initialPlacement.ts
@@ -8,7 +8,7 @@
 /** Chooses the shard where tasks would start soonest. */
 export interface ShardChooser {
   /** The shard for so many tasks of a job, in a zone or in any (null). */
-  choose(
+  chooseShard(
     homeShard: OwnedShard,
     spec: JobSpec,
     zone: string | null,
@@ -36,7 +36,7 @@
   const choices = new Map<string, Promise<string>>();
   const choose = (zone: string | null, taskCount: number): Promise<string> => {
     const question = `${zone ?? '*'} ${taskCount}`;
-    const choice = choices.get(question) ?? chooser.choose(homeShard, spec, zone, taskCount);
+    const choice = choices.get(question) ?? chooser.chooseShard(homeShard, spec, zone, taskCount);
     choices.set(question, choice);
     return choice;
   };
--- a/src/coordination/jobs/jobAnswers.ts
+++ b/src/coordination/jobs/jobAnswers.ts
@@ -138,7 +138,7 @@
 
   /** The leader's memory is the latest while its leadership is valid, but for a change of the record without an answer. */
   private isCurrent({ homeShard, job }: Extract<AnswerEvidence, { kind: 'leader' }>): boolean {
-    return this.context.authority.mayAct(homeShard) && job.isUncertain !== true;
+    return this.context.authority.mayAct(homeShard) && job.isOutcomeUnknown !== true;
   }
 
   private withholdSecondEnd(request: UserRequest, detail: string): Reply {
--- a/src/coordination/jobs/jobCancellation.ts
+++ b/src/coordination/jobs/jobCancellation.ts
@@ -18,7 +18,7 @@
   relayToAnyPeer,
   relayToPeer,
   REQUEST_TIMEOUT_SECONDS,
-  type JobRelay,
+  type RelayedJobRequest,
 } from './requestRelay.js';
 
 /** Seconds that the job's leader has to answer: a little longer than it may take to store the cancellation. */
@@ -30,7 +30,7 @@
   readonly clock: Pick<Clock, 'now'>;
   readonly ownedShards: ReadonlyMap<string, OwnedShard>;
   readonly leadership: { readonly isLeaseValid: boolean };
-  readonly peers: Pick<PeerRegistry, 'relay' | 'served'>;
+  readonly peers: Pick<PeerRegistry, 'relay' | 'servedPeers'>;
   readonly persistence: Pick<JobPersistence, 'cancel'>;
   readonly cancellationPreparations: Pick<CancellationPreparations, 'prepareEverywhere'>;
   /** Neither the state service nor any peer is in reach. */
@@ -48,10 +48,10 @@
 
   /** Answers once the cancellation is stored, or could not be stored in the time that a user waits. */
   async cancel(id: string, isRelayed: boolean): Promise<JobReply> {
-    const copy = this.lookup.copyOf(id);
+    const copy = this.lookup.cachedRecord(id);
     if (copy !== undefined && copy.state !== 'open') return endedReply(id, copy.state);
     if (this.context.isIsolated) return isolatedReply();
-    const record = copy ?? (await this.lookup.stored(id));
+    const record = copy ?? (await this.lookup.fetchRecord(id));
     if (record === null) return NO_SUCH_JOB;
     if (record === undefined) {
       const reply = isRelayed ? null : await relayToAnyPeer(this.context, cancelRelay(id));
@@ -103,7 +103,7 @@
   }
 }
 
-const cancelRelay = (job: string): JobRelay => ({
+const cancelRelay = (job: string): RelayedJobRequest => ({
   job,
   request: { method: 'POST', target: `/v1/jobs/${job}/withdraw`, body: '' },
 });
--- a/src/coordination/jobs/jobFeasibility.ts
+++ b/src/coordination/jobs/jobFeasibility.ts
@@ -48,7 +48,7 @@
 
 /** A gang is one chunk, whose record holds an entry for each task that runs. */
 const isGangRecordable = (recordFormat: RecordFormat, spec: JobSpec): boolean =>
-  spec.taskCount * recordFormat.sizes.task * 2 <= recordFormat.capacity(1);
+  spec.taskCount * recordFormat.sizes.taskBytes * 2 <= recordFormat.maxRecordBytes(1);
 
 /** Zones in which a machine type exists that can hold a task; those with most room first. */
 export function feasibleZones(context: FeasibilityContext, spec: JobSpec): string[] {
--- a/src/coordination/jobs/jobLookup.ts
+++ b/src/coordination/jobs/jobLookup.ts
@@ -10,7 +10,7 @@
   relayToAnyPeer,
   relayToPeer,
   REQUEST_TIMEOUT_SECONDS,
-  type JobRelay,
+  type RelayedJobRequest,
   type RequestRelayContext,
 } from './requestRelay.js';
 
@@ -54,7 +54,7 @@
   constructor(private readonly context: JobLookupContext) {}
 
   /** This node's copy of a job's record. */
-  copyOf(id: string): JobRecord | undefined {
+  cachedRecord(id: string): JobRecord | undefined {
     return cachedJob(this.context.stateCache, id);
   }
 
@@ -62,12 +62,12 @@
    * The stored record; null when there is none, undefined when that can't be told. The watch may overtake an answer:
    * by then this node may have told users of what is newer, so its copy comes first.
    */
-  async stored(id: string): Promise<JobRecord | null | undefined> {
+  async fetchRecord(id: string): Promise<JobRecord | null | undefined> {
     const { stateClient, stateCache } = this.context;
     try {
       const item = await stateClient.get(keys.job(id));
       if (item !== null) stateCache.note(item.key, item.value, item.revision);
-      return this.copyOf(id) ?? ((item?.value ?? null) as JobRecord | null);
+      return this.cachedRecord(id) ?? ((item?.value ?? null) as JobRecord | null);
     } catch {
       return undefined;
     }
@@ -78,7 +78,7 @@
    * whose state is the latest while its lease is valid, or from the store.
    */
   async lookUp(id: string, mayRelay: boolean): Promise<LookupResult> {
-    const copy = this.copyOf(id);
+    const copy = this.cachedRecord(id);
     if (copy !== undefined) {
       if (copy.state !== 'open') return ended(copy);
       const known = this.knownAsLeader(id, copy);
@@ -97,7 +97,7 @@
     if (!leadership.isLeaseValid) return null;
     const homeShard = ownedShards.get(copy.homeShard);
     const job = homeShard?.jobs.get(id);
-    if (homeShard === undefined || job === undefined || job.isUncertain === true) return null;
+    if (homeShard === undefined || job === undefined || job.isOutcomeUnknown === true) return null;
     const { record } = job;
     if (record.state !== 'open') return ended(record);
     const evidence = { kind: 'leader', homeShard, job } as const;
@@ -107,7 +107,7 @@
   /** How the job stands by its stored record; null where the store can't be read. */
   private async readStored(id: string): Promise<LookupResult | null> {
     const asOf = this.context.clock.now();
-    const record = await this.stored(id);
+    const record = await this.fetchRecord(id);
     if (record === undefined) return null;
     if (record === null) return { kind: 'missing' };
     if (record.state !== 'open') return ended(record);
@@ -133,7 +133,7 @@
   }
 }
 
-const readRelay = (job: string): JobRelay => ({
+const readRelay = (job: string): RelayedJobRequest => ({
   job,
   request: { method: 'GET', target: `/v1/jobs/${job}`, body: '' },
 });
--- a/src/coordination/jobs/jobService.ts
+++ b/src/coordination/jobs/jobService.ts
@@ -1,5 +1,5 @@
 /** What users ask of jobs: submissions, states, cancellations. Any node answers for any job. */
-import { idPattern, parseJob } from '../../protocol/job.js';
+import { jobIdPattern, parseJob } from '../../protocol/job.js';
 import type { Reply } from '../../transport/httpServer.js';
 import type { UserRequestKind } from '../audit/auditEvent.js';
 import { JobAnswers, type JobAnswersContext } from './jobAnswers.js';
@@ -58,7 +58,7 @@
     job: string,
     work: () => Promise<JobReply>,
   ): Promise<Reply> {
-    if (!idPattern.test(job)) return NO_SUCH_JOB;
+    if (!jobIdPattern.test(job)) return NO_SUCH_JOB;
     const request = { kind, job, receivedAt: this.context.clock.now() };
     return this.answers.decideOnSending(request, await work());
   }
--- a/src/coordination/jobs/jobSubmission.ts
+++ b/src/coordination/jobs/jobSubmission.ts
@@ -100,7 +100,7 @@
       const reply = unavailable('no node can store the job now');
       return answered(isRelayed ? reply : this.relay(job.id, body, reply));
     }
-    if (this.lookup.copyOf(job.id) !== undefined) {
+    if (this.lookup.cachedRecord(job.id) !== undefined) {
       return answered(this.answerKnown(job.id));
     }
     if (context.machineTypes.size === 0) {
@@ -115,7 +115,7 @@
       );
     }
     // More waits for the state service than it can take in the time that a user waits.
-    const { delay } = this.writer;
+    const { expectedDelay: delay } = this.writer;
     if (delay > MAX_WRITE_DELAY_SECONDS) {
       const retryAfter = Math.max(1, Math.ceil(delay - REQUEST_TIMEOUT_SECONDS / 4));
       return answered(unavailable('too many requests just now', retryAfter));
@@ -162,7 +162,7 @@
 
   /** The answer for a job that is stored or may be; null where it is not. */
   private async answerIfStored(id: string): Promise<JobReply | null> {
-    const record = await this.lookup.stored(id);
+    const record = await this.lookup.fetchRecord(id);
     if (record === undefined) return unavailable('the state service is out of reach');
     return record === null ? null : this.answerKnown(id);
   }
@@ -199,7 +199,7 @@
 
   private newRecord(homeShard: OwnedShard, spec: JobSpec): JobRecord {
     const { clock, recordFormat, shards } = this.context;
-    const maxTasks = recordFormat.tasksFor(spec);
+    const maxTasks = recordFormat.maxTasksPerChunk(spec);
     return {
       spec,
       homeShard: homeShard.shard.label,
@@ -223,7 +223,10 @@
       .filter((_, index) => mayCreateChunk(record, index));
     record.createdChunks = ranges.length;
     const key = keys.job(spec.id);
-    if (recordFormat.isCompact && recordFormat.bytes(key, record) > recordFormat.capacity(1)) {
+    if (
+      recordFormat.isCompact &&
+      recordFormat.encodedBytes(key, record) > recordFormat.maxRecordBytes(1)
+    ) {
       return { status: 400, body: { error: 'the description is too large to be stored' } };
     }
     // A record in fragments leaves no room in its transaction for chunks of peers.
--- a/src/coordination/jobs/replies.ts
+++ b/src/coordination/jobs/replies.ts
@@ -1,5 +1,10 @@
 /** Replies to users' requests about jobs: those that tell a job's state, and those that tell nothing of it. */
-import { acceptedAnswer, jobAnswer, type JobStatus, type JobView } from '../../protocol/job.js';
+import {
+  jobStatusAnswer,
+  jobViewAnswer,
+  type JobStatus,
+  type JobView,
+} from '../../protocol/job.js';
 import type { Reply } from '../../transport/httpServer.js';
 import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
 
@@ -15,7 +20,7 @@
   | { readonly kind: 'peer'; readonly peer: string; readonly asOf: number };
 
 /** A job's state, and on what it is told. */
-export interface StatedJob {
+export interface ReportedJob {
   readonly job: string;
   readonly status: JobStatus;
   readonly evidence: AnswerEvidence;
@@ -24,22 +29,22 @@
 /** A reply that tells a job's state. */
 export interface StateReply extends Reply {
   readonly status: 200 | 201;
-  readonly stated: StatedJob;
+  readonly stated: ReportedJob;
 }
 
 /** A reply that says nothing of how a job stands. */
-export interface Refusal extends Reply {
+export interface StatelessReply extends Reply {
   readonly status: 400 | 404 | 422 | 503;
   readonly stated?: undefined;
 }
 
 /** A reply to a user's request about a job; `JobAnswers` decides whether it may leave. */
-export type JobReply = StateReply | Refusal;
+export type JobReply = StateReply | StatelessReply;
 
 /** The reply to a question about a job. */
 export const viewReply = (job: string, view: JobView, evidence: AnswerEvidence): StateReply => ({
   status: 200,
-  body: jobAnswer(job, view),
+  body: jobViewAnswer(job, view),
   stated: { job, status: view.status, evidence },
 });
 
@@ -51,20 +56,20 @@
   httpStatus: 200 | 201 = 200,
 ): StateReply => ({
   status: httpStatus,
-  body: acceptedAnswer(job, status),
+  body: jobStatusAnswer(job, status),
   stated: { job, status, evidence },
 });
 
 /** Not now: the user should come back after `retryAfter` seconds. */
-export const unavailable = (reason: string, retryAfter = 1): Refusal => ({
+export const unavailable = (reason: string, retryAfter = 1): StatelessReply => ({
   status: 503,
   body: { error: reason },
   retryAfter,
 });
 
 /** Neither the state service nor any peer is in reach of this node. */
-export const isolatedReply = (): Refusal =>
+export const isolatedReply = (): StatelessReply =>
   unavailable('this node is cut off from the others and the state service', 2);
 
 /** No job of this id was ever accepted. */
-export const NO_SUCH_JOB: Refusal = { status: 404, body: { error: 'no such job' } };
+export const NO_SUCH_JOB: StatelessReply = { status: 404, body: { error: 'no such job' } };
--- a/src/coordination/jobs/requestRelay.ts
+++ b/src/coordination/jobs/requestRelay.ts
@@ -3,7 +3,7 @@
 import type { Relay } from '../../protocol/peerMessages.js';
 import { parseJobAnswer } from '../../protocol/job.js';
 import type { PeerRegistry } from '../peers/peerRegistry.js';
-import { unavailable, type JobReply, type Refusal } from './replies.js';
+import { unavailable, type JobReply, type StatelessReply } from './replies.js';
 
 /** Seconds in which a user is answered; PROTOCOL has them give up after five. */
 export const REQUEST_TIMEOUT_SECONDS = 4;
@@ -11,7 +11,7 @@
 /** What relaying needs of a node. */
 export interface RequestRelayContext {
   readonly clock: Pick<Clock, 'now'>;
-  readonly peers: Pick<PeerRegistry, 'relay' | 'served'>;
+  readonly peers: Pick<PeerRegistry, 'relay' | 'servedPeers'>;
 }
 
 /** A peer's answer to a relayed request; `body` is JSON. */
@@ -22,7 +22,7 @@
 }
 
 /** A request about a job, to be passed on. */
-export interface JobRelay {
+export interface RelayedJobRequest {
   readonly job: string;
   readonly request: Relay;
 }
@@ -33,12 +33,12 @@
  */
 export async function relayToAnyPeer(
   context: RequestRelayContext,
-  relay: JobRelay,
+  relay: RelayedJobRequest,
   timeoutSeconds = REQUEST_TIMEOUT_SECONDS,
 ): Promise<JobReply | null> {
   const { clock, peers } = context;
   const deadline = clock.now() + timeoutSeconds;
-  const labels = peers.served();
+  const labels = peers.servedPeers();
   for (const [i, label] of labels.entries()) {
     // A silent peer must leave time for the next.
     const left = (deadline - clock.now()) / Math.min(2, labels.length - i);
@@ -53,7 +53,7 @@
 export async function relayToPeer(
   { clock, peers }: RequestRelayContext,
   peer: string,
-  { job, request }: JobRelay,
+  { job, request }: RelayedJobRequest,
   timeoutSeconds: number,
 ): Promise<JobReply | null> {
   const asOf = clock.now();
@@ -86,7 +86,7 @@
 }
 
 /** A peer's word that the user should come back. */
-function refusalOf(body: unknown, retryAfter: number | null): Refusal {
+function refusalOf(body: unknown, retryAfter: number | null): StatelessReply {
   const refusal = unavailable('a peer could not answer', retryAfter ?? undefined);
   return { ...refusal, body };
 }
--- a/src/coordination/jobs/submissionBatch.ts
+++ b/src/coordination/jobs/submissionBatch.ts
@@ -2,7 +2,7 @@
  * Batches of submitted jobs that are stored in one transaction. The chunks that a batch sends to one peer share a
  * bucket there, so that a burst of jobs does not use up the changes that the state service allows.
  */
-import { TRANSACTION_BYTES, type Transaction } from '../../protocol/stateProtocol.js';
+import { MAX_TRANSACTION_CHANGE_BYTES, type Transaction } from '../../protocol/stateProtocol.js';
 import type { RecordFormat } from '../../storage/recordFormat.js';
 import { keys, type BucketRecord, type JobRecord } from '../../storage/records.js';
 import type { StateCache } from '../../storage/stateCache.js';
@@ -94,7 +94,7 @@
     }
     for (const [shard, value] of bucketsByShard) {
       const name = `${this.context.process}-a${++this.transferCount}`;
-      batch.transfers.set(keys.run(shard, name), { shard, value });
+      batch.transfers.set(keys.bucket(shard, name), { shard, value });
     }
   }
 }
@@ -121,7 +121,7 @@
   /** Counts one more submission; false when the batch is beyond a limit with it. */
   add({ id, record, initialChunks }: Submission): boolean {
     const { recordFormat } = this.context;
-    this.totalBytes += recordFormat.bytes(keys.job(id), record);
+    this.totalBytes += recordFormat.encodedBytes(keys.job(id), record);
     this.operations += recordFormat.operations(keys.job(id), record);
     let fits = this.operations <= this.maxOperations;
     for (const { shard, chunk } of initialChunks) {
@@ -132,7 +132,7 @@
       this.totalBytes += bytes;
       fits &&= transferBytes <= recordFormat.valueBytes * VALUE_SHARE;
     }
-    return fits && this.totalBytes <= TRANSACTION_BYTES * TRANSACTION_SHARE;
+    return fits && this.totalBytes <= MAX_TRANSACTION_CHANGE_BYTES * TRANSACTION_SHARE;
   }
 }
 
@@ -149,7 +149,7 @@
     revision: 0,
   }));
   for (const shard of new Set([...transfers.values()].map((transfer) => transfer.shard))) {
-    const key = keys.owner(shard);
+    const key = keys.leader(shard);
     conditions.push({ key, revision: stateCache.get(key)?.revision ?? 0 });
   }
   for (const key of transfers.keys()) conditions.push({ key, revision: 0 });
--- a/src/coordination/jobs/submissionWriter.ts
+++ b/src/coordination/jobs/submissionWriter.ts
@@ -3,7 +3,7 @@
  * transaction (`submissionBatch.ts`).
  */
 import { sleep, type Clock } from '../../base/clock.js';
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import type { KeyValue, Transaction } from '../../protocol/stateProtocol.js';
 import { keys, type JobRecord } from '../../storage/records.js';
 import { cachedJob, type StateCache } from '../../storage/stateCache.js';
@@ -64,7 +64,7 @@
   }
 
   /** Seconds until a job that came now would be stored. */
-  get delay(): number {
+  get expectedDelay(): number {
     const { stateClient } = this.context;
     return stateClient.writeDelay('submission') + this.queue.length / stateClient.writeRate;
   }
@@ -123,7 +123,7 @@
       try {
         if (await this.tryOnce(batch)) return;
       } catch (error) {
-        log.debug(`accept: ${describe(error)}`);
+        log.debug(`accept: ${describeError(error)}`);
       }
       if (!batch.mayBeStored && !stateClient.isHealthy) {
         // Trying on until the users' deadlines would only keep them from a node that is served.
--- a/src/coordination/leadership/authority.ts
+++ b/src/coordination/leadership/authority.ts
@@ -10,7 +10,7 @@
 /** What is needed of a node. */
 export interface AuthorityContext {
   leadership: Pick<ShardLeadership, 'isLeaseValid' | 'leaseExpiresAt'>;
-  peers: Pick<PeerRegistry, 'hostOf'>;
+  peers: Pick<PeerRegistry, 'leaderOf'>;
   clock: Pick<Clock, 'now'>;
   /** Seconds after its own lease for which a node goes on answering its workers. */
   readonly leaderGracePeriod: number;
@@ -44,10 +44,10 @@
   decideHeartbeat(ownedShard: OwnedShard, seenToken: number): HeartbeatDecision {
     const { leadership, peers, clock, leaderGracePeriod } = this.node;
     // There is another leader; the worker would ignore our commands for as long as it stayed with us.
-    if (ownedShard.shard.tokens.isSurpassedBy(seenToken)) return { kind: 'deposed' };
+    if (ownedShard.shard.fencingTokens.isSurpassedBy(seenToken)) return { kind: 'deposed' };
     // Our own lease has expired and a peer says that it leads the shard: send the worker there, or it would stay
     // with us, and the peer would take a healthy machine for a lost one.
-    const leader = leadership.isLeaseValid ? null : peers.hostOf(ownedShard.shard.label);
+    const leader = leadership.isLeaseValid ? null : peers.leaderOf(ownedShard.shard.label);
     if (leader !== null && leader.fencingToken > ownedShard.fencingToken)
       return { kind: 'adopted', owner: leader.label };
     const isPastGracePeriod = clock.now() > leadership.leaseExpiresAt + leaderGracePeriod;
--- a/src/coordination/leadership/leaderRecords.ts
+++ b/src/coordination/leadership/leaderRecords.ts
@@ -55,8 +55,8 @@
     shard: string,
     mayWrite: (leader: LeaderRecord | null, revision: number) => boolean,
   ): Promise<Leadership | null> {
-    const key = keys.owner(shard);
-    const counter = await this.client.get(keys.token);
+    const key = keys.leader(shard);
+    const counter = await this.client.get(keys.fencingTokens);
     const before = await this.client.get(key);
     const leader = (before?.value ?? null) as LeaderRecord | null;
     const beforeRevision = before?.revision ?? 0;
@@ -71,11 +71,11 @@
     const result = await this.client.transact(
       {
         conditions: [
-          { key: keys.token, revision: counter?.revision ?? 0 },
+          { key: keys.fencingTokens, revision: counter?.revision ?? 0 },
           { key, revision: beforeRevision },
         ],
         puts: [
-          { key: keys.token, value: tokens },
+          { key: keys.fencingTokens, value: tokens },
           { key, value: record, leaseId },
         ],
         deletes: [],
@@ -94,9 +94,9 @@
     { fencingToken, revision }: Leadership,
     isForAnyPeer: () => boolean,
   ): Promise<void> {
-    const key = keys.owner(shard);
+    const key = keys.leader(shard);
     for (let attempt = 0; attempt < MAX_REMOVAL_ATTEMPTS; attempt++) {
-      const counter = await this.client.get(keys.token);
+      const counter = await this.client.get(keys.fencingTokens);
       const tokens = (counter?.value ?? { lastToken: fencingToken }) as FencingTokenRecord;
       const lastLeaders = lastLeadersAfterHandOver(tokens.lastLeaders, shard, isForAnyPeer());
       const value: FencingTokenRecord = { ...tokens, lastLeaders };
@@ -104,9 +104,9 @@
         {
           conditions: [
             { key, revision },
-            { key: keys.token, revision: counter?.revision ?? 0 },
+            { key: keys.fencingTokens, revision: counter?.revision ?? 0 },
           ],
-          puts: [{ key: keys.token, value }],
+          puts: [{ key: keys.fencingTokens, value }],
           deletes: [key],
         },
         'ownership',
--- a/src/coordination/leadership/ownedShard.ts
+++ b/src/coordination/leadership/ownedShard.ts
@@ -16,7 +16,7 @@
    * A change of its record got no answer: others may have read it already, and told users that the job is over.
    * Until it is known, the store is asked.
    */
-  isUncertain?: boolean;
+  isOutcomeUnknown?: boolean;
 }
 
 /** A shard that this node leads: its own, or one taken over from a peer. */
@@ -31,12 +31,12 @@
   /** The shard's stored chunks, by their buckets' names. */
   buckets: Map<string, Bucket>;
   /** Until when starts of batch work are gathered, so that they do not use up the changes of users. */
-  batchStartsUntil: number;
+  batchStartsDeferredUntil: number;
   /** Transactions in flight. */
   writesInFlight: number;
   fencingTokenAdvancedAt: number;
   /** Steady time until which a previous leader may still answer the shard's workers. */
-  previousLeaderUntil: number;
+  previousLeaderMayAnswerUntil: number;
   /** The fencing token of the takeover: a worker that has seen it executes no command of earlier leaders. */
   readonly fencingTokenAtTakeover: number;
 }
@@ -51,7 +51,7 @@
   now: number,
   previousLeaderUntil = now,
 ): OwnedShard {
-  shard.tokens = FencingTokenBlock.startingAt(fencingToken);
+  shard.fencingTokens = FencingTokenBlock.startingAt(fencingToken);
   return {
     shard,
     fencingToken,
@@ -59,10 +59,10 @@
     isOwned: true,
     jobs: new Map(),
     buckets: new Map(),
-    batchStartsUntil: 0,
+    batchStartsDeferredUntil: 0,
     writesInFlight: 0,
     fencingTokenAdvancedAt: now,
-    previousLeaderUntil,
+    previousLeaderMayAnswerUntil: previousLeaderUntil,
     fencingTokenAtTakeover: fencingToken,
   };
 }
@@ -78,7 +78,7 @@
   const leadership = await shardLeadership.advanceFencingToken(ownedShard.shard.label);
   if (leadership === null || !ownedShard.isOwned) return false;
   ownedShard.fencingToken = leadership.fencingToken;
-  ownedShard.shard.tokens = FencingTokenBlock.startingAt(leadership.fencingToken);
+  ownedShard.shard.fencingTokens = FencingTokenBlock.startingAt(leadership.fencingToken);
   ownedShard.revision = leadership.revision;
   ownedShard.shard.audit.note({
     event: 'fencing-token-advanced',
--- a/src/coordination/leadership/recordFollower.ts
+++ b/src/coordination/leadership/recordFollower.ts
@@ -19,7 +19,7 @@
 /** Follows the records of jobs. */
 export interface JobFollower {
   /** A job's record has changed. */
-  note(id: string, record: JobRecord): void;
+  applyJobRecord(id: string, record: JobRecord): void;
 }
 
 /** What is needed of a node. */
@@ -31,7 +31,7 @@
   nodeCapabilities: NodeCapabilities;
   pipelines: JobFollower;
   /** Follows the records of staged upgrades. */
-  noteRollout(change: KeyValueChange): void;
+  applyRolloutChange(change: KeyValueChange): void;
   ownedShards: ReadonlyMap<string, OwnedShard>;
   requestSchedulingRound(): void;
 }
@@ -48,15 +48,16 @@
     const { node } = this;
     const [, kind, name = '', bucket = ''] = change.key.split('/');
     if (kind === 'rollout' || change.key === BARRIER_KEY) {
-      node.noteRollout(change);
+      node.applyRolloutChange(change);
       return;
     }
-    if (change.removed && (change.key === keys.types || kind === 'job' || kind === 'node')) return;
-    if (change.key === keys.types) this.onTypes(change.value as MachineType[]);
+    if (change.removed && (change.key === keys.machineTypes || kind === 'job' || kind === 'node'))
+      return;
+    if (change.key === keys.machineTypes) this.onTypes(change.value as MachineType[]);
     else if (kind === 'fleet') this.onGroup(name, change);
     else if (kind === 'job') this.onJob(name, change.value as JobRecord);
     else if (kind === 'node')
-      node.nodeCapabilities.note(name, change.value as NodeCapabilityRecord);
+      node.nodeCapabilities.update(name, change.value as NodeCapabilityRecord);
     else if (kind === 'run') this.onBucket(name, bucket, change);
   }
 
@@ -68,7 +69,7 @@
 
   private onBucket(shard: string, bucket: string, change: KeyValueChange): void {
     const value = change.value as BucketRecord | null;
-    this.node.chunkIndex.note(shard, bucket, value, change.revision);
+    this.node.chunkIndex.update(shard, bucket, value, change.revision);
     const ownedShard = this.node.ownedShards.get(shard);
     if (ownedShard !== undefined && value !== null) {
       this.loader.noteBucket(ownedShard, bucket, value, change.revision);
@@ -77,14 +78,14 @@
 
   private onJob(id: string, record: JobRecord): void {
     const now = this.node.clock.now();
-    this.node.pipelines.note(id, record);
+    this.node.pipelines.applyJobRecord(id, record);
     if (record.state === 'open' && record.doneChunks.length === 0) return;
     for (const ownedShard of this.node.ownedShards.values()) {
       for (const chunk of ownedShard.shard.chunksOf(id)) {
         if (record.state === 'cancelled') ownedShard.shard.cancel(chunk, now);
         // Its home shard has counted it as done.
         else if (record.state === 'done' || record.doneChunks.includes(chunk.index)) {
-          ownedShard.shard.retireChunk(chunk, now);
+          ownedShard.shard.discardFinishedChunk(chunk, now);
         }
       }
     }
@@ -94,7 +95,7 @@
   private onGroup(group: string, change: KeyValueChange): void {
     const now = this.node.clock.now();
     const wall = this.node.clock.wall();
-    const { present, gone } = this.node.inventory.note(
+    const { present, gone } = this.node.inventory.update(
       group,
       change.value as MachineGroupRecord | null,
     );
--- a/src/coordination/leadership/shardLeadership.ts
+++ b/src/coordination/leadership/shardLeadership.ts
@@ -3,7 +3,7 @@
  * and gives up what another node leads with a higher fencing token.
  */
 import { sleep, type Clock } from '../../base/clock.js';
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import { keys, type LeaderRecord } from '../../storage/records.js';
 import type { StateCache } from '../../storage/stateCache.js';
 import type { StateClient } from '../../storage/stateClient.js';
@@ -13,7 +13,7 @@
 export type { Leadership } from './leaderRecords.js';
 
 /** Not a shard: the key by which the one node that launches and releases machines is elected. */
-export const AUTOSCALER_DUTY = '~provisioner';
+export const AUTOSCALER_ROLE = '~provisioner';
 
 /** This node, and the labels of all shards. */
 export interface ShardLeadershipOptions extends LeaderRecordsOptions {
@@ -33,7 +33,7 @@
   /** Whether this node may claim anything just now. */
   mayClaim(): boolean;
   /** Whether a leader record counts: its process may be one that can't read what is stored (safety, R4). */
-  isEntitled(leader: LeaderRecord): boolean;
+  isLeaderCompatible(leader: LeaderRecord): boolean;
 }
 
 /** This node's leaderships, by shard. */
@@ -102,7 +102,7 @@
       // One renewal does not wait for the answer to the last: where the state service is slow, the right to
       // act would end between an answer and the next.
       const renewal = this.lease.renew().catch((error: unknown) => {
-        log.debug(`lease: ${describe(error)}`);
+        log.debug(`lease: ${describeError(error)}`);
       });
       if (this.lease.id === null) await renewal;
       await sleep(this.lease.id === null ? pause / 4 : pause);
@@ -128,7 +128,7 @@
   async verifyLeadership(shard: string): Promise<void> {
     const leadership = this.leaderships.get(shard);
     if (leadership === undefined) return;
-    const item = await this.client.get(keys.owner(shard));
+    const item = await this.client.get(keys.leader(shard));
     if (this.leaderships.get(shard) === leadership && item?.revision !== leadership.revision)
       this.lose(shard);
   }
@@ -176,7 +176,7 @@
   private async watchLeaderKeys(): Promise<void> {
     while (!this.stopped) {
       if (this.isLeaseValid && this.stateCache.loaded) {
-        for (const shard of [...this.options.shards, AUTOSCALER_DUTY]) this.reviewShard(shard);
+        for (const shard of [...this.options.shards, AUTOSCALER_ROLE]) this.reviewShard(shard);
       }
       await sleep(this.options.leaseTtl / 20);
     }
@@ -184,10 +184,10 @@
 
   private reviewShard(shard: string): void {
     if (this.shardsInTransition.has(shard)) return;
-    const stored = this.stateCache.get(keys.owner(shard))?.value as LeaderRecord | undefined;
+    const stored = this.stateCache.get(keys.leader(shard))?.value as LeaderRecord | undefined;
     if (this.leaderships.has(shard)) this.reviewLedShard(shard, stored);
     else if (this.isRelinquishing || !this.events.mayClaim()) this.keyAbsentSince.delete(shard);
-    else if (stored !== undefined && this.events.isEntitled(stored)) {
+    else if (stored !== undefined && this.events.isLeaderCompatible(stored)) {
       this.keyAbsentSince.delete(shard);
       // Our own record from before a restart: the process that wrote it is dead, so claim it at once.
       if (stored.node === this.options.label) this.startClaim(shard);
@@ -198,7 +198,7 @@
     if (stored !== undefined) this.stepDownIfFenced(shard, stored.fencingToken);
     // Its record will be absent anew after a hand-over, and its home node goes first then.
     this.keyAbsentSince.delete(shard);
-    const isForeign = shard !== this.options.label && shard !== AUTOSCALER_DUTY;
+    const isForeign = shard !== this.options.label && shard !== AUTOSCALER_ROLE;
     if (this.isRelinquishing || (isForeign && this.events.isReadyToLead(shard))) {
       this.runExclusively(shard, () => this.handOver(shard));
     }
@@ -221,14 +221,14 @@
     if (shard === label) return 0;
     const size = shards.length;
     const turn = (shards.indexOf(label) - Math.max(0, shards.indexOf(shard)) + size) % size;
-    return shard === AUTOSCALER_DUTY ? (turn * leaseTtl) / 10 : ((1 + turn) * leaseTtl) / 8;
+    return shard === AUTOSCALER_ROLE ? (turn * leaseTtl) / 10 : ((1 + turn) * leaseTtl) / 8;
   }
 
   private runExclusively(shard: string, work: () => Promise<void>): void {
     this.shardsInTransition.add(shard);
     void work()
       .catch((error: unknown) => {
-        log.debug(`leadership of ${shard}: ${describe(error)}`);
+        log.debug(`leadership of ${shard}: ${describeError(error)}`);
       })
       .finally(() => this.shardsInTransition.delete(shard));
   }
@@ -238,7 +238,8 @@
     const { label } = this.options;
     const leadership = await this.records.write(
       shard,
-      (leader) => leader === null || leader.node === label || !this.events.isEntitled(leader),
+      (leader) =>
+        leader === null || leader.node === label || !this.events.isLeaderCompatible(leader),
     );
     if (leadership === null) return;
     // Asked for after the record was written: no earlier leader's transaction can be applied any more.
--- a/src/coordination/leadership/shardLoader.ts
+++ b/src/coordination/leadership/shardLoader.ts
@@ -1,6 +1,6 @@
 /** Loads a shard from its stored records, and takes up records that come to it later. */
 import type { Clock } from '../../base/clock.js';
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import { keys, type JobRecord, type BucketRecord } from '../../storage/records.js';
 import type { MachineInventory } from '../../storage/machineInventory.js';
 import { cachedJob, type StateCache } from '../../storage/stateCache.js';
@@ -44,7 +44,7 @@
     const wall = node.clock.wall();
     for (const [name, record] of node.inventory.of(label))
       shard.addMachine(name, record, now, renewed, Math.max(0, wall - record.launchedAt));
-    const prefix = keys.runs(label);
+    const prefix = keys.bucketsOf(label);
     // Of two records that hold a chunk the newer one counts: the other is about to be removed (safety, V5).
     const stored = [...node.stateCache.entriesWithPrefix(prefix)].sort(
       ([, a], [, b]) => b.revision - a.revision,
@@ -114,8 +114,8 @@
   }
 
   /** Takes up stored buckets of an owned shard that are not in memory: changes that the watch has missed. */
-  adoptUnmatched(ownedShard: OwnedShard): void {
-    const prefix = keys.runs(ownedShard.shard.label);
+  loadUnmatchedBuckets(ownedShard: OwnedShard): void {
+    const prefix = keys.bucketsOf(ownedShard.shard.label);
     for (const [key] of this.node.stateCache.entriesWithPrefix(prefix)) {
       const name = key.slice(prefix.length);
       if (ownedShard.buckets.has(name)) this.unmatched.delete(key);
@@ -138,7 +138,7 @@
       this.loadBucket(ownedShard, name, item.value as BucketRecord, item.revision);
       node.requestSchedulingRound();
     } catch (error) {
-      log.debug(`stored bucket: ${describe(error)}`);
+      log.debug(`stored bucket: ${describeError(error)}`);
     }
   }
 }
--- a/src/coordination/leadership/stateLease.ts
+++ b/src/coordination/leadership/stateLease.ts
@@ -1,5 +1,5 @@
 /** This node's lease at the state service, which all its leader records are written under. */
-import { DRIFT, type Clock } from '../../base/clock.js';
+import { MAX_CLOCK_DRIFT, type Clock } from '../../base/clock.js';
 import { log } from '../../base/log.js';
 import type { StateClient } from '../../storage/stateClient.js';
 
@@ -52,7 +52,7 @@
       }
     }
     // Answers may overtake each other.
-    this.validUntil = Math.max(this.validUntil, sentAt + this.ttl * (1 - DRIFT));
+    this.validUntil = Math.max(this.validUntil, sentAt + this.ttl * (1 - MAX_CLOCK_DRIFT));
   }
 
   private end(): void {
--- a/src/coordination/migration/migrationContext.ts
+++ b/src/coordination/migration/migrationContext.ts
@@ -16,7 +16,7 @@
   readonly stateClient: Pick<StateClient, 'writeDelay'>;
   readonly stateCache: Pick<StateCache, 'get'>;
   readonly leadership: Pick<ShardLeadership, 'isLeaseValid'>;
-  readonly peers: Pick<PeerRegistry, 'ask'>;
+  readonly peers: Pick<PeerRegistry, 'requestEstimates'>;
   readonly persistence: Pick<JobPersistence, 'move'>;
   readonly ownedShards: ReadonlyMap<string, OwnedShard>;
   /** The zone that each shard's machines are in, by the shard's label. */
--- a/src/coordination/migration/migrationInitiator.ts
+++ b/src/coordination/migration/migrationInitiator.ts
@@ -1,5 +1,5 @@
 /** Sender-initiated job migration (PAPER, III.A.1), for new chunks and for those that are blocked. */
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import { rankName, type JobSpec } from '../../protocol/job.js';
 import type { TurnaroundEstimate } from '../../protocol/peerMessages.js';
 import { keys } from '../../storage/records.js';
@@ -38,7 +38,7 @@
    * of the best; otherwise the peer with the shortest turnaround (DESIGN). A chunk tied to a zone starts
    * from a shard there. `queued` is the chunk where it is in the queue already.
    */
-  async choose(
+  async chooseShard(
     homeShard: OwnedShard,
     spec: JobSpec,
     zone: string | null,
@@ -49,16 +49,23 @@
     const { label, utilisation, waitEstimates } = homeShard.shard;
     const run = waitEstimates.expectedRun(spec);
     const now = this.node.clock.now();
-    const wait = waitEstimates.waitFor({ spec, zone, count, run }, now, queued);
-    const fetch = waitEstimates.fetchFor(spec, zone, now);
+    const wait = waitEstimates.estimateWait({ spec, zone, count, run }, now, queued);
+    const fetch = waitEstimates.estimateFetch(spec, zone, now);
     const start = spec.isService ? Math.max(wait, fetch) : wait;
     if (start < this.threshold(spec) || !tuning.migrate) return label;
     const home = { shard: label, wait, turnaround: turnaround(wait, fetch, run), utilisation };
-    const answers = await peers.ask(spec, zone, count, this.peerTimeout(queued !== undefined));
-    const local = this.estimates(spec, zone, count).filter(({ shard }) => shard !== label);
+    const answers = await peers.requestEstimates(
+      spec,
+      zone,
+      count,
+      this.peerTimeout(queued !== undefined),
+    );
+    const local = this.estimateTurnarounds(spec, zone, count).filter(
+      ({ shard }) => shard !== label,
+    );
     const shard = chooseShard(home, [...answers, ...local], tuning);
     noteChoice(homeShard, spec, home, [...answers, ...local], shard);
-    const hasLeader = stateCache.get(keys.owner(shard)) !== undefined;
+    const hasLeader = stateCache.get(keys.leader(shard)) !== undefined;
     if (shard !== label && hasLeader) return shard;
     // No shard has such machines yet: they will be launched for a shard in the zone.
     if (zone === null || Number.isFinite(wait)) return label;
@@ -89,16 +96,16 @@
   }
 
   /** Answers to a peer's question: an estimate for each shard that this controller leads. */
-  estimates(spec: JobSpec, zone: string | null, tasks: number): TurnaroundEstimate[] {
+  estimateTurnarounds(spec: JobSpec, zone: string | null, tasks: number): TurnaroundEstimate[] {
     if (!this.node.leadership.isLeaseValid) return [];
     const now = this.node.clock.now();
     return [...this.node.ownedShards.values()].map(({ shard }) => {
       const run = shard.waitEstimates.expectedRun(spec);
-      const wait = shard.waitEstimates.waitFor({ spec, zone, count: tasks, run }, now);
+      const wait = shard.waitEstimates.estimateWait({ spec, zone, count: tasks, run }, now);
       return {
         shard: shard.label,
         wait,
-        turnaround: turnaround(wait, shard.waitEstimates.fetchFor(spec, zone, now), run),
+        turnaround: turnaround(wait, shard.waitEstimates.estimateFetch(spec, zone, now), run),
         utilisation: shard.utilisation,
       };
     });
@@ -108,7 +115,7 @@
    * Asks the peers again about blocked chunks of which nothing runs. DESIGN lets queued jobs stay where
    * they are; but machines are launched and released here, and a job would wait beside an idle peer.
    */
-  review(): void {
+  reviewBlockedChunks(): void {
     const { node } = this;
     if (!node.leadership.isLeaseValid || !node.tuning.migrate) return;
     const now = node.clock.now();
@@ -143,13 +150,13 @@
     try {
       const zone = chunk.zone ?? chunk.spec.zone;
       const spec: JobSpec = { ...chunk.spec, rank: rankName(chunk.rank) };
-      const shard = await this.choose(ownedShard, spec, zone, chunk.pendingCount, chunk);
+      const shard = await this.chooseShard(ownedShard, spec, zone, chunk.pendingCount, chunk);
       if (shard === ownedShard.shard.label || !ownedShard.isOwned || chunk.isDropped) return;
       if (!chunk.isMigratable) return;
       log.info(`sending ${chunk.id} from ${ownedShard.shard.label} to ${shard}`);
       await node.persistence.move(ownedShard, chunk, shard);
     } catch (error) {
-      log.debug(`sending ${chunk.id}: ${describe(error)}`);
+      log.debug(`sending ${chunk.id}: ${describeError(error)}`);
     } finally {
       this.asking.delete(chunk);
     }
--- a/src/coordination/model/acknowledgedAttempts.ts
+++ b/src/coordination/model/acknowledgedAttempts.ts
@@ -21,7 +21,7 @@
   }
 
   /** Takes in a report; the keys of attempts that are back. */
-  noteReport({ all }: ReportedAttempts): string[] {
+  applyReport({ all }: ReportedAttempts): string[] {
     if (this.pending.size === 0 && this.forgotten.size === 0) return [];
     const reported = new Set(all.map(({ task, attemptNumber }) => attemptKey(task, attemptNumber)));
     const returned = [...reported].filter((key) => this.forgotten.delete(key));
--- a/src/coordination/model/availability.ts
+++ b/src/coordination/model/availability.ts
@@ -45,7 +45,7 @@
   readonly quarantinedUntil: number;
   readonly leaseRenewedAt: number;
   readonly firstSeenAt: number;
-  readonly launchedAtSteady: number;
+  readonly launchedAtMonotonic: number;
   readonly bootSeconds: number;
   readonly heartbeatInterval: number;
   readonly reachability: Pick<
@@ -69,12 +69,12 @@
 const SEARCH_HEARTBEATS = 5;
 
 /** Seconds after its launch after which a machine that has not been heard is overdue. */
-export function longestBoot(bootSeconds: number, heartbeatInterval: number): number {
+export function bootTimeout(bootSeconds: number, heartbeatInterval: number): number {
   return bootSeconds * LATE_BOOT_RATIO + heartbeatInterval * FIRST_HEARTBEATS;
 }
 
 /** Seconds after a takeover within which each worker that is up should have been heard. */
-export function longestSearch(heartbeatInterval: number): number {
+export function rediscoveryTimeout(heartbeatInterval: number): number {
   return heartbeatInterval * SEARCH_HEARTBEATS;
 }
 
@@ -109,7 +109,10 @@
 export function readyIn(machine: AvailabilityEvidence, now: number): number {
   if (machine.reachability.lastReachedAt !== null)
     return Math.max(0, machine.quarantinedUntil - now);
-  const expectedAt = Math.max(machine.launchedAtSteady + machine.bootSeconds, machine.firstSeenAt);
+  const expectedAt = Math.max(
+    machine.launchedAtMonotonic + machine.bootSeconds,
+    machine.firstSeenAt,
+  );
   return Math.max(MIN_BOOT_LEFT, Math.abs(expectedAt - now));
 }
 
@@ -118,8 +121,8 @@
 
 function isOverdue(machine: AvailabilityEvidence, now: number): boolean {
   const { bootSeconds, heartbeatInterval } = machine;
-  const boot = machine.launchedAtSteady + longestBoot(bootSeconds, heartbeatInterval);
-  const search = machine.firstSeenAt + longestSearch(heartbeatInterval);
+  const boot = machine.launchedAtMonotonic + bootTimeout(bootSeconds, heartbeatInterval);
+  const search = machine.firstSeenAt + rediscoveryTimeout(heartbeatInterval);
   return now > Math.max(boot, search);
 }
 
@@ -138,7 +141,7 @@
       return reachability.firstMissedProbeAt;
     case 'booting':
     case 'overdue':
-      return machine.launchedAtSteady;
+      return machine.launchedAtMonotonic;
     case 'partitioned':
       return reachability.lastUnsolicitedHeartbeatAt ?? machine.firstSeenAt;
     case 'ready':
--- a/src/coordination/model/bucket.ts
+++ b/src/coordination/model/bucket.ts
@@ -18,14 +18,14 @@
    * answered before or not, and bring back chunks that are at other shards by then (safety, T13). So the record stays, empty if
    * need be, for as long as the leadership that the transaction is conditional on.
    */
-  mayBeCreatedAgain = false;
+  mayBeRecreated = false;
   /**
    * Chunks that were here when the record turned out to be beyond the limit. It is not written again, and removed once
    * all of them are stored elsewhere.
    */
   private readonly retired = new Map<Chunk, number>();
   /** It was looked at whether its record may grow beyond the limit. */
-  isMeasured = false;
+  isSizeChecked = false;
 
   constructor(
     readonly name: string,
@@ -55,8 +55,8 @@
   }
 
   /** About what its record takes now. */
-  get bytes(): number {
-    const { frame, task } = this.recordFormat.sizes;
+  get estimatedBytes(): number {
+    const { overheadBytes: frame, taskBytes: task } = this.recordFormat.sizes;
     let bytes = 0;
     for (const { spec, attempts: entries, doneTasks: done } of this.chunks) {
       bytes +=
@@ -66,7 +66,7 @@
   }
 
   /** Chunks of it are not stored elsewhere yet, so that its record has to stay. */
-  get holdsRetired(): boolean {
+  get hasUnstoredRetiredChunks(): boolean {
     for (const [chunk, version] of this.retired) {
       if (!chunk.isDropped && chunk.storedVersion < version) return true;
     }
@@ -81,7 +81,7 @@
   }
 
   /** Its record is gone, and with it the copies of chunks that are in others. */
-  forgetRetired(): void {
+  clearRetiredChunks(): void {
     for (const chunk of this.retired.keys()) chunk.retiredFrom = null;
     this.retired.clear();
   }
@@ -98,6 +98,6 @@
 
 /** What a chunk may take of a record while all of its tasks run. */
 export function maxStoredBytes(chunk: Chunk, recordFormat: RecordFormat): number {
-  const { frame, task } = recordFormat.sizes;
+  const { overheadBytes: frame, taskBytes: task } = recordFormat.sizes;
   return recordFormat.specBytes(chunk.spec) + frame + task * chunk.size;
 }
--- a/src/coordination/model/commandTokens.ts
+++ b/src/coordination/model/commandTokens.ts
@@ -7,7 +7,7 @@
 import type { FencingTokenBlock } from './fencingTokenBlock.js';
 
 /** Commands that leave for a worker in one message, and the fencing token of the message. */
-export interface SealedCommands {
+export interface CommandBatch {
   readonly token: CommandToken;
   readonly commands: Command[];
   /** The highest token under which a start has left for this machine before; -Infinity: none has. */
@@ -27,15 +27,15 @@
    * Decides the token of a message, and leaves out acknowledgements that may not go with it. `seenToken`: the highest one that
    * the worker has shown; `mayRaise`: false while another message to the worker would be refused for a higher token.
    */
-  seal(
+  assignToken(
     commands: readonly Command[],
     block: FencingTokenBlock,
     { seenToken, mayRaise }: { seenToken: number; mayRaise: boolean },
-  ): SealedCommands {
+  ): CommandBatch {
     this.catchUp(block, seenToken);
     const startToken = this.highestStart;
     const needsRaise = startToken >= this.current;
-    const withholds = needsRaise && (!mayRaise || this.isUsedUp(block));
+    const withholds = needsRaise && (!mayRaise || this.isExhausted(block));
     const sealed = commands.filter((command) => !withholds || !isAcknowledgement(command));
     if (sealed.some(isAcknowledgement)) this.current = Math.max(this.current, startToken + 1);
     if (sealed.some(({ verb }) => verb === 'start')) this.highestStart = this.current;
@@ -43,12 +43,12 @@
   }
 
   /** Gives the next message a token above that of every start, where the block has one. */
-  raise(block: FencingTokenBlock): void {
-    if (!this.isUsedUp(block)) this.current = Math.max(this.current, this.highestStart + 1);
+  raiseToken(block: FencingTokenBlock): void {
+    if (!this.isExhausted(block)) this.current = Math.max(this.current, this.highestStart + 1);
   }
 
   /** No token above that of every start is left; another block is needed. */
-  isUsedUp(block: FencingTokenBlock): boolean {
+  isExhausted(block: FencingTokenBlock): boolean {
     return this.highestStart >= block.last;
   }
 
--- a/src/coordination/model/machine.ts
+++ b/src/coordination/model/machine.ts
@@ -16,7 +16,7 @@
 export type { Placement } from './occupancy.js';
 
 /** What tells how long a machine may take to be heard for the first time. In seconds. */
-export interface ArrivalTimes {
+export interface FirstContactTiming {
   /** Its age when this controller first heard of it. */
   readonly ageWhenSeen: number;
   /** Time between two heartbeats of its worker. */
@@ -78,7 +78,7 @@
     readonly firstSeenAt: number,
     /** Whether a start of the task may be sent now (safety, T18). */
     readonly mayStart: (task: string, now: number) => boolean = () => true,
-    private readonly arrival: ArrivalTimes = { ageWhenSeen: 0, heartbeatInterval: 0 },
+    private readonly arrival: FirstContactTiming = { ageWhenSeen: 0, heartbeatInterval: 0 },
   ) {
     this.leaseRenewedAt = firstSeenAt;
     this.address = record.address ?? '';
@@ -86,7 +86,7 @@
   }
 
   /** Steady time at which it was rented, as far as its record tells. */
-  get launchedAtSteady(): number {
+  get launchedAtMonotonic(): number {
     return this.firstSeenAt - this.arrival.ageWhenSeen;
   }
 
--- a/src/coordination/peers/gossiper.ts
+++ b/src/coordination/peers/gossiper.ts
@@ -61,7 +61,7 @@
     const isServed = ownership.isLeaseValid;
     if (isServed) this.demands = this.shards.flatMap((shard) => shard.demand.demands(now));
     return {
-      from: settings.label,
+      sender: settings.label,
       process,
       sequence: ++this.sequence,
       sentAt: clock.wall(),
@@ -108,7 +108,9 @@
   /** Idle machines that may be released. */
   spareMachines(): string[] {
     const { clock, tuning } = this.node;
-    return this.shards.flatMap((shard) => shard.demand.idleMachines(clock.now(), tuning.idleRatio));
+    return this.shards.flatMap((shard) =>
+      shard.demand.cordonIdleMachines(clock.now(), tuning.idleRatio),
+    );
   }
 
   /** Machines that are lost and should be released. */
--- a/src/coordination/peers/peerRegistry.ts
+++ b/src/coordination/peers/peerRegistry.ts
@@ -54,8 +54,8 @@
   }
 
   /** Takes a peer's gossip, unless it is late or older than what is known (safety, T12). */
-  note(gossip: Gossip): void {
-    const peer = this.peers.get(gossip.from);
+  receiveGossip(gossip: Gossip): void {
+    const peer = this.peers.get(gossip.sender);
     if (peer === undefined) return;
     const now = this.clock.now();
     // After a partition messages arrive late, also those of earlier starts of the peer: what they say
@@ -79,14 +79,14 @@
   }
 
   /** Whether the peer has been up, reachable and served by the state service for this long. */
-  steady(label: string, seconds: number): boolean {
+  hasBeenServedFor(label: string, seconds: number): boolean {
     const peer = this.peers.get(label);
     if (peer?.servedSince === null || peer === undefined || !this.isFresh(peer)) return false;
     return this.clock.now() - peer.servedSince >= seconds;
   }
 
   /** The peers that the state service serves, by their gossip. */
-  served(): string[] {
+  servedPeers(): string[] {
     return [...this.peers.values()]
       .filter((p) => this.isFresh(p) && p.gossip?.isServed === true)
       .map((p) => p.label);
@@ -116,12 +116,12 @@
   }
 
   /** Who leads a shard, by the peers' gossip; the highest fencing token counts. */
-  hostOf(shard: string): { label: string; fencingToken: number } | null {
+  leaderOf(shard: string): { label: string; fencingToken: number } | null {
     let best: { label: string; fencingToken: number } | null = null;
     for (const gossip of this.gossips()) {
       const announced = gossip.shards.find((candidate) => candidate.shard === shard);
       if (announced !== undefined && announced.fencingToken > (best?.fencingToken ?? -1)) {
-        best = { label: gossip.from, fencingToken: announced.fencingToken };
+        best = { label: gossip.sender, fencingToken: announced.fencingToken };
       }
     }
     return best;
@@ -139,7 +139,7 @@
    * Asks all peers at once for turnaround estimates (DESIGN); those silent for `timeout` are ignored. Peers
    * whose gossip has stopped are not asked: each submission in a partition would wait for the timeout.
    */
-  async ask(
+  async requestEstimates(
     spec: JobSpec,
     zone: string | null,
     tasks: number,
--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -4,8 +4,8 @@
  * comes, so that it holds all that has changed meanwhile.
  */
 import { sleep, type Clock } from '../../base/clock.js';
-import { describe, log } from '../../base/log.js';
-import { TRANSACTION_BYTES, type Transaction } from '../../protocol/stateProtocol.js';
+import { describeError, log } from '../../base/log.js';
+import { MAX_TRANSACTION_CHANGE_BYTES, type Transaction } from '../../protocol/stateProtocol.js';
 import type { RequestPriority } from '../../storage/rateLimiter.js';
 import { keys, type BucketRecord } from '../../storage/records.js';
 import type { RecordFormat } from '../../storage/recordFormat.js';
@@ -25,20 +25,20 @@
 }
 
 /** What is needed of the state service and of our copy of the records. */
-export type Store = Pick<
+export type StateServiceAccess = Pick<
   StateClient,
   'transact' | 'get' | 'awaitWriteTurn' | 'writeRate' | 'writeDelay' | 'writeLoad' | 'operations'
 >;
 /** What is needed of the state cache. */
-export type Copy = Pick<StateCache, 'get' | 'note' | 'noteRemoved'>;
+export type StateCacheAccess = Pick<StateCache, 'get' | 'note' | 'noteRemoved'>;
 
 /** Limits of a transaction, and pauses in seconds. */
 export interface BucketWriterOptions {
   txnOps: number;
   recordFormat: RecordFormat;
   /** Seconds that changes which nobody waits for are gathered. */
-  linger: number;
-  retry: number;
+  flushDelay: number;
+  retryDelay: number;
   /** Tells the names of this process's buckets from all others. */
   process: string;
 }
@@ -64,8 +64,8 @@
   private named = 0;
 
   constructor(
-    private readonly client: Store,
-    private readonly stateCache: Copy,
+    private readonly client: StateServiceAccess,
+    private readonly stateCache: StateCacheAccess,
     private readonly clock: Clock,
     private readonly host: BucketWriterEvents,
     private readonly options: BucketWriterOptions,
@@ -78,7 +78,7 @@
     urgency: RequestPriority | 'granted' = 'later',
   ): Promise<TransactionResult> {
     if (!ownedShard.isOwned || !this.host.isLeaseValid()) return { kind: 'refused' };
-    const owner = { key: keys.owner(ownedShard.shard.label), revision: ownedShard.revision };
+    const owner = { key: keys.leader(ownedShard.shard.label), revision: ownedShard.revision };
     const others = transaction.conditions.filter(
       ({ key, revision }) => key !== owner.key || revision !== owner.revision,
     );
@@ -100,8 +100,8 @@
    */
   private retireLargeBuckets(ownedShard: OwnedShard): void {
     for (const bucket of ownedShard.buckets.values()) {
-      if (bucket.isMeasured || bucket.isWriteInFlight) continue;
-      bucket.isMeasured = true;
+      if (bucket.isSizeChecked || bucket.isWriteInFlight) continue;
+      bucket.isSizeChecked = true;
       if (bucket.chunks.size < 2 || bucket.maxStoredBytes <= this.room) continue;
       for (const chunk of [...bucket.chunks]) {
         ownedShard.shard.noteChunkChanged(chunk, this.clock.now());
@@ -113,7 +113,8 @@
   /** What chunks may take of one record. */
   private get room(): number {
     return (
-      Math.min(this.options.recordFormat.valueBytes, TRANSACTION_BYTES * TXN_SHARE) * VALUE_SHARE
+      Math.min(this.options.recordFormat.valueBytes, MAX_TRANSACTION_CHANGE_BYTES * TXN_SHARE) *
+      VALUE_SHARE
     );
   }
 
@@ -122,11 +123,11 @@
     const now = this.clock.now();
     // Ends can wait while users and starts need the state service's changes: a crash meanwhile loses nothing
     // that the workers do not still report. A chunk whose tasks end one by one would be written for each few.
-    const { linger } = this.options;
+    const { flushDelay: linger } = this.options;
     const isBusy =
       this.client.writeDelay('later') > linger / 2 || this.client.writeLoad > BUSY_LOAD;
     const maxDelay = linger * (isBusy ? BUSY_PATIENCE : 1);
-    const isGathering = now < ownedShard.batchStartsUntil;
+    const isGathering = now < ownedShard.batchStartsDeferredUntil;
     const due = new Map<Bucket, RequestPriority>();
     for (const chunk of ownedShard.shard.unsavedChunks) {
       const bucket = bucketOf(chunk);
@@ -137,7 +138,7 @@
     }
     if (isBusy) return due;
     for (const bucket of ownedShard.buckets.values()) {
-      const isEmpty = bucket.chunks.size === 0 && !bucket.holdsRetired;
+      const isEmpty = bucket.chunks.size === 0 && !bucket.hasUnstoredRetiredChunks;
       if (isEmpty && bucket.isDirty && !bucket.isWriteInFlight) due.set(bucket, 'later');
     }
     return due;
@@ -157,9 +158,10 @@
     };
     for (const [bucket, how] of due) {
       if (ownedShard.writesInFlight >= TRANSACTIONS) break;
-      const size = bucket.bytes;
+      const size = bucket.estimatedBytes;
       const cost = this.operationsFor(ownedShard, bucket, size);
-      const isFull = operations + cost > most || bytes + size > TRANSACTION_BYTES * TXN_SHARE;
+      const isFull =
+        operations + cost > most || bytes + size > MAX_TRANSACTION_CHANGE_BYTES * TXN_SHARE;
       if (batch.length > 0 && isFull) send();
       batch.push(bucket);
       bytes += size;
@@ -193,7 +195,7 @@
       // Replicas seldom change, tasks often: apart, so that the ones are not written for the others.
       const [first] = bucket.chunks;
       if (first !== undefined && first.spec.isService !== chunk.spec.isService) continue;
-      if (bucket === chunk.retiredFrom || bucket.holdsRetired) continue;
+      if (bucket === chunk.retiredFrom || bucket.hasUnstoredRetiredChunks) continue;
       const used = bucket.maxStoredBytes;
       if (used + need <= room && used > most) [best, most] = [bucket, used];
     }
@@ -205,7 +207,7 @@
   }
 
   private key(ownedShard: OwnedShard, bucket: Bucket): string {
-    return keys.run(ownedShard.shard.label, bucket.name);
+    return keys.bucket(ownedShard.shard.label, bucket.name);
   }
 
   private async flush(
@@ -217,7 +219,8 @@
     for (const bucket of buckets) bucket.isWriteInFlight = true;
     // A round of starts every so often, each with all that has come up; users have the rest.
     const pause = buckets.length / (this.client.writeRate * GATHER_SHARE);
-    ownedShard.batchStartsUntil = Math.max(ownedShard.batchStartsUntil, this.clock.now()) + pause;
+    ownedShard.batchStartsDeferredUntil =
+      Math.max(ownedShard.batchStartsDeferredUntil, this.clock.now()) + pause;
     try {
       await this.client.awaitWriteTurn(buckets.length, priority);
       const stored = buckets.flatMap((s) =>
@@ -226,9 +229,9 @@
       const puts: Transaction['puts'] = [];
       const removes: string[] = [];
       for (const bucket of buckets) {
-        if (bucket.chunks.size > 0 || bucket.mayBeCreatedAgain) {
+        if (bucket.chunks.size > 0 || bucket.mayBeRecreated) {
           puts.push({ key: this.key(ownedShard, bucket), value: bucket.toRecord() });
-          if (bucket.revision === 0) bucket.mayBeCreatedAgain = true;
+          if (bucket.revision === 0) bucket.mayBeRecreated = true;
         } else if (bucket.revision > 0) removes.push(this.key(ownedShard, bucket));
         bucket.isDirty = false;
       }
@@ -247,13 +250,13 @@
       for (const bucket of buckets) {
         bucket.isDirty = true;
       }
-      if (result.kind === 'conflict') await this.resolve(ownedShard, buckets);
+      if (result.kind === 'conflict') await this.resolveConflict(ownedShard, buckets);
       // Sent again at once it would be refused again, and keep others from their turn.
-      else if (result.kind === 'malformed') await sleep(this.options.linger);
-      else await sleep(this.options.retry);
+      else if (result.kind === 'malformed') await sleep(this.options.flushDelay);
+      else await sleep(this.options.retryDelay);
     } catch (error) {
-      log.debug(`store: ${describe(error)}`);
-      await sleep(this.options.retry);
+      log.debug(`store: ${describeError(error)}`);
+      await sleep(this.options.retryDelay);
     } finally {
       for (const bucket of buckets) bucket.isWriteInFlight = false;
       ownedShard.writesInFlight--;
@@ -277,7 +280,7 @@
     for (const put of puts) this.stateCache.note(put.key, put.value, revision);
     for (const bucket of buckets) {
       const key = this.key(ownedShard, bucket);
-      bucket.forgetRetired();
+      bucket.clearRetiredChunks();
       if (puts.some((p) => p.key === key)) bucket.revision = revision;
       else {
         this.stateCache.noteRemoved(key, revision);
@@ -292,7 +295,7 @@
   }
 
   /** Copies of ours that got no answer may have been applied: take what they left. */
-  async resolve(ownedShard: OwnedShard, buckets: Bucket[]): Promise<void> {
+  async resolveConflict(ownedShard: OwnedShard, buckets: Bucket[]): Promise<void> {
     await this.host.verifyLeadership(ownedShard.shard.label);
     for (const bucket of buckets) {
       const item = await this.client.get(this.key(ownedShard, bucket));
@@ -324,10 +327,10 @@
     extra: Pick<Transaction, 'conditions' | 'puts'>,
   ): Promise<TransactionResult> {
     const bucket = bucketOf(chunk);
-    const owner = this.stateCache.get(keys.owner(to));
+    const owner = this.stateCache.get(keys.leader(to));
     if (bucket === null || owner === undefined || !chunk.isMigratable) return { kind: 'refused' };
     const name = `${chunk.id.replace('/', '-')}-${chunk.migrationCount + 1}`;
-    const key = keys.run(to, name);
+    const key = keys.bucket(to, name);
     bucket.isWriteInFlight = true;
     ownedShard.writesInFlight++;
     try {
@@ -344,7 +347,7 @@
       const { puts, deletes } = this.withoutChunk(ownedShard, bucket, chunk);
       const conditions = [
         { key: this.key(ownedShard, bucket), revision: bucket.revision },
-        { key: keys.owner(to), revision: owner.revision },
+        { key: keys.leader(to), revision: owner.revision },
         { key, revision: 0 },
         ...extra.conditions,
       ];
@@ -358,7 +361,7 @@
         ownedShard.shard.migrateAway(chunk, this.clock.now());
         this.applied(ownedShard, [bucket], others, puts, result.revision);
         this.stateCache.note(key, value, result.revision);
-      } else if (result.kind === 'conflict') await this.resolve(ownedShard, [bucket]);
+      } else if (result.kind === 'conflict') await this.resolveConflict(ownedShard, [bucket]);
       // Until its bucket is written again it may have gone, and nothing of it can be started.
       else if (result.kind === 'unknown') {
         chunk.mayHaveMigrated = true;
@@ -379,7 +382,7 @@
     chunk: Chunk,
   ): Pick<Transaction, 'puts' | 'deletes'> {
     const key = this.key(ownedShard, bucket);
-    if (bucket.chunks.size === 1 && !bucket.mayBeCreatedAgain) return { puts: [], deletes: [key] };
+    if (bucket.chunks.size === 1 && !bucket.mayBeRecreated) return { puts: [], deletes: [key] };
     const others = Object.entries(bucket.toRecord().chunks).filter(([id]) => id !== chunk.id);
     const value: BucketRecord = { chunks: Object.fromEntries(others) };
     return { puts: [{ key, value }], deletes: [] };
--- a/src/coordination/persistence/cancellationEvidence.ts
+++ b/src/coordination/persistence/cancellationEvidence.ts
@@ -8,7 +8,7 @@
 import type { StateCache } from '../../storage/stateCache.js';
 
 /** Indices of a job's chunks that are created and not done. */
-export function openChunks({ createdChunks, doneChunks }: JobRecord): Set<number> {
+export function openChunkIndices({ createdChunks, doneChunks }: JobRecord): Set<number> {
   const open = new Set<number>();
   for (let index = 0; index < createdChunks; index++) {
     if (!doneChunks.includes(index)) open.add(index);
@@ -49,20 +49,20 @@
   /** Whether each open chunk of the record was acknowledged: others may have been created since. */
   covers(record: JobRecord): boolean {
     const { chunks } = this;
-    return chunks === null || [...openChunks(record)].every((index) => chunks.has(index));
+    return chunks === null || [...openChunkIndices(record)].every((index) => chunks.has(index));
   }
 
   /** Whether the leader records are still those that counted, as far as this copy shows. */
   isCurrent(stateCache: Pick<StateCache, 'get'>): boolean {
     return [...this.revisionByShard].every(
-      ([shard, revision]) => stateCache.get(keys.owner(shard))?.revision === revision,
+      ([shard, revision]) => stateCache.get(keys.leader(shard))?.revision === revision,
     );
   }
 
   /** The conditions under which the cancellation may be stored. */
   get conditions(): Transaction['conditions'] {
     return [...this.revisionByShard].map(([shard, revision]) => ({
-      key: keys.owner(shard),
+      key: keys.leader(shard),
       revision,
     }));
   }
--- a/src/coordination/persistence/jobPersistence.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -4,7 +4,7 @@
  * conditions, so that at most one of the copies is ever applied.
  */
 import { sleep, type Clock } from '../../base/clock.js';
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import { keys, type FinalJobRecord, type JobRecord } from '../../storage/records.js';
 import type { ChunkIndex } from '../../storage/chunkIndex.js';
 import { Chunk } from '../model/chunk.js';
@@ -17,8 +17,8 @@
   BucketWriter,
   type BucketWriterEvents,
   type BucketWriterOptions,
-  type Copy,
-  type Store,
+  type StateCacheAccess,
+  type StateServiceAccess,
 } from './bucketWriter.js';
 
 /** What is needed of the controller. */
@@ -45,8 +45,8 @@
   private readonly jobRecords: JobRecordWriter;
 
   constructor(
-    client: Store,
-    private readonly stateCache: Copy,
+    client: StateServiceAccess,
+    private readonly stateCache: StateCacheAccess,
     private readonly chunkIndex: Pick<ChunkIndex, 'entries'>,
     private readonly clock: Clock,
     private readonly host: JobPersistenceContext,
@@ -58,7 +58,7 @@
       onReread: (homeShard, job) => {
         this.acceptMissing(homeShard, job);
       },
-      retry: options.retry,
+      retryDelay: options.retryDelay,
     });
   }
 
@@ -77,7 +77,7 @@
   }
 
   /** Looks at all jobs of the owned shards, in case a change was missed. */
-  review(): void {
+  reconcileJobs(): void {
     if (!this.host.isLeaseValid()) return;
     for (const [id, { shard, record }] of this.chunkIndex.entries()) {
       const { doneTasks: done, firstTask: from, endTask: to, homeShard: label } = record;
@@ -132,7 +132,7 @@
       });
       if (result.kind === 'applied') this.jobRecords.apply(ownedShard, job, value, result.revision);
       else if (result.kind === 'conflict') {
-        await this.jobRecords.reread(ownedShard, job, job.isUncertain === true);
+        await this.jobRecords.reread(ownedShard, job, job.isOutcomeUnknown === true);
       }
     } finally {
       job.isWriteInFlight = false;
@@ -161,7 +161,7 @@
       // By the record: the change that a conflict was with may have been another one.
       return job.record.state !== 'open' || job.record.doneChunks.includes(index);
     } catch (error) {
-      log.debug(`finish: ${describe(error)}`);
+      log.debug(`finish: ${describeError(error)}`);
       return false;
     } finally {
       job.isWriteInFlight = false;
@@ -211,7 +211,7 @@
     while (mayTry()) {
       if (job.record.state !== 'open') return { kind: 'ended', state: job.record.state };
       if (job.isWriteInFlight) {
-        await sleep(this.options.retry / 4);
+        await sleep(this.options.retryDelay / 4);
         continue;
       }
       if (!evidence.covers(job.record) || !evidence.isCurrent(this.stateCache)) {
@@ -244,7 +244,7 @@
         },
       });
     } catch (error) {
-      log.debug(`cancel: ${describe(error)}`);
+      log.debug(`cancel: ${describeError(error)}`);
     } finally {
       job.isWriteInFlight = false;
     }
@@ -291,7 +291,7 @@
       if (!isCut || !homeShard.isOwned || homeShard.shard.chunks.has(chunk.id)) return;
       homeShard.shard.acceptNewChunk(chunk, this.clock.now());
     } catch (error) {
-      log.debug(`cut: ${describe(error)}`);
+      log.debug(`cut: ${describeError(error)}`);
     } finally {
       job.isWriteInFlight = false;
     }
--- a/src/coordination/persistence/jobRecordWriter.ts
+++ b/src/coordination/persistence/jobRecordWriter.ts
@@ -7,7 +7,7 @@
 import { keys, type JobRecord } from '../../storage/records.js';
 import type { TransactionResult } from '../../storage/stateClient.js';
 import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
-import type { BucketWriter, Copy, Store } from './bucketWriter.js';
+import type { BucketWriter, StateCacheAccess, StateServiceAccess } from './bucketWriter.js';
 
 /** Further conditions of a job's change, and who is told of its outcome. */
 export interface JobWriteOptions {
@@ -22,14 +22,14 @@
   /** A job's record was read anew, and was not as we thought. */
   onReread(homeShard: OwnedShard, job: HomeJob): void;
   /** Seconds after which a change that was not stored may be tried again. */
-  readonly retry: number;
+  readonly retryDelay: number;
 }
 
 /** Writes jobs' records; whoever calls it has marked the job as being written. */
 export class JobRecordWriter {
   constructor(
-    private readonly client: Pick<Store, 'get' | 'awaitWriteTurn'>,
-    private readonly stateCache: Copy,
+    private readonly client: Pick<StateServiceAccess, 'get' | 'awaitWriteTurn'>,
+    private readonly stateCache: StateCacheAccess,
     private readonly bucketWriter: Pick<BucketWriter, 'write'>,
     private readonly options: JobRecordWriterOptions,
   ) {}
@@ -48,9 +48,9 @@
       deletes: [],
     };
     await this.client.awaitWriteTurn(1, 'urgent');
-    const wasUnsettled = job.isUncertain === true;
+    const wasUnsettled = job.isOutcomeUnknown === true;
     // From now on others may read a final state and tell users of it, before its answer gets here.
-    if (next.state !== 'open') job.isUncertain = true;
+    if (next.state !== 'open') job.isOutcomeUnknown = true;
     const result = await this.bucketWriter.write(homeShard, transaction, 'granted');
     onOutcome?.(result.kind);
     if (result.kind === 'applied') {
@@ -59,13 +59,13 @@
     }
     if (result.kind === 'conflict') {
       // Somebody has changed the record, or an earlier copy of ours did: others may know more than this node.
-      job.isUncertain = true;
+      job.isOutcomeUnknown = true;
       await this.options.verifyLeadership(homeShard.shard.label);
       await this.readAgain(conditions.filter((condition) => result.failed.includes(condition.key)));
       return this.reread(homeShard, job, wasUnsettled);
     }
-    job.isUncertain = wasUnsettled || result.kind === 'unknown';
-    await sleep(this.options.retry);
+    job.isOutcomeUnknown = wasUnsettled || result.kind === 'unknown';
+    await sleep(this.options.retryDelay);
     return false;
   }
 
@@ -83,7 +83,7 @@
     const item = await this.client.get(keys.job(job.id));
     if (!homeShard.isOwned || item === null) return false;
     if (item.revision === job.revision) {
-      job.isUncertain = wasUnsettled;
+      job.isOutcomeUnknown = wasUnsettled;
       return false;
     }
     this.apply(homeShard, job, item.value as JobRecord, item.revision);
@@ -95,7 +95,7 @@
   apply(homeShard: OwnedShard, job: HomeJob, record: JobRecord, revision: number): void {
     job.record = record;
     job.revision = revision;
-    job.isUncertain = false;
+    job.isOutcomeUnknown = false;
     if (record.state !== 'open') homeShard.jobs.delete(job.id);
     this.stateCache.note(keys.job(job.id), record, revision);
   }
--- a/src/coordination/pipelines/dependencyAdmission.ts
+++ b/src/coordination/pipelines/dependencyAdmission.ts
@@ -5,9 +5,9 @@
 /** What is needed to look jobs up. */
 export interface DependencyLookup {
   /** This node's copy of a job's record. */
-  copyOf(job: string): JobRecord | undefined;
+  cachedRecord(job: string): JobRecord | undefined;
   /** The stored record; null when there is none, undefined when that can't be told. */
-  stored(job: string): Promise<JobRecord | null | undefined>;
+  fetchRecord(job: string): Promise<JobRecord | null | undefined>;
 }
 
 /** How the jobs that a job names stand. */
@@ -28,7 +28,7 @@
   let isCancelled = false;
   for (const need of spec.dependencies) {
     if (need === spec.id) return { kind: 'refused', reason: 'it waits for itself' };
-    const record = lookup.copyOf(need) ?? (await lookup.stored(need));
+    const record = lookup.cachedRecord(need) ?? (await lookup.fetchRecord(need));
     if (record === undefined) return { kind: 'unavailable' };
     if (record === null) return { kind: 'refused', reason: `no job ${need} to wait for` };
     if (record.spec?.isService === true) {
--- a/src/coordination/pipelines/dependencyGraph.ts
+++ b/src/coordination/pipelines/dependencyGraph.ts
@@ -5,7 +5,7 @@
  */
 
 /** What the store says of a job; a job that is not known here yet is open. */
-export type StoredState = 'open' | 'done' | 'cancelled';
+export type StoredJobState = 'open' | 'done' | 'cancelled';
 
 /** An open job that names others. */
 interface Dependent {
@@ -37,7 +37,7 @@
   private readonly jobsWithCancelledDependency = new Set<string>();
 
   constructor(
-    private readonly stateOf: (job: string) => StoredState | undefined,
+    private readonly stateOf: (job: string) => StoredJobState | undefined,
     private readonly events: DependencyEvents,
   ) {}
 
@@ -67,7 +67,13 @@
   }
 
   /** A job as the store has it. `now` is when this node learned of it; -Infinity: it may be long ago. */
-  note(job: string, state: StoredState, needs: readonly string[], rank: number, now: number): void {
+  applyJobState(
+    job: string,
+    state: StoredJobState,
+    needs: readonly string[],
+    rank: number,
+    now: number,
+  ): void {
     if (state === 'open') this.add(job, needs, rank, now);
     else this.finish(job, state, now);
   }
--- a/src/coordination/pipelines/pipelines.ts
+++ b/src/coordination/pipelines/pipelines.ts
@@ -48,13 +48,13 @@
   }
 
   /** Follows the copy of the records. */
-  note(job: string, record: JobRecord): void {
+  applyJobRecord(job: string, record: JobRecord): void {
     const { stateCache, clock } = this.context;
     const { spec, state } = record;
     const rank = spec === null ? -Infinity : inheritableRank(spec);
     // What the first reading finds may have been cancelled long ago.
     const learnedAt = stateCache.loaded ? clock.now() : -Infinity;
-    this.graph.note(job, state, spec?.dependencies ?? [], rank, learnedAt);
+    this.graph.applyJobState(job, state, spec?.dependencies ?? [], rank, learnedAt);
   }
 
   /** Nothing of it may start: it waits for others, or needs one that is cancelled. */
--- a/src/coordination/quota/quotaContext.ts
+++ b/src/coordination/quota/quotaContext.ts
@@ -12,7 +12,7 @@
   readonly teamUsage: Pick<TeamUsage, 'usedBy'>;
   readonly scheduler: {
     readonly starvedJobs: ReadonlyMap<string, StarvedJob>;
-    wanted(team: string): TeamResources;
+    pendingDemand(team: string): TeamResources;
   };
   /** Processors for live services that the shard has or expects. */
   readonly demand: { serviceHeadroom(now: number): number };
--- a/src/coordination/quota/quotaShares.ts
+++ b/src/coordination/quota/quotaShares.ts
@@ -2,12 +2,12 @@
  * Team limits across shards: each shard has a stored share of each limit, and the sum of the shares never
  * exceeds the limit. A shard uses no more than its share, including what may still run.
  */
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import type { Team } from '../../protocol/settings.js';
 import type { Transaction } from '../../protocol/stateProtocol.js';
 import { keys, type QuotaRecord } from '../../storage/records.js';
 import type { OwnedQuotaShard, QuotaContext } from './quotaContext.js';
-import { noTeamResources, type TeamResources } from './teamUsage.js';
+import { zeroTeamResources, type TeamResources } from './teamUsage.js';
 
 const LIMITS = ['cpus', 'gpus'] as const;
 
@@ -23,15 +23,15 @@
  * usage could exceed the limit together with the others' once the ends are known. A pure function, so that
  * the sum can be tested.
  */
-export function reshare(
+export function rebalanceShares(
   shares: QuotaRecord,
   shard: string,
   used: TeamResources,
   want: TeamResources,
   limit: TeamResources,
 ): QuotaRecord {
-  const before = shares[shard] ?? noTeamResources();
-  const mine = noTeamResources();
+  const before = shares[shard] ?? zeroTeamResources();
+  const mine = zeroTeamResources();
   for (const kind of LIMITS) {
     if (!Number.isFinite(limit[kind])) continue;
     let others = 0;
@@ -72,14 +72,14 @@
   /** The stored share, or less while a reduction of it is being stored. */
   private usableShare(shard: string, team: string): TeamResources {
     const stored = this.node.stateCache.get(keys.quota(team));
-    const share = (stored?.value as QuotaRecord | undefined)?.[shard] ?? noTeamResources();
+    const share = (stored?.value as QuotaRecord | undefined)?.[shard] ?? zeroTeamResources();
     const reduction = this.reductions.get(reductionKey(shard, team));
     if (reduction === undefined || (stored?.revision ?? 0) > reduction.revision) return share;
     return smaller(share, reduction.share);
   }
 
   /** Takes shares for work that is queued here, and gives back what other shards are short of. */
-  async balance(): Promise<void> {
+  async rebalance(): Promise<void> {
     if (this.isBalancing || !this.node.leadership.isLeaseValid) return;
     this.isBalancing = true;
     try {
@@ -90,7 +90,7 @@
           await this.balanceTeam(team, label, limit);
       }
     } catch (error) {
-      log.debug(`quotas: ${describe(error)}`);
+      log.debug(`quotas: ${describeError(error)}`);
     } finally {
       this.isBalancing = false;
     }
@@ -105,7 +105,13 @@
     const revision = stored?.revision ?? 0;
     const shares = (stored?.value ?? {}) as QuotaRecord;
     const used = teamUsage.usedBy(team.name);
-    const newShares = reshare(shares, label, used, scheduler.wanted(team.name), limit);
+    const newShares = rebalanceShares(
+      shares,
+      label,
+      used,
+      scheduler.pendingDemand(team.name),
+      limit,
+    );
     const before = this.usableShare(label, team.name);
     const after = newShares[label] ?? before;
     const mayReduce = isBelow(after, before) && this.isThrottledElsewhere(team.name);
--- a/src/coordination/quota/teamUsage.ts
+++ b/src/coordination/quota/teamUsage.ts
@@ -38,13 +38,13 @@
 }
 
 /** Nothing of both; a new object each time. */
-export const noTeamResources = (): TeamResources => ({ cpus: 0, gpus: 0 });
+export const zeroTeamResources = (): TeamResources => ({ cpus: 0, gpus: 0 });
 
 /** The view of a shard that is the only one. */
 export const singleShardView: ClusterView = {
   allowance: () => null,
-  guarantee: noTeamResources,
-  usedElsewhere: noTeamResources,
+  guarantee: zeroTeamResources,
+  usedElsewhere: zeroTeamResources,
   starvedElsewhere: () => null,
   inheritedRank: () => -Infinity,
   cancellationOf: () => 'none',
@@ -97,12 +97,12 @@
 
   /** What a team's tasks use here, including those that may still run. */
   usedBy(team: string): Readonly<TeamResources> {
-    return this.used.get(team) ?? noTeamResources();
+    return this.used.get(team) ?? zeroTeamResources();
   }
 
   /** Counts tasks that have been placed here, or, below zero, have ended. */
   add(spec: JobSpec, tasks: number): void {
-    const used = this.used.get(spec.team) ?? noTeamResources();
+    const used = this.used.get(spec.team) ?? zeroTeamResources();
     this.used.set(spec.team, used);
     used.cpus += tasks * spec.cpus;
     used.gpus += tasks * spec.gpus;
--- a/src/coordination/reconciliation/attemptTermination.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -2,7 +2,7 @@
  * When an attempt is over (safety, T2). This module alone says so: what releases a task takes a verdict of this type, and
  * nothing else can make one.
  */
-import { DRIFT } from '../../base/clock.js';
+import { MAX_CLOCK_DRIFT } from '../../base/clock.js';
 import type { TerminationRule } from '../audit/terminationRule.js';
 import type { Attempt } from '../model/chunk.js';
 import type { Machine, Placement } from '../model/machine.js';
@@ -57,7 +57,7 @@
   ): AttemptTermination | null {
     // Another shard's leader may renew it without our knowledge.
     if (machine.isReassigned) return null;
-    const limit = workerLease * (1 + DRIFT) + heartbeatInterval / 2;
+    const limit = workerLease * (1 + MAX_CLOCK_DRIFT) + heartbeatInterval / 2;
     if (now - machine.leaseRenewedAt <= limit) return null;
     return new AttemptTermination('lease-expired', machine.leaseRenewedAt);
   }
@@ -68,7 +68,11 @@
   }
 
   /** No start was sent, so nothing can come of it; null: one was, or is on its way. */
-  static asNeverSent(machine: Machine, attempt: Attempt, now: number): AttemptTermination | null {
+  static byStartNeverSent(
+    machine: Machine,
+    attempt: Attempt,
+    now: number,
+  ): AttemptTermination | null {
     const mayCome =
       attempt.wasReported || attempt.startSentInAnswer || machine.mayStartStillExecute(attempt);
     return mayCome || machine.hasCommandInFlight ? null : new AttemptTermination('never-sent', now);
--- a/src/coordination/reconciliation/heartbeatReconciler.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -52,7 +52,7 @@
   /** The user's estimate, corrected by what was measured of the class. */
   expected(jobClass: string, estimate: number): number;
   /** Records the run time of a task that has completed. */
-  note(jobClass: string, estimate: number, actual: number): void;
+  record(jobClass: string, estimate: number, actual: number): void;
 }
 
 /** Reconciles what a shard knows of a machine with the heartbeats of its worker. */
@@ -99,7 +99,7 @@
       this.reconcileAttempt(machine, placement, isUnsolicited, now);
     }
     if (changed) {
-      this.shard.unknownAttempts.note(machine);
+      this.shard.unknownAttempts.update(machine);
       this.shard.noteReturnedAttempts(machine);
     }
     this.claimOrphanedResults(machine, now);
@@ -192,7 +192,7 @@
     if (attempt.runningSince !== null) {
       const actual = now - attempt.runningSince;
       const expected = this.runTimes.expected(chunk.spec.jobClass, chunk.spec.expectedRunSeconds);
-      this.runTimes.note(chunk.spec.jobClass, chunk.spec.expectedRunSeconds, actual);
+      this.runTimes.record(chunk.spec.jobClass, chunk.spec.expectedRunSeconds, actual);
       // A machine's own pace, slowly followed.
       if (expected > 0) {
         machine.slowness +=
--- a/src/coordination/reconciliation/machineLiveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -1,7 +1,7 @@
 /** Which machines of a shard are silent, and since when what ran there is over. */
 import { log } from '../../base/log.js';
 import { AttemptTermination, type LeaseTimes } from './attemptTermination.js';
-import { isCapacity, longestBoot, longestSearch } from '../model/availability.js';
+import { isCapacity, bootTimeout, rediscoveryTimeout } from '../model/availability.js';
 import type { Machine, Placement } from '../model/machine.js';
 import type { MachineReleaseReason } from '../audit/auditEvent.js';
 import type { AuditTrail } from '../audit/auditTrail.js';
@@ -131,8 +131,8 @@
    */
   private neverCame(machine: Machine, now: number, wall: number, boot: number): boolean {
     const { heartbeatInterval } = this.options;
-    const isOverdue = wall - machine.launchedAt > longestBoot(boot, heartbeatInterval);
-    const isWatched = now - machine.firstSeenAt > longestSearch(heartbeatInterval);
+    const isOverdue = wall - machine.launchedAt > bootTimeout(boot, heartbeatInterval);
+    const isWatched = now - machine.firstSeenAt > rediscoveryTimeout(heartbeatInterval);
     return isOverdue && isWatched && machine.placements.size === 0;
   }
 
--- a/src/coordination/reconciliation/unknownAttempts.ts
+++ b/src/coordination/reconciliation/unknownAttempts.ts
@@ -10,7 +10,7 @@
   private readonly machinesOf = new Map<string, Set<Machine>>();
 
   /** Takes in what the machine's worker has just reported. */
-  note(machine: Machine): void {
+  update(machine: Machine): void {
     this.forget(machine);
     const tasks = machine.unknownAttempts.map(({ task }) => task);
     if (tasks.length === 0) return;
@@ -30,7 +30,7 @@
   }
 
   /** A machine that was last seen with such an attempt, and whose worker's lease may not be over. */
-  holderOf(task: string, mayBeAlive: (machine: Machine) => boolean): Machine | null {
+  findMachine(task: string, mayBeAlive: (machine: Machine) => boolean): Machine | null {
     for (const machine of this.machinesOf.get(task) ?? []) if (mayBeAlive(machine)) return machine;
     return null;
   }
--- a/src/coordination/rollout/clusterObserver.ts
+++ b/src/coordination/rollout/clusterObserver.ts
@@ -11,7 +11,7 @@
   type VersionTracker,
 } from '@barrowlb/rollout';
 import { keys, type LeaderRecord } from '../../storage/records.js';
-import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
+import { AUTOSCALER_ROLE } from '../leadership/shardLeadership.js';
 import { featureTable } from './featureTable.js';
 import type { RolloutContext } from './rolloutContext.js';
 
@@ -34,9 +34,9 @@
     const service = {
       nodes: shards,
       shards: this.allShards,
-      heardProcess: (label: string) =>
+      observedProcess: (label: string) =>
         label === settings.label ? process : peers.processOf(label),
-      owner: (shard: string) => this.leaderOf(shard),
+      ownerOf: (shard: string) => this.leaderOf(shard),
     };
     return viewCluster(stateCache, service, this.tracker.current, this.tracker.damage);
   }
@@ -44,7 +44,7 @@
   /** What holds the next change back, and since when this node has seen it. */
   blockers(): RolloutStatus['blockers'] {
     const blockers = blockersOf(this.snapshot(), this.plan);
-    return this.history.note(blockers, this.node.clock.wall());
+    return this.history.update(blockers, this.node.clock.wall());
   }
 
   /** The state of the cluster's version for operators. */
@@ -59,11 +59,11 @@
   }
 
   private get allShards(): string[] {
-    return [...this.node.shards, AUTOSCALER_DUTY];
+    return [...this.node.shards, AUTOSCALER_ROLE];
   }
 
   private leaderOf(shard: string): OwnerView {
-    const key = keys.owner(shard);
+    const key = keys.leader(shard);
     const stored = this.node.stateCache.get(key);
     const owner = (stored?.value ?? null) as LeaderRecord | null;
     return { shard, key, revision: stored?.revision ?? 0, owner };
--- a/src/coordination/rollout/driverRecordAccess.ts
+++ b/src/coordination/rollout/driverRecordAccess.ts
@@ -2,11 +2,11 @@
 import {
   applyChange,
   decodeDriver,
-  decodeUnlessDamaged,
+  decodeOrNull,
   rolloutKeys,
   type ChangeOutcome,
   type DriverRecord,
-  type RecordCopy,
+  type RecordCache,
   type RecordStore,
   type StoredDriver,
 } from '@barrowlb/rollout';
@@ -15,7 +15,7 @@
 export class DriverRecordAccess {
   constructor(
     private readonly store: RecordStore,
-    private readonly copy: Pick<RecordCopy, 'get' | 'note'>,
+    private readonly copy: Pick<RecordCache, 'get' | 'note'>,
     private readonly label: string,
   ) {}
 
@@ -24,7 +24,7 @@
     const stored = this.copy.get(rolloutKeys.driver);
     if (stored === undefined) return { record: null, revision: 0 };
     const { value, revision } = stored;
-    const record = decodeUnlessDamaged(() => decodeDriver(rolloutKeys.driver, value));
+    const record = decodeOrNull(() => decodeDriver(rolloutKeys.driver, value));
     return { record, revision };
   }
 
--- a/src/coordination/rollout/featureTable.ts
+++ b/src/coordination/rollout/featureTable.ts
@@ -8,10 +8,10 @@
 import { COMPRESSED_RECORDS, ROLLOUT } from './featureNames.js';
 
 /** Level of a cluster whose nodes have all stored their capabilities (storage/nodeCapabilities.ts). */
-export const MARKED_LEVEL = 2;
+export const CAPABILITIES_LEVEL = 2;
 
 /** From this level on, records are stored that builds without a cluster version cannot read. */
-export const BARRIER_FROM = 3;
+export const BARRIER_MIN_LEVEL = 3;
 
 /** The features of this build. */
 export const featureTable = new FeatureTable([
@@ -24,14 +24,14 @@
   },
   {
     name: 'compact-records',
-    level: MARKED_LEVEL,
+    level: CAPABILITIES_LEVEL,
     writes: 'records without their usual values, large ones in pieces',
     undo: null,
     isSwitched: false,
   },
   {
     name: COMPRESSED_RECORDS,
-    level: BARRIER_FROM,
+    level: BARRIER_MIN_LEVEL,
     writes: 'compressed values for records that would be stored in pieces',
     undo: 'records are stored in pieces again',
     isSwitched: true,
--- a/src/coordination/rollout/leases.ts
+++ b/src/coordination/rollout/leases.ts
@@ -1,14 +1,14 @@
 /** The leases that the rollout package works under, as the node's leadership has them. */
 import type { LeaderLease, ParticipantNode, VersionTracker } from '@barrowlb/rollout';
 import { keys } from '../../storage/records.js';
-import { AUTOSCALER_DUTY, type ShardLeadership } from '../leadership/shardLeadership.js';
+import { AUTOSCALER_ROLE, type ShardLeadership } from '../leadership/shardLeadership.js';
 
 /** The lease that holds the node's presence record, and the version that its answers are about. */
 export const presenceLease = (
   { leadership }: { leadership: Pick<ShardLeadership, 'isLeaseValid' | 'leaseId'> },
   tracker: Pick<VersionTracker, 'current'>,
 ): ParticipantNode => ({
-  get hold() {
+  get leaseId() {
     return leadership.isLeaseValid ? leadership.leaseId : null;
   },
   get version() {
@@ -21,11 +21,11 @@
   leadership: Pick<ShardLeadership, 'get' | 'isLeaseValid'>,
 ): LeaderLease => ({
   condition: () => {
-    const current = leadership.get(AUTOSCALER_DUTY);
+    const current = leadership.get(AUTOSCALER_ROLE);
     if (current === undefined || !leadership.isLeaseValid) return null;
-    return { key: keys.owner(AUTOSCALER_DUTY), revision: current.revision };
+    return { key: keys.leader(AUTOSCALER_ROLE), revision: current.revision };
   },
   get token() {
-    return leadership.get(AUTOSCALER_DUTY)?.fencingToken ?? 0;
+    return leadership.get(AUTOSCALER_ROLE)?.fencingToken ?? 0;
   },
 });
