--- a/src/coordination/rollout/migratedShards.ts
+++ b/src/coordination/rollout/migratedShards.ts
@@ -4,10 +4,10 @@
  */
 import type { Condition, Conversion, MigratedShard } from '@barrowlb/rollout';
 import { sleep } from '../../base/clock.js';
-import { keys, BUCKETS, JOBS, type JobRecord } from '../../storage/records.js';
+import { keys, BUCKET_PREFIX, JOB_PREFIX, type JobRecord } from '../../storage/records.js';
 import type { StoredForm } from '../../storage/recordFormat.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
-import { AUTOSCALER_DUTY } from '../leadership/shardLeadership.js';
+import { AUTOSCALER_ROLE } from '../leadership/shardLeadership.js';
 import type { MigrationContext } from './rolloutContext.js';
 
 /** How long a shard's own write of a record is awaited, in heartbeat intervals. */
@@ -28,11 +28,11 @@
   owned(): MigratedShard[] {
     const { node } = this;
     const shards = [...node.ownedShards.keys()];
-    if (node.leadership.get(AUTOSCALER_DUTY) !== undefined) shards.push(AUTOSCALER_DUTY);
+    if (node.leadership.get(AUTOSCALER_ROLE) !== undefined) shards.push(AUTOSCALER_ROLE);
     return shards.map((label) => ({
       label,
       leadership: () => this.leadership(label),
-      outdated: (after, most) => this.outdatedKeys(label, after, most),
+      outdatedKeys: (after, most) => this.outdatedKeys(label, after, most),
       convert: (key) => this.convert(label, key),
     }));
   }
@@ -40,7 +40,7 @@
   private leadership(shard: string): Condition | null {
     const leadership = this.node.leadership.get(shard);
     if (leadership === undefined || !this.node.leadership.isLeaseValid) return null;
-    return { key: keys.owner(shard), revision: leadership.revision };
+    return { key: keys.leader(shard), revision: leadership.revision };
   }
 
   private outdatedKeys(shard: string, after: string, most: number): string[] {
@@ -54,12 +54,12 @@
 
   /** Whose leader converts a record: that of its shard, else that of the autoscaler. */
   private shardOf(key: string): string {
-    const shard = key.startsWith(BUCKETS) ? key.split('/')[2] : this.homeShardOf(key);
-    return shard !== undefined && this.node.shards.includes(shard) ? shard : AUTOSCALER_DUTY;
+    const shard = key.startsWith(BUCKET_PREFIX) ? key.split('/')[2] : this.homeShardOf(key);
+    return shard !== undefined && this.node.shards.includes(shard) ? shard : AUTOSCALER_ROLE;
   }
 
   private homeShardOf(key: string): string | undefined {
-    if (!key.startsWith(JOBS)) return undefined;
+    if (!key.startsWith(JOB_PREFIX)) return undefined;
     return (this.node.stateCache.get(key)?.value as JobRecord | undefined)?.homeShard;
   }
 
@@ -73,13 +73,13 @@
     if (!this.isOutdated(key)) return { kind: 'needless' };
     const ownedShard = this.node.ownedShards.get(shard);
     if (ownedShard === undefined) return this.rewriteDirectly(shard, key);
-    if (key.startsWith(BUCKETS)) return this.rewriteBucket(ownedShard, key);
+    if (key.startsWith(BUCKET_PREFIX)) return this.rewriteBucket(ownedShard, key);
     return this.rewriteJob(ownedShard, key);
   }
 
   /** Its chunks count as changed, so that the shard stores it with its next change. */
   private async rewriteBucket(ownedShard: OwnedShard, key: string): Promise<Conversion> {
-    const name = key.slice(keys.runs(ownedShard.shard.label).length);
+    const name = key.slice(keys.bucketsOf(ownedShard.shard.label).length);
     const bucket = ownedShard.buckets.get(name);
     if (bucket === undefined) return { kind: 'later' };
     const [chunk] = bucket.chunks;
@@ -99,7 +99,7 @@
   }
 
   private async rewriteJob(ownedShard: OwnedShard, key: string): Promise<Conversion> {
-    const job = ownedShard.jobs.get(key.slice(JOBS.length));
+    const job = ownedShard.jobs.get(key.slice(JOB_PREFIX.length));
     // The job is over: nobody but a migration changes its record any more.
     if (job === undefined) return this.rewriteDirectly(ownedShard.shard.label, key);
     const isWritten = await this.node.persistence.rewrite(ownedShard, job);
--- a/src/coordination/rollout/rolloutService.ts
+++ b/src/coordination/rollout/rolloutService.ts
@@ -6,7 +6,7 @@
   Participant,
   readProgress,
   rolloutKeys,
-  unchanged,
+  unchangedCondition,
   VersionCoordinator,
   VersionTracker,
   viewNode,
@@ -18,15 +18,15 @@
   type RecordStore,
   type RolloutStatus,
 } from '@barrowlb/rollout';
-import { describe, log } from '../../base/log.js';
+import { describeError, log } from '../../base/log.js';
 import type { KeyValueChange } from '../../protocol/stateProtocol.js';
-import { BARRIER_KEY, ROOT, type LeaderRecord } from '../../storage/records.js';
+import { BARRIER_KEY, KEY_PREFIX, type LeaderRecord } from '../../storage/records.js';
 import type { StoredForm } from '../../storage/recordFormat.js';
 import { advanceFencingToken } from '../leadership/ownedShard.js';
 import { ClusterObserver } from './clusterObserver.js';
 import { DriverRecordAccess } from './driverRecordAccess.js';
 import { COMPRESSED_RECORDS } from './featureNames.js';
-import { BARRIER_FROM, featureTable, MARKED_LEVEL } from './featureTable.js';
+import { BARRIER_MIN_LEVEL, featureTable, CAPABILITIES_LEVEL } from './featureTable.js';
 import { autoscalerLease, presenceLease } from './leases.js';
 import { MigratedShards } from './migratedShards.js';
 import type { RolloutContext } from './rolloutContext.js';
@@ -52,11 +52,11 @@
   private readonly shards: MigratedShards;
   private readonly observer: ClusterObserver;
   private readonly store: RecordStore;
-  private readonly range = { min: featureTable.lowest, max: featureTable.highest };
+  private readonly range = { min: featureTable.lowestLevel, max: featureTable.highestLevel };
   private readonly plan: PlanOptions = {
     features: featureTable,
     presenceKey: rolloutKeys.presence,
-    barrierFrom: BARRIER_FROM,
+    barrierMinLevel: BARRIER_MIN_LEVEL,
   };
   private isMigrating = false;
 
@@ -64,7 +64,7 @@
     private readonly node: RolloutContext,
     private readonly setup: RolloutSetup,
   ) {
-    this.tracker = new VersionTracker(featureTable, this.range, MARKED_LEVEL);
+    this.tracker = new VersionTracker(featureTable, this.range, CAPABILITIES_LEVEL);
     this.store = { transact: (change) => node.stateClient.transact(change, 'urgent') };
     this.observer = new ClusterObserver(node, this.tracker, this.plan);
     this.driverRecord = new DriverRecordAccess(this.store, node.stateCache, node.settings.label);
@@ -87,8 +87,8 @@
       label: node.settings.label,
       process: node.process,
       range: this.range,
-      wants: featureTable.wanted((name) => this.setup.features.has(name)),
-      comply: (version) => this.comply(version),
+      wants: featureTable.enabledLevel((name) => this.setup.features.has(name)),
+      applyVersion: (version) => this.comply(version),
     });
   }
 
@@ -98,7 +98,7 @@
     return new VersionCoordinator(this.store, stateCache, lease, () => this.observer.snapshot(), {
       ...this.plan,
       barrierKey: BARRIER_KEY,
-      findLeftovers: () => stateClient.readKeysOfForm(ROOT, this.outdatedForm),
+      findOutdatedRecords: () => stateClient.readKeysOfForm(KEY_PREFIX, this.outdatedForm),
       log: (line) => {
         log.info(line);
       },
@@ -113,21 +113,21 @@
   }
 
   private get isFenced(): boolean {
-    return this.tracker.current.level >= BARRIER_FROM;
+    return this.tracker.current.level >= BARRIER_MIN_LEVEL;
   }
 
   /** Whether this node may claim shards: from the barrier's level on, only once it has published what it reads. */
-  admitClaims(): boolean {
+  mayClaimShards(): boolean {
     if (this.tracker.refusal !== null) return false;
     if (!this.isFenced || this.participant.isPublished) return true;
     this.participant.reconcile().catch((error: unknown) => {
-      log.debug(`presence: ${describe(error)}`);
+      log.debug(`presence: ${describeError(error)}`);
     });
     return false;
   }
 
   /** Whether a leader key is that of a process which can read what is stored. */
-  isEntitled(leader: LeaderRecord): boolean {
+  isLeaderCompatible(leader: LeaderRecord): boolean {
     return !this.isFenced || this.publishedProcess(leader.node) === leader.process;
   }
 
@@ -145,13 +145,13 @@
   // ---- Following and reconciling ----
 
   /** One of this subsystem's records has changed in the copy. */
-  note({ key, value, removed }: KeyValueChange): void {
+  handleRecordChange({ key, value, removed }: KeyValueChange): void {
     const present = removed ? null : value;
-    if (key === rolloutKeys.version) this.tracker.noteVersion(present);
-    else if (key === BARRIER_KEY) this.tracker.noteBarrier(key, present);
+    if (key === rolloutKeys.version) this.tracker.updateVersion(present);
+    else if (key === BARRIER_KEY) this.tracker.updateBarrier(key, present);
     else return;
     const { refusal } = this.tracker;
-    if (refusal !== null) this.setup.refused(describeRefusal(refusal));
+    if (refusal !== null) this.setup.onRefused(describeRefusal(refusal));
   }
 
   /** Takes one step of each change that is under way. */
@@ -165,7 +165,7 @@
       await this.coordinator.step();
       await this.migrate();
     } catch (error) {
-      log.debug(`rollout: ${describe(error)}`);
+      log.debug(`rollout: ${describeError(error)}`);
     }
   }
 
@@ -227,7 +227,7 @@
     const { stateCache, clock } = this.node;
     const cluster = {
       version: this.tracker.current,
-      versionCondition: unchanged(stateCache, rolloutKeys.version),
+      versionCondition: unchangedCondition(stateCache, rolloutKeys.version),
       damage: this.tracker.damage,
     };
     return operate(this.store, stateCache, cluster, operation, featureTable, clock.wall());
--- a/src/coordination/rollout/rolloutSetup.ts
+++ b/src/coordination/rollout/rolloutSetup.ts
@@ -14,21 +14,25 @@
   /** Null while rollouts are off: then nothing of them is loaded. */
   modules: RolloutModules | null;
   /** Called when this node must not serve: it has written nothing, and has to end. */
-  refused: (reason: string) => void;
+  onRefused: (reason: string) => void;
 }
 
 /** Everything off, as where there is no features file. */
-export const withoutRollout = (refused: RolloutSetup['refused']): RolloutSetup => ({
+export const rolloutDisabled = (refused: RolloutSetup['onRefused']): RolloutSetup => ({
   features: new Set(),
   modules: null,
-  refused,
+  onRefused: refused,
 });
 
 /** Loads what the switches need. */
 export async function setUpRollout(
   names: readonly string[],
-  refused: RolloutSetup['refused'],
+  refused: RolloutSetup['onRefused'],
 ): Promise<RolloutSetup> {
-  if (!names.includes(ROLLOUT)) return withoutRollout(refused);
-  return { features: new Set(names), modules: await import('./rolloutModules.js'), refused };
+  if (!names.includes(ROLLOUT)) return rolloutDisabled(refused);
+  return {
+    features: new Set(names),
+    modules: await import('./rolloutModules.js'),
+    onRefused: refused,
+  };
 }
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -136,7 +136,7 @@
  * The cheapest set of lower-ranked tasks whose end makes room for a task on their machine; null if even
  * all of them don't. Work of the same or a higher rank is never in it.
  */
-export function victimsFor<T extends Victim>(
+export function selectVictims<T extends Victim>(
   free: Readonly<Resources>,
   resources: Resources,
   running: T[],
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -11,7 +11,7 @@
   satisfiesConstraints,
   shapeOf,
   SLOW_MACHINE,
-  victimsFor,
+  selectVictims,
   type Victim,
 } from './placement.js';
 import type { PreemptibleShard } from './schedulableShard.js';
@@ -171,7 +171,7 @@
     const { spec, zone } = chunk;
     if (!machine.isSchedulable(now) || !satisfiesConstraints(spec, zone, machine)) return;
     const running = this.preemptibleTasks(machine, chunk, now);
-    const victims = victimsFor(machine.free, spec, running, preemptingRank(chunk));
+    const victims = selectVictims(machine.free, spec, running, preemptingRank(chunk));
     if (victims === null || victims.length === 0) return;
     const penalty = machine.hasImage(spec.image) ? 0 : MISSING_IMAGE_PENALTY;
     candidates.push({ machine, victims, loss: totalLoss(victims, penalty) });
@@ -234,7 +234,7 @@
     const candidates: PreemptionCandidate[] = [];
     for (const machine of machines) {
       const running = this.preemptibleTasks(machine, chunk, now);
-      const victims = victimsFor(machine.free, chunk.spec, running, chunk.rank);
+      const victims = selectVictims(machine.free, chunk.spec, running, chunk.rank);
       if (victims === null) continue;
       if (victims.some(({ placement }) => placement.chunk.spec.checkpointInterval > 0)) continue;
       candidates.push({ machine, victims, loss: totalLoss(victims, 0) });
--- a/src/coordination/scheduling/queueReplay.ts
+++ b/src/coordination/scheduling/queueReplay.ts
@@ -68,7 +68,7 @@
 const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 /** The machines at the beginning of a replay; one instance serves any number of replays. */
-export class ReplayStart {
+export class ReplaySnapshot {
   /** When running tasks end and machines get ready, soonest first. */
   readonly events: readonly ReplayEvent[];
 
@@ -85,8 +85,8 @@
 }
 
 /** Replays the queue with the candidate behind it, and says when the candidate's last task starts. */
-export function replay(
-  start: ReplayStart,
+export function replayQueue(
+  start: ReplaySnapshot,
   queue: ReplayItem[],
   candidate: ReplayItem,
 ): ReplayResult {
@@ -109,7 +109,7 @@
   private unstartedCandidates: number;
 
   constructor(
-    private readonly start: ReplayStart,
+    private readonly start: ReplaySnapshot,
     queue: ReplayItem[],
     private readonly candidate: ReplayItem,
   ) {
--- a/src/coordination/scheduling/quotaThrottle.ts
+++ b/src/coordination/scheduling/quotaThrottle.ts
@@ -6,7 +6,7 @@
  */
 import type { Chunk } from '../model/chunk.js';
 import {
-  noTeamResources,
+  zeroTeamResources,
   type ClusterView,
   type StarvedJob,
   type TeamResources,
@@ -70,8 +70,8 @@
    * What the team's pending tasks would use, out of `chunks`. Work that yields to a starved job at
    * another shard is left out: quota kept for it here is what that job waits for.
    */
-  wanted(team: string, chunks: Iterable<Chunk>): TeamResources {
-    const wanted = noTeamResources();
+  pendingDemand(team: string, chunks: Iterable<Chunk>): TeamResources {
+    const wanted = zeroTeamResources();
     const starved = this.cluster.starvedElsewhere(team);
     for (const chunk of chunks) {
       if (chunk.spec.team !== team || isBehind(chunk, starved)) continue;
--- a/src/coordination/scheduling/runTimes.ts
+++ b/src/coordination/scheduling/runTimes.ts
@@ -28,7 +28,7 @@
   private readonly medians = new Map<string, number>();
 
   /** Records that a task estimated at `estimate` seconds ran for `actual` seconds. */
-  note(jobClass: string, estimate: number, actual: number): void {
+  record(jobClass: string, estimate: number, actual: number): void {
     if (estimate <= 0 || actual <= 0) return;
     const largest = MAX_RATIO * RATIO_SCALE;
     let histogram = this.ratios.get(jobClass);
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -46,8 +46,8 @@
   }
 
   /** What pending tasks of a team would use here, for a new share of the team's quota. */
-  wanted(team: string): TeamResources {
-    return this.throttle.wanted(team, this.shard.chunks.values());
+  pendingDemand(team: string): TeamResources {
+    return this.throttle.pendingDemand(team, this.shard.chunks.values());
   }
 
   /**
--- a/src/coordination/scheduling/waitEstimates.ts
+++ b/src/coordination/scheduling/waitEstimates.ts
@@ -6,7 +6,7 @@
 import type { Machine, Placement } from '../model/machine.js';
 import { satisfiesConstraints } from './placement.js';
 import { fits, type Resources, subtractResources } from '../model/resources.js';
-import { replay, ReplayStart, type ReplayMachine, type ReplayItem } from './queueReplay.js';
+import { replayQueue, ReplaySnapshot, type ReplayMachine, type ReplayItem } from './queueReplay.js';
 
 /** How old a snapshot of the machines may be, as a ratio to the heartbeat interval. */
 const SNAPSHOT_AGE = 1 / 40;
@@ -18,7 +18,7 @@
 const EPSILON = 1e-9;
 
 interface Snapshot {
-  start: ReplayStart;
+  start: ReplaySnapshot;
   /** Steady time at which it was taken. */
   at: number;
 }
@@ -69,16 +69,16 @@
    * Seconds until the last of the candidate's tasks would start here, by replaying the queue. `self` is
    * the candidate's chunk where it is in the queue already: only what is ahead of it counts.
    */
-  waitFor(candidate: ReplayItem, now: number, self?: Chunk): number {
+  estimateWait(candidate: ReplayItem, now: number, self?: Chunk): number {
     const rank = rankOrder[candidate.spec.rank];
     const queue = this.queueAhead(rank, self);
     if (queue.length === 0 && this.hasRoomNow(candidate, now)) return 0;
     const { start, at } = this.snapshot(rank, now);
-    return Math.max(0, replay(start, queue, candidate).wait - (now - at));
+    return Math.max(0, replayQueue(start, queue, candidate).wait - (now - at));
   }
 
   /** Seconds to fetch an image here: 0 when a machine with room has it, or none that counts is allowed. */
-  fetchFor(spec: JobSpec, zone: string | null, now: number): number {
+  estimateFetch(spec: JobSpec, zone: string | null, now: number): number {
     let shortest = Infinity;
     for (const machine of this.shard.machines.values()) {
       if (machine.machineType === undefined || !machine.isCapacity(now)) continue;
@@ -109,7 +109,7 @@
   private snapshot(rank: number, now: number): Snapshot {
     const known = this.snapshots.get(rank);
     if (known !== undefined && now - known.at < this.heartbeatInterval * SNAPSHOT_AGE) return known;
-    const snapshot = { start: new ReplayStart(this.replayMachines(rank, now)), at: now };
+    const snapshot = { start: new ReplaySnapshot(this.replayMachines(rank, now)), at: now };
     this.snapshots.set(rank, snapshot);
     return snapshot;
   }
--- a/src/coordination/shard/capacityByRank.ts
+++ b/src/coordination/shard/capacityByRank.ts
@@ -30,11 +30,11 @@
   }
 
   /** Gives how many of a chunk's tasks find no room, and whether some machine could ever hold one. */
-  take(chunk: Chunk): { left: number; hasSuited: boolean } {
+  allocate(chunk: Chunk): { left: number; hasSuitableMachine: boolean } {
     this.settleDownTo(chunk.rank);
     const { spec, zone } = chunk;
     const shape = shapeOf(spec, zone);
-    if (this.full.has(shape)) return { left: chunk.pendingCount, hasSuited: true };
+    if (this.full.has(shape)) return { left: chunk.pendingCount, hasSuitableMachine: true };
     let left = chunk.pendingCount;
     let hasSuited = false;
     for (const { machine, room: resources } of this.rooms) {
@@ -44,7 +44,7 @@
       for (; left > 0 && fits(resources, spec); left--) subtractResources(resources, spec);
     }
     if (left > 0 && hasSuited) this.full.add(shape);
-    return { left, hasSuited };
+    return { left, hasSuitableMachine: hasSuited };
   }
 
   private settleDownTo(rank: number): void {
--- a/src/coordination/shard/demandEstimator.ts
+++ b/src/coordination/shard/demandEstimator.ts
@@ -53,11 +53,11 @@
   /** Counts a chunk's work as arrived, or with a `sign` of -1 as gone to another shard. */
   noteArrival(chunk: Chunk, sign: number, now: number): void {
     if (chunk.spec.isService) {
-      this.serviceArrivals.note(sign * chunk.pendingCount * chunk.spec.cpus, now);
+      this.serviceArrivals.record(sign * chunk.pendingCount * chunk.spec.cpus, now);
       this.lastService = chunk;
       return;
     }
-    this.arrivals.note(
+    this.arrivals.record(
       sign *
         chunk.pendingCount *
         chunk.spec.cpus *
@@ -128,7 +128,7 @@
    * Machines to be returned: idle for as long as a new one would take to boot, and not needed for
    * what arrives on the average. The dearest go first.
    */
-  idleMachines(now: number, idleRatio: number): string[] {
+  cordonIdleMachines(now: number, idleRatio: number): string[] {
     const idle = [...this.shard.machines.values()].filter(
       (m) => m.placements.size === 0 && m.isUp && !m.isReassigned,
     );
@@ -192,7 +192,7 @@
     for (const chunk of this.shard.queuedChunks()) {
       if (chunk.failureCount > FAILURES_WITHOUT_DEMAND) continue;
       const { spec } = chunk;
-      const { left, hasSuited } = rooms.take(chunk);
+      const { left, hasSuitableMachine: hasSuited } = rooms.allocate(chunk);
       let count = left;
       if (!spec.isService && hasSuited) {
         // Short work is through before a machine is up: only what is missing in the long run.
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -39,7 +39,7 @@
   /** Chunks that changed and are not stored yet. */
   readonly unsavedChunks = new Set<Chunk>();
   /** Machines that should be sent orders now. */
-  readonly pendingCommands = new Set<Machine>();
+  readonly machinesWithDueCommands = new Set<Machine>();
   /** Chunks whose tasks are all done or, cancelled, all over. */
   readonly finishedChunks = new Set<Chunk>();
   /** What should be rented for it, and what may be returned. */
@@ -52,7 +52,7 @@
   readonly scheduler: Scheduler;
   readonly unknownAttempts = new UnknownAttempts();
   /** The fencing tokens of the leadership. */
-  tokens = NO_LEADERSHIP;
+  fencingTokens = NO_LEADERSHIP;
   /** Tasks whose start is held back, as noted in the audit trail. */
   private readonly withheldStarts = new Set<string>();
 
@@ -108,7 +108,7 @@
     if (machine.isReassigned) return;
     machine.isReassigned = true;
     this.waitEstimates.invalidate();
-    this.pendingCommands.delete(machine);
+    this.machinesWithDueCommands.delete(machine);
     log.error(
       `shard ${this.label}: ${machine.name} is recorded for shard ${machine.recordedShard}; ` +
         `what may run there is kept until it is known to be over`,
@@ -122,7 +122,7 @@
     this.machines.delete(name);
     this.unknownAttempts.forget(machine);
     this.waitEstimates.invalidate();
-    this.pendingCommands.delete(machine);
+    this.machinesWithDueCommands.delete(machine);
     const termination = AttemptTermination.byMachineRemoval(now);
     for (const placement of [...machine.placements.values()])
       this.terminateAttempt(machine, placement, termination, now);
@@ -130,7 +130,7 @@
 
   /** Not while another attempt of the task runs on a machine of the shard: then what we know is wrong, and it waits. */
   private mayStart(task: string, now: number): boolean {
-    const holder = this.unknownAttempts.holderOf(
+    const holder = this.unknownAttempts.findMachine(
       task,
       (machine) => AttemptTermination.byLeaseExpiry(machine, this.options, now) === null,
     );
@@ -155,7 +155,7 @@
 
   /** A copy of a start was carried out though the worker was told to forget the attempt: it is ended as any unknown one. */
   noteReturnedAttempts(machine: Machine): void {
-    for (const attempt of machine.acknowledgedAttempts.noteReport(machine.reportedAttempts)) {
+    for (const attempt of machine.acknowledgedAttempts.applyReport(machine.reportedAttempts)) {
       this.reportInvariantViolation(
         'acknowledged-attempt-returned',
         `${attempt} at ${machine.name}`,
@@ -172,7 +172,7 @@
   requestStop(machine: Machine, attempt: Attempt, gracePeriod: number): void {
     if (attempt.stop !== null) return;
     attempt.stop = { gracePeriod, sentAt: null };
-    this.pendingCommands.add(machine);
+    this.machinesWithDueCommands.add(machine);
   }
 
   /** Ends an entry whose attempt is over. */
@@ -192,7 +192,7 @@
       evidenceAge: now - termination.evidenceAt,
     });
     // A worker forgets what it has shown us only by our acknowledgement, or with its agent epoch; an adopter's acknowledgement has a higher fencing token.
-    const isDeposed = this.tokens.isSurpassedBy(machine.highestFencingToken);
+    const isDeposed = this.fencingTokens.isSurpassedBy(machine.highestFencingToken);
     if (termination.rule === 'absent' && !attempt.isInherited && !isDeposed) {
       this.reportInvariantViolation(
         'attempt-vanished',
@@ -338,7 +338,7 @@
    * Its home has counted it as over. An adopter may have taken it up from a record that did not say so
    * yet; what it has started of it meanwhile is of no use.
    */
-  retireChunk(chunk: Chunk, now: number): void {
+  discardFinishedChunk(chunk: Chunk, now: number): void {
     if (chunk.isComplete || chunk.attempts.size === 0) this.dropChunk(chunk);
     else this.cancel(chunk, now);
   }
@@ -372,7 +372,7 @@
       if (machine === undefined) continue;
       this.requestStop(machine, attempt, 0);
       attempt.stop = { gracePeriod: 0, sentAt: null };
-      const termination = AttemptTermination.asNeverSent(machine, attempt, now);
+      const termination = AttemptTermination.byStartNeverSent(machine, attempt, now);
       if (termination !== null)
         this.terminateAttempt(machine, { chunk, attempt }, termination, now);
     }
--- a/src/main.ts
+++ b/src/main.ts
@@ -7,7 +7,7 @@
 import { startupSnapshot } from 'node:v8';
 import { Command, CommanderError } from 'commander';
 import { systemClock } from './base/clock.js';
-import { describe, log, setLogLevel } from './base/log.js';
+import { describeError, log, setLogLevel } from './base/log.js';
 import { seededRandom } from './base/random.js';
 import { VERSION } from './base/version.js';
 import { printStatus, printWhy, QueryError } from './cli/query.js';
@@ -19,7 +19,7 @@
   defaultTuning,
   parseSettings,
   parseTuning,
-  readText,
+  readTextFile,
   SettingsError,
   type Settings,
   type Tuning,
@@ -45,7 +45,7 @@
  * Features are part of a build: the startup snapshot holds them, since a controller has no disk to read them from.
  */
 const builtFeatures = existsSync(BUILT_FEATURES)
-  ? (JSON.parse(readText(BUILT_FEATURES)) as string[])
+  ? (JSON.parse(readTextFile(BUILT_FEATURES)) as string[])
   : [];
 
 /** The features of a file that was named at the start. */
@@ -55,8 +55,8 @@
 }
 
 function load(config: string, properties: string | undefined): [Settings, Tuning] {
-  const settings = parseSettings(readText(config));
-  const tuning = properties === undefined ? defaultTuning : parseTuning(readText(properties));
+  const settings = parseSettings(readTextFile(config));
+  const tuning = properties === undefined ? defaultTuning : parseTuning(readTextFile(properties));
   return [settings, tuning];
 }
 
@@ -108,7 +108,7 @@
     idleTimeout: settings.workerLease,
     essential: isEssential,
   });
-  const peers = new PeerServer((body) => gateway.peer(body));
+  const peers = new PeerServer((body) => gateway.handlePeerMessage(body));
   await peers.listen(peerListen);
   await server.listen(listen);
   log.info(`barrowlb ${VERSION} listens on ${settings.clientListen} as ${settings.label}`);
@@ -163,7 +163,7 @@
 function start(): void {
   // A fault in one request must not end the controller; the loops settle what it left undone.
   process.on('unhandledRejection', (error) => {
-    log.error(`unhandled: ${describe(error)}`);
+    log.error(`unhandled: ${describeError(error)}`);
   });
   main().catch((error: unknown) => {
     if (error instanceof CommanderError) {
@@ -171,7 +171,7 @@
       return;
     }
     const known = error instanceof SettingsError || error instanceof QueryError;
-    process.stderr.write(`barrowlb: ${known ? error.message : describe(error)}\n`);
+    process.stderr.write(`barrowlb: ${known ? error.message : describeError(error)}\n`);
     process.exit(1);
   });
 }
--- a/src/protocol/cloudProtocol.ts
+++ b/src/protocol/cloudProtocol.ts
@@ -45,7 +45,7 @@
 });
 
 /** The machine types that an answer tells of; null where it is malformed. */
-export function parseTypes(raw: unknown): MachineType[] | null {
+export function parseMachineTypes(raw: unknown): MachineType[] | null {
   const result = v.safeParse(typesSchema, raw);
   if (!result.success) return null;
   return result.output.Flavours.map((t) => ({
@@ -78,7 +78,9 @@
 });
 
 /** One page of the list of machines; null where it is malformed. */
-export function parseList(raw: unknown): { machines: ListedMachine[]; more: boolean } | null {
+export function parseMachineList(
+  raw: unknown,
+): { machines: ListedMachine[]; more: boolean } | null {
   const result = v.safeParse(listSchema, raw);
   if (!result.success) return null;
   return {
@@ -98,14 +100,14 @@
 const rentedSchema = v.object({ Drones: v.array(v.string()) });
 
 /** The names of the machines that a request brought; null where the answer is malformed. */
-export function parseRented(raw: unknown): string[] | null {
+export function parseRentedMachines(raw: unknown): string[] | null {
   const result = v.safeParse(rentedSchema, raw);
   return result.success ? result.output.Drones : null;
 }
 
 /** A request for machines of one kind; the cloud answers a repeat of `ask` with the same machines. */
 export interface RentalRequest {
-  ask: string;
+  idempotencyKey: string;
   type: string;
   zone: string;
   spot: boolean;
@@ -114,7 +116,7 @@
 
 /** The body of a request for machines. */
 export const rentalRequest = (ask: RentalRequest): Record<string, unknown> => ({
-  Ask: ask.ask,
+  Ask: ask.idempotencyKey,
   Flavour: ask.type,
   Yard: ask.zone,
   Loaners: ask.spot,
@@ -134,8 +136,8 @@
 };
 
 /** Machines on one page of the list. */
-export const LIST_PAGE = 500;
+export const LIST_PAGE_SIZE = 500;
 /** Machines that one request may ask for. */
-export const RENT_LIMIT = 50;
+export const MAX_RENTAL_COUNT = 50;
 /** Machines that one release may name. */
-export const RELEASE_LIMIT = 100;
+export const MAX_RELEASE_COUNT = 100;
--- a/src/protocol/job.ts
+++ b/src/protocol/job.ts
@@ -46,9 +46,9 @@
 const name = v.pipe(v.string(), v.nonEmpty(), v.maxLength(256));
 
 /** The form of an id, which also makes it safe inside a key of the state service. */
-export const idPattern = /^wk-[0-9A-Za-z_.-]{1,100}$/;
+export const jobIdPattern = /^wk-[0-9A-Za-z_.-]{1,100}$/;
 
-const jobId = v.pipe(v.string(), v.regex(idPattern));
+const jobId = v.pipe(v.string(), v.regex(jobIdPattern));
 
 const schema = v.object({
   Uid: jobId,
@@ -75,10 +75,10 @@
 });
 
 /** A description, or what is wrong with it. */
-export type Parsed = { job: JobSpec } | { error: string };
+export type ParsedJob = { job: JobSpec } | { error: string };
 
 /** Checks the body of a submission; the error names the first field that is wrong. */
-export function parseJob(body: string): Parsed {
+export function parseJob(body: string): ParsedJob {
   let raw: unknown;
   try {
     raw = JSON.parse(body);
@@ -132,7 +132,7 @@
 }
 
 /** The answer to a question about a job. */
-export const jobAnswer = (id: string, view: JobView): Record<string, unknown> => ({
+export const jobViewAnswer = (id: string, view: JobView): Record<string, unknown> => ({
   Uid: id,
   Status: view.status,
   done: view.done,
@@ -152,7 +152,7 @@
 }
 
 /** The answer to a submission or a cancellation. */
-export const acceptedAnswer = (id: string, status: JobStatus): Record<string, unknown> => ({
+export const jobStatusAnswer = (id: string, status: JobStatus): Record<string, unknown> => ({
   Uid: id,
   Status: status,
 });
--- a/src/protocol/peerCodec.ts
+++ b/src/protocol/peerCodec.ts
@@ -80,7 +80,7 @@
 
 function toWireGossip(gossip: Gossip): WireGossip {
   return {
-    from: gossip.from,
+    from: gossip.sender,
     process: gossip.process,
     sequence: gossip.sequence,
     at: gossip.sentAt,
@@ -108,7 +108,7 @@
 
 function fromWireGossip(gossip: WireGossip): Gossip {
   return {
-    from: gossip.from,
+    sender: gossip.from,
     process: gossip.process,
     sequence: gossip.sequence,
     sentAt: gossip.at,
--- a/src/protocol/peerMessages.ts
+++ b/src/protocol/peerMessages.ts
@@ -24,7 +24,7 @@
 
 /** What a controller tells its peers several times a heartbeat interval. */
 export interface Gossip {
-  from: string;
+  sender: string;
   /** Tells one start of the sender from the next. */
   process: string;
   /** Rises with each message of a process. */
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -110,7 +110,7 @@
   stateWriteRate: number;
   valueBytes: number;
   txnOps: number;
-  cloudRate: number;
+  cloudRequestRate: number;
   cloudListLag: number;
   maxSockets: number;
   cores: number;
@@ -165,7 +165,7 @@
     stateWriteRate: smaller(s.state.write_rps, s.state.next.write_rps),
     valueBytes: smaller(s.state.value_kb, s.state.next.value_kb) * 1024,
     txnOps: smaller(s.state.txn_ops, s.state.next.txn_ops),
-    cloudRate: s.cloud.rps,
+    cloudRequestRate: s.cloud.rps,
     cloudListLag: s.cloud.list_lag_s,
     maxSockets: s.limits.fd_limit,
     cores: s.limits.cores,
@@ -246,7 +246,7 @@
 }
 
 /** The text of a file; throws `SettingsError` where it cannot be read. */
-export function readText(path: string): string {
+export function readTextFile(path: string): string {
   try {
     return readFileSync(path, 'utf8');
   } catch (error) {
--- a/src/protocol/stateProtocol.ts
+++ b/src/protocol/stateProtocol.ts
@@ -53,7 +53,7 @@
 });
 
 /** One key with its value; null where the answer is malformed. */
-export function parseItem(raw: unknown): KeyValue | null {
+export function parseKeyValue(raw: unknown): KeyValue | null {
   const result = v.safeParse(itemSchema, raw);
   if (!result.success) return null;
   return { key: result.output.K, value: result.output.Value, revision: result.output.Stamp };
@@ -74,13 +74,13 @@
 }
 
 /** The state service's revision; null where the answer is malformed. */
-export function parseEpoch(raw: unknown): number | null {
+export function parseRevision(raw: unknown): number | null {
   const result = v.safeParse(epochSchema, raw);
   return result.success ? result.output.Epoch : null;
 }
 
 /** The keys whose conditions did not hold; empty where the answer does not tell. */
-export function parseFailed(raw: unknown): string[] {
+export function parseFailedConditions(raw: unknown): string[] {
   const result = v.safeParse(failedSchema, raw);
   return result.success ? result.output.failed : [];
 }
@@ -100,7 +100,7 @@
 }
 
 /** Changes after a revision; null where the answer is malformed. */
-export function parseLog(raw: unknown): { revision: number; changes: KeyValueChange[] } | null {
+export function parseChanges(raw: unknown): { revision: number; changes: KeyValueChange[] } | null {
   const result = v.safeParse(logSchema, raw);
   if (!result.success) return null;
   return {
@@ -125,16 +125,16 @@
   range: (prefix: string, after: string, page: number): string =>
     `/kv?Under=${encodeURIComponent(prefix)}` +
     `${after === '' ? '' : `&From=${encodeURIComponent(after)}`}&Page=${page}`,
-  txn: '/multi',
-  grants: '/grants',
-  extend: (hold: number): string => `/grants/${hold}/extend`,
+  transaction: '/multi',
+  leases: '/grants',
+  renewLease: (hold: number): string => `/grants/${hold}/extend`,
   changes: (prefix: string, from: number, hold: number): string =>
     `/changes?Under=${encodeURIComponent(prefix)}&From=${from}&HoldMs=${Math.round(hold * 1000)}`,
 };
 
 /** Keys on one page of a range. */
-export const RANGE_PAGE = 1000;
+export const RANGE_PAGE_SIZE = 1000;
 /** What a request may hold as a whole. */
-export const REQUEST_BYTES = 64 * 1024;
+export const MAX_REQUEST_BYTES = 64 * 1024;
 /** Of a transaction, what its changes may take; the rest is left for its conditions. */
-export const TRANSACTION_BYTES = REQUEST_BYTES - 4 * 1024;
+export const MAX_TRANSACTION_CHANGE_BYTES = MAX_REQUEST_BYTES - 4 * 1024;
--- a/src/protocol/workerProtocol.ts
+++ b/src/protocol/workerProtocol.ts
@@ -134,4 +134,4 @@
   owner === null ? {} : { Foreman: owner };
 
 /** The workers' HTTP paths. */
-export const paths = { orders: '/orders', inspect: '/inspect' };
+export const paths = { commands: '/orders', inspect: '/inspect' };
--- a/src/storage/chunkIndex.ts
+++ b/src/storage/chunkIndex.ts
@@ -29,7 +29,7 @@
   }
 
   /** Follows one bucket's record; null: it has been removed. */
-  note(shard: string, bucket: string, value: BucketRecord | null, revision: number): void {
+  update(shard: string, bucket: string, value: BucketRecord | null, revision: number): void {
     const key = `${shard}/${bucket}`;
     for (const id of this.members.get(key) ?? []) {
       const known = this.chunks.get(id);
--- a/src/storage/compression.ts
+++ b/src/storage/compression.ts
@@ -4,14 +4,14 @@
  */
 import { deflateSync, inflateSync, strFromU8, strToU8 } from 'fflate';
 import { crc32 } from 'node:zlib';
-import { REQUEST_BYTES } from '../protocol/stateProtocol.js';
+import { MAX_REQUEST_BYTES } from '../protocol/stateProtocol.js';
 import { CorruptRecordError, type CompressedValue, type RecordCodec } from './recordCodec.js';
 
 /** Records are some kilobytes: a higher level takes longer and saves nothing. */
 const LEVEL = 6;
 
 /** No record was ever written whose text was longer than a request to the state service may be. */
-const MOST_BYTES = REQUEST_BYTES;
+const MOST_BYTES = MAX_REQUEST_BYTES;
 
 function compress(text: string): CompressedValue | null {
   const bytes = strToU8(text);
--- a/src/storage/fragments.ts
+++ b/src/storage/fragments.ts
@@ -1,5 +1,5 @@
 /** Records beyond the state service's limit are stored in fragments: a head under their own key, and the rest apart. */
-import { keys, FRAGMENTS } from './records.js';
+import { keys, FRAGMENT_PREFIX } from './records.js';
 
 /** The first piece of a record that is stored in several. */
 interface FragmentHead {
@@ -21,13 +21,13 @@
 }
 
 /** Room in a piece for what stands around its text. */
-export const FRAGMENT_FRAME_BYTES = 40;
+export const FRAGMENT_OVERHEAD_BYTES = 40;
 
 /** And in a head that tells that its record is kept as it is. */
 const KEPT_BYTES = ',"kept":true'.length;
 
 /** Bytes that a value takes as JSON. */
-export const bytesOf = (value: unknown): number =>
+export const jsonBytes = (value: unknown): number =>
   value === undefined ? 0 : Buffer.byteLength(JSON.stringify(value));
 
 /** How many fragments belong to a value besides its head. */
@@ -37,7 +37,7 @@
 };
 
 /** Whether a head tells that its record cannot be made smaller. */
-export const isKeptAsIs = (value: unknown): boolean =>
+export const isMarkedIncompressible = (value: unknown): boolean =>
   fragmentCount(value) > 0 && (value as FragmentHead).kept === true;
 
 /** The value of a head and its fragments; a record without fragments is its head. */
@@ -48,7 +48,7 @@
 }
 
 /** Whether a key holds a fragment of another record. */
-export const isFragmentKey = (key: string): boolean => key.startsWith(FRAGMENTS);
+export const isFragmentKey = (key: string): boolean => key.startsWith(FRAGMENT_PREFIX);
 
 /** What is put for a value that takes several fragments; the first is under its own key. */
 export function splitIntoFragments(
@@ -57,11 +57,11 @@
   valueBytes: number,
   isKept: boolean,
 ): [KeyedValue, ...KeyedValue[]] {
-  const room = valueBytes - FRAGMENT_FRAME_BYTES - (isKept ? KEPT_BYTES : 0);
+  const room = valueBytes - FRAGMENT_OVERHEAD_BYTES - (isKept ? KEPT_BYTES : 0);
   const [first = '', ...rest] = splitText(JSON.stringify(value), room);
   const head: FragmentHead = { v: 2, pieces: rest.length, text: first };
   if (isKept) head.kept = true;
-  const pieces = rest.map((text, i) => ({ key: keys.piece(key, i + 1), value: { text } }));
+  const pieces = rest.map((text, i) => ({ key: keys.fragment(key, i + 1), value: { text } }));
   return [{ key, value: head }, ...pieces];
 }
 
@@ -71,7 +71,7 @@
   let piece = '';
   let used = 0;
   for (const char of text) {
-    const size = bytesOf(char) - 2;
+    const size = jsonBytes(char) - 2;
     if (used + size > most) {
       pieces.push(piece);
       [piece, used] = ['', 0];
--- a/src/storage/machineInventory.ts
+++ b/src/storage/machineInventory.ts
@@ -92,7 +92,7 @@
   }
 
   /** Follows one group's record; null: it has been removed. */
-  note(group: string, value: MachineGroupRecord | null): InventoryChange {
+  update(group: string, value: MachineGroupRecord | null): InventoryChange {
     const before = this.groups.get(group);
     const change: InventoryChange = { present: [], gone: [] };
     if (value === null) this.groups.delete(group);
--- a/src/storage/nodeCapabilities.ts
+++ b/src/storage/nodeCapabilities.ts
@@ -2,7 +2,7 @@
  * Which nodes can read the present record format. Each marks itself in the store, once; when all have, records are
  * written in that record format (safety, V2).
  */
-import { describe, log } from '../base/log.js';
+import { describeError, log } from '../base/log.js';
 import { keys, type NodeCapabilityRecord } from './records.js';
 import { RECORD_FORMAT_VERSION, type RecordFormat } from './recordFormat.js';
 import type { StateCache } from './stateCache.js';
@@ -30,7 +30,7 @@
   }
 
   /** Follows the marks in the copy of the records. */
-  note(label: string, record: NodeCapabilityRecord): void {
+  update(label: string, record: NodeCapabilityRecord): void {
     if (record.recordFormat < RECORD_FORMAT_VERSION || !this.unmarked.delete(label)) return;
     if (!this.isUpgraded) return;
     this.recordFormat.useCompact();
@@ -38,7 +38,7 @@
   }
 
   /** Marks this node, unless the copy of the records shows that it is marked. */
-  async ensure(): Promise<void> {
+  async publish(): Promise<void> {
     const key = keys.node(this.label);
     const stored = this.stateCache.get(key);
     const known = stored?.value as NodeCapabilityRecord | undefined;
@@ -58,7 +58,7 @@
       );
       if (result.kind === 'applied') this.stateCache.note(key, value, result.revision);
     } catch (error) {
-      log.debug(`mark of this node: ${describe(error)}`);
+      log.debug(`mark of this node: ${describeError(error)}`);
     } finally {
       this.isWriting = false;
     }
--- a/src/storage/plainRecords.ts
+++ b/src/storage/plainRecords.ts
@@ -23,14 +23,14 @@
 import type {
   StoredBucketRecord,
   StoredChunkRecord,
-  StoredEntryRecord,
+  StoredAttemptRecord,
   StoredGroupMachine,
   StoredGroupRecord,
   StoredJobRecord,
-  StoredLastOwner,
+  StoredLastLeader,
   StoredMachineType,
   StoredNodeRecord,
-  StoredOwnerRecord,
+  StoredLeaderRecord,
   StoredTokenRecord,
 } from './storedRecords.js';
 
@@ -127,14 +127,14 @@
   };
 }
 
-const toPlainEntry = (record: AttemptRecord): StoredEntryRecord => ({
+const toPlainEntry = (record: AttemptRecord): StoredAttemptRecord => ({
   task: record.task,
   attempt: record.attemptNumber,
   machine: record.machine,
   session: record.agentEpoch,
 });
 
-const fromPlainEntry = (stored: StoredEntryRecord): AttemptRecord => ({
+const fromPlainEntry = (stored: StoredAttemptRecord): AttemptRecord => ({
   task: stored.task,
   attemptNumber: stored.attempt,
   machine: stored.machine,
@@ -157,25 +157,25 @@
     : { lastLeaders: mapValues(stored.owners, fromStoredLastOwner) }),
 });
 
-const toStoredLastOwner = (record: LastLeader): StoredLastOwner => ({
+const toStoredLastOwner = (record: LastLeader): StoredLastLeader => ({
   node: record.node,
   lost: record.lostAtByNode,
 });
 
-const fromStoredLastOwner = (stored: StoredLastOwner): LastLeader => ({
+const fromStoredLastOwner = (stored: StoredLastLeader): LastLeader => ({
   node: stored.node,
   lostAtByNode: stored.lost,
 });
 
 /** A leader's key as it is stored. */
-export const toStoredOwner = (record: LeaderRecord): StoredOwnerRecord => ({
+export const toStoredLeader = (record: LeaderRecord): StoredLeaderRecord => ({
   node: record.node,
   token: record.fencingToken,
   process: record.process,
 });
 
 /** A leader's key that was stored. */
-export const fromStoredOwner = (stored: StoredOwnerRecord): LeaderRecord => ({
+export const fromStoredLeader = (stored: StoredLeaderRecord): LeaderRecord => ({
   node: stored.node,
   fencingToken: stored.token,
   process: stored.process,
--- a/src/storage/rateLimiter.ts
+++ b/src/storage/rateLimiter.ts
@@ -78,7 +78,7 @@
   }
 
   /** Callers that wait for their turn. */
-  get waiting(): number {
+  get queueLength(): number {
     return this.queue.length;
   }
 
@@ -172,7 +172,7 @@
  * its even share counts with no more than that, and so does one that has not been heard. Never less
  * than half of the even share: what the others said may be old.
  */
-export function shareOf(total: number, sharers: number, needs: number[]): number {
+export function rateShareOf(total: number, sharers: number, needs: number[]): number {
   const even = total / sharers;
   let left = total;
   for (let i = 0; i < sharers - 1; i++) left -= Math.min(even, needs[i] ?? even);
--- a/src/storage/recordFormat.ts
+++ b/src/storage/recordFormat.ts
@@ -16,10 +16,10 @@
   decodeJob,
 } from './compactRecords.js';
 import {
-  bytesOf,
+  jsonBytes,
   splitIntoFragments,
-  isKeptAsIs,
-  FRAGMENT_FRAME_BYTES,
+  isMarkedIncompressible,
+  FRAGMENT_OVERHEAD_BYTES,
   fragmentCount,
   type KeyedValue,
 } from './fragments.js';
@@ -27,14 +27,14 @@
   fromStoredGroup,
   fromStoredMachineType,
   fromStoredNode,
-  fromStoredOwner,
+  fromStoredLeader,
   fromStoredTokens,
   toPlainBucket,
   toPlainJob,
   toStoredGroup,
   toStoredMachineType,
   toStoredNode,
-  toStoredOwner,
+  toStoredLeader,
   toStoredTokens,
 } from './plainRecords.js';
 import {
@@ -45,9 +45,9 @@
 } from './recordCodec.js';
 import {
   BARRIER_KEY,
-  BUCKETS,
-  GROUPS,
-  JOBS,
+  BUCKET_PREFIX,
+  MACHINE_GROUP_PREFIX,
+  JOB_PREFIX,
   kindOfRecord,
   type BucketRecord,
   type MachineGroupRecord,
@@ -60,7 +60,7 @@
   StoredGroupRecord,
   StoredMachineType,
   StoredNodeRecord,
-  StoredOwnerRecord,
+  StoredLeaderRecord,
   StoredTokenRecord,
 } from './storedRecords.js';
 
@@ -70,14 +70,14 @@
 /** What a chunk's record takes at the most, beside its description. */
 export interface RecordSizes {
   /** Everything but the description and the tasks. */
-  frame: number;
+  overheadBytes: number;
   /** One task, as an entry or between two gaps of what is done. */
-  task: number;
+  taskBytes: number;
 }
 
 const SIZES: Record<1 | 2, RecordSizes> = {
-  1: { frame: 260, task: 66 },
-  2: { frame: 190, task: 30 },
+  1: { overheadBytes: 260, taskBytes: 66 },
+  2: { overheadBytes: 190, taskBytes: 30 },
 };
 
 /** Of a record, what one chunk may grow to. */
@@ -88,12 +88,14 @@
 
 /** Only records whose every change is made under a leader key are compressed, so that it can be taken back. */
 const isCompressible = (key: string): boolean =>
-  key.startsWith(JOBS) || key.startsWith(BUCKETS) || key.startsWith(GROUPS);
+  key.startsWith(JOB_PREFIX) ||
+  key.startsWith(BUCKET_PREFIX) ||
+  key.startsWith(MACHINE_GROUP_PREFIX);
 
 /** The form of a record by its head and its value, joined but not expanded. */
 export function formOf(key: string, head: unknown, joined: unknown): StoredForm {
   if (isCompressed(joined)) return 'compressed';
-  const isInPieces = fragmentCount(head) > 0 && !isKeptAsIs(head);
+  const isInPieces = fragmentCount(head) > 0 && !isMarkedIncompressible(head);
   return isInPieces && isCompressible(key) ? 'pieces' : 'plain';
 }
 
@@ -135,8 +137,8 @@
   }
 
   /** Tasks of a chunk that one record holds at the most, with room for the description. */
-  tasksFor(spec: JobSpec): number {
-    const { frame, task } = this.sizes;
+  maxTasksPerChunk(spec: JobSpec): number {
+    const { overheadBytes: frame, taskBytes: task } = this.sizes;
     const room = this.limits.valueBytes * CHUNK_SHARE - this.specBytes(spec) - frame;
     return Math.max(1, Math.floor(room / task));
   }
@@ -147,9 +149,9 @@
   }
 
   /** The most that may be stored under one key by a transaction that changes so much else. */
-  capacity(otherOperations: number): number {
+  maxRecordBytes(otherOperations: number): number {
     const pieces = this.isCompact ? Math.max(1, this.limits.txnOps - otherOperations) : 1;
-    return pieces * (this.limits.valueBytes - FRAGMENT_FRAME_BYTES);
+    return pieces * (this.limits.valueBytes - FRAGMENT_OVERHEAD_BYTES);
   }
 
   /** Bytes of a job's description as it is stored. */
@@ -158,14 +160,14 @@
     if (known !== undefined) return known;
     const { dependencies: waitsOn } = spec;
     const stored = this.isCompact ? compactSpec(spec) : { ...toStoredSpec(spec), waitsOn };
-    const bytes = bytesOf(stored);
+    const bytes = jsonBytes(stored);
     this.descriptions.set(spec, bytes);
     return bytes;
   }
 
   /** Bytes of a record as it is stored, before fragments or compression. */
-  bytes(key: string, value: unknown): number {
-    return bytesOf(this.encode(key, value));
+  encodedBytes(key: string, value: unknown): number {
+    return jsonBytes(this.encode(key, value));
   }
 
   /** Puts that a value takes: more than one where it is stored in fragments. */
@@ -186,7 +188,7 @@
       case 'group':
         return toStoredGroup(value as MachineGroupRecord);
       case 'owner':
-        return toStoredOwner(value as LeaderRecord);
+        return toStoredLeader(value as LeaderRecord);
       case 'node':
         return toStoredNode(value as NodeCapabilityRecord);
       case 'tokens':
@@ -208,7 +210,7 @@
     const { valueBytes } = this.limits;
     const encoded = this.encode(key, value);
     if (!this.isCompact) return { puts: [{ key, value: encoded }], form: 'plain' };
-    const bytes = bytesOf(encoded);
+    const bytes = jsonBytes(encoded);
     if (bytes <= valueBytes) return { puts: [{ key, value: encoded }], form: 'plain' };
     const isTried = this.codec !== null && this.mayCompress() && isCompressible(key);
     const smaller = isTried ? this.compress(key, value, encoded, bytes) : null;
@@ -216,7 +218,7 @@
       const puts = splitIntoFragments(key, encoded, valueBytes, isTried);
       return { puts, form: formOf(key, puts[0].value, encoded) };
     }
-    const isWhole = bytesOf(smaller) <= valueBytes;
+    const isWhole = jsonBytes(smaller) <= valueBytes;
     const puts: EncodedValue['puts'] = isWhole
       ? [{ key, value: smaller }]
       : splitIntoFragments(key, smaller, valueBytes, false);
@@ -232,8 +234,8 @@
   ): CompressedValue | null {
     const compressed = this.codec?.compress(JSON.stringify(encoded)) ?? null;
     if (compressed === null) return null;
-    if (key.startsWith(JOBS)) compressed.state = (value as JobRecord).state;
-    return bytesOf(compressed) < bytes ? compressed : null;
+    if (key.startsWith(JOB_PREFIX)) compressed.state = (value as JobRecord).state;
+    return jsonBytes(compressed) < bytes ? compressed : null;
   }
 
   /** A stored value, its fragments joined, as the program knows it. */
@@ -248,7 +250,7 @@
       case 'group':
         return fromStoredGroup(stored as StoredGroupRecord);
       case 'owner':
-        return fromStoredOwner(stored as StoredOwnerRecord);
+        return fromStoredLeader(stored as StoredLeaderRecord);
       case 'node':
         return fromStoredNode(stored as StoredNodeRecord);
       case 'tokens':
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -16,35 +16,35 @@
 import type { JobSpec } from '../protocol/job.js';
 
 /** In front of all keys. */
-export const ROOT = 'b/';
+export const KEY_PREFIX = 'b/';
 /** In front of jobs' keys. */
-export const JOBS = 'b/job/';
+export const JOB_PREFIX = 'b/job/';
 /** In front of buckets' keys. */
-export const BUCKETS = 'b/run/';
+export const BUCKET_PREFIX = 'b/run/';
 /** In front of machine groups' keys. */
-export const GROUPS = 'b/fleet/';
+export const MACHINE_GROUP_PREFIX = 'b/fleet/';
 /** In front of leaders' keys. */
-export const OWNERS = 'b/own/';
+export const LEADER_PREFIX = 'b/own/';
 /** In front of nodes' keys. */
-export const NODES = 'b/node/';
+export const NODE_PREFIX = 'b/node/';
 /** In front of fragments' keys. */
-export const FRAGMENTS = 'b/piece/';
+export const FRAGMENT_PREFIX = 'b/piece/';
 
 /** Kept in front of all buckets, for builds that know of no cluster version: they cannot read it (safety, R3). */
-export const BARRIER_KEY = `${BUCKETS}~barrier/level`;
+export const BARRIER_KEY = `${BUCKET_PREFIX}~barrier/level`;
 
 /** The keys of all records. */
 export const keys = {
-  token: 'b/token',
-  types: 'b/types',
-  owner: (shard: string): string => `${OWNERS}${shard}`,
-  job: (id: string): string => `${JOBS}${id}`,
-  run: (shard: string, bucket: string): string => `${BUCKETS}${shard}/${bucket}`,
-  runs: (shard: string): string => `${BUCKETS}${shard}/`,
-  group: (ask: string): string => `${GROUPS}${ask}`,
+  fencingTokens: 'b/token',
+  machineTypes: 'b/types',
+  leader: (shard: string): string => `${LEADER_PREFIX}${shard}`,
+  job: (id: string): string => `${JOB_PREFIX}${id}`,
+  bucket: (shard: string, bucket: string): string => `${BUCKET_PREFIX}${shard}/${bucket}`,
+  bucketsOf: (shard: string): string => `${BUCKET_PREFIX}${shard}/`,
+  machineGroup: (ask: string): string => `${MACHINE_GROUP_PREFIX}${ask}`,
   quota: (team: string): string => `b/quota/${team}`,
-  node: (label: string): string => `${NODES}${label}`,
-  piece: (key: string, index: number): string => `${FRAGMENTS}${key}/${index}`,
+  node: (label: string): string => `${NODE_PREFIX}${label}`,
+  fragment: (key: string, index: number): string => `${FRAGMENT_PREFIX}${key}/${index}`,
 };
 
 /** The kinds of records whose stored names differ from those that the program uses. */
@@ -53,13 +53,13 @@
 
 /** Which kind of record is stored under a key; fragments are `other`, as they are parts of a text. */
 export function kindOfRecord(key: string): RecordKind {
-  if (key.startsWith(JOBS)) return 'job';
-  if (key.startsWith(BUCKETS)) return 'bucket';
-  if (key.startsWith(GROUPS)) return 'group';
-  if (key.startsWith(OWNERS)) return 'owner';
-  if (key.startsWith(NODES)) return 'node';
-  if (key === keys.token) return 'tokens';
-  return key === keys.types ? 'types' : 'other';
+  if (key.startsWith(JOB_PREFIX)) return 'job';
+  if (key.startsWith(BUCKET_PREFIX)) return 'bucket';
+  if (key.startsWith(MACHINE_GROUP_PREFIX)) return 'group';
+  if (key.startsWith(LEADER_PREFIX)) return 'owner';
+  if (key.startsWith(NODE_PREFIX)) return 'node';
+  if (key === keys.fencingTokens) return 'tokens';
+  return key === keys.machineTypes ? 'types' : 'other';
 }
 
 /**
--- a/src/storage/stateCache.ts
+++ b/src/storage/stateCache.ts
@@ -1,6 +1,6 @@
 /** The copy of the state service's records that each node keeps. */
 import { sleep, type Clock } from '../base/clock.js';
-import { log, describe } from '../base/log.js';
+import { log, describeError } from '../base/log.js';
 import type { KeyValueChange } from '../protocol/stateProtocol.js';
 import { keys, type JobRecord } from './records.js';
 import type { StateClient } from './stateClient.js';
@@ -167,7 +167,7 @@
         // Watches count as requests: a short pause lets changes gather.
         await sleep(this.options.pause);
       } catch (error) {
-        log.debug(`watch: ${describe(error)}`);
+        log.debug(`watch: ${describeError(error)}`);
         await sleep(this.options.pause * 4);
       }
     }
--- a/src/storage/stateClient.ts
+++ b/src/storage/stateClient.ts
@@ -4,7 +4,7 @@
 import { log } from '../base/log.js';
 import { HttpCallError, type HttpClient, type Response } from '../transport/httpClient.js';
 import * as wire from '../protocol/stateProtocol.js';
-import { RateLimiter, shareOf, type RequestPriority } from './rateLimiter.js';
+import { RateLimiter, rateShareOf, type RequestPriority } from './rateLimiter.js';
 import { isFragmentKey, joinFragments, fragmentCount } from './fragments.js';
 import { CorruptRecordError } from './recordCodec.js';
 import { formOf, type RecordFormat, type StoredForm } from './recordFormat.js';
@@ -94,8 +94,8 @@
     const { rate, writeRate, sharers } = this.options;
     const requests = needs.map((n) => n.requests);
     const writes = needs.map((n) => n.writes);
-    this.requests.setRate(shareOf(rate * RATE_SAFETY_FACTOR, sharers, requests));
-    this.writes.setRate(shareOf(writeRate * RATE_SAFETY_FACTOR, sharers, writes));
+    this.requests.setRate(rateShareOf(rate * RATE_SAFETY_FACTOR, sharers, requests));
+    this.writes.setRate(rateShareOf(writeRate * RATE_SAFETY_FACTOR, sharers, writes));
   }
 
   /** Changes a second that are ours just now. */
@@ -115,7 +115,7 @@
 
   /** Requests and changes that wait for their turn. */
   get backlog(): number {
-    return this.requests.waiting + this.writes.waiting;
+    return this.requests.queueLength + this.writes.queueLength;
   }
 
   /** Whether the last call was answered and not refused. */
@@ -169,7 +169,7 @@
       const head = await this.getRow(key);
       if (head === null) return null;
       const indexes = Array.from({ length: fragmentCount(head.value) }, (_, i) => i + 1);
-      const pieces = await Promise.all(indexes.map((i) => this.getRow(keys.piece(key, i))));
+      const pieces = await Promise.all(indexes.map((i) => this.getRow(keys.fragment(key, i))));
       const item = this.join(head, pieces);
       if (item !== null) return item;
     }
@@ -179,7 +179,7 @@
   private async getRow(key: string): Promise<wire.KeyValue | null> {
     const response = await this.ask('GET', wire.paths.key(key));
     if (response.status === 404) return null;
-    const item = wire.parseItem(response.body);
+    const item = wire.parseKeyValue(response.body);
     if (response.status !== 200 || item === null) throw new UnexpectedAnswerError();
     return item;
   }
@@ -251,7 +251,7 @@
     const rows = new Map<string, wire.KeyValue>();
     let epoch: number | null = null;
     for (let after = '', more = true; more;) {
-      const target = wire.paths.range(prefix, after, wire.RANGE_PAGE);
+      const target = wire.paths.range(prefix, after, wire.RANGE_PAGE_SIZE);
       const response = await this.ask('GET', target, undefined, this.options.timeout * 3);
       const page = wire.parseRange(response.body);
       if (response.status !== 200 || page === null) throw new UnexpectedAnswerError();
@@ -332,7 +332,7 @@
     await this.requests.acquire(1, priority === 'granted' ? 'ownership' : priority);
     let response: Response;
     try {
-      response = await this.call('POST', wire.paths.txn, wire.transactionRequest(stored));
+      response = await this.call('POST', wire.paths.transaction, wire.transactionRequest(stored));
     } catch (error) {
       if (error instanceof HttpCallError && error.unsent) return { kind: 'refused' };
       return { kind: 'unknown' };
@@ -353,7 +353,7 @@
     const written: WrittenRecord[] = [];
     const removePieces = (key: string, from: number): void => {
       for (let i = from; i <= (this.fragmentCounts.get(key) ?? 0); i++)
-        removes.push(keys.piece(key, i));
+        removes.push(keys.fragment(key, i));
     };
     for (const { key, value, leaseId: hold } of transaction.puts) {
       const { puts: encoded, form } = this.recordFormat.encodeValue(key, value);
@@ -389,10 +389,10 @@
 
   private resultOf(response: Response): TransactionResult {
     if (response.status === 200) {
-      return { kind: 'applied', revision: wire.parseEpoch(response.body) ?? 0 };
+      return { kind: 'applied', revision: wire.parseRevision(response.body) ?? 0 };
     }
     if (response.status === 409) {
-      return { kind: 'conflict', failed: wire.parseFailed(response.body) };
+      return { kind: 'conflict', failed: wire.parseFailedConditions(response.body) };
     }
     if (response.status === 400) {
       const isLease = wire.parseError(response.body).includes(NO_LEASE);
@@ -407,7 +407,7 @@
 
   /** A new lease of so many seconds. */
   async grantLease(ttl: number): Promise<number> {
-    const response = await this.ask('POST', wire.paths.grants, wire.leaseRequest(ttl));
+    const response = await this.ask('POST', wire.paths.leases, wire.leaseRequest(ttl));
     const hold = wire.parseLease(response.body);
     if (hold === null) throw new UnexpectedAnswerError();
     return hold;
@@ -417,7 +417,7 @@
   async renewLease(hold: number, timeout: number): Promise<boolean> {
     let response: Response;
     try {
-      response = await this.call('POST', wire.paths.extend(hold), undefined, timeout);
+      response = await this.call('POST', wire.paths.renewLease(hold), undefined, timeout);
     } catch (error) {
       throw noAnswer(error);
     }
@@ -436,7 +436,7 @@
     const target = wire.paths.changes(prefix, from, hold);
     const response = await this.ask('GET', target, undefined, hold + this.options.timeout);
     if (response.status === 410) return null;
-    const told = wire.parseLog(response.body);
+    const told = wire.parseChanges(response.body);
     if (response.status !== 200 || told === null) throw new UnexpectedAnswerError();
     return { revision: told.revision, changes: await this.joinChanges(told.changes) };
   }
@@ -472,7 +472,7 @@
   head: wire.KeyValue,
   find: (key: string) => wire.KeyValue | undefined,
 ): (wire.KeyValue | undefined)[] =>
-  Array.from({ length: fragmentCount(head.value) }, (_, i) => find(keys.piece(head.key, i + 1)));
+  Array.from({ length: fragmentCount(head.value) }, (_, i) => find(keys.fragment(head.key, i + 1)));
 
 const formOfRows = (head: wire.KeyValue, pieces: (wire.KeyValue | undefined)[]): StoredForm =>
   formOf(
--- a/src/storage/storedRecords.ts
+++ b/src/storage/storedRecords.ts
@@ -7,17 +7,17 @@
 /** `b/token`. */
 export interface StoredTokenRecord {
   last: number;
-  owners?: Record<string, StoredLastOwner>;
+  owners?: Record<string, StoredLastLeader>;
 }
 
 /** Who led a shard last, within `b/token`. */
-export interface StoredLastOwner {
+export interface StoredLastLeader {
   node: string;
   lost: Record<string, number>;
 }
 
 /** `b/own/SHARD`. */
-export interface StoredOwnerRecord {
+export interface StoredLeaderRecord {
   node: string;
   token: number;
   process: string;
@@ -43,7 +43,7 @@
 }
 
 /** One attempt within a chunk's record, in record format 1. */
-export interface StoredEntryRecord {
+export interface StoredAttemptRecord {
   task: number;
   attempt: number;
   machine: string;
@@ -60,7 +60,7 @@
   zone: string | null;
   next: number;
   done: number[];
-  entries: StoredEntryRecord[];
+  entries: StoredAttemptRecord[];
   moves: number;
 }
 
--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -10,7 +10,7 @@
   retryAfter: number | null;
 }
 
-interface Idle {
+interface IdleConnection {
   socket: net.Socket;
   timer: NodeJS.Timeout;
   drop: () => void;
@@ -25,7 +25,7 @@
     message: string,
     readonly unsent: boolean,
     /** It was not even tried, for want of sockets here: that says nothing of the other side. */
-    readonly local = false,
+    readonly isLocal = false,
   ) {
     super(message);
   }
@@ -35,23 +35,23 @@
  * Asked just before the first byte leaves, once the connection is up: this process may have stood still since the call, and
  * its right to what it asks for have ended.
  */
-export type MayLeave = () => boolean;
+export type SendGuard = () => boolean;
 
-const always: MayLeave = () => true;
+const always: SendGuard = () => true;
 
 /** A request that waits for its connection. */
-interface Outgoing {
+interface OutgoingRequest {
   text: string;
   /** Seconds. */
   timeout: number;
-  mayLeave: MayLeave;
+  mayLeave: SendGuard;
 }
 
 const RESPONSE_LIMIT = 64 * 1024 * 1024;
 
 /** Keeps a few idle connections a host; one request at a time on each. */
 export class HttpClient {
-  private readonly idle = new Map<string, Idle[]>();
+  private readonly idle = new Map<string, IdleConnection[]>();
   private open = 0;
   /** Closing, and no longer counted as open. */
   private readonly evicted = new Set<net.Socket>();
@@ -68,7 +68,7 @@
     target: string,
     body: unknown,
     timeout: number,
-    mayLeave: MayLeave = always,
+    mayLeave: SendGuard = always,
   ): Promise<Response> {
     const text = body === undefined ? '' : JSON.stringify(body);
     const head =
@@ -86,7 +86,7 @@
     return { status: message.status, body: parsed, retryAfter: retry > 0 ? retry : null };
   }
 
-  private exchange(endpoint: string, request: Outgoing): Promise<HttpMessage> {
+  private exchange(endpoint: string, request: OutgoingRequest): Promise<HttpMessage> {
     const kept = this.idle.get(endpoint)?.pop();
     if (kept !== undefined) {
       clearTimeout(kept.timer);
@@ -126,7 +126,7 @@
   private send(
     endpoint: string,
     socket: net.Socket,
-    { text, timeout, mayLeave }: Outgoing,
+    { text, timeout, mayLeave }: OutgoingRequest,
     connected: boolean,
   ): Promise<HttpMessage> {
     return new Promise((resolve, reject) => {
@@ -198,7 +198,11 @@
       if (pool.length === 0 && this.idle.get(endpoint) === pool) this.idle.delete(endpoint);
       socket.destroy();
     };
-    const entry: Idle = { socket, timer: setTimeout(drop, this.idleSeconds * 1000), drop };
+    const entry: IdleConnection = {
+      socket,
+      timer: setTimeout(drop, this.idleSeconds * 1000),
+      drop,
+    };
     entry.timer.unref();
     socket.on('error', drop);
     socket.on('end', drop);
--- a/src/transport/httpParser.ts
+++ b/src/transport/httpParser.ts
@@ -44,7 +44,7 @@
   ) {}
 
   /** True between messages: nothing of the next one has come yet. */
-  get idle(): boolean {
+  get isIdle(): boolean {
     return this.state === 'head' && this.buffer.length === 0;
   }
 
--- a/src/transport/httpServer.ts
+++ b/src/transport/httpServer.ts
@@ -8,7 +8,7 @@
 export { formatResponse, replyAtSending, type Reply } from './serverConnection.js';
 
 /** See `ConnectionEvents.answer`. */
-export type Handler = (request: HttpMessage, follows: boolean) => Promise<Reply>;
+export type RequestHandler = (request: HttpMessage, follows: boolean) => Promise<Reply>;
 
 /** Limits of a server. */
 export interface ServerOptions extends ConnectionOptions {
@@ -40,7 +40,7 @@
   private readonly connections = new Map<net.Socket, ServerConnection>();
 
   constructor(
-    private readonly handler: Handler,
+    private readonly handler: RequestHandler,
     private readonly options: ServerOptions,
   ) {
     this.server = net.createServer({ noDelay: true }, (socket) => {
@@ -55,7 +55,7 @@
   private makeRoom(): boolean {
     if (this.connections.size < this.options.maxConnections) return true;
     for (const [socket, connection] of this.connections) {
-      if (connection.busy) continue;
+      if (connection.isBusy) continue;
       this.connections.delete(socket);
       connection.drop();
       return true;
@@ -92,11 +92,11 @@
       return;
     }
     const connection = new ServerConnection(socket, this.options, {
-      active: () => {
+      onActivity: () => {
         this.connections.delete(socket);
         this.connections.set(socket, connection);
       },
-      closed: () => {
+      onClosed: () => {
         this.connections.delete(socket);
       },
       answer: (request, follows, isGone) => this.answer(request, follows, isGone),
--- a/src/transport/serverConnection.ts
+++ b/src/transport/serverConnection.ts
@@ -56,8 +56,8 @@
 /** What a connection tells and asks its server. */
 export interface ConnectionEvents {
   /** Bytes have arrived. */
-  active(): void;
-  closed(): void;
+  onActivity(): void;
+  onClosed(): void;
   /**
    * Answers a request. `follows`: an earlier one on this connection was answered, and its sender went on
    * using it, so it has had the answer; of one that only ever sends first requests, nothing is known.
@@ -89,7 +89,7 @@
   ) {
     this.parser = new HttpParser('request', options.bodyLimit);
     socket.on('close', () => {
-      events.closed();
+      events.onClosed();
     });
     socket.on('error', () => socket.destroy());
     socket.on('data', (data) => {
@@ -102,12 +102,12 @@
     // A machine that loses its power does not close its connection; kept for ever, such connections
     // would use up all sockets as machines come and go. Only a half-sent request is cut off sooner.
     socket.setTimeout(options.idleTimeout * 1000, () => {
-      if (!this.busy) this.drop();
+      if (!this.isBusy) this.drop();
     });
   }
 
   /** A request of it waits for its reply. */
-  get busy(): boolean {
+  get isBusy(): boolean {
     return this.answering;
   }
 
@@ -119,11 +119,11 @@
 
   private read(data: Buffer): void {
     if (this.closing) return;
-    this.events.active();
+    this.events.onActivity();
     const { idleTimeout, requestTimeout } = this.options;
     try {
       this.waiting.push(...this.parser.push(data));
-      this.socket.setTimeout((this.parser.idle ? idleTimeout : requestTimeout) * 1000);
+      this.socket.setTimeout((this.parser.isIdle ? idleTimeout : requestTimeout) * 1000);
       this.answerNext();
     } catch (error) {
       this.refuse(error);
--- a/test/audit/auditTrail.test.ts
+++ b/test/audit/auditTrail.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { AuditTrail, formatAuditEvent } from '../../src/coordination/audit/auditTrail.js';
-import { Bench } from '../support/bench.js';
+import { ShardFixture } from '../support/shardFixture.js';
 
 test('a line names time, node and event, and quotes what has spaces', () => {
   const line = formatAuditEvent('drone-0', 12.5, {
@@ -28,40 +28,40 @@
   {
     name: 'its worker reports the end',
     rule: 'ended',
-    end: (b: Bench) => b.report(b.machineOf('n-1'), [{ state: 'ended', cause: 'halted' }]),
+    end: (b: ShardFixture) => b.report(b.machineOf('n-1'), [{ state: 'ended', cause: 'halted' }]),
   },
   {
     name: 'it is in no report any more, which its worker owes us an end for',
     rule: 'absent',
     broken: { 'invariant-broken.attempt-vanished': 1 },
-    end: (b: Bench) => b.report(b.machineOf('n-1'), []),
+    end: (b: ShardFixture) => b.report(b.machineOf('n-1'), []),
   },
   {
     name: 'its worker has a newer session',
     rule: 'new-session',
-    end: (b: Bench) => b.report(b.machineOf('n-1'), [], { agentEpoch: 2 }),
+    end: (b: ShardFixture) => b.report(b.machineOf('n-1'), [], { agentEpoch: 2 }),
   },
   {
     name: 'nobody can have renewed the lease',
     rule: 'lease-over',
-    end: (b: Bench) => {
+    end: (b: ShardFixture) => {
       b.now += 30;
-      b.part.liveness.sweep(b.now);
+      b.shard.liveness.sweep(b.now);
     },
   },
   {
     name: 'its machine is gone',
     rule: 'machine-gone',
-    end: (b: Bench) => {
-      b.part.removeMachine('n-1', b.now);
+    end: (b: ShardFixture) => {
+      b.shard.removeMachine('n-1', b.now);
     },
   },
 ]) {
   test(`an attempt that is over is counted by the rule that ended it: ${name}`, () => {
-    const b = new Bench();
-    b.running(b.machine());
+    const b = new ShardFixture();
+    b.createRunningChunk(b.machine());
     end(b);
-    assert.deepEqual(b.part.audit.counters, { [`attempt-over.${rule}`]: 1, ...broken });
+    assert.deepEqual(b.shard.audit.counters, { [`attempt-over.${rule}`]: 1, ...broken });
   });
 }
 
--- a/test/autoscaling/inventorySync.test.ts
+++ b/test/autoscaling/inventorySync.test.ts
@@ -24,14 +24,14 @@
 test('addresses that are stored bring back no machine that was released meanwhile', async () => {
   // The groups were read before the first of them was written; the second lost a machine in between.
   const inventory = new MachineInventory();
-  inventory.note('g1', group('n-1'));
-  inventory.note('g2', group('n-2', 'n-3'));
+  inventory.update('g1', group('n-1'));
+  inventory.update('g2', group('n-2', 'n-3'));
   const written = new Map<string, string[]>();
   const groups = {
     pending: new Map<string, string[]>(),
     replace: (changes: Map<string, MachineGroupRecord | null>) => {
       for (const [name, value] of changes) written.set(name, Object.keys(value?.machines ?? {}));
-      inventory.note('g2', group('n-3'));
+      inventory.update('g2', group('n-3'));
       return Promise.resolve({ kind: 'applied' as const, revision: 1 });
     },
   };
--- a/test/autoscaling/openRentals.test.ts
+++ b/test/autoscaling/openRentals.test.ts
@@ -1,7 +1,7 @@
 /** Guards against a machine that is adopted while the rental that launched it is still to be answered. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { OpenRentals } from '../../src/coordination/autoscaling/openRentals.js';
+import { UnansweredLaunches } from '../../src/coordination/autoscaling/unansweredLaunches.js';
 import type { ListedMachine } from '../../src/protocol/cloudProtocol.js';
 import type { MachineGroupRecord } from '../../src/storage/records.js';
 import { MachineInventory } from '../../src/storage/machineInventory.js';
@@ -36,13 +36,13 @@
     let now = NOW;
     const inventory = new MachineInventory();
     const clock = { now: () => now, wall: () => now };
-    const rentals = new OpenRentals({ clock, inventory });
+    const rentals = new UnansweredLaunches({ clock, inventory });
     if (recordedAgo !== undefined) {
       now -= recordedAgo;
       rentals.noteRecorded('rental');
       now = NOW;
     }
-    inventory.note('rental', group);
+    inventory.update('rental', group);
     assert.equal(rentals.mayHaveLaunched(listed(machine)), may);
   });
 }
--- a/test/cluster/cluster.test.ts
+++ b/test/cluster/cluster.test.ts
@@ -165,7 +165,7 @@
     await accept(cluster, 'drone-0', submission('wk-000075'));
     const job = (): boolean | undefined =>
       cluster.nodes.get('drone-0')?.controller.ownedShards.get('drone-0')?.jobs.get('wk-000075')
-        ?.isUncertain;
+        ?.isOutcomeUnknown;
     await until('its end got no answer', () => job() === true);
     cluster.state.refused.add('drone-0');
     assert.equal((await cluster.call('drone-0', 'GET', '/v1/jobs/wk-000075')).status, 503);
--- a/test/commands/cancelledTaskMonitor.test.ts
+++ b/test/commands/cancelledTaskMonitor.test.ts
@@ -9,22 +9,22 @@
 import { dueCommands } from '../../src/coordination/model/dueCommands.js';
 import type { Machine } from '../../src/coordination/model/machine.js';
 import type { Command } from '../../src/protocol/workerProtocol.js';
-import { Bench } from '../support/bench.js';
+import { ShardFixture } from '../support/shardFixture.js';
 
 const HEARTBEAT_INTERVAL = 4;
 const RESEND_INTERVALS = 1.5;
 
 /** A machine that runs a task of a job whose cancellation is announced. */
-function cancelledTask(): { b: Bench; machine: Machine; owned: OwnedShard } {
-  const b = new Bench();
+function cancelledTask(): { b: ShardFixture; machine: Machine; owned: OwnedShard } {
+  const b = new ShardFixture();
   const machine = b.machine();
-  const chunk = b.running(machine);
-  b.part.prepareCancel(chunk, b.now);
-  return { b, machine, owned: createOwnedShard(b.part, { fencingToken: 7, revision: 1 }, b.now) };
+  const chunk = b.createRunningChunk(machine);
+  b.shard.prepareCancel(chunk, b.now);
+  return { b, machine, owned: createOwnedShard(b.shard, { fencingToken: 7, revision: 1 }, b.now) };
 }
 
-const violations = (b: Bench): string[] =>
-  Object.keys(b.part.audit.counters).filter((name) => name.startsWith('invariant-broken.'));
+const violations = (b: ShardFixture): string[] =>
+  Object.keys(b.shard.audit.counters).filter((name) => name.startsWith('invariant-broken.'));
 
 for (const { name, isSent, broken } of [
   { name: 'the answer carries the stop', isSent: true, broken: false },
@@ -37,7 +37,7 @@
     const sent = isSent ? dueCommands(machine, b.now, repeatAfter) : [];
     monitor.noteRenewal(owned, machine, sent);
     assert.deepEqual(violations(b), broken ? ['invariant-broken.renewal-without-stop'] : []);
-    assert.equal(b.part.audit.counters['cancellations.task-renewed'], 1);
+    assert.equal(b.shard.audit.counters['cancellations.task-renewed'], 1);
   });
 }
 
@@ -64,7 +64,7 @@
   assert.deepEqual(violations(b), ['invariant-broken.start-of-cancelled-job']);
 });
 
-const contextOf = (b: Bench): ConstructorParameters<typeof CancelledTaskMonitor>[0] => ({
+const contextOf = (b: ShardFixture): ConstructorParameters<typeof CancelledTaskMonitor>[0] => ({
   settings: { heartbeatInterval: HEARTBEAT_INTERVAL },
   clock: { now: () => b.now },
   leadership: { leaseExpiresAt: b.now + 1 },
--- a/test/commands/commandDispatcher.test.ts
+++ b/test/commands/commandDispatcher.test.ts
@@ -11,14 +11,14 @@
 } from '../../src/coordination/commands/commandDispatcher.js';
 import { HttpCallError, type Response } from '../../src/transport/httpClient.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
-import { emptyPart } from '../support/part.js';
+import { emptyShard } from '../support/emptyShard.js';
 import { spec } from '../support/spec.js';
 
 const SOCKETS = 120;
 
 /** A part of so many machines with live services, each last heard from long ago. */
 function fixture(count: number, call: (endpoint: string) => Promise<Response>) {
-  const part = emptyPart(4);
+  const part = emptyShard(4);
   for (let i = 0; i < count; i++) {
     const record = {
       shard: 'p',
@@ -53,7 +53,7 @@
     audit: new AuditTrail('drone-0', () => 0),
     authority: new Authority({
       leadership: ownership,
-      peers: { hostOf: () => null },
+      peers: { leaderOf: () => null },
       clock,
       leaderGracePeriod: 36,
     }),
@@ -131,7 +131,7 @@
 test('without a valid lease nothing is asked or ordered', () => {
   const { part, orders, asked, ownership } = fixture(3, () => new Promise(() => undefined));
   ownership.isLeaseValid = false;
-  for (const machine of part.machines.values()) part.pendingCommands.add(machine);
+  for (const machine of part.machines.values()) part.machinesWithDueCommands.add(machine);
   orders.send();
   orders.sweep();
   assert.deepEqual(asked, []);
@@ -162,7 +162,7 @@
   const [unwanted] = chunks;
   if (unwanted === undefined) throw new Error('no chunk');
   part.prepareCancel(unwanted, 100);
-  for (const machine of part.machines.values()) part.pendingCommands.add(machine);
+  for (const machine of part.machines.values()) part.machinesWithDueCommands.add(machine);
   orders.sweep();
   assert.deepEqual(asked, ['h:0']);
 });
--- a/test/commands/costs.test.ts
+++ b/test/commands/costs.test.ts
@@ -16,7 +16,7 @@
 import type { ReportedAttempt } from '../../src/protocol/workerProtocol.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
 import { submission, until } from '../support/cluster.js';
-import { emptyPart, m8 } from '../support/part.js';
+import { emptyShard, m8 } from '../support/emptyShard.js';
 import { spec } from '../support/spec.js';
 import { accept, settled, withCluster } from '../support/users.js';
 
@@ -24,7 +24,7 @@
 const AGAIN = REPORT * 1.5;
 
 function partWith(count: number): { part: Shard; machines: Machine[] } {
-  const part = emptyPart(REPORT, new Map([['m8', m8]]));
+  const part = emptyShard(REPORT, new Map([['m8', m8]]));
   const machines = Array.from({ length: count }, (_, i) => {
     const record = {
       shard: 'p',
@@ -176,7 +176,7 @@
   const chunks = machines.map((_, i) => addChunk(part, `wk-${i}`));
   part.scheduler.runRound(1, () => false);
   for (const chunk of chunks) chunk.storedVersion = chunk.version;
-  for (const machine of machines) part.pendingCommands.add(machine);
+  for (const machine of machines) part.machinesWithDueCommands.add(machine);
   orders.send();
   const perTurn: number[] = [];
   for (let turn = deferred.shift(); turn !== undefined; turn = deferred.shift()) {
@@ -213,7 +213,7 @@
   // The queue is not empty, so every question is answered by a replay.
   addChunk(part, 'wk-0', 1000);
   const asked = { spec: spec({ id: 'wk-x', cpus: 8 }), zone: null, count: 200, run: 20 };
-  const ask = (now: number): number => part.waitEstimates.waitFor(asked, now);
+  const ask = (now: number): number => part.waitEstimates.estimateWait(asked, now);
   const visits = countFree(() => {
     for (let i = 0; i < 30; i++) assert.equal(ask(1 + i / 1000), 0);
   });
@@ -253,8 +253,8 @@
     );
     let questions = 0;
     const { migration: sender } = controller;
-    const choose = sender.choose.bind(sender);
-    sender.choose = (home, ofJob, zone, count, queued) => {
+    const choose = sender.chooseShard.bind(sender);
+    sender.chooseShard = (home, ofJob, zone, count, queued) => {
       if (ofJob.id === 'wk-000702' && queued === undefined) questions++;
       return choose(home, ofJob, zone, count, queued);
     };
--- a/test/jobs/cancellationPreparations.test.ts
+++ b/test/jobs/cancellationPreparations.test.ts
@@ -8,7 +8,7 @@
 import { keys, type JobRecord } from '../../src/storage/records.js';
 import { replicasAwayFromHome, runningTasks } from '../support/storedServices.js';
 import { until, type Cluster } from '../support/cluster.js';
-import { emptyPart } from '../support/part.js';
+import { emptyShard } from '../support/emptyShard.js';
 import { spec as jobSpec } from '../support/spec.js';
 import { status, withCluster, type Answer } from '../support/users.js';
 
@@ -112,7 +112,7 @@
 const settings = { heartbeatInterval: 4, workerLease: 18, cancellationTimeout: 43 };
 
 function node(previousLeaderUntil: number, seenToken: number) {
-  const shard = emptyPart(4);
+  const shard = emptyShard(4);
   const ownedShard: OwnedShard = createOwnedShard(
     shard,
     { fencingToken: 7, revision: 1 },
@@ -187,7 +187,7 @@
 }
 for (const { name, cut, found, enough } of answers) {
   test(`a cancellation may be confirmed: ${name}`, async () => {
-    const tokens: Record<string, number> = { [keys.owner('q')]: 5, [keys.owner('r')]: 6 };
+    const tokens: Record<string, number> = { [keys.leader('q')]: 5, [keys.leader('r')]: 6 };
     const preparations = new CancellationPreparations({
       settings,
       clock: { now: () => NOW },
@@ -213,14 +213,14 @@
     const doneChunks = name.endsWith('is done') ? [0] : [];
     const record = { createdChunks: cut, doneChunks } as unknown as JobRecord;
     const job = { id: ID, record, revision: 1, isWriteInFlight: false };
-    const home = createOwnedShard(emptyPart(4), { fencingToken: 4, revision: 1 }, NOW);
+    const home = createOwnedShard(emptyShard(4), { fencingToken: 4, revision: 1 }, NOW);
     const evidence = await preparations.prepareEverywhere(home, job);
     assert.equal(evidence !== null, enough);
   });
 }
 
 test('a chunk of a cancelled job that is in a shard without a mark violates an invariant', () => {
-  const shard = emptyPart(4);
+  const shard = emptyShard(4);
   const ownedShard = createOwnedShard(shard, { fencingToken: 7, revision: 1 }, NOW);
   const spec = jobSpec({ id: ID, taskCount: 1 });
   // Its shard does not ask whether its job is cancelled.
--- a/test/jobs/jobAnswers.test.ts
+++ b/test/jobs/jobAnswers.test.ts
@@ -17,7 +17,7 @@
 } from '../../src/coordination/leadership/ownedShard.js';
 import { keys, type JobRecord } from '../../src/storage/records.js';
 import { replyAtSending, type Reply } from '../../src/transport/httpServer.js';
-import { emptyPart } from '../support/part.js';
+import { emptyShard } from '../support/emptyShard.js';
 import { jobRecord } from '../support/spec.js';
 
 const JOB = 'wk-000077';
@@ -32,7 +32,7 @@
   mayCallOpen = true;
   readonly events: AuditEvent[] = [];
   readonly homeShard: OwnedShard = createOwnedShard(
-    emptyPart(1),
+    emptyShard(1),
     { fencingToken: 5, revision: 1 },
     0,
   );
@@ -112,7 +112,7 @@
   },
   {
     name: 'open by a leader while a change of the record has no answer',
-    given: (node) => (node.job.isUncertain = true),
+    given: (node) => (node.job.isOutcomeUnknown = true),
     reply: (node) => statusReply(JOB, 'queued', node.asLeader),
     said: 503,
   },
--- a/test/jobs/jobService.test.ts
+++ b/test/jobs/jobService.test.ts
@@ -42,7 +42,7 @@
     this.node.peers.relay = () => new Promise((resolve) => this.relays.push(resolve));
     this.users = new JobService(this.node);
     if (state !== null) this.node.stateCache.note(keys.job(ID), record(state), 5);
-    this.node.stateCache.note(keys.owner('q'), { node: 'q', fencingToken: 1, process: 'y' }, 1);
+    this.node.stateCache.note(keys.leader('q'), { node: 'q', fencingToken: 1, process: 'y' }, 1);
   }
 
   /** Meanwhile the record of the job's end reaches this node. */
--- a/test/jobs/submissionWriter.test.ts
+++ b/test/jobs/submissionWriter.test.ts
@@ -10,7 +10,7 @@
 import { keys, type JobRecord, type BucketRecord } from '../../src/storage/records.js';
 import type { Reply } from '../../src/transport/httpServer.js';
 import { layoutFor } from '../support/layout.js';
-import { emptyPart } from '../support/part.js';
+import { emptyShard } from '../support/emptyShard.js';
 import { spec } from '../support/spec.js';
 import { MemoryStore } from '../support/store.js';
 
@@ -25,9 +25,9 @@
 
   constructor(value = 16 * 1024) {
     this.store.limits.value = value;
-    const part = emptyPart(3);
+    const part = emptyShard(3);
     this.host = createOwnedShard(part, { fencingToken: 5, revision: 1 }, 0);
-    this.store.rows.set(keys.owner('q'), { key: keys.owner('q'), value: {}, revision: 2 });
+    this.store.rows.set(keys.leader('q'), { key: keys.leader('q'), value: {}, revision: 2 });
     const { rows } = this.store;
     const node: SubmissionWriterContext = {
       process: 'x',
--- a/test/leadership/authority.test.ts
+++ b/test/leadership/authority.test.ts
@@ -4,7 +4,7 @@
 import { Authority, type HeartbeatDecision } from '../../src/coordination/leadership/authority.js';
 import { createOwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { TOKENS_PER_LEADERSHIP } from '../../src/coordination/model/fencingTokenBlock.js';
-import { emptyPart } from '../support/part.js';
+import { emptyShard } from '../support/emptyShard.js';
 
 const TOKEN = 5;
 const GRACE = 36;
@@ -61,11 +61,11 @@
   mayAct?: boolean;
 }[]) {
   test(`what a node may do for a part: ${name}`, () => {
-    const host = createOwnedShard(emptyPart(3), { fencingToken: TOKEN, revision: 1 }, 0);
+    const host = createOwnedShard(emptyShard(3), { fencingToken: TOKEN, revision: 1 }, 0);
     host.isOwned = !isLost;
     const authority = new Authority({
       leadership: { isLeaseValid: now < LEASE_END, leaseExpiresAt: LEASE_END },
-      peers: { hostOf: () => peer },
+      peers: { leaderOf: () => peer },
       clock: { now: () => now },
       leaderGracePeriod: GRACE,
     });
--- a/test/leadership/shardLeadership.test.ts
+++ b/test/leadership/shardLeadership.test.ts
@@ -46,7 +46,7 @@
         awaitWrites: () => Promise.resolve(),
         isReadyToLead: () => false,
         mayClaim: () => true,
-        isEntitled: () => true,
+        isLeaderCompatible: () => true,
       },
     );
   }
@@ -54,7 +54,7 @@
   /** The lease ends at the service, and with it the keys that it holds. */
   endLease(): void {
     this.ended.add(this.hold);
-    this.store.rows.delete(keys.owner('p'));
+    this.store.rows.delete(keys.leader('p'));
   }
 
   get leases(): number {
--- a/test/leadership/shardLoader.test.ts
+++ b/test/leadership/shardLoader.test.ts
@@ -13,7 +13,7 @@
 } from '../../src/storage/records.js';
 import type { CachedRecord } from '../../src/storage/stateCache.js';
 import { layoutFor } from '../support/layout.js';
-import { emptyPart, m8 } from '../support/part.js';
+import { emptyShard, m8 } from '../support/emptyShard.js';
 import { spec } from '../support/spec.js';
 
 const HELD = { fencingToken: 7, revision: 9, previousLeaderLostAt: 0 };
@@ -49,7 +49,7 @@
   const bucket: BucketRecord = { chunks: { 'wk-1/0': { ...chunk, attempts: [entry] } } };
   const rows = new Map<string, CachedRecord>([
     [keys.job('wk-1'), { value: record, revision: 5 }],
-    [keys.run('p', 's1'), { value: bucket, revision: 4 }],
+    [keys.bucket('p', 's1'), { value: bucket, revision: 4 }],
   ]);
   const machine: MachineRecord = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
   return {
@@ -80,7 +80,7 @@
   test(`a task that an earlier owner started is counted until it is known to be over: ${name}`, () => {
     const cancellation = job.state === 'cancelled' ? ('stored' as const) : ('none' as const);
     const view = { cancellationOf: () => cancellation };
-    const part = emptyPart(3, new Map([['m8', m8]]), view);
+    const part = emptyShard(3, new Map([['m8', m8]]), view);
     new ShardLoader(nodeWith(job)).load(part, HELD, 100);
     assert.equal(part.teamUsage.usedBy('crew').cpus, 2);
     const machine = part.machines.get('n-1');
@@ -103,7 +103,7 @@
     of: () => new Map<string, MachineRecord>().entries(),
     get: (name) => (name === 'n-1' ? elsewhere : undefined),
   };
-  const part = emptyPart(3, new Map([['m8', m8]]));
+  const part = emptyShard(3, new Map([['m8', m8]]));
   new ShardLoader(node).load(part, HELD, 100);
   assert.equal(part.chunks.get('wk-1/0')?.attempts.get(1)?.machine, 'n-1');
   part.liveness.sweep(100 + 1000);
@@ -119,7 +119,7 @@
 
 test('a chunk that a new leader loads while its cancellation is announced is not started there', () => {
   const view = { cancellationOf: () => 'announced' as const };
-  const part = emptyPart(3, new Map([['m8', m8]]), view);
+  const part = emptyShard(3, new Map([['m8', m8]]), view);
   new ShardLoader(nodeWith({})).load(part, HELD, 100);
   const chunk = part.chunks.get('wk-1/0');
   assert.equal(chunk?.pendingCount, 0);
--- a/test/mixed/fixtures.ts
+++ b/test/mixed/fixtures.ts
@@ -14,7 +14,7 @@
 import type { StoredJobSpec } from '../../src/protocol/storedJobSpec.js';
 import type {
   StoredChunkRecord,
-  StoredEntryRecord,
+  StoredAttemptRecord,
   StoredJobRecord,
 } from '../../src/storage/storedRecords.js';
 import { productionAnswers, productionRequests } from '../support/messages.js';
@@ -41,7 +41,7 @@
   ...{ ExpectS: 15, SnapshotS: 20, FlushS: 4, DueS: 300 },
 };
 
-const entries = (count: number): StoredEntryRecord[] =>
+const entries = (count: number): StoredAttemptRecord[] =>
   Array.from({ length: count }, (_, i) => ({
     task: 40 + i,
     attempt: 1 + i,
--- a/test/model/availability.test.ts
+++ b/test/model/availability.test.ts
@@ -7,7 +7,7 @@
   type AvailabilityState,
 } from '../../src/coordination/model/availability.js';
 import type { Machine } from '../../src/coordination/model/machine.js';
-import { Bench } from '../support/bench.js';
+import { ShardFixture } from '../support/shardFixture.js';
 
 /** Boot time of the type, and time between heartbeats, in seconds: those of `Bench`. */
 const BOOT_S = 30;
@@ -117,7 +117,7 @@
 
 for (const { name, heard, change, after = 0, state, counts } of cases) {
   test(`what work may count on: ${name}`, () => {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine('n-1', heard);
     b.now += after;
     change?.(machine, b.now);
@@ -130,7 +130,7 @@
 
 test('a machine that is heard counts again at once, whatever was thought of it', () => {
   for (const doubt of [leaveProbesUnanswered, (): void => undefined]) {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine('n-1', false);
     b.now += 1000;
     doubt(machine, b.now);
@@ -141,12 +141,12 @@
 });
 
 test("after a takeover a machine's boot counts from its launch, and its worker has time to find us", () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
-  const old = b.part.addMachine('n-1', record, b.now, b.now, 1000);
+  const old = b.shard.addMachine('n-1', record, b.now, b.now, 1000);
   assert.equal(old.availability(b.now + HEARTBEAT_S * 5), 'booting');
   assert.equal(old.availability(b.now + HEARTBEAT_S * 5 + 1), 'overdue');
-  const young = b.part.addMachine('n-2', record, b.now, b.now, 40);
+  const young = b.shard.addMachine('n-2', record, b.now, b.now, 40);
   assert.equal(young.availability(b.now + HEARTBEAT_S * 5), 'booting');
   assert.equal(young.availability(b.now + HEARTBEAT_S * 5 + 1), 'overdue');
 });
--- a/test/peers/peerRegistry.test.ts
+++ b/test/peers/peerRegistry.test.ts
@@ -18,7 +18,7 @@
 const SKEW = 0.1;
 
 const gossip = (changes: Partial<Gossip>): Gossip => ({
-  from: 'q',
+  sender: 'q',
   process: 'x1',
   sequence: 10,
   sentAt: 1000,
@@ -45,7 +45,7 @@
     second: { process: 'x2', sequence: 1, sentAt: 1001 },
     believed: true,
   },
-  { name: 'one of a stranger', second: { from: 'z', sequence: 11 }, believed: false },
+  { name: 'one of a stranger', second: { sender: 'z', sequence: 11 }, believed: false },
 ];
 for (const { name, second, believed } of messages) {
   // They name machines to end, so what is long past must not be acted on.
@@ -53,8 +53,8 @@
     const clock = { now: () => 50, wall: () => 1001 };
     const client = new PeerClient('127.0.0.1:1', 1, 1);
     const peers = new PeerRegistry(clock, REPORT, SKEW, [{ label: 'q', zone: 'a', client }]);
-    peers.note(gossip({}));
-    peers.note(gossip({ ...second, lostMachines: ['n-2'] }));
+    peers.receiveGossip(gossip({}));
+    peers.receiveGossip(gossip({ ...second, lostMachines: ['n-2'] }));
     assert.deepEqual(
       peers.gossips().flatMap((g) => g.lostMachines),
       [believed ? 'n-2' : 'n-1'],
@@ -83,14 +83,14 @@
     const store = new MemoryStore();
     await store.transact({
       conditions: [],
-      puts: [{ key: keys.token, value: tokens }],
+      puts: [{ key: keys.fencingTokens, value: tokens }],
       deletes: [],
     });
     if (key !== undefined) {
       const value = { node: key, fencingToken: 4, process: 'before' };
       await store.transact({
         conditions: [],
-        puts: [{ key: keys.owner('p'), value }],
+        puts: [{ key: keys.leader('p'), value }],
         deletes: [],
       });
     }
@@ -137,7 +137,7 @@
       awaitWrites: () => Promise.resolve(),
       isReadyToLead: () => false,
       mayClaim: () => true,
-      isEntitled: () => true,
+      isLeaderCompatible: () => true,
     },
   );
 }
@@ -160,7 +160,7 @@
       awaitWrites: () => Promise.resolve(),
       isReadyToLead: () => false,
       mayClaim: () => true,
-      isEntitled: () => true,
+      isLeaderCompatible: () => true,
     },
   );
   void ownership.run();
@@ -191,7 +191,7 @@
       awaitWrites: () => Promise.resolve(),
       isReadyToLead: () => false,
       mayClaim: () => true,
-      isEntitled: () => true,
+      isLeaderCompatible: () => true,
     },
   );
   void ownership.run();
--- a/test/persistence/bucketWriter.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -6,12 +6,12 @@
 import { chooseShardFor } from '../../src/coordination/autoscaling/machineGroups.js';
 import { ShardLoader } from '../../src/coordination/leadership/shardLoader.js';
 import { BucketWriter } from '../../src/coordination/persistence/bucketWriter.js';
-import { shareOf } from '../../src/storage/rateLimiter.js';
+import { rateShareOf } from '../../src/storage/rateLimiter.js';
 import { MachineInventory } from '../../src/storage/machineInventory.js';
 import { keys, type MachineGroupRecord, type BucketRecord } from '../../src/storage/records.js';
 import { ChunkIndex } from '../../src/storage/chunkIndex.js';
 import { layoutFor } from '../support/layout.js';
-import { emptyPart, m8 } from '../support/part.js';
+import { emptyShard, m8 } from '../support/emptyShard.js';
 import { spec } from '../support/spec.js';
 import { MemoryStore } from '../support/store.js';
 
@@ -42,7 +42,7 @@
     ['the last', 'r1', null, [], ['n2'], 0],
   ];
   for (const [name, ask, record, present, gone, count] of steps) {
-    const change = fleet.note(ask, record);
+    const change = fleet.update(ask, record);
     assert.deepEqual(
       change.present.map(([n]) => n),
       present,
@@ -57,13 +57,13 @@
   const buckets = new ChunkIndex();
   const chunk = new Chunk(spec(), 0, 'p', 1, 0, 4, null, 0);
   const record = { chunks: { 'wk-1/0': chunk.toRecord() } };
-  buckets.note('p', 's1', record, 1);
+  buckets.update('p', 's1', record, 1);
   assert.equal(buckets.find('wk-1/0')?.shard, 'p');
   // It moves: the new bucket may be heard of before the old one is changed.
-  buckets.note('q', 's9', record, 2);
-  buckets.note('p', 's1', { chunks: {} }, 2);
+  buckets.update('q', 's9', record, 2);
+  buckets.update('p', 's1', { chunks: {} }, 2);
   assert.equal(buckets.find('wk-1/0')?.shard, 'q');
-  buckets.note('q', 's9', null, 3);
+  buckets.update('q', 's9', null, 3);
   assert.equal(buckets.find('wk-1/0'), undefined);
 });
 
@@ -76,7 +76,7 @@
     ['one has not been heard', [2], 18],
     ['nobody has', [], 10],
   ];
-  for (const [name, needs, share] of cases) assert.equal(shareOf(30, 3, needs), share, name);
+  for (const [name, needs, share] of cases) assert.equal(rateShareOf(30, 3, needs), share, name);
   for (const needs of [
     [12, 3, 9],
     [10, 10, 10],
@@ -86,7 +86,7 @@
     const used = needs.map((n, i) =>
       Math.min(
         n,
-        shareOf(
+        rateShareOf(
           30,
           3,
           needs.filter((_, k) => k !== i),
@@ -106,13 +106,13 @@
   private readonly bucketWriter: BucketWriter;
 
   constructor() {
-    const part = emptyPart(3, new Map([['m8', m8]]));
+    const part = emptyShard(3, new Map([['m8', m8]]));
     for (const [label, stamp] of [
       ['p', 1],
       ['q', 2],
     ] as const) {
-      this.store.rows.set(keys.owner(label), {
-        key: keys.owner(label),
+      this.store.rows.set(keys.leader(label), {
+        key: keys.leader(label),
         value: {},
         revision: stamp,
       });
@@ -135,7 +135,7 @@
           }
         },
       },
-      { txnOps: 16, recordFormat: layoutFor(), linger: 2, retry: 0.001, process: 'x' },
+      { txnOps: 16, recordFormat: layoutFor(), flushDelay: 2, retryDelay: 0.001, process: 'x' },
     );
   }
 
@@ -196,7 +196,7 @@
     const name = `${chunk.id.replace('/', '-')}-2`;
     const sent = { ...chunk.toRecord(), migrationCount: 2 };
     const value: BucketRecord = { chunks: { [chunk.id]: sent } };
-    const key = keys.run('p', name);
+    const key = keys.bucket('p', name);
     const revision = ++this.store.epoch;
     rows.set(key, { key, value, revision });
     const loader = new ShardLoader({
@@ -377,7 +377,7 @@
     ['in a zone without a part', '', 'c', 'q'],
   ];
   const inventory = new MachineInventory();
-  inventory.note('r1', group('p', 'n-1', 'n-2'));
+  inventory.update('r1', group('p', 'n-1', 'n-2'));
   const zoneOf = new Map([
     ['p', 'a'],
     ['q', 'a'],
--- a/test/persistence/jobPersistence.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -13,7 +13,7 @@
 import { keys, type JobRecord } from '../../src/storage/records.js';
 import { StateCache } from '../../src/storage/stateCache.js';
 import { layoutFor } from '../support/layout.js';
-import { emptyPart } from '../support/part.js';
+import { emptyShard } from '../support/emptyShard.js';
 import { spec } from '../support/spec.js';
 import { MemoryStore } from '../support/store.js';
 
@@ -30,9 +30,9 @@
   now = 100;
 
   constructor(cut: number) {
-    const shard = emptyPart(3);
+    const shard = emptyShard(3);
     this.owned = createOwnedShard(shard, { fencingToken: 5, revision: 1 }, 0);
-    this.store.rows.set(keys.owner('p'), { key: keys.owner('p'), value: {}, revision: 1 });
+    this.store.rows.set(keys.leader('p'), { key: keys.leader('p'), value: {}, revision: 1 });
     const clock = { now: () => this.now, wall: () => this.now };
     const silent = {
       readRange: () => Promise.reject(new Error()),
@@ -55,7 +55,7 @@
         verifyLeadership: () => Promise.resolve(),
         stored: () => undefined,
       },
-      { txnOps: 16, recordFormat: layoutFor(), linger: 2, retry: 0.001, process: 'x' },
+      { txnOps: 16, recordFormat: layoutFor(), flushDelay: 2, retryDelay: 0.001, process: 'x' },
     );
     const record: JobRecord = {
       spec: spec({ id: ID, taskCount: 24 }),
@@ -134,7 +134,7 @@
 test('a chunk that was cut without an answer is taken up, whichever change finds that out', async () => {
   const home = new Home(1);
   home.store.loseNext = true;
-  home.persistence.review();
+  home.persistence.reconcileJobs();
   while (!home.store.lost) await new Promise((resolve) => setTimeout(resolve, 1));
   await new Promise((resolve) => setTimeout(resolve, 5));
   assert.equal(home.store.late().kind, 'applied');
@@ -157,7 +157,7 @@
   home.complete(0);
   await home.passes(1);
   assert.equal(
-    home.job.isUncertain,
+    home.job.isOutcomeUnknown,
     true,
     'others may have told users of the record that we could not read',
   );
@@ -192,7 +192,7 @@
 for (const { name, chunks, acknowledged, copied } of outdatedEvidence) {
   test(`a cancellation is not stored on what was acknowledged before: ${name}`, async () => {
     const home = new Home(2);
-    const key = keys.owner('q');
+    const key = keys.leader('q');
     home.store.rows.set(key, { key, value: {}, revision: 8 });
     home.copy.note(key, {}, copied);
     const evidence = CancellationEvidence.acknowledged(
--- a/test/persistence/recordLimits.test.ts
+++ b/test/persistence/recordLimits.test.ts
@@ -17,7 +17,7 @@
   type FencingTokenRecord,
 } from '../../src/storage/records.js';
 import { layoutFor } from '../support/layout.js';
-import { emptyPart, m8 } from '../support/part.js';
+import { emptyShard, m8 } from '../support/emptyShard.js';
 import { spec } from '../support/spec.js';
 import { MemoryStore } from '../support/store.js';
 
@@ -56,9 +56,9 @@
 
   constructor(chunks: Record<string, ChunkRecord>) {
     const { rows } = this.store;
-    rows.set(keys.owner('p'), { key: keys.owner('p'), value: {}, revision: 1 });
-    rows.set(keys.owner('q'), { key: keys.owner('q'), value: {}, revision: 2 });
-    const key = keys.run('p', 'old');
+    rows.set(keys.leader('p'), { key: keys.leader('p'), value: {}, revision: 1 });
+    rows.set(keys.leader('q'), { key: keys.leader('q'), value: {}, revision: 2 });
+    const key = keys.bucket('p', 'old');
     rows.set(key, { key, value: { chunks }, revision: 3 });
     this.store.epoch = 3;
     this.store.layout = this.layout;
@@ -88,7 +88,7 @@
       recordFormat: this.layout,
       requestSchedulingRound: () => undefined,
     });
-    const part = emptyPart(3, new Map([['m8', m8]]));
+    const part = emptyShard(3, new Map([['m8', m8]]));
     this.host = loader.load(part, { fencingToken: 7, revision: 1, previousLeaderLostAt: 0 }, 0);
     this.writer = new BucketWriter(
       this.store,
@@ -100,7 +100,7 @@
         stored: () => undefined,
       },
       {
-        ...{ txnOps: TXN_OPS, recordFormat: this.layout, linger: 1, retry: 0.001 },
+        ...{ txnOps: TXN_OPS, recordFormat: this.layout, flushDelay: 1, retryDelay: 0.001 },
         process: `x${++this.processes}`,
       },
     );
@@ -129,7 +129,7 @@
   }
 
   get hasOld(): boolean {
-    return this.store.rows.has(keys.run('p', 'old'));
+    return this.store.rows.has(keys.bucket('p', 'old'));
   }
 }
 
@@ -248,16 +248,16 @@
     migratedChunks: [7, 407],
   };
   const cases: [string, string, unknown, number][] = [
-    ['a rental', keys.group('x'), group, 1],
+    ['a rental', keys.machineGroup('x'), group, 1],
     ['shares of a limit', keys.quota('crew'), shares, 1],
     ['a job of 100,000 tasks', keys.job('wk-1'), job, 1],
     // With the ownership key that is written beside it.
-    ['the token counter of 12 nodes, each lost by all', keys.token, token, TXN_OPS - 1],
+    ['the token counter of 12 nodes, each lost by all', keys.fencingTokens, token, TXN_OPS - 1],
   ];
   for (const [name, key, value, most] of cases) {
     assert.ok(
       recordFormat.operations(key, value) <= most,
-      `${name}: ${recordFormat.bytes(key, value)} bytes`,
+      `${name}: ${recordFormat.encodedBytes(key, value)} bytes`,
     );
   }
 });
--- a/test/persistence/recordSizes.test.ts
+++ b/test/persistence/recordSizes.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { chunkRanges, chunkSize } from '../../src/coordination/model/chunking.js';
 import { groupLimit } from '../../src/coordination/autoscaling/machineGroups.js';
-import { RENT_LIMIT } from '../../src/protocol/cloudProtocol.js';
+import { MAX_RENTAL_COUNT } from '../../src/protocol/cloudProtocol.js';
 import type { JobSpec } from '../../src/protocol/job.js';
 import { Chunk } from '../../src/coordination/model/chunk.js';
 import { keys, type BucketRecord } from '../../src/storage/records.js';
@@ -64,21 +64,21 @@
   const value = kilobytes * 1024;
   const recordFormat = layoutFor(value, 16, isCompact);
   test(`records stay within values of ${kilobytes} KiB, layout ${isCompact ? 2 : 1}`, () => {
-    assert.ok(groupLimit(value) >= 1 && groupLimit(value) <= RENT_LIMIT);
+    assert.ok(groupLimit(value) >= 1 && groupLimit(value) <= MAX_RENTAL_COUNT);
     const machine = { 'n-000000000': { at: 1764637200.123, address: '10.255.255.255:65535' } };
     assert.ok(groupLimit(value) * JSON.stringify(machine).length < value);
     for (const parts of [1, 3, 12]) {
       for (const cpus of [0, 8, 64, 8000]) {
         for (const tasks of [1, 120, 5000]) {
           const job = spec({ taskCount: tasks, cpus: 4 });
-          const size = chunkSize(job, cpus, recordFormat.tasksFor(job), parts);
+          const size = chunkSize(job, cpus, recordFormat.maxTasksPerChunk(job), parts);
           const ranges = chunkRanges(tasks, size, []);
           assert.equal(
             ranges.reduce((n, r) => n + r.endTask - r.firstTask, 0),
             tasks,
           );
           // All tasks of a chunk may run at once, each an entry of its record.
-          const bytes = recordFormat.bytes(keys.run('p', 's'), fullRecord(job, size));
+          const bytes = recordFormat.encodedBytes(keys.bucket('p', 's'), fullRecord(job, size));
           assert.ok(bytes < value, `${size} tasks take ${bytes} bytes`);
         }
       }
--- a/test/pipelines/dependencyGraph.test.ts
+++ b/test/pipelines/dependencyGraph.test.ts
@@ -4,11 +4,11 @@
 import { seededRandom } from '../../src/base/random.js';
 import {
   DependencyGraph,
-  type StoredState,
+  type StoredJobState,
 } from '../../src/coordination/pipelines/dependencyGraph.js';
 
 interface Job {
-  state: StoredState;
+  state: StoredJobState;
   needs: string[];
   rank: number;
 }
@@ -25,9 +25,9 @@
     onRankChanged: () => this.rankings++,
   });
 
-  note(id: string, state: StoredState, needs: string[] = [], rank = 0, now = 0): void {
+  note(id: string, state: StoredJobState, needs: string[] = [], rank = 0, now = 0): void {
     this.jobs.set(id, { state, needs, rank });
-    this.graph.note(id, state, needs, rank, now);
+    this.graph.applyJobState(id, state, needs, rank, now);
   }
 
   /** Told step by step: `a` is open, `b<a,c` is open and needs them, `a+` is done, `a-` is cancelled. */
--- a/test/pipelines/staleCopy.test.ts
+++ b/test/pipelines/staleCopy.test.ts
@@ -38,7 +38,7 @@
       ? open
       : { ...open, spec: null, state }) as unknown as JobRecord;
     this.rows.set(keys.job(id), { value, revision: 1 });
-    this.pipelines.note(id, value);
+    this.pipelines.applyJobRecord(id, value);
     this.stateCache.syncedAt = this.now;
   }
 }
--- a/test/quota/quotaShares.test.ts
+++ b/test/quota/quotaShares.test.ts
@@ -4,10 +4,10 @@
 import { seededRandom } from '../../src/base/random.js';
 import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import type { QuotaContext } from '../../src/coordination/quota/quotaContext.js';
-import { QuotaShares, reshare } from '../../src/coordination/quota/quotaShares.js';
+import { QuotaShares, rebalanceShares } from '../../src/coordination/quota/quotaShares.js';
 import type { TeamResources } from '../../src/coordination/quota/teamUsage.js';
 import { keys, type QuotaRecord } from '../../src/storage/records.js';
-import { emptyPart } from '../support/part.js';
+import { emptyShard } from '../support/emptyShard.js';
 import { spec } from '../support/spec.js';
 import { MemoryStore } from '../support/store.js';
 
@@ -47,7 +47,7 @@
   }
 
   host(label: string, used: TeamResources = { cpus: 0, gpus: 0 }): OwnedShard {
-    const host = createOwnedShard(emptyPart(3), { fencingToken: 1, revision: 1 }, 0);
+    const host = createOwnedShard(emptyShard(3), { fencingToken: 1, revision: 1 }, 0);
     this.ownedParts.set(label, host);
     this.use(label, used);
     return host;
@@ -61,7 +61,7 @@
   /** A job that wants so much waits there. */
   want(label: string, { cpus, gpus }: TeamResources): void {
     const scheduler = this.ownedParts.get(label)?.shard.scheduler;
-    if (scheduler !== undefined) scheduler.wanted = () => ({ cpus, gpus });
+    if (scheduler !== undefined) scheduler.pendingDemand = () => ({ cpus, gpus });
   }
 
   allowance(label: string): TeamResources {
@@ -91,13 +91,13 @@
   // stored: its adopter loads all twenty.
   const shares = { a: { cpus: 12, gpus: 0 }, b: { cpus: 28, gpus: 0 } };
   const loaded = { cpus: 20, gpus: 0 };
-  const after = reshare(shares, 'a', loaded, { cpus: 30, gpus: 0 }, LIMIT);
+  const after = rebalanceShares(shares, 'a', loaded, { cpus: 30, gpus: 0 }, LIMIT);
   assert.equal(after['a']?.cpus, 12, 'with 20, eight more could start once the ends are known');
 });
 
 test('a share is not taken below what runs, also where the shares were beyond the limit already', () => {
   const shares = { a: { cpus: 20, gpus: 0 }, b: { cpus: 28, gpus: 0 } };
-  const after = reshare(shares, 'a', { cpus: 16, gpus: 0 }, { cpus: 9, gpus: 0 }, LIMIT);
+  const after = rebalanceShares(shares, 'a', { cpus: 16, gpus: 0 }, { cpus: 9, gpus: 0 }, LIMIT);
   assert.equal(after['a']?.cpus, 16);
 });
 
@@ -136,7 +136,13 @@
         }
         break;
       default:
-        shares = reshare(shares, part, { cpus: used, gpus: 0 }, { cpus: draw(30), gpus: 0 }, LIMIT);
+        shares = rebalanceShares(
+          shares,
+          part,
+          { cpus: used, gpus: 0 },
+          { cpus: draw(30), gpus: 0 },
+          LIMIT,
+        );
     }
     const all = labels.reduce((sum, label) => sum + (real[label] ?? 0), 0);
     assert.ok(all <= LIMIT.cpus, `${all} processors in step ${step}`);
@@ -152,7 +158,7 @@
     node.want('a', { cpus: 20, gpus: 0 });
     if (outcome === 'refused') store.refuseNext = 1;
     else store.loseNext = true;
-    await node.quotas.balance();
+    await node.quotas.rebalance();
     assert.deepEqual(node.allowance('a'), { cpus: 10, gpus: 0 }, outcome);
   }
 });
@@ -164,13 +170,13 @@
   node.host('a', { cpus: 5, gpus: 0 });
   node.want('a', { cpus: 0, gpus: 0 });
   store.loseNext = true;
-  await node.quotas.balance();
+  await node.quotas.rebalance();
   assert.equal(node.allowance('a').cpus, 5, 'it may be stored, and a peer may take the rest');
   assert.equal(store.late().kind, 'applied');
   node.sync();
   assert.equal(node.allowance('a').cpus, 5);
   node.want('a', { cpus: 50, gpus: 0 });
-  await node.quotas.balance();
+  await node.quotas.rebalance();
   assert.equal(node.allowance('a').cpus, 40);
 });
 
@@ -181,9 +187,9 @@
   node.host('a', { cpus: 5, gpus: 0 });
   node.want('a', { cpus: 0, gpus: 0 });
   store.refuseNext = 1;
-  await node.quotas.balance();
+  await node.quotas.rebalance();
   node.want('a', { cpus: 25, gpus: 0 });
-  await node.quotas.balance();
+  await node.quotas.rebalance();
   assert.equal(node.allowance('a').cpus, 30);
 });
 
@@ -196,11 +202,11 @@
   node.want('a', { cpus: 0, gpus: 0 });
   node.want('b', { cpus: 0, gpus: 0 });
   store.refuseNext = 1;
-  await node.quotas.balance();
+  await node.quotas.rebalance();
   // Its own node, which has it again, goes by the stored share and fills it.
   node.ownedParts.delete('a');
   node.want('b', { cpus: 20, gpus: 0 });
-  await node.quotas.balance();
+  await node.quotas.rebalance();
   assert.equal(stored(store)['a']?.cpus, 30);
   assert.equal(node.allowance('b').cpus, 10);
 });
--- a/test/reconciliation/heartbeatReconciler.test.ts
+++ b/test/reconciliation/heartbeatReconciler.test.ts
@@ -4,25 +4,25 @@
 import type { HeartbeatOrigin } from '../../src/coordination/reconciliation/heartbeatReconciler.js';
 import type { JobSpec } from '../../src/protocol/job.js';
 import type { Heartbeat, ReportedAttempt } from '../../src/protocol/workerProtocol.js';
-import { Bench, TOKEN } from '../support/bench.js';
+import { ShardFixture, TOKEN } from '../support/shardFixture.js';
 import { startedRecord } from '../support/spec.js';
 
 test('done is stored before it is reaped', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machine = b.machine();
-  const chunk = b.running(machine);
+  const chunk = b.createRunningChunk(machine);
   b.report(machine, [{ state: 'ended', cause: 'done' }]);
   assert.ok(chunk.isComplete);
-  assert.deepEqual(b.verbs(machine), []);
+  assert.deepEqual(b.dueCommandNames(machine), []);
   b.store(chunk);
-  assert.deepEqual(b.verbs(machine), ['acknowledge wk-1/0 1']);
+  assert.deepEqual(b.dueCommandNames(machine), ['acknowledge wk-1/0 1']);
 });
 
 test('older reports change nothing', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machine = b.machine();
   const chunk = b.chunk();
-  b.decide();
+  b.runSchedulingRound();
   b.store(chunk);
   b.report(machine, [{}], { heartbeatSequence: 50 });
   assert.equal(b.report(machine, [], { heartbeatSequence: 49 }), false);
@@ -68,10 +68,10 @@
 ];
 for (const { name, seen, unanswered, report, over } of ends) {
   test(`whether an attempt is over: ${name}`, () => {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine();
     const chunk = b.chunk();
-    b.decide();
+    b.runSchedulingRound();
     b.store(chunk);
     if (seen) b.report(machine, [{}]);
     const entry = chunk.attempts.get(0);
@@ -80,31 +80,35 @@
     b.report(machine, [], report);
     assert.equal(chunk.attempts.size, over ? 0 : 1);
     if (over) {
-      b.decide();
+      b.runSchedulingRound();
       assert.equal(chunk.attempts.get(0)?.attemptNumber, 2, 'attempts only rise');
     }
   });
 }
 
 test('a start in doubt is neither reaped nor given up when its job is cancelled', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machine = b.machine();
   const chunk = b.chunk();
-  b.decide();
+  b.runSchedulingRound();
   b.store(chunk);
   const entry = chunk.attempts.get(0);
   assert.ok(entry);
   entry.startCommands.noteOutcome(TOKEN, 'unanswered');
-  b.part.cancel(chunk, b.now);
+  b.shard.cancel(chunk, b.now);
   b.report(machine, []);
   assert.equal(chunk.attempts.size, 1, 'it may still be carried out');
   b.report(machine, [{}]);
-  assert.deepEqual(b.verbs(machine), ['stop wk-1/0 1']);
+  assert.deepEqual(b.dueCommandNames(machine), ['stop wk-1/0 1']);
   b.report(machine, [{ state: 'ended', cause: 'halted' }]);
-  assert.deepEqual(b.verbs(machine), [], 'a late copy of the start would run it once more');
+  assert.deepEqual(
+    b.dueCommandNames(machine),
+    [],
+    'a late copy of the start would run it once more',
+  );
   b.report(machine, [{ state: 'ended', cause: 'halted' }], { highestFencingToken: TOKEN + 1 });
   b.store(chunk);
-  assert.deepEqual(b.verbs(machine), ['acknowledge wk-1/0 1']);
+  assert.deepEqual(b.dueCommandNames(machine), ['acknowledge wk-1/0 1']);
 });
 
 test('after a takeover, what the last owner started is settled by our token', () => {
@@ -114,30 +118,30 @@
     ['absent after our token: started anew', [], { highestFencingToken: TOKEN }, 0],
   ];
   for (const [name, tasks, report, left] of cases) {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine('n-1', false);
-    const chunk = b.part.loadChunk(0, startedRecord(), TOKEN, b.now);
+    const chunk = b.shard.loadChunk(0, startedRecord(), TOKEN, b.now);
     // The entry was stored before it was sent, but whether it was sent nobody knows.
     b.report(machine, tasks, report);
     const entry = chunk.attempts.get(0);
     if (left === 0 && entry !== undefined) {
       assert.ok(!entry.startCommands.mayStillExecute(machine.highestFencingToken), name);
-      assert.deepEqual(b.verbs(machine), ['start wk-1/0 1'], name);
+      assert.deepEqual(b.dueCommandNames(machine), ['start wk-1/0 1'], name);
     } else assert.equal(chunk.attempts.size, left, name);
   }
 });
 
 test('a job that fails everywhere does not take the machines with it, nor a machine the jobs', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machines = [1, 2, 3, 4].map((n) => b.machine(`n-${n}`));
   const chunk = b.chunk();
   for (let i = 0; i < 3; i++) {
     b.now += 100;
-    b.decide();
+    b.runSchedulingRound();
     b.store(chunk);
     const entry = chunk.attempts.get(0);
     assert.ok(entry, `try ${i}`);
-    const machine = b.part.machines.get(entry.machine);
+    const machine = b.shard.machines.get(entry.machine);
     assert.ok(machine);
     b.report(machine, [{ attemptNumber: entry.attemptNumber, state: 'ended', cause: 'error' }]);
   }
@@ -145,11 +149,11 @@
   assert.ok(machines.every((m) => m.isSchedulable(b.now)));
   assert.ok(chunk.retryNotBefore > b.now, 'the job waits before its next try');
 
-  const c = new Bench();
+  const c = new ShardFixture();
   const faulty = c.machine();
   for (const id of ['wk-1', 'wk-2']) {
     const failing = c.chunk({ id });
-    c.decide();
+    c.runSchedulingRound();
     c.store(failing);
     c.report(faulty, [{ task: `${id}/0`, state: 'ended', cause: 'error' }]);
   }
@@ -169,11 +173,11 @@
     ['without one the task may still be done', {}, 9, []],
   ];
   for (const [name, changes, warning, orders] of cases) {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine();
-    b.running(machine, changes);
+    b.createRunningChunk(machine, changes);
     b.report(machine, [{}], { preemptionWarning: warning });
-    assert.deepEqual(b.verbs(machine), orders, name);
+    assert.deepEqual(b.dueCommandNames(machine), orders, name);
     assert.ok(!machine.isSchedulable(b.now), name);
   }
 });
@@ -200,13 +204,13 @@
 ];
 for (const { name, isLost = false, heard, takesWork } of unreached) {
   test(`being heard is not being reachable: ${name}`, () => {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine();
     if (isLost) machine.isLost = true;
-    else b.leaveUnanswered(machine);
+    else b.missTwoProbes(machine);
     for (const source of heard) b.report(machine, [], {}, source);
     const chunk = b.chunk();
-    b.decide();
+    b.runSchedulingRound();
     assert.equal(chunk.attempts.size, takesWork ? 1 : 0);
     assert.equal(machine.isSchedulable(b.now), takesWork);
   });
@@ -228,7 +232,7 @@
 ];
 for (const { name, copy, tasks } of copies) {
   test(`a late copy at a node that has just adopted the part ends nothing: ${name}`, () => {
-    const b = new Bench();
+    const b = new ShardFixture();
     const record = {
       shard: 'p',
       type: 'm8',
@@ -237,8 +241,8 @@
       launchedAt: 0,
       address: '127.0.0.1:1',
     };
-    const machine = b.part.addMachine('n-1', record, b.now, b.now + 36);
-    const chunk = b.part.loadChunk(0, startedRecord(), TOKEN, b.now);
+    const machine = b.shard.addMachine('n-1', record, b.now, b.now + 36);
+    const chunk = b.shard.loadChunk(0, startedRecord(), TOKEN, b.now);
     b.report(
       machine,
       tasks,
@@ -248,7 +252,7 @@
     assert.equal(chunk.attempts.get(0)?.attemptNumber, 1, 'the attempt in doubt was given up');
     assert.equal(machine.address, '127.0.0.1:1', 'the copy moved its address');
     assert.equal(machine.isUp, false, 'the copy made it look alive');
-    b.decide();
+    b.runSchedulingRound();
     assert.equal(chunk.nextAttemptNumber, 2);
     // Nor does it stand in the way of what the worker itself says next.
     b.report(machine, [{}], { heartbeatSequence: 40 }, 'response');
@@ -258,7 +262,7 @@
 }
 
 test('a report that says nothing new is known as such: nothing is decided anew for it', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machine = b.machine('n-1', false);
   const chunk = b.chunk();
   const task = { task: 'wk-1/0', attemptNumber: 1, cause: null, hasCheckpoint: false };
@@ -280,7 +284,7 @@
   for (const [name, tick, state, warning, says] of told) {
     const tasks = state === null ? [] : [{ ...task, state }];
     assert.equal(
-      b.part.heartbeats.apply(
+      b.shard.heartbeats.apply(
         machine,
         { ...report, heartbeatSequence: tick, preemptionWarning: warning, attempts: tasks },
         b.now,
@@ -290,20 +294,20 @@
       name,
     );
     if (tick === 2) {
-      b.decide();
+      b.runSchedulingRound();
       b.store(chunk);
     }
   }
 });
 
 test('a machine that comes up long after it was rented is given work at once', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machine = b.machine('n-1', false);
   b.now += 60;
-  b.part.liveness.sweep(b.now);
+  b.shard.liveness.sweep(b.now);
   const chunk = b.chunk();
   b.report(machine, []);
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(chunk.attempts.size, 1);
 });
 
@@ -312,15 +316,15 @@
     { name: 'it is there', tasks: [{ task: 'wk-1/0', attemptNumber: 1 }], entries: 1 },
     { name: 'it is not', tasks: [], entries: 0 },
   ]) {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine('n-1', false);
-    const chunk = b.part.loadChunk(0, startedRecord(), TOKEN, b.now);
+    const chunk = b.shard.loadChunk(0, startedRecord(), TOKEN, b.now);
     b.report(machine, tasks, { highestFencingToken: TOKEN - 1 });
     assert.equal(chunk.attempts.size, 1, `${name}: the last owner's start may still come`);
-    assert.deepEqual(b.verbs(machine), [], name);
+    assert.deepEqual(b.dueCommandNames(machine), [], name);
     b.report(machine, tasks, { highestFencingToken: TOKEN });
     assert.equal(chunk.attempts.size, entries, name);
-    assert.equal(b.part.teamUsage.usedBy('crew').cpus, entries * 2, name);
-    assert.deepEqual(b.verbs(machine), [], name);
+    assert.equal(b.shard.teamUsage.usedBy('crew').cpus, entries * 2, name);
+    assert.deepEqual(b.dueCommandNames(machine), [], name);
   }
 });
--- a/test/reconciliation/machineLiveness.test.ts
+++ b/test/reconciliation/machineLiveness.test.ts
@@ -1,16 +1,16 @@
 /** Silent machines: when their tasks are over, and which machines are lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Bench } from '../support/bench.js';
+import { ShardFixture } from '../support/shardFixture.js';
 
 test('a silent machine keeps its tasks until nobody can have renewed its lease', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machine = b.machine();
-  const chunk = b.running(machine);
+  const chunk = b.createRunningChunk(machine);
   machine.leaseRenewedAt = b.now;
-  b.part.liveness.sweep(b.now + 18);
+  b.shard.liveness.sweep(b.now + 18);
   assert.equal(chunk.attempts.size, 1);
-  b.part.liveness.sweep(b.now + 20);
+  b.shard.liveness.sweep(b.now + 20);
   assert.equal(chunk.attempts.size, 0);
 });
 
@@ -22,16 +22,16 @@
     ['there is no other, and it is long silent', 'none', 10, ['n-1']],
   ];
   for (const [name, others, seconds, lost] of cases) {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine('n-1');
     const rest = others === 'none' ? [] : ['n-2', 'n-3'].map((n) => b.machine(n));
     b.now += 1;
-    for (const m of [machine, ...(others === 'silent' ? rest : [])]) b.leaveUnanswered(m);
+    for (const m of [machine, ...(others === 'silent' ? rest : [])]) b.missTwoProbes(m);
     b.now += 1;
     if (others === 'answers') for (const m of rest) b.report(m, []);
     b.now += seconds - 2;
     assert.deepEqual(
-      b.part.liveness.lostMachines(b.now, () => 30, 1000),
+      b.shard.liveness.lostMachines(b.now, () => 30, 1000),
       lost,
       name,
     );
@@ -39,21 +39,21 @@
 });
 
 test('machines that never come up are given back, but not right after a takeover', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   b.machine('n-1', false);
   const boot = (): number => 30;
   assert.deepEqual(
-    b.part.liveness.lostMachines(b.now + 5, boot, 1000),
+    b.shard.liveness.lostMachines(b.now + 5, boot, 1000),
     [],
     'its worker may be on its way',
   );
-  assert.deepEqual(b.part.liveness.lostMachines(b.now + 20, boot, 50), [], 'it may still boot');
-  assert.deepEqual(b.part.liveness.lostMachines(b.now + 20, boot, 60), ['n-1']);
+  assert.deepEqual(b.shard.liveness.lostMachines(b.now + 20, boot, 50), [], 'it may still boot');
+  assert.deepEqual(b.shard.liveness.lostMachines(b.now + 20, boot, 60), ['n-1']);
 });
 
 test('after a restart a silent machine is lost too, but not when all are silent', () => {
   const setUp = (othersAnswer: boolean): string[] => {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine('n-1', false);
     const rest = ['n-2', 'n-3'].map((n) => b.machine(n, false));
     for (const m of othersAnswer ? [machine] : [machine, ...rest]) {
@@ -62,14 +62,14 @@
     }
     b.now += 12;
     if (othersAnswer) for (const m of rest) b.report(m, []);
-    return b.part.liveness.lostMachines(b.now, () => 30, 100);
+    return b.shard.liveness.lostMachines(b.now, () => 30, 100);
   };
   assert.deepEqual(setUp(true), ['n-1']);
   assert.deepEqual(setUp(false), [], 'the fault is ours');
 });
 
 test('a machine that its last owner may still answer is not lost for being out of our reach', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const record = {
     shard: 'p',
     type: 'm8',
@@ -78,26 +78,26 @@
     launchedAt: 0,
     address: '127.0.0.1:1',
   };
-  const adopted = b.part.addMachine('n-1', record, b.now, b.now + 36);
+  const adopted = b.shard.addMachine('n-1', record, b.now, b.now + 36);
   const other = b.machine('n-2', false);
   adopted.reachability.missedProbes = 3;
   adopted.reachability.firstMissedProbeAt = b.now;
   b.now += 12;
   b.report(other, []);
   assert.deepEqual(
-    b.part.liveness.lostMachines(b.now, () => 30, 100),
+    b.shard.liveness.lostMachines(b.now, () => 30, 100),
     [],
   );
   assert.deepEqual(
-    b.part.liveness.lostMachines(b.now + 30, () => 30, 100),
+    b.shard.liveness.lostMachines(b.now + 30, () => 30, 100),
     ['n-1'],
   );
 });
 
 test('a machine that reports but answers nothing is returned, and its replicas go elsewhere', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machine = b.machine();
-  const chunk = b.running(machine, { isService: true, rank: 'prod' });
+  const chunk = b.createRunningChunk(machine, { isService: true, rank: 'prod' });
   const other = b.machine('n-2');
   const since = b.now;
   for (let n = 0; n < 3; n++) {
@@ -108,20 +108,20 @@
     b.report(other, []);
   }
   assert.deepEqual(
-    b.part.liveness.lostMachines(b.now, () => 30, 1000),
+    b.shard.liveness.lostMachines(b.now, () => 30, 1000),
     ['n-1'],
   );
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(chunk.attempts.get(0)?.machine, 'n-1', 'its attempt is not known to be over yet');
-  b.part.removeMachine('n-1', b.now);
-  b.decide();
+  b.shard.removeMachine('n-1', b.now);
+  b.runSchedulingRound();
   assert.equal(chunk.attempts.get(0)?.machine, 'n-2');
 });
 
 test('when a cut ends, those that have not been asked since are not lost', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machines = [1, 2, 3, 4].map((n) => b.machine(`n-${n}`));
-  const lost = (): string[] => b.part.liveness.lostMachines(b.now, () => 30, 1000);
+  const lost = (): string[] => b.shard.liveness.lostMachines(b.now, () => 30, 1000);
   for (const machine of machines) {
     machine.reachability.missedProbes = 3;
     machine.reachability.firstMissedProbeAt = machine.reachability.lastProbeAt = b.now + 1;
@@ -147,34 +147,34 @@
 for (const { name, report, after, used } of silences) {
   // Answers do not renew a lease: what starts there would be killed again and again.
   test(`a machine that answers questions is given work: ${name}`, () => {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine('n-1', false);
     b.report(machine, [], {}, report ? 'follow-up' : 'response');
     b.now += after;
     b.report(machine, [], {}, 'response');
-    b.part.liveness.sweep(b.now);
+    b.shard.liveness.sweep(b.now);
     const chunk = b.chunk();
-    b.decide();
+    b.runSchedulingRound();
     assert.equal(chunk.attempts.size, used ? 1 : 0);
   });
 }
 
 test('a worker that is only known by its answers: its lease counts from the first of its session', () => {
   for (const firstSession of [true, false]) {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine('n-1', false);
     if (!firstSession) b.report(machine, []);
     b.now += 8;
-    if (!firstSession) b.session++;
+    if (!firstSession) b.agentEpoch++;
     b.report(machine, [], {}, 'response');
     const chunk = b.chunk();
-    b.decide();
+    b.runSchedulingRound();
     b.store(chunk);
     b.report(machine, [{}], {}, 'response');
     assert.equal(chunk.attempts.size, 1);
-    b.part.liveness.sweep(b.now + 17);
+    b.shard.liveness.sweep(b.now + 17);
     assert.equal(chunk.attempts.size, 1, 'the worker may have begun just before its answer');
-    b.part.liveness.sweep(b.now + 20);
+    b.shard.liveness.sweep(b.now + 20);
     assert.equal(chunk.attempts.size, 0);
   }
 });
--- a/test/reconciliation/startCommands.test.ts
+++ b/test/reconciliation/startCommands.test.ts
@@ -7,7 +7,7 @@
 import type { Machine } from '../../src/coordination/model/machine.js';
 import { StartCommands } from '../../src/coordination/model/startCommands.js';
 import type { ReportedAttempt } from '../../src/protocol/workerProtocol.js';
-import { Bench, TOKEN } from '../support/bench.js';
+import { ShardFixture, TOKEN } from '../support/shardFixture.js';
 import { CommandBench, type Passage } from '../support/commandBench.js';
 import { startedRecord } from '../support/spec.js';
 
@@ -37,9 +37,9 @@
     await b.send(first);
     await b.send(first);
     // Its user asks to cancel it; the record can't be stored, and the job goes on.
-    b.bench.part.prepareCancel(chunk, b.bench.now);
-    b.bench.part.abandonCancellation(chunk);
-    b.bench.leaveUnanswered(first);
+    b.bench.shard.prepareCancel(chunk, b.bench.now);
+    b.bench.shard.abandonCancellation(chunk);
+    b.bench.missTwoProbes(first);
     const second = b.machine('n-2');
     b.place(chunk);
     await b.send(second);
@@ -59,7 +59,7 @@
   await b.send(first);
   const entry = chunk.attempts.get(0);
   assert.ok(entry?.wasReported, 'the repeat has started it');
-  b.bench.part.requestStop(first, entry, 0);
+  b.bench.shard.requestStop(first, entry, 0);
   await b.send(first);
   assert.equal(chunk.attempts.size, 0, 'it was stopped');
   first.isCordoned = true;
@@ -95,7 +95,7 @@
   const { b, machine } = await acknowledged();
   assert.deepEqual(new Set(b.deliverCopies()), new Set([409]));
   assert.equal(b.worker(machine).find('wk-2/0', 1)?.state, 'running');
-  assert.deepEqual(b.bench.part.audit.counters, { 'attempt-over.ended': 1 });
+  assert.deepEqual(b.bench.shard.audit.counters, { 'attempt-over.ended': 1 });
 });
 
 test('a worker that is back as if new refuses copies from our first answer on', async () => {
@@ -113,7 +113,7 @@
   b.worker(machine).token = 0;
   b.deliverCopies();
   b.hello(machine);
-  assert.equal(b.bench.part.audit.counters['invariant-broken.acknowledged-attempt-returned'], 1);
+  assert.equal(b.bench.shard.audit.counters['invariant-broken.acknowledged-attempt-returned'], 1);
   assert.deepEqual(
     machine.unknownAttempts.map(({ task }) => task),
     [TASK],
@@ -131,7 +131,7 @@
     await b.send(first);
     const entry = chunk.attempts.get(0);
     assert.ok(entry, order);
-    b.bench.part.requestStop(first, entry, 0);
+    b.bench.shard.requestStop(first, entry, 0);
     await b.send(first);
     // The second attempt goes to the same machine, which still reports the first.
     b.place(chunk);
@@ -252,8 +252,8 @@
   assert.equal(b.worker(machine).token, TOKEN);
   const attempt = chunk.attempts.get(0);
   assert.ok(attempt);
-  b.bench.part.requestStop(machine, attempt, 0);
-  b.bench.part.cancel(chunk, b.bench.now);
+  b.bench.shard.requestStop(machine, attempt, 0);
+  b.bench.shard.cancel(chunk, b.bench.now);
   b.orders.sweep();
   b.helloForOrders(machine);
   assert.equal(chunk.attempts.size, 1, 'its worker has not shown the higher token yet');
@@ -268,7 +268,7 @@
   const b = new CommandBench();
   const machine = b.machine('n-1');
   const chunk = b.bench.chunk();
-  const { last } = b.host.shard.tokens;
+  const { last } = b.host.shard.fencingTokens;
   b.worker(machine).token = last;
   b.hello(machine);
   b.place(chunk);
@@ -287,10 +287,10 @@
 });
 
 test('an end that an answer to a command shows first is reaped once a report has settled its start', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machine = b.machine();
   const chunk = b.chunk();
-  b.decide();
+  b.runSchedulingRound();
   b.store(chunk);
   const entry = chunk.attempts.get(0);
   assert.ok(entry);
@@ -300,9 +300,13 @@
   b.report(machine, [...refused], {}, 'response');
   b.store(chunk);
   assert.equal(chunk.attempts.size, 0);
-  assert.deepEqual(b.verbs(machine), [], 'the answer with the start may still be on its way');
+  assert.deepEqual(
+    b.dueCommandNames(machine),
+    [],
+    'the answer with the start may still be on its way',
+  );
   b.report(machine, [...refused], {}, 'follow-up');
-  assert.deepEqual(b.verbs(machine), ['acknowledge wk-1/0 1']);
+  assert.deepEqual(b.dueCommandNames(machine), ['acknowledge wk-1/0 1']);
 });
 
 test('of attempts of one task on a machine each is stopped, reaped or kept by itself', () => {
@@ -321,9 +325,9 @@
     ],
   ];
   for (const [name, tasks, verbs] of orders) {
-    const b = new Bench();
+    const b = new ShardFixture();
     const machine = b.machine();
-    const chunk = b.part.loadChunk(
+    const chunk = b.shard.loadChunk(
       0,
       { ...startedRecord(), nextAttemptNumber: 3, attempts: SECOND },
       TOKEN,
@@ -333,7 +337,7 @@
     b.report(machine, tasks);
     assert.equal(chunk.attempts.get(0)?.attemptNumber, 2, name);
     assert.equal(chunk.attempts.get(0)?.state, 'running', name);
-    assert.deepEqual(b.verbs(machine), verbs, name);
+    assert.deepEqual(b.dueCommandNames(machine), verbs, name);
   }
 });
 
@@ -353,7 +357,7 @@
   b.hello(first);
   await b.send(second);
   assert.equal(b.worker(second).running.length, 0);
-  assert.equal(b.bench.part.audit.counters['invariant-broken.start-beside-live-attempt'], 1);
+  assert.equal(b.bench.shard.audit.counters['invariant-broken.start-beside-live-attempt'], 1);
   await b.send(first);
   await b.send(second);
   assert.equal(b.worker(second).running.length, 1, 'its end was seen');
@@ -380,12 +384,12 @@
     [TOKEN + TOKENS_PER_LEADERSHIP - 1, 1],
     [TOKEN + TOKENS_PER_LEADERSHIP, undefined],
   ] as const) {
-    const b = new Bench();
-    createOwnedShard(b.part, { fencingToken: TOKEN, revision: 1 }, b.now);
+    const b = new ShardFixture();
+    createOwnedShard(b.shard, { fencingToken: TOKEN, revision: 1 }, b.now);
     const machine = b.machine();
-    b.running(machine);
+    b.createRunningChunk(machine);
     b.report(machine, [], { highestFencingToken: token });
-    assert.equal(b.part.audit.counters['invariant-broken.attempt-vanished'], broken);
+    assert.equal(b.shard.audit.counters['invariant-broken.attempt-vanished'], broken);
   }
 });
 
@@ -396,9 +400,9 @@
   b.place(chunk);
   await b.send(machine);
   const commands = [{ verb: 'acknowledge', task: TASK, attemptNumber: 1 }] as const;
-  const { tokens } = b.host.shard;
+  const { fencingTokens: tokens } = b.host.shard;
   const seal = (mayRaise: boolean): unknown =>
-    machine.commandTokens.seal(commands, tokens, { seenToken: TOKEN, mayRaise });
+    machine.commandTokens.assignToken(commands, tokens, { seenToken: TOKEN, mayRaise });
   assert.deepEqual(seal(false), { token: TOKEN, commands: [], startToken: TOKEN });
   assert.deepEqual(seal(true), { token: TOKEN + 1, commands: [...commands], startToken: TOKEN });
   // Nothing was started under the new one: the next needs no other.
--- a/test/rollout/rollout.test.ts
+++ b/test/rollout/rollout.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { rolloutPath } from '../../src/protocol/routes.js';
 import { keys } from '../../src/storage/records.js';
-import type { StoredOwnerRecord } from '../../src/storage/storedRecords.js';
+import type { StoredLeaderRecord } from '../../src/storage/storedRecords.js';
 import { buildWithFeatures, pause, presentBuild, until } from '../support/cluster.js';
 import { FEATURES, LABELS, RolloutCluster } from '../support/rolloutCluster.js';
 
@@ -74,7 +74,7 @@
     await rollout.start();
     const users = rollout.submit();
     await rollout.untilLevel(3);
-    const before = cluster.state.rows.get(keys.owner('drone-2'))?.value as StoredOwnerRecord;
+    const before = cluster.state.rows.get(keys.leader('drone-2'))?.value as StoredLeaderRecord;
     cluster.crash('drone-2');
     cluster.builds.set('drone-2', without);
     await cluster.boot('drone-2');
@@ -82,8 +82,8 @@
     assert.match(reason, /rollouts to be switched on/);
     cluster.crash('drone-2');
     await until('a peer has its shard', () => {
-      const leader = cluster.state.rows.get(keys.owner('drone-2'))?.value as
-        StoredOwnerRecord | undefined;
+      const leader = cluster.state.rows.get(keys.leader('drone-2'))?.value as
+        StoredLeaderRecord | undefined;
       return leader !== undefined && leader.node !== 'drone-2' && leader.token > before.token;
     });
     await rollout.restart('drone-2', withFeatures);
@@ -102,22 +102,26 @@
     await rollout.start();
     await rollout.untilLevel(3);
     cluster.crash('drone-2');
-    const key = keys.owner('drone-2');
+    const key = keys.leader('drone-2');
     await until('its key is gone', () => {
-      const leader = cluster.state.rows.get(key)?.value as StoredOwnerRecord | undefined;
+      const leader = cluster.state.rows.get(key)?.value as StoredLeaderRecord | undefined;
       return leader?.node !== 'drone-2';
     });
     // An old process that had loaded before the barrier writes its key again and again.
     const stored = cluster.state.rows.get(key);
-    const token = (stored?.value as StoredOwnerRecord | undefined)?.token ?? 0;
-    const value: StoredOwnerRecord = { node: 'drone-2', token: token + 1, process: 'an old build' };
+    const token = (stored?.value as StoredLeaderRecord | undefined)?.token ?? 0;
+    const value: StoredLeaderRecord = {
+      node: 'drone-2',
+      token: token + 1,
+      process: 'an old build',
+    };
     const written = cluster.state.apply({
       When: [{ K: key, Stamp: stored?.revision ?? 0 }],
       Then: [{ Put: key, Value: value }],
     });
     assert.equal(written.status, 200);
     await until('a peer has taken the shard over', () => {
-      const leader = cluster.state.rows.get(key)?.value as StoredOwnerRecord;
+      const leader = cluster.state.rows.get(key)?.value as StoredLeaderRecord;
       return leader.node !== 'drone-2';
     });
   } finally {
--- a/test/scheduling/arrivalRate.test.ts
+++ b/test/scheduling/arrivalRate.test.ts
@@ -5,7 +5,7 @@
 
 test('arrivals: a steady stream gives its rate, and silence forgets it', () => {
   const arrivals = new ArrivalRate(100);
-  for (let t = 0; t < 1000; t++) arrivals.note(50, t);
+  for (let t = 0; t < 1000; t++) arrivals.record(50, t);
   assert.ok(Math.abs(arrivals.rate(1000) - 50) < 2);
   assert.ok(arrivals.rate(1500) < 1);
 });
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -6,7 +6,7 @@
   satisfiesConstraints,
   bestFit,
   sampleCandidates,
-  victimsFor,
+  selectVictims,
 } from '../../src/coordination/scheduling/placement.js';
 import { spec } from '../support/spec.js';
 
@@ -71,7 +71,7 @@
     { rank: 3, need: room(8, 1), loss: 0 },
   ];
   const losses = (cpus: number, rank: number): number[] | undefined =>
-    victimsFor(room(0), room(cpus, 0), running, rank)?.map((v) => v.loss);
+    selectVictims(room(0), room(cpus, 0), running, rank)?.map((v) => v.loss);
   assert.deepEqual(losses(2, 3), [90]);
   assert.deepEqual(losses(4, 3), [90, 5]);
   assert.deepEqual(losses(2, 1), [90]);
--- a/test/scheduling/queueReplay.test.ts
+++ b/test/scheduling/queueReplay.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  replay,
-  ReplayStart,
+  replayQueue,
+  ReplaySnapshot,
   type ReplayMachine,
 } from '../../src/coordination/scheduling/queueReplay.js';
 import { spec } from '../support/spec.js';
@@ -25,7 +25,7 @@
 
 test('the wait comes from replaying the queue', () => {
   const job = spec({ cpus: 4 });
-  const item = (count: number, run: number): Parameters<typeof replay>[2] => ({
+  const item = (count: number, run: number): Parameters<typeof replayQueue>[2] => ({
     spec: job,
     zone: null,
     count,
@@ -42,12 +42,12 @@
     ['no machines', [], [], 1, Infinity],
   ];
   for (const [name, hosts, queue, count, wait] of cases) {
-    assert.equal(replay(new ReplayStart(hosts), queue, item(count, 20)).wait, wait, name);
+    assert.equal(replayQueue(new ReplaySnapshot(hosts), queue, item(count, 20)).wait, wait, name);
   }
 });
 
 test('later work fills what earlier work leaves in the replay', () => {
   const large = { spec: spec({ cpus: 8 }), zone: null, count: 1, run: 10 };
   const small = { spec: spec({ cpus: 2 }), zone: null, count: 1, run: 1 };
-  assert.equal(replay(new ReplayStart([host(4, [[6, 4]])]), [large], small).wait, 0);
+  assert.equal(replayQueue(new ReplaySnapshot([host(4, [[6, 4]])]), [large], small).wait, 0);
 });
--- a/test/scheduling/runTimes.test.ts
+++ b/test/scheduling/runTimes.test.ts
@@ -5,9 +5,9 @@
 
 test('run times are corrected by the median of what was seen', () => {
   const times = new RunTimes();
-  for (const actual of [20, 21, 20, 19]) times.note('c', 10, actual);
+  for (const actual of [20, 21, 20, 19]) times.record('c', 10, actual);
   assert.equal(times.expected('c', 10), 10, 'four say too little');
-  times.note('c', 10, 400);
+  times.record('c', 10, 400);
   assert.ok(Math.abs(times.expected('c', 10) - 20) < 2);
   assert.equal(times.expected('other', 10), 10);
 });
--- a/test/scheduling/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -8,58 +8,58 @@
 import { rankOrder } from '../../src/protocol/job.js';
 import type { ReportedAttempt } from '../../src/protocol/workerProtocol.js';
 import { singleShardView } from '../../src/coordination/quota/teamUsage.js';
-import { Bench } from '../support/bench.js';
-import { m8 } from '../support/part.js';
+import { ShardFixture } from '../support/shardFixture.js';
+import { m8 } from '../support/emptyShard.js';
 import { spec } from '../support/spec.js';
 
 test('rank before arrival; a live service stops batch work, batch work stops nothing', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machine = b.machine();
   const batch = b.chunk({ id: 'wk-1', cpus: 8 });
-  b.decide();
+  b.runSchedulingRound();
   b.store(batch);
   b.report(machine, [{}]);
   b.now++;
   const other = b.chunk({ id: 'wk-2', cpus: 8 });
-  b.decide();
-  assert.deepEqual(b.verbs(machine), []);
+  b.runSchedulingRound();
+  assert.deepEqual(b.dueCommandNames(machine), []);
   const live = b.chunk({ id: 'wk-3', rank: 'prod', isService: true });
-  b.decide();
-  assert.deepEqual(b.verbs(machine), ['stop wk-1/0 1']);
+  b.runSchedulingRound();
+  assert.deepEqual(b.dueCommandNames(machine), ['stop wk-1/0 1']);
   b.report(machine, [{ state: 'ended', cause: 'halted' }]);
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(live.attempts.size, 1);
   assert.equal(other.attempts.size + batch.attempts.size, 0, 'no room beside the service');
 });
 
 test('later work fills in, but not on the machine kept for the first that waits', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const first = b.machine('n-1');
   b.machine('n-2');
   const running = b.chunk({ id: 'wk-1', cpus: 6, taskCount: 2 });
-  b.decide();
+  b.runSchedulingRound();
   b.store(running);
   b.report(first, [{ task: 'wk-1/0', attemptNumber: 1 }]);
   b.now++;
   const large = b.chunk({ id: 'wk-2', cpus: 8 });
   b.now++;
   const long = b.chunk({ id: 'wk-3', cpus: 2, taskCount: 2, expectedRunSeconds: 500 });
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(large.attempts.size, 0);
   assert.equal(long.attempts.size, 1, 'one of two: the other machine is kept');
 });
 
 test('a round that runs out of time goes on where it stopped', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   for (let n = 0; n < 4; n++) b.machine(`n-${n}`);
   const chunks = [1, 2, 3].map((n) => b.chunk({ id: `wk-${n}` }));
   let looks = 0;
-  b.part.scheduler.runRound(b.now, () => ++looks > 1);
+  b.shard.scheduler.runRound(b.now, () => ++looks > 1);
   assert.deepEqual(
     chunks.map((c) => c.attempts.size),
     [1, 0, 0],
   );
-  b.decide();
+  b.runSchedulingRound();
   assert.deepEqual(
     chunks.map((c) => c.attempts.size),
     [1, 1, 1],
@@ -67,14 +67,14 @@
 });
 
 test('machines loaded before the types are known get work once they are', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   b.types = new Map();
   b.machine();
   const chunk = b.chunk();
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(chunk.attempts.size, 0);
   b.types = new Map([['m8', m8]]);
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(chunk.attempts.size, 1);
 });
 
@@ -94,10 +94,10 @@
       cpus: team === 'small' && mine === 2 ? 2 : 0,
       gpus: 0,
     });
-    const b = new Bench({ ...singleShardView, guarantee, usedElsewhere: elsewhere });
+    const b = new ShardFixture({ ...singleShardView, guarantee, usedElsewhere: elsewhere });
     const machine = b.machine();
     const large = b.chunk({ id: 'wk-1', team: 'large', rank: 'high', cpus: 4, taskCount: 2 });
-    b.decide();
+    b.runSchedulingRound();
     b.store(large);
     b.report(machine, [{ task: 'wk-1/0', attemptNumber: 1 }]);
     b.now += 5;
@@ -106,41 +106,41 @@
       { task: 'wk-1/1', attemptNumber: 2 },
     ]);
     b.chunk({ id: 'wk-2', team: 'small', rank: 'idle' });
-    b.decide();
-    assert.deepEqual(b.verbs(machine), orders, name);
+    b.runSchedulingRound();
+    assert.deepEqual(b.dueCommandNames(machine), orders, name);
   }
 });
 
 test('a replica goes where its image is, and batch work makes room for it there', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const warm = b.machine('n-1');
   warm.noteImage('live', 1);
   const batch = b.chunk({ id: 'wk-1', cpus: 8 });
-  b.decide();
+  b.runSchedulingRound();
   b.store(batch);
   b.report(warm, [{}]);
   const cold = b.machine('n-2');
   const live = b.chunk({ id: 'wk-2', rank: 'prod', isService: true, image: 'live' });
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(live.attempts.size, 0);
-  assert.deepEqual(b.verbs(warm), ['stop wk-1/0 1']);
+  assert.deepEqual(b.dueCommandNames(warm), ['stop wk-1/0 1']);
   b.report(warm, [{ state: 'ended', cause: 'halted' }]);
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(live.attempts.get(0)?.machine, 'n-1');
   const other = b.chunk({ id: 'wk-3', rank: 'prod', isService: true, image: 'unheard of' });
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(other.attempts.size, 1, 'nobody has its image: any machine will do');
   assert.ok(cold.isUp);
 });
 
 test('a gang starts whole, and goes back whole when one of it is lost', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const first = b.machine('n-1');
   const gang = b.chunk({ isGang: true, taskCount: 6, cpus: 2 });
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(gang.attempts.size, 0, 'four of six fit');
   const second = b.machine('n-2');
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(gang.attempts.size, 6);
   const attempts = new Set([...gang.attempts.values()].map((e) => e.attemptNumber));
   assert.equal(attempts.size, 1, 'its tasks know each other by a common attempt');
@@ -153,15 +153,17 @@
   b.report(second, on(second));
   const [lost, ...rest] = on(first);
   b.report(first, [{ ...lost, state: 'ended', cause: 'error' }, ...rest]);
-  const halts = [...b.verbs(first), ...b.verbs(second)].filter((v) => v.startsWith('stop'));
+  const halts = [...b.dueCommandNames(first), ...b.dueCommandNames(second)].filter((v) =>
+    v.startsWith('stop'),
+  );
   assert.equal(halts.length, 5);
   b.now += 100;
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(gang.attempts.size, 5, 'nothing starts before all are over');
 });
 
 test('a large task begins although smaller work goes on arriving', () => {
-  const b = new Bench();
+  const b = new ShardFixture();
   const machines = [b.machine('n-1'), b.machine('n-2')];
   const running = new Map<string, { machine: Machine; chunk: Chunk; ends: number }>();
   let large: Chunk | null = null;
@@ -181,7 +183,7 @@
         ...rest.map(([t]) => ({ task: t })),
       ]);
     }
-    b.decide();
+    b.runSchedulingRound();
     for (const machine of machines) {
       for (const [task, { chunk }] of machine.placements) {
         if (running.has(task)) continue;
@@ -201,7 +203,7 @@
 test('at its limit a team is served in order, here and across parts', () => {
   let allowance = 4;
   let starved: { team: string; submittedAt: number; rank: number } | null = null;
-  const b = new Bench({
+  const b = new ShardFixture({
     ...singleShardView,
     allowance: () => ({ cpus: allowance, gpus: Infinity }),
     starvedElsewhere: () => starved,
@@ -209,22 +211,22 @@
   b.machine('n-1');
   b.machine('n-2');
   const small = b.chunk({ id: 'wk-1', cpus: 2 });
-  b.decide();
+  b.runSchedulingRound();
   b.now += 1;
   const large = b.chunk({ id: 'wk-2', cpus: 4 });
   b.now += 1;
   const later = b.chunk({ id: 'wk-3', cpus: 2 });
-  b.decide();
+  b.runSchedulingRound();
   assert.deepEqual(
     [small, large, later].map((c) => c.attempts.size),
     [1, 0, 0],
   );
-  assert.equal(b.part.scheduler.starvedJobs.size, 0, 'it has not waited for long');
+  assert.equal(b.shard.scheduler.starvedJobs.size, 0, 'it has not waited for long');
   b.now += 10;
-  b.decide();
-  assert.equal(b.part.scheduler.starvedJobs.get('crew')?.submittedAt, large.submittedAt);
+  b.runSchedulingRound();
+  assert.equal(b.shard.scheduler.starvedJobs.get('crew')?.submittedAt, large.submittedAt);
   allowance = 8;
-  b.decide();
+  b.runSchedulingRound();
   assert.deepEqual(
     [small, large, later].map((c) => c.attempts.size),
     [1, 1, 1],
@@ -234,15 +236,15 @@
   b.now += 1;
   const younger = b.chunk({ id: 'wk-4', cpus: 2 });
   allowance = 100;
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(younger.attempts.size, 0);
   assert.equal(
-    b.part.scheduler.wanted('crew').cpus,
+    b.shard.scheduler.pendingDemand('crew').cpus,
     0,
     'it keeps the share that the other waits for',
   );
   starved = null;
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(younger.attempts.size, 1);
 });
 
@@ -252,30 +254,34 @@
     most: 12,
     play: (p, now) => p.scheduler.runRound(now, () => false),
   },
-  { name: 'what may be returned', most: 12, play: (p, now) => void p.demand.idleMachines(now, 1) },
+  {
+    name: 'what may be returned',
+    most: 12,
+    play: (p, now) => void p.demand.cordonIdleMachines(now, 1),
+  },
   { name: 'what is asked for', most: 12, play: (p, now) => void p.demand.demands(now) },
   {
     name: 'a peer that asks for the wait',
     most: 12,
     play: (p, now) => {
       const asked = spec({ taskCount: 20 });
-      p.waitEstimates.waitFor({ spec: asked, zone: null, count: 20, run: 20 }, now);
+      p.waitEstimates.estimateWait({ spec: asked, zone: null, count: 20, run: 20 }, now);
     },
   },
 ];
 for (const { name, most, play } of rounds) {
   for (const waiting of [0, 300]) {
     test(`2,000 machines, ${waiting} waiting jobs: visits grow with machines plus jobs: ${name}`, () => {
-      const b = new Bench();
+      const b = new ShardFixture();
       for (let i = 0; i < 2000; i++) {
         const machine = b.machine(`n-${i}`);
         machine.idleSince = b.now - 1000;
       }
       for (let i = 0; i < waiting; i++) {
         const s = spec({ id: `wk-${i}`, taskCount: 40, cpus: 4, image: `img-${i % 12}` });
-        b.part.acceptNewChunk(new Chunk(s, 0, 'p', b.now, 0, 40, null, b.now), b.now);
+        b.shard.acceptNewChunk(new Chunk(s, 0, 'p', b.now, 0, 40, null, b.now), b.now);
       }
-      b.decide();
+      b.runSchedulingRound();
       b.now += 1;
       let visits = 0;
       const types = new Map(b.types);
@@ -287,7 +293,7 @@
         values: () => types.values(),
       };
       b.types = counted as unknown as Map<string, MachineType>;
-      play(b.part, b.now);
+      play(b.shard, b.now);
       assert.ok(visits <= most * (2000 + waiting), `${visits} visits`);
     });
   }
@@ -301,11 +307,11 @@
 ];
 for (const { name, tasks, service = false, pressing } of backlogs) {
   test(`machines at full price for batch work: ${name}`, () => {
-    const b = new Bench();
+    const b = new ShardFixture();
     b.machine();
     b.chunk({ taskCount: tasks, isService: service, expectedRunSeconds: service ? 0 : 20 });
-    b.decide();
-    const demands = b.part.demand.demands(b.now);
+    b.runSchedulingRound();
+    const demands = b.shard.demand.demands(b.now);
     assert.equal(
       demands.some((d) => d.onDemandCount > 0),
       pressing,
@@ -321,30 +327,30 @@
     ...singleShardView,
     inheritedRank: (job: string) => inherited.get(job) ?? -Infinity,
   };
-  const b = new Bench(view);
+  const b = new ShardFixture(view);
   const machine = b.machine();
-  const ordinary = b.running(machine, { id: 'wk-1', taskCount: 1, cpus: 5 });
+  const ordinary = b.createRunningChunk(machine, { id: 'wk-1', taskCount: 1, cpus: 5 });
   const other = b.chunk({ id: 'wk-2', cpus: 5 });
   b.now += 1;
   const stage = b.chunk({ id: 'wk-3', rank: 'idle', cpus: 5 });
   inherited.set('wk-3', rankOrder.high);
-  b.part.updateRank('wk-3');
-  assert.deepEqual(b.part.queuedChunks(), [stage, other]);
-  b.decide();
-  assert.deepEqual(b.verbs(machine), [], 'what runs goes on');
+  b.shard.updateRank('wk-3');
+  assert.deepEqual(b.shard.queuedChunks(), [stage, other]);
+  b.runSchedulingRound();
+  assert.deepEqual(b.dueCommandNames(machine), [], 'what runs goes on');
   b.report(machine, [{ task: 'wk-1/0', state: 'ended', cause: 'done' }]);
   assert.ok(ordinary.isComplete);
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(stage.attempts.size, 1);
   b.store(stage);
   b.report(machine, [{ task: 'wk-3/0' }]);
   const urgent = b.chunk({ id: 'wk-4', rank: 'high', cpus: 5 });
-  b.decide();
+  b.runSchedulingRound();
   assert.equal(stage.attempts.get(0)?.stop, null, 'it is as urgent as the job that needs it');
   assert.equal(urgent.attempts.size, 0);
   // Nobody needs it any more.
   inherited.clear();
-  b.part.updateRank('wk-3');
-  b.decide();
+  b.shard.updateRank('wk-3');
+  b.runSchedulingRound();
   assert.notEqual(stage.attempts.get(0)?.stop, null);
 });
--- a/test/storage/compatibility.test.ts
+++ b/test/storage/compatibility.test.ts
@@ -80,7 +80,7 @@
         assert.ok(Buffer.byteLength(JSON.stringify(put.value)) <= valueBytes, put.key);
       }
       assert.equal(head.key, key);
-      assert.ok(pieces.every((piece, i) => piece.key === keys.piece(key, i + 1)));
+      assert.ok(pieces.every((piece, i) => piece.key === keys.fragment(key, i + 1)));
     }
   }
 });
@@ -156,20 +156,20 @@
     loaded: false,
     get: (key: string) => store.rows.get(key),
     note: (key: string, value: unknown) => {
-      marks.note(key.slice(keys.node('').length), value as { recordFormat: number });
+      marks.update(key.slice(keys.node('').length), value as { recordFormat: number });
     },
   };
   const marks = new NodeCapabilities(store, replica, recordFormat, 'n0', ['n0', 'n1', 'n2']);
-  await marks.ensure();
+  await marks.publish();
   assert.equal(store.changes, 0, 'what is stored has not been read yet');
   replica.loaded = true;
   store.refuseNext = 1;
-  for (let tries = 0; tries < 4; tries++) await marks.ensure();
+  for (let tries = 0; tries < 4; tries++) await marks.publish();
   assert.equal(store.changes, 1, 'once');
-  marks.note('n1', { recordFormat: RECORD_FORMAT_VERSION });
-  marks.note('elsewhere', { recordFormat: RECORD_FORMAT_VERSION });
-  marks.note('n2', { recordFormat: RECORD_FORMAT_VERSION - 1 });
+  marks.update('n1', { recordFormat: RECORD_FORMAT_VERSION });
+  marks.update('elsewhere', { recordFormat: RECORD_FORMAT_VERSION });
+  marks.update('n2', { recordFormat: RECORD_FORMAT_VERSION - 1 });
   assert.ok(!recordFormat.isCompact && !marks.isUpgraded);
-  marks.note('n2', { recordFormat: RECORD_FORMAT_VERSION });
+  marks.update('n2', { recordFormat: RECORD_FORMAT_VERSION });
   assert.ok(recordFormat.isCompact && marks.isUpgraded);
 });
--- a/test/storage/fleetRecords.test.ts
+++ b/test/storage/fleetRecords.test.ts
@@ -12,10 +12,10 @@
 
 test('a machine that two groups name is in the same part for every node, whatever each heard of first', () => {
   const [one, other] = [new MachineInventory(), new MachineInventory()];
-  one.note('rental', group('p'));
-  one.note('adopted', group('q'));
-  other.note('adopted', group('q'));
-  other.note('rental', group('p'));
+  one.update('rental', group('p'));
+  one.update('adopted', group('q'));
+  other.update('adopted', group('q'));
+  other.update('rental', group('p'));
   assert.equal(one.get('n-1')?.shard, other.get('n-1')?.shard);
 });
 
@@ -58,14 +58,14 @@
           change === null
             ? null
             : { ...group(change.shard), machines: Object.fromEntries(machines) };
-        followed.note(name, value);
+        followed.update(name, value);
         if (value === null) stored.delete(name);
         else stored.set(name, value);
       }
       const loaded = new MachineInventory();
       const ranked = [...stored].map((row) => ({ row, rank: order.next().value ?? 0 }));
       const rows = ranked.sort((a, b) => a.rank - b.rank).map(({ row }) => row);
-      for (const [name, value] of [...rows, ...rows]) loaded.note(name, value);
+      for (const [name, value] of [...rows, ...rows]) loaded.update(name, value);
       assert.deepEqual(contentOf(followed), contentOf(loaded));
     }),
   );
@@ -73,13 +73,13 @@
 
 test('a machine is gone only once no group names it, and the other claim counts from then on', () => {
   const inventory = new MachineInventory();
-  inventory.note('rental', group('p'));
-  inventory.note('adopted', group('q'));
+  inventory.update('rental', group('p'));
+  inventory.update('adopted', group('q'));
   const shard = inventory.get('n-1')?.shard;
   assert.deepEqual(inventory.contested(), ['n-1']);
   const [first = '', other = ''] = inventory.groupsOf('n-1');
-  assert.deepEqual(inventory.note(first, null).gone, []);
+  assert.deepEqual(inventory.update(first, null).gone, []);
   assert.notEqual(inventory.get('n-1')?.shard, shard);
   assert.deepEqual(inventory.contested(), []);
-  assert.deepEqual(inventory.note(other, null).gone, ['n-1']);
+  assert.deepEqual(inventory.update(other, null).gone, ['n-1']);
 });
--- a/test/storage/fragments.test.ts
+++ b/test/storage/fragments.test.ts
@@ -10,7 +10,7 @@
 import { StateStandIn } from '../support/state.js';
 
 const LIMITS = { valueBytes: 2048, txnOps: 5 };
-const KEY = keys.group('r-1');
+const KEY = keys.machineGroup('r-1');
 
 let state: StateStandIn;
 let endpoint = '';
@@ -110,7 +110,8 @@
   if (half !== undefined) state.rows.set(KEY, half);
   state.reads.length = 0;
   const restore = setInterval(() => {
-    if (state.reads.includes(keys.piece(KEY, 1)) && whole !== undefined) state.rows.set(KEY, whole);
+    if (state.reads.includes(keys.fragment(KEY, 1)) && whole !== undefined)
+      state.rows.set(KEY, whole);
   }, 1);
   const read = await client().get(KEY);
   clearInterval(restore);
--- a/test/storage/rateLimiter.test.ts
+++ b/test/storage/rateLimiter.test.ts
@@ -1,7 +1,7 @@
 /** The order in which requests get their turn at a service that limits its rate. */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
-import { RateLimiter, shareOf, type RequestPriority } from '../../src/storage/rateLimiter.js';
+import { RateLimiter, rateShareOf, type RequestPriority } from '../../src/storage/rateLimiter.js';
 
 const RATE = 10;
 
@@ -114,6 +114,6 @@
 ];
 for (const { name, needs, share } of shares) {
   test(`share of a rate: ${name}`, () => {
-    assert.equal(shareOf(30, 3, needs), share);
+    assert.equal(rateShareOf(30, 3, needs), share);
   });
 }
--- a/test/support/cluster.ts
+++ b/test/support/cluster.ts
@@ -4,7 +4,7 @@
 import { seededRandom } from '../../src/base/random.js';
 import { Controller } from '../../src/coordination/controller/controller.js';
 import { Gateway, isEssential } from '../../src/coordination/controller/gateway.js';
-import { withoutRollout, type RolloutSetup } from '../../src/coordination/rollout/rolloutSetup.js';
+import { rolloutDisabled, type RolloutSetup } from '../../src/coordination/rollout/rolloutSetup.js';
 import * as rolloutModules from '../../src/coordination/rollout/rolloutModules.js';
 import { defaultTuning, parseSettings } from '../../src/protocol/settings.js';
 import { HttpClient, type Response } from '../../src/transport/httpClient.js';
@@ -43,7 +43,7 @@
   buildWith(
     text,
     run,
-    withoutRollout(() => undefined),
+    rolloutDisabled(() => undefined),
   );
 
 /** With some features on; a node that is refused ends, as its process would. */
@@ -55,7 +55,7 @@
     const node = buildWith(text, run, {
       features: new Set(features),
       modules: features.length === 0 ? null : rolloutModules,
-      refused: (reason) => {
+      onRefused: (reason) => {
         refused(reason);
         node.controller.stop();
       },
@@ -136,7 +136,7 @@
           const gateway = this.nodes.get(label)?.gateway;
           // A cut is silent.
           if (this.apart.has(label) || this.apart.has(from)) return new Promise(() => undefined);
-          return gateway?.peer(body) ?? Promise.reject(new Error('down'));
+          return gateway?.handlePeerMessage(body) ?? Promise.reject(new Error('down'));
         });
         const port = await peers.listen({ host: '127.0.0.1', port: 0 });
         this.backs.set(`${from}>${label}`, port);
--- a/test/support/commandBench.ts
+++ b/test/support/commandBench.ts
@@ -15,7 +15,7 @@
 import { heartbeatAnswer, parseHeartbeat } from '../../src/protocol/workerProtocol.js';
 import { HttpCallError, type Response } from '../../src/transport/httpClient.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
-import { Bench, TOKEN } from './bench.js';
+import { ShardFixture, TOKEN } from './shardFixture.js';
 import { WorkerModel, type CommandBody, type ReportOrder } from './workerModel.js';
 
 /** What becomes of the next command: it arrives; it is held, and its sender gives up; or it never leaves. */
@@ -24,7 +24,7 @@
 const REPORT_S = 3;
 
 export class CommandBench {
-  readonly bench = new Bench();
+  readonly bench = new ShardFixture();
   readonly host: OwnedShard;
   readonly orders: CommandDispatcher;
   /** Tasks that were started on a machine while they were on another. */
@@ -43,7 +43,7 @@
 
   constructor() {
     const { bench } = this;
-    this.host = createOwnedShard(bench.part, { fencingToken: TOKEN, revision: 1 }, bench.now);
+    this.host = createOwnedShard(bench.shard, { fencingToken: TOKEN, revision: 1 }, bench.now);
     const node: CommandDispatcherContext = {
       settings: { heartbeatInterval: REPORT_S, cores: 1, maxSockets: 100 },
       clock: { now: () => bench.now },
@@ -67,7 +67,7 @@
   /** A machine that has reported. */
   machine(name: string, reportOrder: ReportOrder = 'oldest first'): Machine {
     const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0, address: name };
-    const machine = this.bench.part.addMachine(name, record, this.bench.now);
+    const machine = this.bench.shard.addMachine(name, record, this.bench.now);
     const description = { name, address: name, type: 'm8', zone: 'a', spot: false };
     const observer = {
       started: ({ task }: { task: string }) => {
@@ -92,7 +92,7 @@
   hello(machine: Machine): void {
     const report = parseHeartbeat(this.worker(machine).report());
     if (report === null) throw new Error('malformed report');
-    this.bench.part.heartbeats.apply(machine, report, this.bench.now, 'follow-up');
+    this.bench.shard.heartbeats.apply(machine, report, this.bench.now, 'follow-up');
     machine.leaseRenewedAt = this.bench.now;
   }
 
@@ -103,21 +103,21 @@
     const worker = this.worker(machine);
     const due = commandsForAnswer(machine, this.bench.now, REPORT_S * 1.5, REPORT_S);
     const seenToken = machine.highestFencingToken;
-    const { tokens } = this.host.shard;
-    const message = machine.commandTokens.seal(due, tokens, { seenToken, mayRaise: true });
+    const { fencingTokens: tokens } = this.host.shard;
+    const message = machine.commandTokens.assignToken(due, tokens, { seenToken, mayRaise: true });
     worker.answer(worker.session, heartbeatAnswer(message.token, message.commands));
   }
 
   /** Places what waits, and stores it. */
   place(chunk: Chunk): void {
-    this.bench.decide();
+    this.bench.runSchedulingRound();
     this.bench.store(chunk);
   }
 
   /** Sends what is due to a machine and waits for what becomes of it. */
   async send(machine: Machine): Promise<void> {
     this.bench.now += REPORT_S / 6;
-    this.bench.part.pendingCommands.add(machine);
+    this.bench.shard.machinesWithDueCommands.add(machine);
     this.orders.send();
     for (let turn = 0; turn < 4; turn++) await new Promise((resolve) => setImmediate(resolve));
   }
--- a/test/support/part.ts
+++ b/test/support/emptyShard.ts
@@ -18,7 +18,7 @@
   zones: ['a'],
 };
 
-export function emptyPart(
+export function emptyShard(
   heartbeatInterval: number,
   types = new Map<string, MachineType>(),
   view: Partial<ClusterView> = {},
--- a/test/support/messages.ts
+++ b/test/support/messages.ts
@@ -8,7 +8,7 @@
   { Relay: { method: 'GET', target: '/v1/jobs/wk-1', body: '' } },
   {
     Gossip: {
-      from: 'drone-1',
+      sender: 'drone-1',
       process: 'p1',
       sequence: 3,
       sentAt: 1000.5,
--- a/test/support/bench.ts
+++ b/test/support/shardFixture.ts
@@ -9,21 +9,21 @@
 import { singleShardView, type ClusterView } from '../../src/coordination/quota/teamUsage.js';
 import type { JobSpec } from '../../src/protocol/job.js';
 import type { Heartbeat, ReportedAttempt } from '../../src/protocol/workerProtocol.js';
-import { m8 } from './part.js';
+import { m8 } from './emptyShard.js';
 import { spec } from './spec.js';
 
 /** The token of the part's owner. */
 export const TOKEN = 5;
 
-export class Bench {
+export class ShardFixture {
   now = 100;
-  tick = 0;
-  session = 1;
+  heartbeatSequence = 0;
+  agentEpoch = 1;
   types = new Map([['m8', m8]]);
-  readonly part: Shard;
+  readonly shard: Shard;
 
   constructor(cluster: ClusterView = singleShardView) {
-    this.part = new Shard(
+    this.shard = new Shard(
       'p',
       {
         workerLease: 18,
@@ -44,13 +44,13 @@
 
   machine(name = 'n-1', report = true): Machine {
     const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
-    const machine = this.part.addMachine(name, record, this.now);
+    const machine = this.shard.addMachine(name, record, this.now);
     if (report) this.report(machine, []);
     return machine;
   }
 
   machineOf(name: string): Machine {
-    const machine = this.part.machines.get(name);
+    const machine = this.shard.machines.get(name);
     if (machine === undefined) throw new Error(`no machine ${name}`);
     return machine;
   }
@@ -75,40 +75,40 @@
       type: 'm8',
       zone: 'a',
       spot: false,
-      agentEpoch: this.session,
-      heartbeatSequence: ++this.tick,
+      agentEpoch: this.agentEpoch,
+      heartbeatSequence: ++this.heartbeatSequence,
       highestFencingToken: TOKEN,
       preemptionWarning: null,
       attempts: full,
       ...changes,
     };
-    return this.part.heartbeats.apply(machine, report, this.now, from) !== 'stale';
+    return this.shard.heartbeats.apply(machine, report, this.now, from) !== 'stale';
   }
 
   chunk(changes: Partial<JobSpec> = {}): Chunk {
     const s = spec({ taskCount: 1, ...changes });
     const chunk = new Chunk(s, 0, 'p', this.now, 0, s.taskCount, null, this.now);
-    this.part.acceptNewChunk(chunk, this.now);
+    this.shard.acceptNewChunk(chunk, this.now);
     return chunk;
   }
 
   /** A chunk whose task is placed, stored and reported as running on this machine, the only one. */
-  running(machine: Machine, changes: Partial<JobSpec> = {}): Chunk {
+  createRunningChunk(machine: Machine, changes: Partial<JobSpec> = {}): Chunk {
     const chunk = this.chunk(changes);
-    this.decide();
+    this.runSchedulingRound();
     this.store(chunk);
     this.report(machine, [{}]);
     return chunk;
   }
 
   /** Two questions to it have got no answer. */
-  leaveUnanswered(machine: Machine): void {
+  missTwoProbes(machine: Machine): void {
     machine.reachability.missedProbes = 2;
     machine.reachability.firstMissedProbeAt = this.now;
   }
 
-  decide(): void {
-    this.part.scheduler.runRound(this.now, () => false);
+  runSchedulingRound(): void {
+    this.shard.scheduler.runRound(this.now, () => false);
   }
 
   /** As if every change had been stored. */
@@ -116,7 +116,7 @@
     for (const chunk of chunks) chunk.storedVersion = chunk.version;
   }
 
-  verbs(machine: Machine): string[] {
+  dueCommandNames(machine: Machine): string[] {
     return dueCommands(machine, this.now, 4).map((o) => `${o.verb} ${o.task} ${o.attemptNumber}`);
   }
 }
--- a/test/support/storedServices.ts
+++ b/test/support/storedServices.ts
@@ -45,7 +45,7 @@
   const bucket = { chunks: { [`${id}/0`]: chunk } };
   await storeAndReload(cluster, homeShard, [
     { Put: keys.job(id), Value: toPlainJob(job) },
-    { Put: keys.run('drone-0', 's1'), Value: toPlainBucket(bucket) },
+    { Put: keys.bucket('drone-0', 's1'), Value: toPlainBucket(bucket) },
   ]);
   await until('it runs', () => runningTasks(cluster, id).length === 2);
   await until(
--- a/test/transport/http.test.ts
+++ b/test/transport/http.test.ts
@@ -47,7 +47,7 @@
         `${name}, in steps of ${step}`,
       );
       if (keepAlive !== undefined) assert.equal(messages.at(-1)?.keepAlive, keepAlive, name);
-      assert.ok(parser.idle, name);
+      assert.ok(parser.isIdle, name);
     }
   }
 });
