--- a/test/mixed/mixedTrial.ts
+++ b/test/mixed/mixedTrial.ts
@@ -21,13 +21,18 @@
   malformed: number;
 }
 
+/** The gateway of the version in production, by the names that it had there. */
+interface ProductionGateway extends Pick<BuiltNode['gateway'], 'handle'> {
+  peer: BuiltNode['gateway']['handlePeerMessage'];
+}
+
 /** What is used of the version in production: its controllers are started, stopped and asked, no more. */
 interface ProductionModules {
   settings: { parseSettings(text: string): unknown; defaultTuning: Record<string, unknown> };
   controller: {
     Controller: new (...parts: unknown[]) => BuiltNode['controller'];
   };
-  gateway: { Gateway: new (controller: BuiltNode['controller']) => BuiltNode['gateway'] };
+  gateway: { Gateway: new (controller: BuiltNode['controller']) => ProductionGateway };
   http: { HttpClient: new (connections: number, idle: number) => unknown };
   log: { setLogLevel(level: string): void };
 }
@@ -52,7 +57,14 @@
     const controller = new modules.controller.Controller(
       ...[settings, tuning, systemClock, random, links, run],
     );
-    return { controller, gateway: new modules.gateway.Gateway(controller) };
+    const gateway = new modules.gateway.Gateway(controller);
+    return {
+      controller,
+      gateway: {
+        handle: (request, isFollowUp) => gateway.handle(request, isFollowUp),
+        handlePeerMessage: (body) => gateway.peer(body),
+      },
+    };
   };
 }
 
--- a/test/support/cluster.ts
+++ b/test/support/cluster.ts
@@ -19,7 +19,7 @@
 /** One controller as a build of the service makes it. */
 export interface BuiltNode {
   controller: Controller;
-  gateway: Gateway;
+  gateway: Pick<Gateway, 'handle' | 'handlePeerMessage'>;
 }
 
 /** Makes a controller from its settings file; `run` sets one start apart from every other. */
