--- a/src/base/log.ts
+++ b/src/base/log.ts
@@ -1,22 +1,22 @@
-/** The log of the process, and how errors read in it. */
+/** The logger of the process, and the formatting of errors for log lines. */
 import loglevel from 'loglevel';
 
-// Standard output is kept for the command line's answers; every log line goes to standard error.
+// Standard output is reserved for the output of commands; all log lines go to standard error.
 loglevel.methodFactory = (method) => {
   return (...parts: unknown[]) => {
     process.stderr.write(`${method} ${parts.map(String).join(' ')}\n`);
   };
 };
 
-/** Sets the level by its name, `info` where none is given; throws for an unknown name. */
+/** Sets the log level by name; `info` if the name is missing or unknown. */
 export function setLogLevel(name: string | undefined): void {
   const known = name === 'error' || name === 'info' || name === 'debug' ? name : 'info';
   loglevel.setLevel(known, false);
 }
 
-/** The log of the process; all of it goes to standard error. */
+/** The logger of the process; it writes to standard error. */
 export const log = loglevel;
 
-/** An error as log lines show it: its message, or the value itself where it is no error. */
+/** The message of an error, or the value as a string if it is not an Error. */
 export const describeError = (error: unknown): string =>
   error instanceof Error ? error.message : String(error);
--- a/src/base/version.ts
+++ b/src/base/version.ts
@@ -1,2 +1,2 @@
-/** The version of this build, as operators know it. */
+/** The release version of this build. */
 export const VERSION = '0.4.5';
--- a/src/transport/address.ts
+++ b/src/transport/address.ts
@@ -4,7 +4,7 @@
   port: number;
 }
 
-/** Reads `host:port`; null where it is no address. */
+/** Parses `host:port`; null if the text is not a valid address. */
 export function parseAddress(text: string): Address | null {
   const match = /^(.+):(\d{1,5})$/.exec(text);
   const port = Number(match?.[2]);
--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -1,9 +1,9 @@
-/** An HTTP/1.1 client that keeps connections, with a limit on how many are open. */
+/** An HTTP/1.1 client with keep-alive connections and a limit on open connections. */
 import net from 'node:net';
 import { HttpParser, type HttpMessage } from './httpParser.js';
 import { parseAddress } from './address.js';
 
-/** An answer; `retryAfter` in seconds, null where the header is absent. */
+/** An HTTP response; `retryAfter` in seconds, null if the header is absent. */
 export interface Response {
   status: number;
   body: unknown;
@@ -13,18 +13,18 @@
 interface IdleConnection {
   socket: net.Socket;
   timer: NodeJS.Timeout;
-  drop: () => void;
+  close: () => void;
 }
 
 /**
- * `unsent` says that the request cannot have been carried out: the connection never came up.
- * Anything else that fails may have been carried out, or may still be.
+ * A request that got no valid response. `unsent`: the request was never sent, so the server cannot have executed it. Any
+ * other failed request may have been executed, or may still be.
  */
 export class HttpCallError extends Error {
   constructor(
     message: string,
     readonly unsent: boolean,
-    /** It was not even tried, for want of sockets here: that says nothing of the other side. */
+    /** No connection was attempted because of the local socket limit; this says nothing about the server. */
     readonly isLocal = false,
   ) {
     super(message);
@@ -32,28 +32,28 @@
 }
 
 /**
- * Asked just before the first byte leaves, once the connection is up: this process may have stood still since the call, and
- * its right to what it asks for have ended.
+ * Called once the connection is established, immediately before the request is written; false cancels the request. The
+ * process may have been paused since the call, and the lease that permits the request may have expired.
  */
 export type SendGuard = () => boolean;
 
-const always: SendGuard = () => true;
+const alwaysSend: SendGuard = () => true;
 
-/** A request that waits for its connection. */
+/** A request that waits for a connection. */
 interface OutgoingRequest {
   text: string;
-  /** Seconds. */
+  /** In seconds. */
   timeout: number;
-  mayLeave: SendGuard;
+  maySend: SendGuard;
 }
 
 const RESPONSE_LIMIT = 64 * 1024 * 1024;
 
-/** Keeps a few idle connections a host; one request at a time on each. */
+/** Keeps idle connections per host for reuse; each connection carries one request at a time. */
 export class HttpClient {
   private readonly idle = new Map<string, IdleConnection[]>();
-  private open = 0;
-  /** Closing, and no longer counted as open. */
+  private openCount = 0;
+  /** Evicted sockets that are still closing and no longer counted as open. */
   private readonly evicted = new Set<net.Socket>();
 
   constructor(
@@ -61,21 +61,21 @@
     private readonly idleSeconds: number,
   ) {}
 
-  /** Makes one request; rejects with `HttpCallError` where no answer came. */
+  /** Sends one request; rejects with `HttpCallError` if no valid response arrives in time. */
   async call(
     endpoint: string,
     method: string,
     target: string,
     body: unknown,
     timeout: number,
-    mayLeave: SendGuard = always,
+    maySend: SendGuard = alwaysSend,
   ): Promise<Response> {
     const text = body === undefined ? '' : JSON.stringify(body);
     const head =
       `${method} ${target} HTTP/1.1\r\nHost: ${endpoint}\r\n` +
       (text === '' ? '' : 'Content-Type: application/json\r\n') +
       `Content-Length: ${Buffer.byteLength(text)}\r\n\r\n`;
-    const message = await this.exchange(endpoint, { text: head + text, timeout, mayLeave });
+    const message = await this.exchange(endpoint, { text: head + text, timeout, maySend });
     let parsed: unknown = null;
     try {
       parsed = message.body === '' ? null : JSON.parse(message.body);
@@ -87,37 +87,37 @@
   }
 
   private exchange(endpoint: string, request: OutgoingRequest): Promise<HttpMessage> {
-    const kept = this.idle.get(endpoint)?.pop();
-    if (kept !== undefined) {
-      clearTimeout(kept.timer);
-      // Not `close`: that listener keeps the count of open sockets.
-      for (const event of ['data', 'error', 'end']) kept.socket.removeAllListeners(event);
-      if (!kept.socket.destroyed) return this.send(endpoint, kept.socket, request, true);
+    const pooled = this.idle.get(endpoint)?.pop();
+    if (pooled !== undefined) {
+      clearTimeout(pooled.timer);
+      // The `close` listener stays: it maintains the count of open sockets.
+      for (const event of ['data', 'error', 'end']) pooled.socket.removeAllListeners(event);
+      if (!pooled.socket.destroyed) return this.send(endpoint, pooled.socket, request, true);
     }
-    if (this.open >= this.maxOpen && !this.evict()) {
+    if (this.openCount >= this.maxOpen && !this.evictIdle()) {
       return Promise.reject(new HttpCallError('too many open connections', true, true));
     }
     const address = parseAddress(endpoint);
     if (address === null) return Promise.reject(new HttpCallError(`bad address ${endpoint}`, true));
     const socket = net.connect({ ...address, noDelay: true });
-    this.open++;
+    this.openCount++;
     socket.once('close', () => {
-      if (!this.evicted.delete(socket)) this.open--;
+      if (!this.evicted.delete(socket)) this.openCount--;
     });
     return this.send(endpoint, socket, request, false);
   }
 
   /**
-   * Closes the connection that has been idle for longest. Without it, connections kept to hundreds of
-   * machines would leave none for the next.
+   * Closes an idle connection of the least recently used host. Otherwise idle connections to hundreds of machines would
+   * use up the limit and block new connections.
    */
-  private evict(): boolean {
+  private evictIdle(): boolean {
     for (const pool of this.idle.values()) {
       const oldest = pool[0];
       if (oldest === undefined) continue;
       this.evicted.add(oldest.socket);
-      this.open--;
-      oldest.drop();
+      this.openCount--;
+      oldest.close();
       return true;
     }
     return false;
@@ -126,14 +126,14 @@
   private send(
     endpoint: string,
     socket: net.Socket,
-    { text, timeout, mayLeave }: OutgoingRequest,
+    { text, timeout, maySend }: OutgoingRequest,
     connected: boolean,
   ): Promise<HttpMessage> {
     return new Promise((resolve, reject) => {
       const parser = new HttpParser('response', RESPONSE_LIMIT);
       let sent = connected;
       const settle = (): void => {
-        over = true;
+        isSettled = true;
         clearTimeout(timer);
         for (const event of ['data', 'error', 'end', 'connect']) socket.removeAllListeners(event);
       };
@@ -145,19 +145,19 @@
       };
       const finish = (message: HttpMessage): void => {
         settle();
-        if (message.keepAlive) this.keep(endpoint, socket);
+        if (message.keepAlive) this.keepIdle(endpoint, socket);
         else {
           socket.on('error', () => undefined);
           socket.destroy();
         }
         resolve(message);
       };
-      let over = false;
+      let isSettled = false;
       const timer = setTimeout(() => {
-        // After a stretch in which this process did not get to run, timers fire before what has arrived
-        // meanwhile is read: an answer that is there is taken.
+        // After the process was not scheduled for a while, timers fire before the event loop reads data that has already
+        // arrived; the extra turn accepts a response that is already in the socket buffer.
         setImmediate(() => {
-          if (!over) fail('timed out');
+          if (!isSettled) fail('timed out');
         });
       }, timeout * 1000);
       socket.on('data', (data) => {
@@ -177,36 +177,36 @@
         else fail('connection closed');
       });
       const start = (): void => {
-        sent = mayLeave();
+        sent = maySend();
         if (sent) socket.write(text);
-        else fail('no longer allowed');
+        else fail('the request was cancelled before it was sent');
       };
       if (connected) start();
       else socket.once('connect', start);
     });
   }
 
-  private keep(endpoint: string, socket: net.Socket): void {
+  private keepIdle(endpoint: string, socket: net.Socket): void {
     const pool = this.idle.get(endpoint) ?? [];
-    // Set anew, so that the hosts stand in the order of their last use.
+    // Reinserting the pool keeps the hosts in order of last use.
     this.idle.delete(endpoint);
     this.idle.set(endpoint, pool);
-    const drop = (): void => {
+    const close = (): void => {
       clearTimeout(entry.timer);
-      const at = pool.indexOf(entry);
-      if (at >= 0) pool.splice(at, 1);
+      const index = pool.indexOf(entry);
+      if (index >= 0) pool.splice(index, 1);
       if (pool.length === 0 && this.idle.get(endpoint) === pool) this.idle.delete(endpoint);
       socket.destroy();
     };
     const entry: IdleConnection = {
       socket,
-      timer: setTimeout(drop, this.idleSeconds * 1000),
-      drop,
+      timer: setTimeout(close, this.idleSeconds * 1000),
+      close,
     };
     entry.timer.unref();
-    socket.on('error', drop);
-    socket.on('end', drop);
-    socket.on('data', drop);
+    socket.on('error', close);
+    socket.on('end', close);
+    socket.on('data', close);
     pool.push(entry);
   }
 }
--- a/src/transport/httpParser.ts
+++ b/src/transport/httpParser.ts
@@ -1,8 +1,8 @@
-/** An incremental HTTP/1.1 parser for requests and responses: no pipelining, bounded heads and bodies. */
+/** An incremental HTTP/1.1 parser for requests and responses with limits on the size of heads and bodies. */
 
-/** A request or an answer, whole. */
+/** A complete request or response. */
 export interface HttpMessage {
-  /** Requests: method and target. Responses: status in `status`. */
+  /** `method` and `target` are set for requests, `status` for responses. */
   method: string;
   target: string;
   status: number;
@@ -11,7 +11,7 @@
   keepAlive: boolean;
 }
 
-/** A message that breaks HTTP, with the status to answer it with. */
+/** A message that violates HTTP or exceeds a limit; `status` is the status code of the response to it. */
 export class HttpError extends Error {
   constructor(
     readonly status: number,
@@ -27,28 +27,28 @@
 
 type State = 'head' | 'length' | 'chunk-size' | 'chunk-data' | 'trailer' | 'until-close';
 
-/** Parses the bytes of one connection into messages (RFC 9112). */
+/** Parses the byte stream of one connection into messages (RFC 9112). */
 export class HttpParser {
   private buffer: Buffer = Buffer.alloc(0);
   private state: State = 'head';
   private message: HttpMessage | null = null;
-  private parts: Buffer[] = [];
-  private need = 0;
-  private total = 0;
-  /** The last head and what it says: on a connection that is kept, the next one is mostly the same. */
-  private last: { head: string; message: HttpMessage } | null = null;
+  private bodyParts: Buffer[] = [];
+  private bytesRemaining = 0;
+  private bodyLength = 0;
+  /** The last head and its parsed form; on a keep-alive connection the next head is usually identical. */
+  private lastHead: { head: string; message: HttpMessage } | null = null;
 
   constructor(
     private readonly kind: 'request' | 'response',
     private readonly bodyLimit: number,
   ) {}
 
-  /** True between messages: nothing of the next one has come yet. */
+  /** True between messages, before any byte of the next one has arrived. */
   get isIdle(): boolean {
     return this.state === 'head' && this.buffer.length === 0;
   }
 
-  /** Feeds bytes; gives the messages they complete. Throws HttpError on malformed input. */
+  /** Parses more bytes and returns the messages that they complete. Throws HttpError on malformed input. */
   push(data: Buffer): HttpMessage[] {
     this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
     const done: HttpMessage[] = [];
@@ -56,12 +56,12 @@
     return done;
   }
 
-  /** The other side has closed: completes a response that is delimited by that. */
+  /** Handles the end of the stream, which completes a response without a length. */
   end(): HttpMessage | null {
     if (this.state !== 'until-close' || this.message === null) return null;
-    this.parts.push(this.buffer);
+    this.bodyParts.push(this.buffer);
     const message = this.message;
-    message.body = Buffer.concat(this.parts).toString('utf8');
+    message.body = Buffer.concat(this.bodyParts).toString('utf8');
     message.keepAlive = false;
     this.reset();
     return message;
@@ -79,15 +79,15 @@
       case 'trailer':
         return this.readTrailer(done);
       case 'until-close':
-        this.count(this.buffer.length);
-        this.parts.push(this.buffer);
+        this.addToBodyLength(this.buffer.length);
+        this.bodyParts.push(this.buffer);
         this.buffer = Buffer.alloc(0);
         return false;
     }
   }
 
   private readHead(done: HttpMessage[]): boolean {
-    // Blank lines before a request line are tolerated, as RFC 9112 asks.
+    // RFC 9112 asks servers to ignore blank lines before a request line.
     while (this.buffer.length >= 2 && this.buffer[0] === 13 && this.buffer[1] === 10) {
       this.buffer = this.buffer.subarray(2);
     }
@@ -99,11 +99,11 @@
     if (end > HEAD_LIMIT) throw new HttpError(431, 'header too large');
     const head = this.buffer.toString('latin1', 0, end);
     this.buffer = this.buffer.subarray(end + HEAD_END.length);
-    if (this.last?.head !== head) this.last = { head, message: this.parseHead(head) };
-    // Only the body is written later, so the rest may be shared.
-    const message = { ...this.last.message };
+    if (this.lastHead?.head !== head) this.lastHead = { head, message: this.parseHead(head) };
+    // Only the body and keepAlive are assigned later, so the headers can be shared.
+    const message = { ...this.lastHead.message };
     this.message = message;
-    this.chooseBody(message, done);
+    this.selectBodyState(message, done);
     return this.buffer.length > 0;
   }
 
@@ -146,20 +146,20 @@
     };
   }
 
-  private chooseBody(message: HttpMessage, done: HttpMessage[]): void {
+  private selectBodyState(message: HttpMessage, done: HttpMessage[]): void {
     const coding = message.headers.get('transfer-encoding');
     const length = message.headers.get('content-length');
     if (coding !== undefined) {
-      // Both at once is the classic way to smuggle a request; refuse it.
+      // Transfer-Encoding together with Content-Length allows request smuggling, so it is rejected.
       if (coding.toLowerCase() !== 'chunked' || length !== undefined) {
         throw new HttpError(400, 'unsupported transfer-encoding');
       }
       this.state = 'chunk-size';
     } else if (length !== undefined) {
       if (!/^\d{1,15}$/.test(length)) throw new HttpError(400, 'bad content-length');
-      this.need = Number(length);
-      this.count(this.need);
-      if (this.need === 0) this.finish(done);
+      this.bytesRemaining = Number(length);
+      this.addToBodyLength(this.bytesRemaining);
+      if (this.bytesRemaining === 0) this.finish(done);
       else this.state = 'length';
     } else if (this.kind === 'response' && message.status !== 204 && message.status !== 304) {
       this.state = 'until-close';
@@ -170,11 +170,11 @@
 
   private readData(done: HttpMessage[]): boolean {
     if (this.buffer.length === 0) return false;
-    const piece = this.buffer.subarray(0, this.need);
-    this.buffer = this.buffer.subarray(piece.length);
-    this.need -= piece.length;
-    this.parts.push(piece);
-    if (this.need > 0) return false;
+    const data = this.buffer.subarray(0, this.bytesRemaining);
+    this.buffer = this.buffer.subarray(data.length);
+    this.bytesRemaining -= data.length;
+    this.bodyParts.push(data);
+    if (this.bytesRemaining > 0) return false;
     if (this.state === 'length') this.finish(done);
     else this.state = 'chunk-size';
     return this.buffer.length > 0;
@@ -194,13 +194,13 @@
   private readChunkSize(): boolean {
     const line = this.readLine();
     if (line === null) return false;
-    // The line break that ends a chunk's data stands before the next size.
-    if (line === '' && this.parts.length > 0) return this.buffer.length > 0;
+    // A line break terminates a chunk's data and precedes the next chunk size.
+    if (line === '' && this.bodyParts.length > 0) return this.buffer.length > 0;
     const match = /^([0-9a-fA-F]{1,8})(?:;.*)?$/.exec(line);
     if (match === null) throw new HttpError(400, 'bad chunk size');
-    this.need = parseInt(match[1] ?? '', 16);
-    this.count(this.need);
-    this.state = this.need === 0 ? 'trailer' : 'chunk-data';
+    this.bytesRemaining = parseInt(match[1] ?? '', 16);
+    this.addToBodyLength(this.bytesRemaining);
+    this.state = this.bytesRemaining === 0 ? 'trailer' : 'chunk-data';
     return this.buffer.length > 0;
   }
 
@@ -211,14 +211,15 @@
     return this.buffer.length > 0;
   }
 
-  private count(more: number): void {
-    this.total += more;
-    if (this.total > this.bodyLimit) throw new HttpError(413, 'body too large');
+  private addToBodyLength(bytes: number): void {
+    this.bodyLength += bytes;
+    if (this.bodyLength > this.bodyLimit) throw new HttpError(413, 'body too large');
   }
 
   private finish(done: HttpMessage[]): void {
     if (this.message === null) return;
-    this.message.body = this.parts.length === 0 ? '' : Buffer.concat(this.parts).toString('utf8');
+    this.message.body =
+      this.bodyParts.length === 0 ? '' : Buffer.concat(this.bodyParts).toString('utf8');
     done.push(this.message);
     this.reset();
   }
@@ -226,8 +227,8 @@
   private reset(): void {
     this.state = 'head';
     this.message = null;
-    this.parts = [];
-    this.need = 0;
-    this.total = 0;
+    this.bodyParts = [];
+    this.bytesRemaining = 0;
+    this.bodyLength = 0;
   }
 }
--- a/src/transport/httpServer.ts
+++ b/src/transport/httpServer.ts
@@ -1,4 +1,4 @@
-/** An HTTP server: how many connections it keeps, and which requests go first when there are many. */
+/** An HTTP server with a connection limit and priority for essential requests under load. */
 import net from 'node:net';
 import type { Address } from './address.js';
 import type { HttpMessage } from './httpParser.js';
@@ -7,36 +7,36 @@
 
 export { formatResponse, replyAtSending, type Reply } from './serverConnection.js';
 
-/** See `ConnectionEvents.answer`. */
-export type RequestHandler = (request: HttpMessage, follows: boolean) => Promise<Reply>;
+/** Handles a request; `isFollowUp` as in `ConnectionEvents.answer`. */
+export type RequestHandler = (request: HttpMessage, isFollowUp: boolean) => Promise<Reply>;
 
-/** Limits of a server. */
+/** Limits of a server, and which requests it serves first. */
 export interface ServerOptions extends ConnectionOptions {
-  /** Open connections at most, so that sockets are left for our own calls. */
+  /** Maximum number of open connections; leaves sockets for the process's outgoing requests. */
   maxConnections: number;
-  /** Requests being worked on at most; more are answered 503 with `Retry-After`. */
+  /** Maximum number of requests in progress; further ones are answered 503 with `Retry-After`. */
   maxInFlight: number;
-  /** What is answered however much else is being worked on. */
+  /** Whether a request is served even when `maxInFlight` is reached. */
   essential?: (request: HttpMessage) => boolean;
 }
 
-/** Of the connections at most, what may be open before users' are no longer kept. */
-const CROWDED = 0.85;
+/** Share of `maxConnections` above which connections of non-essential requests are closed after the reply. */
+const CROWDED_SHARE = 0.85;
 
-/** Some ten milliseconds of work on an eighth of a core. */
+/** Maximum number of requests handled per turn: about ten milliseconds of work on an eighth of a core. */
 const REQUESTS_PER_TURN = { urgent: 4, ordinary: 2 };
 
-/** Connections that wait to be accepted, while a start or a long turn takes its time. */
+/** Length of the listen queue, which holds connections during a start or a long turn of the event loop. */
 const BACKLOG = 1024;
 
 const OVERLOADED: Reply = { status: 503, body: { error: 'overloaded' }, retryAfter: 1 };
 
-/** Serves HTTP, and spreads requests over turns of the event loop. */
+/** Serves HTTP and spreads the handling of requests over turns of the event loop. */
 export class HttpServer {
   private readonly server: net.Server;
   private readonly requests = new TurnQueue(REQUESTS_PER_TURN);
   private inFlight = 0;
-  /** In the order of their last requests. */
+  /** Open connections, the least recently active one first. */
   private readonly connections = new Map<net.Socket, ServerConnection>();
 
   constructor(
@@ -49,10 +49,11 @@
   }
 
   /**
-   * Makes room for a new connection. Closing new ones at the limit would shut out users and health checks
-   * while connections of machines that are gone, which never say so, are kept.
+   * Closes the least recently active idle connection if the limit is reached; false if every connection is busy. Refusing
+   * new connections instead would lock out users and health checks, while connections of machines that disappeared
+   * without closing them stay open.
    */
-  private makeRoom(): boolean {
+  private ensureCapacity(): boolean {
     if (this.connections.size < this.options.maxConnections) return true;
     for (const [socket, connection] of this.connections) {
       if (connection.isBusy) continue;
@@ -63,13 +64,13 @@
     return false;
   }
 
-  /** Before room runs out, those who can well come back on a new connection do not keep theirs. */
+  /** Near the connection limit, clients with non-essential requests can reconnect and do not keep their connections. */
   private isCrowded(request: HttpMessage): boolean {
     const { maxConnections, essential } = this.options;
-    return this.connections.size > maxConnections * CROWDED && essential?.(request) === false;
+    return this.connections.size > maxConnections * CROWDED_SHARE && essential?.(request) === false;
   }
 
-  /** Resolves with the port once connections are accepted. */
+  /** Starts listening; resolves with the bound port. */
   listen(address: Address): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -80,14 +81,14 @@
     });
   }
 
-  /** Ends the server and its connections. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     for (const socket of this.connections.keys()) socket.destroy();
   }
 
   private serve(socket: net.Socket): void {
-    if (!this.makeRoom()) {
+    if (!this.ensureCapacity()) {
       socket.destroy();
       return;
     }
@@ -99,13 +100,18 @@
       onClosed: () => {
         this.connections.delete(socket);
       },
-      answer: (request, follows, isGone) => this.answer(request, follows, isGone),
+      answer: (request, isFollowUp, isDisconnected) =>
+        this.answer(request, isFollowUp, isDisconnected),
       mustClose: (request) => this.isCrowded(request),
     });
     this.connections.set(socket, connection);
   }
 
-  private answer(request: HttpMessage, follows: boolean, isGone: () => boolean): Promise<Reply> {
+  private answer(
+    request: HttpMessage,
+    isFollowUp: boolean,
+    isDisconnected: () => boolean,
+  ): Promise<Reply> {
     const { maxInFlight, essential } = this.options;
     const isEssential = essential?.(request) === true;
     if (this.inFlight >= maxInFlight && !isEssential) return Promise.resolve(OVERLOADED);
@@ -115,18 +121,18 @@
         this.inFlight--;
         resolve(reply);
       };
-      const work = (): void => {
-        // Work for clients that have given up would make those give up that still wait.
-        if (isGone()) finish(OVERLOADED);
-        else void this.handle(request, follows).then(finish);
+      const handle = (): void => {
+        // Serving clients that have disconnected would delay those that still wait until they time out too.
+        if (isDisconnected()) finish(OVERLOADED);
+        else void this.handle(request, isFollowUp).then(finish);
       };
-      this.requests.add(work, isEssential);
+      this.requests.add(handle, isEssential);
     });
   }
 
-  private async handle(request: HttpMessage, follows: boolean): Promise<Reply> {
+  private async handle(request: HttpMessage, isFollowUp: boolean): Promise<Reply> {
     try {
-      return await this.handler(request, follows);
+      return await this.handler(request, isFollowUp);
     } catch (error) {
       const reason = error instanceof Error ? error.message : 'internal error';
       return { status: 503, body: { error: reason }, retryAfter: 1 };
--- a/src/transport/serverConnection.ts
+++ b/src/transport/serverConnection.ts
@@ -1,21 +1,21 @@
-/** One client's connection to the HTTP server: reads its requests and writes the replies, one after the other. */
+/** A client connection of the HTTP server: reads requests and writes the replies in order. */
 import type net from 'node:net';
 import { HttpError, HttpParser, type HttpMessage } from './httpParser.js';
 
-/** The answer to a request; `retryAfter` in seconds. */
+/** The reply to a request. */
 export interface Reply {
   status: number;
   body: unknown;
-  /** Seconds after which the client should come back. */
+  /** Seconds after which the client should retry. */
   retryAfter?: number;
   /**
-   * Gives what may leave in place of this reply, and is asked just before its first byte: what it rests on may have changed
-   * since it was made. Absent: it may leave as it is.
+   * Called immediately before the reply is written, and returns the reply to write in its place: the state that the reply
+   * is based on may have changed since it was created. If absent, the reply is written unchanged.
    */
   atSending?: () => Reply;
 }
 
-/** The reply as it may leave at this moment. */
+/** The reply that is valid at the time of the call. */
 export const replyAtSending = (reply: Reply): Reply => reply.atSending?.() ?? reply;
 
 const REASONS: Record<number, string> = {
@@ -33,7 +33,7 @@
   503: 'Service Unavailable',
 };
 
-/** An answer as HTTP text. */
+/** Serialises a reply as an HTTP/1.1 response. */
 export function formatResponse(reply: Reply, close: boolean): string {
   const body = JSON.stringify(reply.body);
   const retry = reply.retryAfter === undefined ? '' : `Retry-After: ${reply.retryAfter}\r\n`;
@@ -44,43 +44,43 @@
   );
 }
 
-/** Limits of one connection; times in seconds. */
+/** Limits of one connection. */
 export interface ConnectionOptions {
   bodyLimit: number;
-  /** Seconds that a half-sent request may take. */
+  /** Seconds within which an incomplete request must be completed. */
   requestTimeout: number;
-  /** Seconds that a connection may lie idle. */
+  /** Seconds after which an idle connection is closed. */
   idleTimeout: number;
 }
 
-/** What a connection tells and asks its server. */
+/** Callbacks from a connection to its server. */
 export interface ConnectionEvents {
-  /** Bytes have arrived. */
+  /** Called when data has arrived. */
   onActivity(): void;
   onClosed(): void;
   /**
-   * Answers a request. `follows`: an earlier one on this connection was answered, and its sender went on
-   * using it, so it has had the answer; of one that only ever sends first requests, nothing is known.
-   * `isGone` tells later whether the client has closed the connection, and nobody waits for the reply.
+   * Handles a request. `isFollowUp`: an earlier request on this connection was answered and the client reused the
+   * connection, so it received that response; a first request shows nothing about earlier responses. `isDisconnected`
+   * returns whether the client has closed the connection since, so that nobody waits for the reply.
    */
-  answer(request: HttpMessage, follows: boolean, isGone: () => boolean): Promise<Reply>;
-  /** Whether the connection should be closed after this request, so that room is left for others. */
+  answer(request: HttpMessage, isFollowUp: boolean, isDisconnected: () => boolean): Promise<Reply>;
+  /** Whether the connection must be closed after this request to free capacity for others. */
   mustClose(request: HttpMessage): boolean;
 }
 
-/** One connection of a client: its requests are answered in their order. */
+/** One client connection; its requests are handled one at a time, in order. */
 export class ServerConnection {
   private readonly parser: HttpParser;
-  private readonly waiting: HttpMessage[] = [];
-  private answered = 0;
-  private answering = false;
-  /** Nothing more is read: it was dropped or sent something malformed. */
-  private closing = false;
+  private readonly queued: HttpMessage[] = [];
+  private handledCount = 0;
+  private isHandling = false;
+  /** No more input is read: the connection was dropped or received a malformed request. */
+  private isClosing = false;
   /**
-   * The client has closed its side, which ends ours too: one that gave up looks the same as one that waits
-   * for a last reply, and where many give up their connections would use up all sockets.
+   * The client has closed its side, and the server closes its own without a reply: a client that gave up cannot be told
+   * from one that waits for a last reply, and the connections of many that gave up would use up all sockets.
    */
-  private ended = false;
+  private isEnded = false;
 
   constructor(
     private readonly socket: net.Socket,
@@ -96,68 +96,68 @@
       this.read(data);
     });
     socket.on('end', () => {
-      this.ended = true;
+      this.isEnded = true;
       socket.end();
     });
-    // A machine that loses its power does not close its connection; kept for ever, such connections
-    // would use up all sockets as machines come and go. Only a half-sent request is cut off sooner.
+    // A machine that loses power does not close its connection; without a timeout such connections would use up all
+    // sockets over time. An incomplete request has the shorter request timeout, see `read`.
     socket.setTimeout(options.idleTimeout * 1000, () => {
       if (!this.isBusy) this.drop();
     });
   }
 
-  /** A request of it waits for its reply. */
+  /** Whether a request is being handled. */
   get isBusy(): boolean {
-    return this.answering;
+    return this.isHandling;
   }
 
-  /** Ends the connection at once. */
+  /** Closes the connection immediately, without a reply. */
   drop(): void {
-    this.closing = true;
+    this.isClosing = true;
     this.socket.destroy();
   }
 
   private read(data: Buffer): void {
-    if (this.closing) return;
+    if (this.isClosing) return;
     this.events.onActivity();
     const { idleTimeout, requestTimeout } = this.options;
     try {
-      this.waiting.push(...this.parser.push(data));
+      this.queued.push(...this.parser.push(data));
       this.socket.setTimeout((this.parser.isIdle ? idleTimeout : requestTimeout) * 1000);
-      this.answerNext();
+      this.handleNext();
     } catch (error) {
-      this.refuse(error);
+      this.reject(error);
     }
   }
 
-  private refuse(error: unknown): void {
-    this.closing = true;
+  private reject(error: unknown): void {
+    this.isClosing = true;
     const status = error instanceof HttpError ? error.status : 400;
     const reason = error instanceof Error ? error.message : 'malformed request';
     this.socket.end(formatResponse({ status, body: { error: reason } }, true));
   }
 
-  private answerNext(): void {
-    if (this.answering) return;
-    const request = this.waiting.shift();
+  private handleNext(): void {
+    if (this.isHandling) return;
+    const request = this.queued.shift();
     if (request === undefined) return;
-    this.answering = true;
-    const isGone = (): boolean => this.ended || this.socket.destroyed;
-    void this.events.answer(request, this.answered++ > 0, isGone).then((reply) => {
+    this.isHandling = true;
+    const isDisconnected = (): boolean => this.isEnded || this.socket.destroyed;
+    void this.events.answer(request, this.handledCount++ > 0, isDisconnected).then((reply) => {
       this.reply(request, reply);
     });
   }
 
   private reply(request: HttpMessage, reply: Reply): void {
-    this.answering = false;
-    if (this.ended || this.socket.destroyed) return;
-    const close = this.closing || !request.keepAlive || this.events.mustClose(request);
+    this.isHandling = false;
+    if (this.isEnded || this.socket.destroyed) return;
+    const close = this.isClosing || !request.keepAlive || this.events.mustClose(request);
     const text = formatResponse(replyAtSending(reply), close);
     if (close) {
       this.socket.end(text);
       return;
     }
     this.socket.write(text);
-    this.answerNext();
+    this.handleNext();
   }
 }
--- a/src/transport/turnQueue.ts
+++ b/src/transport/turnQueue.ts
@@ -1,59 +1,59 @@
 /**
- * Work that is spread over turns of the event loop.
+ * A queue that spreads tasks over turns of the event loop.
  *
- * libuv accepts a single connection in each turn. A turn that handles all requests that have arrived lasts
- * for tenths of a second on a small processor, so after a restart hundreds of workers, each with a new
- * connection, would be let in at a few a second and lose their leases in the listen queue.
+ * libuv accepts a single connection per turn. On a small processor a turn that handles all requests that have arrived
+ * takes tenths of a second. After a restart, hundreds of workers reconnect; at a few accepted connections a second their
+ * leases would expire while they wait in the listen queue.
  */
 
-type Work = () => void;
+type Task = () => void;
 
-/** How much work of each kind starts in one turn of the event loop. */
+/** Maximum number of tasks of each kind that start in one turn of the event loop. */
 export interface TurnLimits {
-  /** Urgent items that one turn takes at most. */
+  /** Maximum number of urgent tasks per turn. */
   urgent: number;
-  /** Ordinary items that one turn takes besides: they go on, however much urgent work there is. */
+  /** Maximum number of ordinary tasks per turn, in addition to the urgent ones, so that they are never starved. */
   ordinary: number;
 }
 
-/** Work that is spread over turns of the event loop. */
+/** Runs queued tasks in bounded batches, one batch per turn of the event loop. */
 export class TurnQueue {
-  private readonly urgent: Work[] = [];
-  private readonly ordinary: Work[] = [];
-  private scheduled = false;
+  private readonly urgent: Task[] = [];
+  private readonly ordinary: Task[] = [];
+  private isScheduled = false;
 
   constructor(
     private readonly limits: TurnLimits,
-    /** Runs something in the next turn of the event loop. */
+    /** Schedules a callback for the next turn of the event loop. */
     private readonly defer: (turn: () => void) => void = setImmediate,
   ) {}
 
-  /** Items that wait. */
+  /** Number of queued tasks. */
   get size(): number {
     return this.urgent.length + this.ordinary.length;
   }
 
-  /** Queues work for a coming turn. */
-  add(work: Work, isUrgent: boolean): void {
-    (isUrgent ? this.urgent : this.ordinary).push(work);
+  /** Queues a task for a later turn. */
+  add(task: Task, isUrgent: boolean): void {
+    (isUrgent ? this.urgent : this.ordinary).push(task);
     this.schedule();
   }
 
   private schedule(): void {
-    if (this.scheduled || this.size === 0) return;
-    this.scheduled = true;
+    if (this.isScheduled || this.size === 0) return;
+    this.isScheduled = true;
     this.defer(() => {
-      this.scheduled = false;
+      this.isScheduled = false;
       this.run();
     });
   }
 
   private run(): void {
-    const due = [
+    const batch = [
       ...this.urgent.splice(0, this.limits.urgent),
       ...this.ordinary.splice(0, this.limits.ordinary),
     ];
     this.schedule();
-    for (const work of due) work();
+    for (const task of batch) task();
   }
 }
