--- a/src/cli/query.ts
+++ b/src/cli/query.ts
@@ -1,19 +1,19 @@
-/** `barrowlb why` and `barrowlb status`: what a controller answers, for people. */
+/** `barrowlb why` and `barrowlb status`: format a controller's response for the terminal. */
 import * as v from 'valibot';
 import type { Overview } from '../protocol/overview.js';
 import { jobPath, paths } from '../protocol/routes.js';
 import { parseAddress } from '../transport/address.js';
 import { HttpClient, type Response } from '../transport/httpClient.js';
 
-/** A question to a controller failed; the message is one clear line for the user. */
+/** A request to a controller failed; the message is a single line for the user. */
 export class QueryError extends Error {}
 
-/** Seconds that a controller has for an answer. */
+/** Seconds within which a controller must respond. */
 const REQUEST_TIMEOUT_S = 5;
 
 /**
- * Asks a controller.
- * @throws {QueryError} if it cannot be reached.
+ * Sends one request to a controller.
+ * @throws {QueryError} if the address is invalid or the controller cannot be reached.
  */
 export async function query(
   server: string,
@@ -40,7 +40,7 @@
   Reason: v.optional(v.string()),
 });
 
-/** `barrowlb why`: prints the state of a job, and why it waits. */
+/** `barrowlb why`: prints the state of a job and the reason why it waits. */
 export async function printWhy(server: string, job: string): Promise<void> {
   const response = await query(server, jobPath(job));
   if (response.status === 404) throw new QueryError(`there is no job ${job}`);
@@ -55,7 +55,7 @@
 
 type MachineOverview = Overview['parts'][number]['machines'][number];
 
-/** One machine: its state, and why work may count on it or not. */
+/** One line for a machine: its state, and its availability with the age of the evidence for it. */
 function machineLine({
   name,
   type,
@@ -85,7 +85,7 @@
     );
     for (const machine of part.machines) lines.push(machineLine(machine));
   }
-  // A node of an earlier version counts nothing.
+  // Nodes of earlier versions send no counters.
   for (const [name, count] of Object.entries(counters ?? {}))
     lines.push(`counted ${name}: ${count}`);
   process.stdout.write(`${lines.join('\n')}\n`);
--- a/src/cli/rollout.ts
+++ b/src/cli/rollout.ts
@@ -1,4 +1,4 @@
-/** What `barrowlb rollout …` and `barrowlb drain` do. */
+/** The implementation of `barrowlb rollout …` and `barrowlb drain`. */
 import { hostname } from 'node:os';
 import {
   checkControllers,
@@ -18,23 +18,23 @@
 import { query, QueryError } from './query.js';
 import { describeDriver, describeStatus } from './rolloutReport.js';
 
-/** Prints one line for the operator. */
+/** Prints one line to standard output. */
 export const printLine = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
-/** Sets this driver apart from every other. */
+/** A name that identifies this driver as the holder of the permit. */
 const holderName = (): string => `${hostname()}-${process.pid}`;
 
-/** How often a change is asked for while a controller cannot store it. */
+/** Attempts to make a change while the controller answers that it cannot store it (503). */
 const CHANGE_ATTEMPTS = 5;
 
-/** Seconds between two of these attempts. */
+/** Seconds between two attempts. */
 const CHANGE_RETRY_DELAY_S = 0.5;
 
 /**
- * Asks a controller for a change.
- * @throws {QueryError} with the controller's reason, if it refuses.
+ * Requests a change from a controller.
+ * @throws {QueryError} with the controller's reason if it rejects the change.
  */
 export async function requestChange(
   server: string,
@@ -53,7 +53,7 @@
   throw new QueryError(error ?? `${server} answered ${response.status}`);
 }
 
-/** `barrowlb rollout status`: prints the cluster's version and the rollout of controllers. */
+/** `barrowlb rollout status`: prints the cluster's version and the progress of the controllers' rollout. */
 export async function printRollout(server: string): Promise<void> {
   const [status, driver] = await Promise.all([
     query(server, rolloutPath),
@@ -71,7 +71,7 @@
 }
 
 async function runCommand([program = '', ...args]: string[], token: number): Promise<void> {
-  // Not with the program's start: no controller starts other programs, and the startup snapshot cannot hold it.
+  // Loaded on demand: controllers never spawn processes, and the startup snapshot cannot contain this module.
   const { spawn } = await import('node:child_process');
   return new Promise((resolve, reject) => {
     const env = { ...process.env, BARROWLB_ROLLOUT_TOKEN: String(token) };
@@ -102,30 +102,30 @@
   return { plan, api };
 }
 
-/** How a driver begins its work: the driver's method. */
+/** The `RolloutDriver` method that begins the run. */
 export type DriveMode = 'start' | 'resume' | 'rollBack';
 
-/** Runs a rollout to its end; anything but a good end is an exit code other than 0. */
-export async function runDriver(path: string, beginning: DriveMode): Promise<void> {
+/** Runs a rollout until it ends; the exit code is 1 if it ends paused. */
+export async function runDriver(path: string, mode: DriveMode): Promise<void> {
   const { plan, api } = await readPlan(path);
   const driver = createDriver(plan, api);
-  await driver[beginning]();
+  await driver[mode]();
   const record = await driver.run();
   printLine(`rollout ${record.name}: ${record.phase}: ${record.cause.text}`);
   if (record.phase === 'paused') process.exitCode = 1;
 }
 
-/** `barrowlb rollout pause`: the driver stops after its present step. */
+/** `barrowlb rollout pause`: the driver stops after its current step. */
 export async function pause(path: string, reason: string): Promise<void> {
   const { api } = await readPlan(path);
   await pauseRollout(api, reason, systemClock.wall());
   printLine('the rollout is paused');
 }
 
-/** Turns errors of the package into errors of the command line, which are printed as one line. */
-export async function withReadableErrors<Result>(work: () => Promise<Result>): Promise<Result> {
+/** Converts errors of the rollout package into QueryErrors, which the command line prints as one line. */
+export async function withReadableErrors<Result>(action: () => Promise<Result>): Promise<Result> {
   try {
-    return await work();
+    return await action();
   } catch (error) {
     if (error instanceof PlanError || error instanceof DriverRefusedError) {
       throw new QueryError(error.message, { cause: error });
--- a/src/cli/rolloutCommands.ts
+++ b/src/cli/rolloutCommands.ts
@@ -1,20 +1,20 @@
-/** `barrowlb rollout …` and `barrowlb drain`: their arguments. What they do is loaded when one is called. */
+/** Command line definitions of `barrowlb rollout …` and `barrowlb drain`; the implementation is loaded on first use. */
 import type { Command } from 'commander';
 import type { DriveMode } from './rollout.js';
 
 type RolloutModule = typeof import('./rollout.js');
 
-/** Loads what a command needs, so that a controller's start does not pay for it. */
-async function withRollout(work: (module: RolloutModule) => Promise<void>): Promise<void> {
+/** Loads the implementation on demand, so that it does not slow down the start of a controller. */
+async function withRollout(action: (module: RolloutModule) => Promise<void>): Promise<void> {
   const module = await import('./rollout.js');
-  await module.withReadableErrors(() => work(module));
+  await module.withReadableErrors(() => action(module));
 }
 
-/** Asks a controller for a change, and says what was done. */
+/** Requests a change from a controller and prints the result. */
 const request = (server: string, name: string, body: unknown, done: string): Promise<void> =>
-  withRollout(async ({ requestChange: change, printLine: say }) => {
-    await change(server, name, body);
-    say(done);
+  withRollout(async ({ requestChange, printLine }) => {
+    await requestChange(server, name, body);
+    printLine(done);
   });
 
 const SERVER = ['--server <host:port>', 'a controller'] as const;
@@ -25,7 +25,7 @@
   server: string;
 }
 
-/** Adds `barrowlb rollout …` and `barrowlb drain` to the command line. */
+/** Adds the commands to the command line. */
 export function addRolloutCommands(program: Command): void {
   const rollout = program.command('rollout').description('replace controllers in stages');
   addDriverCommands(rollout);
@@ -47,18 +47,18 @@
 }
 
 function addDriverCommands(rollout: Command): void {
-  const beginnings: [string, DriveMode, string][] = [
+  const commands: [string, DriveMode, string][] = [
     ['start', 'start', 'begin a rollout, or go on where its driver has died'],
     ['resume', 'resume', 'go on after a pause'],
     ['rollback', 'rollBack', 'put the controllers that were replaced back'],
   ];
-  for (const [name, beginning, text] of beginnings) {
+  for (const [name, mode, text] of commands) {
     rollout
       .command(name)
       .description(text)
       .requiredOption(...PLAN)
       .action((options: { plan: string }) =>
-        withRollout(({ runDriver: drive }) => drive(options.plan, beginning)),
+        withRollout(({ runDriver }) => runDriver(options.plan, mode)),
       );
   }
   rollout
--- a/src/cli/rolloutReport.ts
+++ b/src/cli/rolloutReport.ts
@@ -1,9 +1,10 @@
-/** The state of a rollout in words, for the command line. */
+/** Formats the state of a rollout for the command line. */
 import type { DriverRecord, RolloutStatus } from '@barrowlb/rollout';
 
-const ago = (now: number, since: number): string => `${Math.max(0, Math.round(now - since))} s`;
+const formatAge = (now: number, since: number): string =>
+  `${Math.max(0, Math.round(now - since))} s`;
 
-/** The cluster's version in lines; `now`: time of day in seconds. */
+/** The lines that describe the cluster's version; `now`: wall-clock time in seconds. */
 export function describeStatus(status: RolloutStatus, now: number): string[] {
   const { version, features, nodes, parts, blockers } = status;
   const change = version.phase === 'steady' ? 'steady' : `${version.phase} to ${version.target}`;
@@ -11,7 +12,7 @@
   if (status.damage !== null) lines.push(`  ${status.damage}`);
   if (version.hold !== null) {
     const { by, reason, at } = version.hold;
-    lines.push(`  held by ${by} for ${ago(now, at)}: ${reason}`);
+    lines.push(`  held by ${by} for ${formatAge(now, at)}: ${reason}`);
   }
   for (const { name, level, step, isReversible } of features) {
     lines.push(`feature ${name} (level ${level}): ${step}${isReversible ? ', reversible' : ''}`);
@@ -22,7 +23,7 @@
   }
   if (version.walk > 0) lines.push(...describeParts(parts));
   for (const { cause, subject, detail, since } of blockers) {
-    lines.push(`waiting for ${ago(now, since)}: ${subject} (${cause}): ${detail}`);
+    lines.push(`waiting for ${formatAge(now, since)}: ${subject} (${cause}): ${detail}`);
   }
   return lines;
 }
@@ -39,17 +40,17 @@
   });
 }
 
-/** The rollout of controllers in lines; `now`: time of day in seconds. */
+/** The lines that describe the controllers' rollout; `now`: wall-clock time in seconds. */
 export function describeDriver(record: DriverRecord, now: number): string[] {
   const { name, phase, direction, cause, permit, controllers, order } = record;
-  const way = direction === 'back' ? ', going back' : '';
+  const directionNote = direction === 'back' ? ', going back' : '';
   return [
-    `rollout ${name}: ${phase}${way}, driven by ${permit.holder}`,
-    `  for ${ago(now, cause.since)}: ${cause.text}`,
+    `rollout ${name}: ${phase}${directionNote}, driven by ${permit.holder}`,
+    `  for ${formatAge(now, cause.since)}: ${cause.text}`,
     ...order.map((label) => {
       const progress = controllers[label];
       if (progress === undefined) return `  ${label}: unknown`;
-      return `  ${label}: ${progress.state} for ${ago(now, progress.since)}`;
+      return `  ${label}: ${progress.state} for ${formatAge(now, progress.since)}`;
     }),
   ];
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * Entry point. The build runs this module once to make a startup snapshot (all modules loaded, schemas
- * compiled), and a controller starts from that: loading them took nearly two thirds of a start's processor time.
+ * Entry point. The build runs this module once to create a startup snapshot with all modules loaded and schemas compiled.
+ * Controllers start from the snapshot, because loading the modules took nearly two thirds of a start's processor time.
  */
 import { existsSync } from 'node:fs';
 import { startupSnapshot } from 'node:v8';
@@ -29,26 +29,27 @@
 import { HttpServer } from './transport/httpServer.js';
 import { PeerServer } from './transport/peerLink.js';
 
-/** Bytes of a request's body at the most. */
+/** Maximum size of a request body in bytes. */
 const BODY_LIMIT = 64 * 1024;
 
-/** Seconds that a request may take. */
+/** Seconds within which a client must send a complete request. */
 const REQUEST_TIMEOUT_S = 10;
 
-/** Milliseconds between two checks whether a drain is done. */
+/** Milliseconds between two checks whether the drain is complete. */
 const DRAIN_POLL_MS = 100;
 
-/** Names of the features that are on, as the build has checked them (cli/buildFeatures.ts). */
+/** The names of the enabled features, as validated by the build (cli/buildFeatures.ts). */
 const BUILT_FEATURES = 'target/features.json';
 
 /**
- * Features are part of a build: the startup snapshot holds them, since a controller has no disk to read them from.
+ * The enabled features are part of the build and are read into the startup snapshot, because a controller has no disk to
+ * read them from.
  */
 const builtFeatures = existsSync(BUILT_FEATURES)
   ? (JSON.parse(readTextFile(BUILT_FEATURES)) as string[])
   : [];
 
-/** The features of a file that was named at the start. */
+/** Reads the features from the file given by `--features`. */
 async function readFeatures(path: string): Promise<string[]> {
   const { readFeatureFile } = await import('./cli/featureFile.js');
   return readFeatureFile(path);
@@ -60,13 +61,13 @@
   return [settings, tuning];
 }
 
-/** Ends a node that cannot read what is stored, before it has written anything (safety, R3). */
-function endUnreadable(reason: string): void {
+/** Exits before the node has written anything if it cannot read the stored records (safety, R3). */
+function exitUnreadable(reason: string): void {
   log.error(reason);
   process.exit(EXIT_REFUSED);
 }
 
-/** On SIGTERM, gives up what the controller leads before it ends, within so many seconds at the most. */
+/** On SIGTERM, relinquishes the leadership of all shards and exits, after the given number of seconds at the latest. */
 function drainOnSigterm(controller: Controller, seconds: number): void {
   process.once('SIGTERM', () => {
     log.info('draining before the end');
@@ -86,17 +87,17 @@
   const listen = parseAddress(settings.clientListen);
   const peerListen = parseAddress(settings.peerListen);
   if (listen === null || peerListen === null) throw new SettingsError('settings: bad address');
-  // Sets one start of this process apart from every other; names of rentals are made from it.
-  const run = `${Math.round(systemClock.wall() * 1000).toString(36)}${process.pid.toString(36)}`;
+  // Identifies this start of the process; the names of machine rentals are derived from it.
+  const runId = `${Math.round(systemClock.wall() * 1000).toString(36)}${process.pid.toString(36)}`;
   const random = seededRandom(Math.floor(systemClock.wall() * 1000) % 0x7fffffff);
   const { maxSockets } = settings;
-  // Apart, so that machines which hang cannot use up what the state service is reached by.
-  const links = {
+  // Separate connection limits, so that unresponsive machines cannot use up the connections to the state service.
+  const clients = {
     services: new HttpClient(Math.floor(maxSockets / 24), settings.heartbeatInterval * 4),
     machines: new HttpClient(Math.floor(maxSockets / 6), settings.heartbeatInterval * 4),
   };
-  const rollout = await setUpRollout(features, endUnreadable);
-  const controller = new Controller(settings, tuning, systemClock, random, links, run, rollout);
+  const rollout = await setUpRollout(features, exitUnreadable);
+  const controller = new Controller(settings, tuning, systemClock, random, clients, runId, rollout);
   if (tuning.drainSeconds > 0) drainOnSigterm(controller, tuning.drainSeconds);
   const gateway = new Gateway(controller);
   const server = new HttpServer((request, isFollowUp) => gateway.handle(request, isFollowUp), {
@@ -104,7 +105,7 @@
     maxConnections: Math.floor(maxSockets * 0.75),
     maxInFlight: Math.floor(maxSockets / 10),
     requestTimeout: REQUEST_TIMEOUT_S,
-    // Workers send several heartbeats in a lease, users and health checks ask more often than that.
+    // Workers send several heartbeats per lease; users and health checks send requests more often than that.
     idleTimeout: settings.workerLease,
     essential: isEssential,
   });
@@ -161,7 +162,7 @@
 }
 
 function start(): void {
-  // A fault in one request must not end the controller; the loops settle what it left undone.
+  // An error in one request must not stop the controller; the reconciliation loops repair incomplete work.
   process.on('unhandledRejection', (error) => {
     log.error(`unhandled: ${describeError(error)}`);
   });
@@ -170,12 +171,12 @@
       process.exitCode = error.exitCode;
       return;
     }
-    const known = error instanceof SettingsError || error instanceof QueryError;
-    process.stderr.write(`barrowlb: ${known ? error.message : describeError(error)}\n`);
+    const isUserError = error instanceof SettingsError || error instanceof QueryError;
+    process.stderr.write(`barrowlb: ${isUserError ? error.message : describeError(error)}\n`);
     process.exit(1);
   });
 }
 
-// Nothing that a snapshot would freeze (environment, arguments, clocks) may be read before this point.
+// Environment, arguments and clocks must not be read before this point: the snapshot would preserve their build-time values.
 if (startupSnapshot.isBuildingSnapshot()) startupSnapshot.setDeserializeMainFunction(start);
 else start();
