--- a/src/coordination/rollout/clusterObserver.ts
+++ b/src/coordination/rollout/clusterObserver.ts
@@ -1,4 +1,4 @@
-/** The cluster as this node sees it, for planning the version's next change and for operators. */
+/** This node's view of the cluster, for planning the next change of the version and for operators. */
 import {
   BlockerHistory,
   blockersOf,
@@ -15,7 +15,7 @@
 import { featureTable } from './featureTable.js';
 import type { RolloutContext } from './rolloutContext.js';
 
-/** Puts together the stored records, the peers' messages and the version that the tracker believes. */
+/** Combines the cached records, the processes observed in peers' messages and the tracker's current version. */
 export class ClusterObserver {
   private readonly history = new BlockerHistory();
 
@@ -28,7 +28,7 @@
     private readonly plan: PlanOptions,
   ) {}
 
-  /** What the next change of the version is planned from. */
+  /** The input for planning the next change of the version. */
   snapshot(): ClusterSnapshot {
     const { stateCache, shards, peers, settings, process } = this.node;
     const service = {
@@ -41,16 +41,16 @@
     return viewCluster(stateCache, service, this.tracker.current, this.tracker.damage);
   }
 
-  /** What holds the next change back, and since when this node has seen it. */
+  /** The blockers of the next change, and since when this node has observed each of them. */
   blockers(): RolloutStatus['blockers'] {
     const blockers = blockersOf(this.snapshot(), this.plan);
     return this.history.update(blockers, this.node.clock.wall());
   }
 
-  /** The state of the cluster's version for operators. */
+  /** The state of the cluster's version, for operators. */
   status(): RolloutStatus {
     return rolloutStatus({
-      copy: this.node.stateCache,
+      cache: this.node.stateCache,
       snapshot: this.snapshot(),
       features: featureTable,
       shards: this.allShards,
--- a/src/coordination/rollout/drain.ts
+++ b/src/coordination/rollout/drain.ts
@@ -1,9 +1,9 @@
-/** Taking a node out of service: it gives up what it owns, and takes nothing until the drain is cancelled. */
+/** Draining a node: it relinquishes all shards and roles that it leads, and claims none until the drain is cancelled. */
 import type { ShardLeadership } from '../leadership/shardLeadership.js';
 
-/** Whether this node is being drained, and how far that has come. */
+/** The state of the drain of this node. */
 export class Drain {
-  /** It was asked for and not cancelled. */
+  /** True from the request until the drain is cancelled. */
   isActive = false;
 
   constructor(
@@ -13,18 +13,18 @@
     >,
   ) {}
 
-  /** Nothing is owned any more, and nothing on its way to be given up. */
+  /** True when the node leads nothing any more and no relinquishment is in progress. */
   get isDone(): boolean {
     return this.isActive && this.leadership.isIdle;
   }
 
-  /** Gives up all that the node leads, and claims nothing more. */
+  /** Relinquishes all leaderships of the node and stops claiming new ones. */
   begin(): void {
     this.isActive = true;
     this.leadership.relinquishAll();
   }
 
-  /** Takes the node back into service. */
+  /** Lets the node claim shards again. */
   cancel(): void {
     this.isActive = false;
     this.leadership.resumeClaiming();
--- a/src/coordination/rollout/driverRecordAccess.ts
+++ b/src/coordination/rollout/driverRecordAccess.ts
@@ -1,4 +1,4 @@
-/** The stored record of a rollout of controllers, and what it allows at this node. */
+/** Access to the stored record of a controllers' rollout, and the check whether it permits draining this node. */
 import {
   applyChange,
   decodeDriver,
@@ -11,33 +11,36 @@
   type StoredDriver,
 } from '@barrowlb/rollout';
 
-/** Reads and changes the record for drivers, which reach the store only through controllers. */
+/** Reads and writes the record on behalf of drivers, which reach the state service only through controllers. */
 export class DriverRecordAccess {
   constructor(
     private readonly store: RecordStore,
-    private readonly copy: Pick<RecordCache, 'get' | 'note'>,
+    private readonly cache: Pick<RecordCache, 'get' | 'note'>,
     private readonly label: string,
   ) {}
 
-  /** The record, null if there is none or a damaged one, and the revision that a change is conditional on. */
+  /** The record, null if it is missing or damaged, and the revision to which the next write is conditional. */
   read(): StoredDriver {
-    const stored = this.copy.get(rolloutKeys.driver);
+    const stored = this.cache.get(rolloutKeys.driver);
     if (stored === undefined) return { record: null, revision: 0 };
     const { value, revision } = stored;
     const record = decodeOrNull(() => decodeDriver(rolloutKeys.driver, value));
     return { record, revision };
   }
 
-  /** Stores the record if it still has this revision; 0: if there is none. */
+  /** Stores the record on condition that the stored one has this revision; 0 means that none is stored. */
   write(revision: number, record: DriverRecord): Promise<ChangeOutcome> {
-    return applyChange(this.store, this.copy, {
+    return applyChange(this.store, this.cache, {
       conditions: [{ key: rolloutKeys.driver, revision }],
       puts: [{ key: rolloutKeys.driver, value: record }],
       deletes: [],
     });
   }
 
-  /** Why this node must not be drained for a driver with this fencing token, or by hand (null); null: it may (safety, R7). */
+  /**
+   * The reason why this node must not be drained for the driver with this fencing token, or for an operator if `token` is
+   * null. Returns null if the drain is allowed (safety, R7).
+   */
   drainObstacle(token: number | null): string | null {
     const { record } = this.read();
     if (token === null) {
@@ -46,10 +49,10 @@
         : null;
     }
     const { label } = this;
-    const isItsStep =
+    const isCurrentStep =
       record?.phase === 'running' &&
       record.permit.token === token &&
       record.controllers[label]?.state === 'draining';
-    return isItsStep ? null : `no rollout with the permit ${token} drains ${label} just now`;
+    return isCurrentStep ? null : `no rollout with the permit ${token} drains ${label} just now`;
   }
 }
--- a/src/coordination/rollout/featureNames.ts
+++ b/src/coordination/rollout/featureNames.ts
@@ -1,6 +1,6 @@
-/** Names in `deploy/features.toml`; apart from all else, so that a node with everything off loads nothing more. */
+/** Feature names in `deploy/features.toml`; a separate module, so that a node with all features off loads nothing else. */
 
-/** The subsystem itself; it has no level, since it writes only records of its own. */
+/** The rollout subsystem itself; it has no level, because it only writes records of its own. */
 export const ROLLOUT = 'rollout';
-/** Records are stored compressed where they would be fragmented otherwise. */
+/** Records that would otherwise be stored in fragments are compressed. */
 export const COMPRESSED_RECORDS = 'compressed-records';
--- a/src/coordination/rollout/featureTable.ts
+++ b/src/coordination/rollout/featureTable.ts
@@ -1,4 +1,4 @@
-/** The levels of what is stored, and the features that are switched by `deploy/features.toml`. */
+/** The levels of stored records in this build, and the features that `deploy/features.toml` can enable. */
 import {
   FeatureFileError,
   FeatureTable,
@@ -7,10 +7,10 @@
 } from '@barrowlb/rollout';
 import { COMPRESSED_RECORDS, ROLLOUT } from './featureNames.js';
 
-/** Level of a cluster whose nodes have all stored their capabilities (storage/nodeCapabilities.ts). */
+/** The level of a cluster whose nodes have all stored their capabilities (storage/nodeCapabilities.ts). */
 export const CAPABILITIES_LEVEL = 2;
 
-/** From this level on, records are stored that builds without a cluster version cannot read. */
+/** The lowest level with records that builds without a cluster version cannot read; the barrier keeps such builds out. */
 export const BARRIER_MIN_LEVEL = 3;
 
 /** The features of this build. */
@@ -43,12 +43,12 @@
   ...featureTable.features.filter(({ isSwitched }) => isSwitched).map(({ name }) => name),
 ];
 
-/** Reads the features file; what it does not name is off. */
+/** Parses the features file; features that it does not name are off. */
 export function parseFeatures(text: string): FeatureSwitches {
-  const switches = parseFeatureFile(text, switchable);
-  const [first] = switches.names.filter((name) => name !== ROLLOUT);
-  if (first !== undefined && !switches.isOn(ROLLOUT)) {
+  const enabled = parseFeatureFile(text, switchable);
+  const [first] = enabled.names.filter((name) => name !== ROLLOUT);
+  if (first !== undefined && !enabled.isOn(ROLLOUT)) {
     throw new FeatureFileError(`features file: ${first} needs ${ROLLOUT} to be on`);
   }
-  return switches;
+  return enabled;
 }
--- a/src/coordination/rollout/health.ts
+++ b/src/coordination/rollout/health.ts
@@ -1,9 +1,9 @@
-/** What a node tells of itself to those who replace controllers. */
+/** The health of a node, for the rollout driver and operators that replace controllers. */
 import type { ControllerHealth } from '@barrowlb/rollout';
 import { VERSION } from '../../base/version.js';
 import type { HealthContext } from './rolloutContext.js';
 
-/** The state of this node, under the names of `GET /v1/rollout/health`. */
+/** The response of `GET /v1/rollout/health`. */
 export function healthOf(node: HealthContext): ControllerHealth {
   const shards = [...node.ownedShards.values()].map(({ shard }) => shard);
   const chunks = shards.flatMap((shard) => [...shard.chunks.values()]);
--- a/src/coordination/rollout/leases.ts
+++ b/src/coordination/rollout/leases.ts
@@ -1,9 +1,9 @@
-/** The leases that the rollout package works under, as the node's leadership has them. */
+/** Adapters that expose the node's leases to the rollout package. */
 import type { LeaderLease, ParticipantNode, VersionTracker } from '@barrowlb/rollout';
 import { keys } from '../../storage/records.js';
 import { AUTOSCALER_ROLE, type ShardLeadership } from '../leadership/shardLeadership.js';
 
-/** The lease that holds the node's presence record, and the version that its answers are about. */
+/** The lease that the node's presence record is attached to, and the version that the node answers. */
 export const presenceLease = (
   { leadership }: { leadership: Pick<ShardLeadership, 'isLeaseValid' | 'leaseId'> },
   tracker: Pick<VersionTracker, 'current'>,
@@ -16,7 +16,7 @@
   },
 });
 
-/** The autoscaler's leadership: its holder alone changes the cluster's version (safety, R2). */
+/** The autoscaler's leadership: only its leader changes the cluster's version (safety, R2). */
 export const autoscalerLease = (
   leadership: Pick<ShardLeadership, 'get' | 'isLeaseValid'>,
 ): LeaderLease => ({
--- a/src/coordination/rollout/migratedShards.ts
+++ b/src/coordination/rollout/migratedShards.ts
@@ -1,6 +1,6 @@
 /**
- * The records of this node's shards, as a migration sees them. They are converted by the shard's own writes: a record that
- * is stored again takes the form that the cluster's version asks for.
+ * Exposes the records of this node's shards to the migrator. The regular writes of a shard convert them: a record that is
+ * written again takes the form that the cluster's version requires.
  */
 import type { Condition, Conversion, MigratedShard } from '@barrowlb/rollout';
 import { sleep } from '../../base/clock.js';
@@ -10,21 +10,21 @@
 import { AUTOSCALER_ROLE } from '../leadership/shardLeadership.js';
 import type { MigrationContext } from './rolloutContext.js';
 
-/** How long a shard's own write of a record is awaited, in heartbeat intervals. */
+/** Timeout of the wait for a shard to rewrite a bucket, in heartbeat intervals. */
 const WRITE_TIMEOUT_INTERVALS = 3;
 
-/** Time between two checks whether it was written, in heartbeat intervals. */
+/** Interval between two checks whether the record was rewritten, in heartbeat intervals. */
 const WRITE_POLL_INTERVALS = 1 / 10;
 
-/** Offers the shards that this node leads to the migrator. */
+/** Provides the shards that this node leads to the migrator. */
 export class MigratedShards {
   constructor(
     private readonly node: MigrationContext,
-    /** The form in which no record should be any more. */
+    /** The form that records must be converted from. */
     private readonly outdatedForm: () => StoredForm,
   ) {}
 
-  /** Shards that this node may convert; the autoscaler's leader has what belongs to no shard. */
+  /** The shards that this node may convert; the autoscaler's leader converts the records that belong to no shard. */
   owned(): MigratedShard[] {
     const { node } = this;
     const shards = [...node.ownedShards.keys()];
@@ -52,7 +52,7 @@
       .slice(0, most);
   }
 
-  /** Whose leader converts a record: that of its shard, else that of the autoscaler. */
+  /** The shard whose leader converts the record; the autoscaler role for a record of no shard. */
   private shardOf(key: string): string {
     const shard = key.startsWith(BUCKET_PREFIX) ? key.split('/')[2] : this.homeShardOf(key);
     return shard !== undefined && this.node.shards.includes(shard) ? shard : AUTOSCALER_ROLE;
@@ -77,7 +77,7 @@
     return this.rewriteJob(ownedShard, key);
   }
 
-  /** Its chunks count as changed, so that the shard stores it with its next change. */
+  /** Marks the bucket as changed, so that the shard writes it again. */
   private async rewriteBucket(ownedShard: OwnedShard, key: string): Promise<Conversion> {
     const name = key.slice(keys.bucketsOf(ownedShard.shard.label).length);
     const bucket = ownedShard.buckets.get(name);
@@ -100,13 +100,13 @@
 
   private async rewriteJob(ownedShard: OwnedShard, key: string): Promise<Conversion> {
     const job = ownedShard.jobs.get(key.slice(JOB_PREFIX.length));
-    // The job is over: nobody but a migration changes its record any more.
+    // A job that is not in memory is finished; only the migration still writes its record.
     if (job === undefined) return this.rewriteDirectly(ownedShard.shard.label, key);
     const isWritten = await this.node.persistence.rewrite(ownedShard, job);
     return isWritten ? { kind: 'converted' } : { kind: 'later' };
   }
 
-  /** Stores what is stored once more, under the leader key that entitles to it. */
+  /** Writes the stored value again, on condition of the leader key of the shard. */
   private async rewriteDirectly(shard: string, key: string): Promise<Conversion> {
     const { stateClient, stateCache } = this.node;
     const leadership = this.leadership(shard);
--- a/src/coordination/rollout/rolloutContext.ts
+++ b/src/coordination/rollout/rolloutContext.ts
@@ -1,4 +1,4 @@
-/** What staged upgrades need of the controller. */
+/** The parts of a controller that the rollout subsystem depends on. */
 import type { Clock } from '../../base/clock.js';
 import type { StateCache } from '../../storage/stateCache.js';
 import type { StateClient } from '../../storage/stateClient.js';
@@ -8,7 +8,7 @@
 import type { JobPersistence } from '../persistence/jobPersistence.js';
 import type { Drain } from './drain.js';
 
-/** What the conversion of stored records needs. */
+/** Dependencies of the conversion of stored records. */
 export interface MigrationContext {
   clock: Clock;
   settings: { heartbeatInterval: number };
@@ -20,7 +20,7 @@
   persistence: Pick<JobPersistence, 'rewrite'>;
 }
 
-/** What following and raising the cluster's version needs. */
+/** Dependencies of the rollout service, which follows and raises the cluster's version. */
 export interface RolloutContext extends MigrationContext {
   clock: Clock;
   process: string;
@@ -35,13 +35,13 @@
   stateClient: StateClient;
 }
 
-/** What a controller tells of itself to those who replace controllers. */
+/** The state of a controller that its health response is built from. */
 export interface HealthContext {
   readonly settings: { readonly label: string };
   readonly process: string;
   readonly isReady: boolean;
   readonly drain: Pick<Drain, 'isActive' | 'isDone'>;
   readonly ownedShards: ReadonlyMap<string, Pick<OwnedShard, 'shard'>>;
-  /** Submissions that were answered 503 since the start. */
+  /** Number of submissions answered 503 since the process started. */
   readonly refusedRequests: number;
 }
--- a/src/coordination/rollout/rolloutModules.ts
+++ b/src/coordination/rollout/rolloutModules.ts
@@ -1,4 +1,4 @@
-/** All that staged upgrades load; imported only where they are switched on. */
+/** The modules of the rollout subsystem; imported only if it is enabled. */
 export { deflateCodec } from '../../storage/compression.js';
 export { RolloutRoutes } from './rolloutRoutes.js';
 export { RolloutService } from './rolloutService.js';
--- a/src/coordination/rollout/rolloutRoutes.ts
+++ b/src/coordination/rollout/rolloutRoutes.ts
@@ -1,4 +1,4 @@
-/** What operators and the rollout driver ask of a node, below `/v1/rollout`. */
+/** Handlers for the requests of operators and the rollout driver below `/v1/rollout`. */
 import {
   decodeDriver,
   DamagedRecordError,
@@ -42,11 +42,11 @@
 
 const rejected = (reason: string): Reply => ({ status: 409, body: { error: reason } });
 
-/** Answers requests of operators and of the rollout driver. */
+/** Dispatches requests below `/v1/rollout`. */
 export class RolloutRoutes {
   constructor(private readonly node: RolloutRoutesContext) {}
 
-  /** Answers one request; `path` begins with `/v1/rollout`. */
+  /** Handles one request; `path` begins with `/v1/rollout`. */
   async handle(method: string, path: string, body: string): Promise<Reply> {
     const { rollout } = this.node;
     if (rollout === null) return NOT_FOUND;
@@ -92,7 +92,7 @@
     return unavailable('the state service has not confirmed it');
   }
 
-  /** By hand, or for the driver whose step it is: one that was overtaken drains nobody any more. */
+  /** Begins a drain for an operator, or for the driver with the current permit; a superseded driver is rejected. */
   private drain(rollout: RolloutService, body: string): Reply {
     const parsed = parseBody(drainSchema, body);
     if (parsed === null) return MALFORMED;
@@ -103,13 +103,13 @@
   }
 }
 
-/** The stored driver, under the names of the interface. */
+/** The response of `GET /v1/rollout/driver`. */
 function driverAnswer(rollout: RolloutService): Reply {
   const { record, revision } = rollout.driverRecord.read();
   return { status: 200, body: { record, stamp: revision } };
 }
 
-/** An operation by its path below `/v1/rollout` and its body. */
+/** Parses the operation of a path below `/v1/rollout` and its body. */
 function parseOperation(
   name: string,
   body: string,
--- a/src/coordination/rollout/rolloutRoutesContext.ts
+++ b/src/coordination/rollout/rolloutRoutesContext.ts
@@ -1,11 +1,11 @@
-/** What requests below `/v1/rollout` need of the controller. */
+/** The parts of a controller that requests below `/v1/rollout` depend on. */
 import type { Drain } from './drain.js';
 import type { HealthContext } from './rolloutContext.js';
 import type { RolloutService } from './rolloutService.js';
 
-/** What requests below `/v1/rollout` need. */
+/** Dependencies of the request handlers. */
 export interface RolloutRoutesContext extends HealthContext {
-  /** Null while staged upgrades are switched off. */
+  /** Null if the rollout subsystem is off. */
   readonly rollout: RolloutService | null;
   readonly drain: Drain;
 }
--- a/src/coordination/rollout/rolloutService.ts
+++ b/src/coordination/rollout/rolloutService.ts
@@ -1,4 +1,4 @@
-/** Staged upgrades at one node: adapts the package `@barrowlb/rollout` to the node's store, leases and shards. */
+/** The rollout subsystem of one node: connects the package `@barrowlb/rollout` to the node's state client, leases and shards. */
 import {
   describeRefusal,
   Migrator,
@@ -32,18 +32,18 @@
 import type { RolloutContext } from './rolloutContext.js';
 import type { RolloutSetup } from './rolloutSetup.js';
 
-/** Operations of one step of a migration at the most: no more than the smallest state service takes. */
+/** Maximum number of operations per migration step: the transaction limit of the smallest state service. */
 const STEP_OPERATIONS = 5;
 
-/** Quarantined records that the progress of a shard holds by name, so that it stays within 2 KiB. */
+/** Quarantined records that a shard's progress record lists by name, so that it stays within 2 KiB. */
 const QUARANTINE_NAMES = 8;
 
-/** Load of this node's share of changes, as a ratio, above which no records are converted. */
+/** Write load, as a ratio of this node's share of the writes, above which no records are converted. */
 const MAX_MIGRATION_LOAD = 1 / 2;
 
-/** Follows the cluster's version, takes part in its changes and converts the records of the shards led here. */
+/** Follows the cluster's version, takes part in its changes and converts the records of the shards that this node leads. */
 export class RolloutService {
-  /** The stored state of the rollout of controllers. */
+  /** Access to the stored record of the controllers' rollout. */
   readonly driverRecord: DriverRecordAccess;
   private readonly tracker: VersionTracker;
   private readonly participant: Participant;
@@ -88,7 +88,7 @@
       process: node.process,
       range: this.range,
       wants: featureTable.enabledLevel((name) => this.setup.features.has(name)),
-      applyVersion: (version) => this.comply(version),
+      applyVersion: (version) => this.applyVersion(version),
     });
   }
 
@@ -105,35 +105,35 @@
     });
   }
 
-  // ---- What the rest of the node asks ----
+  // ---- Checks for the rest of the node ----
 
-  /** Whether records may be stored compressed. */
+  /** Whether the cluster's version allows compressed records. */
   get mayCompress(): boolean {
     return this.tracker.isActive(COMPRESSED_RECORDS);
   }
 
-  private get isFenced(): boolean {
+  private get isBarrierActive(): boolean {
     return this.tracker.current.level >= BARRIER_MIN_LEVEL;
   }
 
-  /** Whether this node may claim shards: from the barrier's level on, only once it has published what it reads. */
+  /** Whether this node may claim shards; while the barrier is active, only after it has published the levels it reads. */
   mayClaimShards(): boolean {
     if (this.tracker.refusal !== null) return false;
-    if (!this.isFenced || this.participant.isPublished) return true;
+    if (!this.isBarrierActive || this.participant.isPublished) return true;
     this.participant.reconcile().catch((error: unknown) => {
-      log.debug(`presence: ${describeError(error)}`);
+      log.debug(`publishing the presence record failed: ${describeError(error)}`);
     });
     return false;
   }
 
-  /** Whether a leader key is that of a process which can read what is stored. */
+  /** Whether a leader key belongs to a process that can read the stored records. */
   isLeaderCompatible(leader: LeaderRecord): boolean {
-    return !this.isFenced || this.publishedProcess(leader.node) === leader.process;
+    return !this.isBarrierActive || this.publishedProcess(leader.node) === leader.process;
   }
 
-  /** Whether the process that is heard of a node can read what is stored. */
+  /** Whether the process that sends the node's messages can read the stored records. */
   isCurrent(label: string): boolean {
-    if (!this.isFenced) return true;
+    if (!this.isBarrierActive) return true;
     const published = this.publishedProcess(label);
     return published !== null && published === this.node.peers.processOf(label);
   }
@@ -142,9 +142,9 @@
     return viewNode(this.node.stateCache, label, null).presence?.value.process ?? null;
   }
 
-  // ---- Following and reconciling ----
+  // ---- Record changes and reconciliation ----
 
-  /** One of this subsystem's records has changed in the copy. */
+  /** Handles a change of a record in the cache; records of other subsystems are ignored. */
   handleRecordChange({ key, value, removed }: KeyValueChange): void {
     const present = removed ? null : value;
     if (key === rolloutKeys.version) this.tracker.updateVersion(present);
@@ -154,10 +154,10 @@
     if (refusal !== null) this.setup.onRefused(describeRefusal(refusal));
   }
 
-  /** Takes one step of each change that is under way. */
+  /** Advances each change in progress by one step. */
   async reconcile(): Promise<void> {
     const { stateCache, nodeCapabilities } = this.node;
-    // Before all nodes have stored their capabilities there is nothing to be raised (safety, V2).
+    // The level cannot be raised before all nodes have stored their capabilities (safety, V2).
     if (!stateCache.loaded || !nodeCapabilities.isUpgraded || this.tracker.refusal !== null) return;
     try {
       await this.participant.reconcile();
@@ -165,15 +165,16 @@
       await this.coordinator.step();
       await this.migrate();
     } catch (error) {
-      log.debug(`rollout: ${describeError(error)}`);
+      log.debug(`rollout reconciliation failed: ${describeError(error)}`);
     }
   }
 
   /**
-   * Does as the version says before the proposal is answered. What is to be taken back is written no more from the
-   * moment that the copy shows it; transactions that are still on their way fail on the new revisions (safety, R6).
+   * Puts the version into effect before the node answers the proposal. When the level is lowered, the node stops writing
+   * the newer form as soon as the cache shows the change. Advancing the fencing tokens changes the revisions of the leader
+   * keys, so that transactions still in flight fail (safety, R6).
    */
-  private async comply(version: ClusterVersion): Promise<boolean> {
+  private async applyVersion(version: ClusterVersion): Promise<boolean> {
     if (version.phase !== 'lowering') return true;
     const { leadership, ownedShards } = this.node;
     for (const shard of leadership.ledShards) {
@@ -204,25 +205,25 @@
     if (walk === 0 || this.isMigrating) return;
     this.isMigrating = true;
     try {
-      const due = this.shards.owned().filter((shard) => !this.isWalked(shard, walk));
-      for (const shard of due) await this.migrator.step(shard, walk);
+      const unfinished = this.shards.owned().filter((shard) => !this.isConverted(shard, walk));
+      for (const shard of unfinished) await this.migrator.step(shard, walk);
     } finally {
       this.isMigrating = false;
     }
   }
 
-  private isWalked({ label }: MigratedShard, walk: number): boolean {
+  private isConverted({ label }: MigratedShard, walk: number): boolean {
     return readProgress(this.node.stateCache, label, walk).isFinished;
   }
 
   // ---- Operators ----
 
-  /** The state of the cluster's version, for `GET /v1/rollout`. */
+  /** The response of `GET /v1/rollout`. */
   status(): RolloutStatus {
     return this.observer.status();
   }
 
-  /** Does what an operator asks of the cluster's version. */
+  /** Applies an operator's request to the cluster's version. */
   operate(operation: Operation): Promise<OperationResult> {
     const { stateCache, clock } = this.node;
     const cluster = {
--- a/src/coordination/rollout/rolloutSetup.ts
+++ b/src/coordination/rollout/rolloutSetup.ts
@@ -1,38 +1,38 @@
-/** What a start of the process brings along for staged upgrades. */
+/** Setup of the rollout subsystem at the start of the process. */
 import { ROLLOUT } from './featureNames.js';
 
-/** The process ends with this code when the cluster's records are at a level that this node cannot read. */
+/** Exit code of a process that cannot read the level of the cluster's records. */
 export const EXIT_REFUSED = 4;
 
-/** The modules that are loaded only where rollouts are on. */
+/** The modules that are loaded only if rollouts are on. */
 export type RolloutModules = typeof import('./rolloutModules.js');
 
-/** What is switched on at this start, and what is done where the node must not serve. */
+/** The enabled features, and the handler for a node that must not serve. */
 export interface RolloutSetup {
-  /** Names of the features that are on. */
+  /** The names of the enabled features. */
   features: ReadonlySet<string>;
-  /** Null while rollouts are off: then nothing of them is loaded. */
+  /** Null if rollouts are off; the modules are not loaded then. */
   modules: RolloutModules | null;
-  /** Called when this node must not serve: it has written nothing, and has to end. */
+  /** Called if this node must not serve; it has written nothing and must exit. */
   onRefused: (reason: string) => void;
 }
 
-/** Everything off, as where there is no features file. */
-export const rolloutDisabled = (refused: RolloutSetup['onRefused']): RolloutSetup => ({
+/** The setup with all features off, as without a features file. */
+export const rolloutDisabled = (onRefused: RolloutSetup['onRefused']): RolloutSetup => ({
   features: new Set(),
   modules: null,
-  onRefused: refused,
+  onRefused,
 });
 
-/** Loads what the switches need. */
+/** Loads the modules that the enabled features need. */
 export async function setUpRollout(
   names: readonly string[],
-  refused: RolloutSetup['onRefused'],
+  onRefused: RolloutSetup['onRefused'],
 ): Promise<RolloutSetup> {
-  if (!names.includes(ROLLOUT)) return rolloutDisabled(refused);
+  if (!names.includes(ROLLOUT)) return rolloutDisabled(onRefused);
   return {
     features: new Set(names),
     modules: await import('./rolloutModules.js'),
-    onRefused: refused,
+    onRefused,
   };
 }
