--- a/packages/rollout/src/clusterView.ts
+++ b/packages/rollout/src/clusterView.ts
@@ -1,4 +1,4 @@
-/** Puts together what the stored records tell of the cluster, for planning and for operators. */
+/** Builds a view of the cluster from the cached records, for planning the version's next change and for operators. */
 import { readProgress } from './migration/migrator.js';
 import {
   decodeMember,
@@ -10,60 +10,59 @@
 import { unchangedCondition, type RecordCache } from './store.js';
 import type { ClusterSnapshot, NodeView, OwnerView } from './versionPlan.js';
 
-/** What the service knows beside the records of this package. */
+/** Information from the service that the records of this package do not contain. */
 export interface ServiceView {
-  /** All nodes of the settings. */
+  /** Labels of all nodes in the settings. */
   nodes: string[];
-  /** All shards, and the duties that have a leader as shards do. */
+  /** Labels of all shards, and of the roles that are led like shards. */
   shards: string[];
-  /** The process that a node's messages come from; null: not heard of lately. */
+  /** The process that sends a node's messages; null if none arrived recently. */
   observedProcess(label: string): string | null;
-  /** Who leads a shard, by its leader key. */
+  /** The leader of a shard, according to its leader key. */
   ownerOf(shard: string): OwnerView;
 }
 
-/** What is known of a node, by its records; `heardProcess` as the service hears of it. */
+/** The view of one node from its records; `observedProcess` as in `ServiceView`. */
 export function viewNode(
-  copy: Pick<RecordCache, 'get'>,
+  cache: Pick<RecordCache, 'get'>,
   label: string,
-  heardProcess: string | null,
+  observedProcess: string | null,
 ): NodeView {
   const key = rolloutKeys.presence(label);
   const memberKey = rolloutKeys.member(label);
-  const stored = copy.get(key);
-  const member = copy.get(memberKey);
-  const isKnown =
+  const stored = cache.get(key);
+  const member = cache.get(memberKey);
+  const hasPublished =
     member !== undefined && decodeOrNull(() => decodeMember(memberKey, member.value)) !== null;
-  if (stored === undefined)
-    return { label, presence: null, hasPublished: isKnown, observedProcess: heardProcess };
+  if (stored === undefined) return { label, presence: null, hasPublished, observedProcess };
   const value = decodeOrNull(() => decodePresence(key, stored.value));
   const presence = value === null ? null : { value, revision: stored.revision };
-  return { label, presence, hasPublished: isKnown, observedProcess: heardProcess };
+  return { label, presence, hasPublished, observedProcess };
 }
 
-/** The cluster as the records show it. `damage`: why the stored version cannot be believed. */
+/** The view of the whole cluster. `damage`: why the stored version record is invalid; null if it is valid. */
 export function viewCluster(
-  copy: Pick<RecordCache, 'get'>,
+  cache: Pick<RecordCache, 'get'>,
   service: ServiceView,
   version: ClusterVersion,
   damage: string | null,
 ): ClusterSnapshot {
-  const walks = service.shards.map((shard) => ({
+  const passes = service.shards.map((shard) => ({
     shard,
-    progress: readProgress(copy, shard, version.walk),
+    progress: readProgress(cache, shard, version.walk),
   }));
-  const quarantined = walks.flatMap(({ shard, progress }) => [
+  const quarantined = passes.flatMap(({ shard, progress }) => [
     ...Object.keys(progress.quarantined),
     ...(progress.unnamed > 0 ? [`${progress.unnamed} more of ${shard}`] : []),
   ]);
   return {
     version,
     damage,
-    versionCondition: unchangedCondition(copy, rolloutKeys.version),
-    nodes: service.nodes.map((label) => viewNode(copy, label, service.observedProcess(label))),
+    versionCondition: unchangedCondition(cache, rolloutKeys.version),
+    nodes: service.nodes.map((label) => viewNode(cache, label, service.observedProcess(label))),
     owners: service.shards.map((shard) => service.ownerOf(shard)),
     migration: {
-      unfinished: walks.filter(({ progress }) => !progress.isFinished).map(({ shard }) => shard),
+      unfinished: passes.filter(({ progress }) => !progress.isFinished).map(({ shard }) => shard),
       quarantined,
     },
   };
--- a/packages/rollout/src/driver/driver.ts
+++ b/packages/rollout/src/driver/driver.ts
@@ -1,4 +1,4 @@
-/** Carries a rollout out: looks at the controllers, stores the next step under its permit, and acts on it. */
+/** Executes a rollout: observes the controllers, stores the next step under its permit and then acts on it. */
 import { DriverRefusedError, type DriverEnvironment, type StoredDriver } from './controllerApi.js';
 import type { DriverPermit, DriverRecord } from './driverRecord.js';
 import type { Observation } from './observation.js';
@@ -12,18 +12,18 @@
   startRollback,
 } from './rolloutTransitions.js';
 
-/** Share of the permit's time for which a driver still acts after its last renewal. */
+/** Share of the permit's TTL after its last renewal during which a driver may act. */
 const ACTING_SHARE = 1 / 2;
 
-/** Steps within the time of a permit. */
+/** Number of steps per TTL of a permit. */
 const STEPS_PER_PERMIT = 10;
 
-/** One driver of one plan; others of the same plan may follow it, or run beside it. */
+/** A driver of a plan. Other drivers of the same plan may succeed it or run concurrently; the permit decides which acts. */
 export class RolloutDriver {
   private readonly commands: ReplacementCommands;
   private revision = 0;
   private record: DriverRecord | null = null;
-  /** Steady time before the last renewal of the permit was sent. */
+  /** Monotonic time taken before the last successful renewal of the permit was sent. */
   private renewedAt = -Infinity;
 
   constructor(
@@ -34,36 +34,36 @@
     this.commands = new ReplacementCommands(plan, environment.run);
   }
 
-  /** Begins the plan's rollout, or goes on with it where another driver has died. */
+  /** Starts the rollout of the plan, or continues it after another driver has died. */
   async start(): Promise<void> {
     const stored = await this.readStored();
-    const isOver = stored.record !== null && isFinal(stored.record);
-    if (stored.record === null || isOver) {
+    const isFinished = stored.record !== null && isFinal(stored.record);
+    if (stored.record === null || isFinished) {
       const permit = this.nextPermit(stored.record);
       const level = (await this.environment.api.level()) ?? 0;
       await this.holdLevel();
-      await this.claim(stored.revision, startRecord(this.plan, permit, level, this.wall));
+      await this.claim(stored.revision, startRecord(this.plan, permit, level, this.wallTime));
       return;
     }
     await this.takeOver(await this.readExisting());
   }
 
-  /** Goes on after a pause. */
+  /** Continues a paused rollout. */
   async resume(): Promise<void> {
-    await this.takeOver(await this.readExisting(), (record) => resumeRecord(record, this.wall));
+    await this.takeOver(await this.readExisting(), (record) => resumeRecord(record, this.wallTime));
   }
 
-  /** Puts back what was replaced. */
+  /** Rolls the replaced controllers back to their previous version. */
   async rollBack(): Promise<void> {
     const stored = await this.readExisting();
     const obstacle = rollbackObstacle(stored.record, this.plan, await this.environment.api.level());
     if (obstacle !== null) throw new DriverRefusedError(`cannot roll back: ${obstacle}`);
     await this.takeOver(stored, (record) =>
-      startRollback(record, 'an operator rolled it back', this.wall),
+      startRollback(record, 'an operator rolled it back', this.wallTime),
     );
   }
 
-  /** Goes on until the rollout is over or paused; the record as it is then. */
+  /** Executes steps until the rollout is finished or paused, and returns the final record. */
   async run(): Promise<DriverRecord> {
     for (;;) {
       const record = await this.step();
@@ -72,12 +72,12 @@
     }
   }
 
-  /** One step: look, store, act. */
+  /** Executes one step: observe, store, act. */
   async step(): Promise<DriverRecord> {
     const before = this.record;
     if (before === null) throw new DriverRefusedError('the rollout was not begun');
-    const seen = await this.observe();
-    const { record, actions } = advance(before, this.plan, seen);
+    const observation = await this.observe();
+    const { record, actions } = advance(before, this.plan, observation);
     const stored = await this.store({ ...record, permit: renewed(before.permit) });
     if (stored === null) return this.reread();
     this.commands.forgetFinished(stored);
@@ -90,7 +90,7 @@
     return `rollout ${this.plan.name}`;
   }
 
-  private get wall(): number {
+  private get wallTime(): number {
     return this.environment.clock.wall();
   }
 
@@ -121,31 +121,31 @@
     await this.environment.api.hold(this.holdName, 'controllers are being replaced');
   }
 
-  /** Takes a permit that nobody renews any more, by this driver's own steady clock. */
+  /** Takes over the permit after it was not renewed for its TTL, measured by this driver's monotonic clock. */
   private async takeOver(
     stored: StoredDriver & { record: DriverRecord },
     change: (record: DriverRecord) => DriverRecord = (record) => record,
   ): Promise<void> {
-    const { record, revision } = await this.waitUntilAbandoned(stored);
+    const { record, revision } = await this.waitUntilPermitExpires(stored);
     await this.claim(revision, { ...change(record), permit: this.nextPermit(record) });
   }
 
-  /** Waits for as long as a permit lasts; a rollout that is paused is nobody's. */
-  private async waitUntilAbandoned(
+  /** Waits for the TTL of the permit and throws if it is renewed meanwhile; a paused rollout has no active driver. */
+  private async waitUntilPermitExpires(
     stored: StoredDriver & { record: DriverRecord },
   ): Promise<StoredDriver & { record: DriverRecord }> {
     const { clock, sleep } = this.environment;
-    const from = clock.now();
+    const startedAt = clock.now();
     let current = stored;
-    while (current.record.phase === 'running' && clock.now() - from < this.plan.permitTtl) {
+    while (current.record.phase === 'running' && clock.now() - startedAt < this.plan.permitTtl) {
       await sleep(this.plan.permitTtl / STEPS_PER_PERMIT);
-      const again = await this.readExisting();
-      const { holder, renewal, token } = again.record.permit;
-      const before = current.record.permit;
-      if (token !== before.token || renewal !== before.renewal) {
+      const latest = await this.readExisting();
+      const { holder, renewal, token } = latest.record.permit;
+      const previous = current.record.permit;
+      if (token !== previous.token || renewal !== previous.renewal) {
         throw new DriverRefusedError(`another driver is at work: ${holder}`);
       }
-      current = again;
+      current = latest;
     }
     return current;
   }
@@ -163,27 +163,30 @@
     }
   }
 
-  /** Null: it is not stored, or nobody knows. */
+  /** Stores the record; null if it was not stored or the outcome is unknown. */
   private async store(record: DriverRecord): Promise<DriverRecord | null> {
-    const sent = this.environment.clock.now();
+    const sentAt = this.environment.clock.now();
     const outcome = await this.environment.api.write(this.revision, record);
     if (outcome.kind !== 'stored') return null;
     this.revision = outcome.revision;
     this.record = record;
-    this.renewedAt = sent;
+    this.renewedAt = sentAt;
     return record;
   }
 
-  /** After a conflict or silence: an operator may have changed the record, or another driver taken the permit. */
+  /** Reads the record again after a conflict or a missing response; throws if another driver has taken the permit. */
   private async reread(): Promise<DriverRecord> {
     const stored = await this.environment.api.read();
-    const mine = this.record?.permit;
+    const ownPermit = this.record?.permit;
     if (stored?.record === undefined || stored.record === null) {
       if (this.record === null) throw new DriverRefusedError('the rollout is gone');
       return this.record;
     }
     const { permit } = stored.record;
-    if (mine !== undefined && (permit.holder !== this.holder || permit.token !== mine.token)) {
+    if (
+      ownPermit !== undefined &&
+      (permit.holder !== this.holder || permit.token !== ownPermit.token)
+    ) {
       throw new DriverRefusedError(`the permit went to ${permit.holder}`);
     }
     this.revision = stored.revision;
@@ -199,13 +202,13 @@
       controllers: new Map(labels.map((label, i) => [label, healths[i] ?? null])),
       commands: this.commands.results,
       level: await api.level(),
-      wall: this.wall,
+      wallTime: this.wallTime,
     };
   }
 
   private async act(action: RolloutAction, token: number): Promise<void> {
     const { api, clock } = this.environment;
-    // Since the step was stored this process may have stood still, and another driver have gone on.
+    // The process may have been paused since the step was stored, and another driver may have taken over.
     if (clock.now() - this.renewedAt > this.plan.permitTtl * ACTING_SHARE) return;
     if (action.kind === 'drain') await api.drain(action.label, token);
     else if (action.kind === 'replace')
--- a/packages/rollout/src/driver/driverRecord.ts
+++ b/packages/rollout/src/driver/driverRecord.ts
@@ -1,4 +1,4 @@
-/** The stored state of a rollout, so that any driver can go on where another stopped. */
+/** The stored state of a rollout, from which any driver can continue. */
 import * as v from 'valibot';
 import { decoderOf } from '../records.js';
 
@@ -6,28 +6,28 @@
 
 const healthSchema = v.object({
   label: v.string(),
-  /** Tells one start of its process from the next. */
+  /** Identifies the start of the process. */
   process: v.string(),
   version: v.string(),
   isReady: v.boolean(),
   isDraining: v.boolean(),
-  /** It has given up all that it led. */
+  /** Whether it has relinquished all leaderships. */
   isDrained: v.boolean(),
-  /** Shards that it leads. */
+  /** Labels of the shards that it leads. */
   parts: v.array(v.string()),
   liveReplicas: counter,
   waitingTasks: counter,
-  /** Requests of users that it has refused since its start. */
+  /** Number of submissions answered 503 since its start. */
   refusedRequests: counter,
 });
 
 const controllerSchema = v.object({
   state: v.picklist(['waiting', 'draining', 'replacing', 'starting', 'settling', 'done']),
-  /** Time of day at which it came to this state. */
+  /** Wall-clock time at which it entered this state. */
   since: v.number(),
-  /** Its process before it was replaced. */
+  /** Its process before the replacement. */
   process: v.nullable(v.string()),
-  /** Time of day since which the cluster has been well, while it settles; or not well, while it waits. */
+  /** Wall-clock time since which the cluster has been healthy (state `settling`) or unhealthy (state `waiting`). */
   conditionSince: v.nullable(v.number()),
 });
 
@@ -39,33 +39,33 @@
   order: v.array(v.string()),
   phase: v.picklist(['running', 'paused', 'done', 'rolled-back']),
   direction: v.picklist(['forward', 'back']),
-  /** What it waits for, and since when; while it is paused, why. */
+  /** The reason why the rollout waits or is paused, and since when (wall-clock time). */
   cause: v.object({ text: v.string(), since: v.number() }),
   permit: v.object({ holder: v.string(), token: counter, renewal: counter }),
   baseline: v.nullable(baselineSchema),
-  /** The cluster's level when the rollout began: beyond it old builds cannot come back. */
+  /** The cluster's level at the start of the rollout; above it the old builds cannot be restored. */
   levelAtStart: counter,
   controllers: v.record(v.string(), controllerSchema),
 });
 
-/** What a controller tells of itself. */
+/** The health that a controller reports. */
 export type ControllerHealth = v.InferOutput<typeof healthSchema>;
-/** How far the replacement of one controller has come. */
+/** The progress of the replacement of one controller. */
 export type ControllerProgress = v.InferOutput<typeof controllerSchema>;
-/** The steps of one controller, in their order. */
+/** The states of a replacement, in order. */
 export type ControllerState = ControllerProgress['state'];
-/** Live replicas and waiting tasks of the cluster before a controller was taken away. */
+/** Live replicas and waiting tasks of the cluster before the replacement of a controller. */
 export type Baseline = v.InferOutput<typeof baselineSchema>;
 /** The stored state of a rollout. */
 export type DriverRecord = v.InferOutput<typeof driverSchema>;
-/** Who drives the rollout: `token` rises with each driver, `renewal` with each of its steps. */
+/** The permit of the active driver: `token` increases with each driver, `renewal` with each of its steps. */
 export type DriverPermit = DriverRecord['permit'];
 
 /** Decodes the record of a rollout; throws a DamagedRecordError. */
 export const decodeDriver = decoderOf(driverSchema);
-/** Decodes what a controller tells of itself; throws a DamagedRecordError. */
+/** Decodes the health of a controller; throws a DamagedRecordError. */
 export const decodeHealth = decoderOf(healthSchema);
 
-/** States in which a controller may be away, or not well yet. */
+/** Whether the replacement is in progress, so that the controller may be down or unhealthy. */
 export const isInProgress = ({ state }: ControllerProgress): boolean =>
   state !== 'waiting' && state !== 'done';
--- a/packages/rollout/src/driver/observation.ts
+++ b/packages/rollout/src/driver/observation.ts
@@ -1,27 +1,27 @@
-/** What a driver sees of the controllers, and whether the cluster is as well as before. */
+/** A driver's observation of the controllers, and its comparison with the baseline. */
 import type { Baseline, ControllerHealth } from './driverRecord.js';
 import type { RolloutPlan } from './plan.js';
 
-/** How the command that replaces a controller is getting on, at this driver. */
+/** The state of the command that replaces a controller. */
 export type CommandResult =
   { kind: 'running' } | { kind: 'ended' } | { kind: 'failed'; reason: string };
 
-/** One look at all controllers of the plan. */
+/** The state of all controllers of the plan at one time. */
 export interface Observation {
-  /** Null: it does not answer. */
+  /** The health by label; null if the controller does not respond. */
   controllers: ReadonlyMap<string, ControllerHealth | null>;
   commands: ReadonlyMap<string, CommandResult>;
-  /** The cluster's level; null: nobody tells. */
+  /** The cluster's level; null if no controller responds. */
   level: number | null;
-  /** Time of day in seconds. */
-  wall: number;
+  /** Wall-clock time in seconds. */
+  wallTime: number;
 }
 
 /** Labels of the controllers that are down or not ready. */
 export const unreadyControllers = ({ controllers }: Pick<Observation, 'controllers'>): string[] =>
   [...controllers].filter(([, health]) => health?.isReady !== true).map(([label]) => label);
 
-/** Live replicas and waiting tasks of all controllers that answer. */
+/** Sums of live replicas and waiting tasks over all controllers that respond. */
 export function measureTotals({ controllers }: Pick<Observation, 'controllers'>): Baseline {
   const healths = [...controllers.values()].flatMap((health) => health ?? []);
   const sum = (amountOf: (health: ControllerHealth) => number): number =>
@@ -32,22 +32,23 @@
   };
 }
 
-/** How the cluster is worse off than at the baseline; null: it is not. */
+/** How the cluster is degraded compared to the baseline; null if it is not. */
 export function describeDegradation(
-  seen: Pick<Observation, 'controllers'>,
+  observation: Pick<Observation, 'controllers'>,
   baseline: Baseline | null,
-  limits: Pick<RolloutPlan, 'replicaShare' | 'waitingFactor'>,
+  limits: Pick<RolloutPlan, 'minReplicaRatio' | 'maxWaitingRatio'>,
 ): string | null {
-  const unready = unreadyControllers(seen);
+  const unready = unreadyControllers(observation);
   if (unready.length > 0) return `${unready.join(', ')} is not ready`;
   if (baseline === null) return null;
-  const now = measureTotals(seen);
-  if (now.liveReplicas < baseline.liveReplicas * limits.replicaShare) {
-    return `${now.liveReplicas} of ${baseline.liveReplicas} live replicas are up`;
+  const totals = measureTotals(observation);
+  if (totals.liveReplicas < baseline.liveReplicas * limits.minReplicaRatio) {
+    return `${totals.liveReplicas} of ${baseline.liveReplicas} live replicas are up`;
   }
-  const most = Math.max(baseline.waitingTasks, baseline.liveReplicas) * limits.waitingFactor;
-  if (now.waitingTasks > most && now.waitingTasks > baseline.waitingTasks) {
-    return `${now.waitingTasks} tasks wait, ${baseline.waitingTasks} did before`;
+  const maxWaiting =
+    Math.max(baseline.waitingTasks, baseline.liveReplicas) * limits.maxWaitingRatio;
+  if (totals.waitingTasks > maxWaiting && totals.waitingTasks > baseline.waitingTasks) {
+    return `${totals.waitingTasks} tasks wait, ${baseline.waitingTasks} did before`;
   }
   return null;
 }
--- a/packages/rollout/src/driver/plan.ts
+++ b/packages/rollout/src/driver/plan.ts
@@ -1,49 +1,51 @@
-/** The plan of a rollout: a file of Java-style properties that operators write. */
+/** The plan of a rollout: a file of Java-style properties written by operators. */
 import { createHash } from 'node:crypto';
 import { parse } from 'dot-properties';
 import { closest } from 'fastest-levenshtein';
 
-/** The plan is faulty; the message says where. */
+/** The plan is invalid; the message says what is wrong. */
 export class PlanError extends Error {}
 
-/** What is done when a controller does not come back well. */
+/** The reaction to a controller that does not become healthy after its replacement. */
 export type FailurePolicy = 'pause' | 'rollback';
 
-/** What operators ask of a rollout. */
+/** A parsed plan. */
 export interface RolloutPlan {
   name: string;
-  /** Controllers in the order in which they are replaced. */
+  /** Labels of the controllers, in the order of their replacement. */
   order: string[];
-  /** Where users reach each of them. */
+  /** The client address of each controller. */
   addresses: Record<string, string>;
-  /** The version that they must have afterwards. */
+  /** The version that each controller must run after its replacement. */
   version: string;
-  /** Program and arguments that replace one controller. */
+  /** Program and arguments of the command that replaces one controller. */
   command: string[];
   rollbackVersion: string | null;
   rollbackCommand: string[] | null;
-  /** Controllers that may be away at a time. */
+  /** Maximum number of controllers that may be unavailable at a time. */
   concurrency: number;
+  /** Whether a controller is drained before it is replaced. */
   drainsFirst: boolean;
-  /** Seconds until a controller must have given up its shards, and until it must be back. */
+  /** Seconds within which a controller must have relinquished its shards. */
   drainTimeout: number;
+  /** Seconds within which a replaced controller must be ready again. */
   startTimeout: number;
-  /** Seconds for which the cluster must be well before the next controller. */
+  /** Seconds for which the cluster must stay healthy before the next controller is replaced. */
   soak: number;
   onFailure: FailurePolicy;
-  /** False: an operator finalises the level. */
+  /** Whether the driver ends the hold on the level after the rollout; otherwise an operator does. */
   autoFinalize: boolean;
-  /** Seconds without a sign of life after which another driver may go on. */
+  /** Seconds without a renewal after which another driver may take over the permit. */
   permitTtl: number;
-  /** Of the live replicas that ran before a controller was replaced, what must run again. */
-  replicaShare: number;
-  /** How many times as many tasks may wait as before. */
-  waitingFactor: number;
-  /** Tells one plan from another. */
+  /** The share of the live replicas before the replacement that must run again. */
+  minReplicaRatio: number;
+  /** The factor by which the number of waiting tasks may grow compared to the baseline. */
+  maxWaitingRatio: number;
+  /** Hash of the plan's text; identifies the plan. */
   digest: string;
 }
 
-const ADDRESS = 'address.';
+const ADDRESS_PREFIX = 'address.';
 
 const settingKeys = [
   'rollout',
@@ -64,7 +66,7 @@
   'health.waiting',
 ];
 
-/** Reads single settings of the file, each with its check. */
+/** Reads and validates single settings of the plan. */
 class PlanReader {
   private readonly values: Map<string, string>;
 
@@ -77,13 +79,15 @@
   }
 
   private checkKey(key: string): void {
-    if (settingKeys.includes(key) || key.startsWith(ADDRESS)) return;
+    if (settingKeys.includes(key) || key.startsWith(ADDRESS_PREFIX)) return;
     throw new PlanError(`plan: unknown key "${key}"; did you mean "${closest(key, settingKeys)}"?`);
   }
 
   get addresses(): Record<string, string> {
-    const found = [...this.values].filter(([key]) => key.startsWith(ADDRESS));
-    return Object.fromEntries(found.map(([key, value]) => [key.slice(ADDRESS.length), value]));
+    const found = [...this.values].filter(([key]) => key.startsWith(ADDRESS_PREFIX));
+    return Object.fromEntries(
+      found.map(([key, value]) => [key.slice(ADDRESS_PREFIX.length), value]),
+    );
   }
 
   text(key: string): string {
@@ -97,19 +101,19 @@
     return value === '' ? null : value;
   }
 
-  number(key: string, usual: number, least: number): number {
+  number(key: string, fallback: number, min: number): number {
     const value = this.optional(key);
-    if (value === null) return usual;
+    if (value === null) return fallback;
     const number = Number(value);
-    if (!Number.isFinite(number) || number < least) {
-      throw new PlanError(`plan: ${key}: expected a number of at least ${least}`);
+    if (!Number.isFinite(number) || number < min) {
+      throw new PlanError(`plan: ${key}: expected a number of at least ${min}`);
     }
     return number;
   }
 
   choice<Choice extends string>(key: string, choices: readonly Choice[]): Choice {
-    const [usual] = choices;
-    const value = this.optional(key) ?? usual;
+    const [fallback] = choices;
+    const value = this.optional(key) ?? fallback;
     const choice = choices.find((name) => name === value);
     if (choice === undefined) {
       throw new PlanError(`plan: ${key}: expected one of ${choices.join(', ')}`);
@@ -118,7 +122,7 @@
   }
 }
 
-const words = (text: string): string[] => text.split(/\s+/);
+const splitWords = (text: string): string[] => text.split(/\s+/);
 
 function readOrder(reader: PlanReader): string[] {
   const order = reader.text('order').split(/\s*,\s*/);
@@ -126,15 +130,15 @@
   order.forEach((label, i) => {
     if (order.indexOf(label) < i) throw new PlanError(`plan: order names ${label} twice`);
     if (addresses[label] === undefined) {
-      throw new PlanError(`plan: order names ${label}, and ${ADDRESS}${label} is missing`);
+      throw new PlanError(`plan: order names ${label}, and ${ADDRESS_PREFIX}${label} is missing`);
     }
   });
   return order;
 }
 
 /**
- * Reads a plan.
- * @throws {PlanError} if anything is wrong with it, so that nothing has been touched by then.
+ * Parses a plan.
+ * @throws {PlanError} if the plan is invalid, before any controller is changed.
  */
 export function parsePlan(text: string): RolloutPlan {
   const reader = new PlanReader(text);
@@ -152,9 +156,9 @@
     order,
     addresses: reader.addresses,
     version: reader.text('version'),
-    command: words(reader.text('command')),
+    command: splitWords(reader.text('command')),
     rollbackVersion: reader.optional('rollback.version'),
-    rollbackCommand: rollbackCommand === null ? null : words(rollbackCommand),
+    rollbackCommand: rollbackCommand === null ? null : splitWords(rollbackCommand),
     concurrency,
     drainsFirst: reader.choice('drain', ['true', 'false']) === 'true',
     drainTimeout: reader.number('drain.timeout', 30, 0),
@@ -163,15 +167,15 @@
     onFailure,
     autoFinalize: reader.choice('finalize', ['auto', 'manual']) === 'auto',
     permitTtl: reader.number('permit.ttl', 15, 1),
-    replicaShare: reader.number('health.replicas', 1, 0),
-    waitingFactor: reader.number('health.waiting', 2, 1),
+    minReplicaRatio: reader.number('health.replicas', 1, 0),
+    maxWaitingRatio: reader.number('health.waiting', 2, 1),
     digest: createHash('sha256').update(text).digest('hex').slice(0, 16),
   };
 }
 
 /**
- * Checks the plan against the controllers that the cluster's settings name.
- * @throws {PlanError} if it names another.
+ * Checks that all controllers of the plan belong to the cluster.
+ * @throws {PlanError} if the plan names a controller that is not in the cluster's settings.
  */
 export function checkControllers(plan: RolloutPlan, known: string[]): void {
   for (const label of Object.keys(plan.addresses)) {
@@ -180,7 +184,7 @@
   }
 }
 
-/** The command for one controller. */
+/** Substitutes the label and the version in the command for one controller. */
 export const expandCommand = (command: string[], label: string, version: string | null): string[] =>
   command.map((word) =>
     word.replaceAll('{controller}', label).replaceAll('{version}', version ?? ''),
--- a/packages/rollout/src/driver/replacementCommands.ts
+++ b/packages/rollout/src/driver/replacementCommands.ts
@@ -1,10 +1,10 @@
-/** The commands of the plan that replace controllers, as they run beside a driver's steps. */
+/** Runs the plan's commands that replace controllers, concurrently with the driver's steps. */
 import type { DriverEnvironment } from './controllerApi.js';
 import type { DriverRecord } from './driverRecord.js';
 import type { CommandResult } from './observation.js';
 import { expandCommand, type RolloutPlan } from './plan.js';
 
-/** Runs at most one command for each controller at a time, and keeps what came of it. */
+/** Runs at most one command per controller at a time and keeps its result. */
 export class ReplacementCommands {
   private readonly byController = new Map<string, CommandResult>();
 
@@ -16,12 +16,12 @@
     private readonly run: DriverEnvironment['run'],
   ) {}
 
-  /** What came of the commands, by the labels of their controllers. */
+  /** The state of each command by the label of its controller. */
   get results(): ReadonlyMap<string, CommandResult> {
     return this.byController;
   }
 
-  /** Starts the command for a controller, unless it is running; its end shows in `results`. */
+  /** Starts the command for a controller unless it is running; `results` shows its outcome. */
   start(label: string, direction: DriverRecord['direction'] | undefined, token: number): void {
     if (this.byController.get(label)?.kind === 'running') return;
     const { plan } = this;
@@ -38,14 +38,14 @@
     );
   }
 
-  /** A result counts once: the same controller may be replaced again, by a rollback. */
+  /** Discards results that were used, because a rollback may replace the same controller again. */
   forgetFinished({ controllers }: DriverRecord): void {
     for (const label of [...this.byController.keys()]) {
       if (controllers[label]?.state !== 'replacing') this.byController.delete(label);
     }
   }
 
-  /** Forgets all results, as at the beginning of a driver's work. */
+  /** Discards all results when a driver takes the permit. */
   clear(): void {
     this.byController.clear();
   }
--- a/packages/rollout/src/driver/rolloutMachine.ts
+++ b/packages/rollout/src/driver/rolloutMachine.ts
@@ -1,6 +1,6 @@
 /**
- * What a rollout does next: a pure function of its stored record, its plan and what was seen of the controllers. The
- * driver stores the new record before it acts on it.
+ * The state machine of a rollout: computes the next record and the actions from the stored record, the plan and an
+ * observation of the controllers. The driver stores the new record before it executes the actions.
  */
 import {
   describeDegradation,
@@ -22,36 +22,40 @@
   startRollback,
 } from './rolloutTransitions.js';
 
-/** What the driver does once the record is stored. */
+/** An action that the driver executes after the record is stored. */
 export type RolloutAction =
   | { kind: 'drain'; label: string }
   | { kind: 'replace'; label: string }
-  /** Lets the cluster's level rise. */
+  /** Ends the hold, so that the cluster's level may rise. */
   | { kind: 'finalize' };
 
-/** The record to be stored, and what to do once it is. */
+/** The record to store, and the actions to execute afterwards. */
 export interface AdvanceResult {
   record: DriverRecord;
   actions: RolloutAction[];
 }
 
-/** What one controller should become, or why the rollout stops at it. */
+/** The decision for one controller: keep its state, change it, or fail the rollout. */
 type Step =
   | { kind: 'stay'; reason: string; conditionSince?: number | null }
   | { kind: 'go'; to: ControllerState; process?: string }
   | { kind: 'fail'; reason: string };
 
-/** One step of the rollout. */
-export function advance(record: DriverRecord, plan: RolloutPlan, seen: Observation): AdvanceResult {
+/** Plans one step of the rollout. */
+export function advance(
+  record: DriverRecord,
+  plan: RolloutPlan,
+  observation: Observation,
+): AdvanceResult {
   if (record.phase !== 'running') return { record, actions: [] };
-  return new StepPlanner(record, plan, seen).plan();
+  return new StepPlanner(record, plan, observation).plan();
 }
 
 class StepPlanner {
   constructor(
     private record: DriverRecord,
     private readonly rollout: RolloutPlan,
-    private readonly seen: Observation,
+    private readonly observation: Observation,
   ) {}
 
   plan(): AdvanceResult {
@@ -75,7 +79,7 @@
   }
 
   private progressOf(label: string): ControllerProgress {
-    return this.record.controllers[label] ?? initialProgress(this.seen.wall);
+    return this.record.controllers[label] ?? initialProgress(this.observation.wallTime);
   }
 
   private set(label: string, changes: Partial<ControllerProgress>): void {
@@ -85,8 +89,13 @@
   }
 
   private move(label: string, { to, process }: Extract<Step, { kind: 'go' }>): void {
-    const kept = process === undefined ? {} : { process };
-    this.set(label, { state: to, since: this.seen.wall, conditionSince: null, ...kept });
+    const processChange = process === undefined ? {} : { process };
+    this.set(label, {
+      state: to,
+      since: this.observation.wallTime,
+      conditionSince: null,
+      ...processChange,
+    });
   }
 
   private get wantedVersion(): string | null {
@@ -115,29 +124,35 @@
 
   private begin(label: string, { conditionSince }: ControllerProgress): Step {
     const { controllers } = this.record;
-    const away = Object.keys(controllers).filter((other) => isInProgress(this.progressOf(other)));
-    if (away.length >= this.rollout.concurrency) return { kind: 'stay', reason: '' };
-    // One that has crashed is replaced as well, but no other is taken away beside it.
-    const down = unreadyControllers(this.seen).filter(
-      (other) => other !== label && !away.includes(other),
+    const inProgress = Object.keys(controllers).filter((other) =>
+      isInProgress(this.progressOf(other)),
     );
-    if (down.length + away.length >= this.rollout.concurrency) {
-      const from = conditionSince ?? this.seen.wall;
+    if (inProgress.length >= this.rollout.concurrency) return { kind: 'stay', reason: '' };
+    // Other controllers that are down count against the concurrency limit; a controller that is down itself is replaced.
+    const down = unreadyControllers(this.observation).filter(
+      (other) => other !== label && !inProgress.includes(other),
+    );
+    if (down.length + inProgress.length >= this.rollout.concurrency) {
+      const since = conditionSince ?? this.observation.wallTime;
       const reason = `waits until ${down.join(', ')} is ready`;
-      if (this.isOver(from, this.rollout.startTimeout)) return { kind: 'fail', reason };
-      return { kind: 'stay', reason, conditionSince: from };
+      if (this.hasElapsed(since, this.rollout.startTimeout)) return { kind: 'fail', reason };
+      return { kind: 'stay', reason, conditionSince: since };
     }
-    this.record = { ...this.record, baseline: measureTotals(this.seen) };
-    const before = this.seen.controllers.get(label) ?? null;
-    const isDrained = this.rollout.drainsFirst && before !== null;
-    return { kind: 'go', to: isDrained ? 'draining' : 'replacing', process: before?.process ?? '' };
+    this.record = { ...this.record, baseline: measureTotals(this.observation) };
+    const before = this.observation.controllers.get(label) ?? null;
+    const needsDrain = this.rollout.drainsFirst && before !== null;
+    return {
+      kind: 'go',
+      to: needsDrain ? 'draining' : 'replacing',
+      process: before?.process ?? '',
+    };
   }
 
   private drain(label: string, { since }: ControllerProgress): Step {
-    const health = this.seen.controllers.get(label) ?? null;
-    // It went by itself: there is nothing left to be handed over.
+    const health = this.observation.controllers.get(label) ?? null;
+    // A controller that is down has no leaderships left to relinquish.
     if (health === null || health.isDrained) return { kind: 'go', to: 'replacing' };
-    if (this.isOver(since, this.rollout.drainTimeout)) {
+    if (this.hasElapsed(since, this.rollout.drainTimeout)) {
       return {
         kind: 'fail',
         reason: `it still owns ${health.parts.join(', ') || 'a duty'} after the drain timeout`,
@@ -147,7 +162,7 @@
   }
 
   private replace(label: string): Step {
-    const result = this.seen.commands.get(label);
+    const result = this.observation.commands.get(label);
     if (result?.kind === 'ended') return { kind: 'go', to: 'starting' };
     if (result?.kind === 'failed')
       return { kind: 'fail', reason: `the command failed: ${result.reason}` };
@@ -155,16 +170,16 @@
   }
 
   private start(label: string, progress: ControllerProgress): Step {
-    const missing = this.missingAfterStart(label, progress);
-    if (missing === null) return { kind: 'go', to: 'settling' };
-    if (this.isOver(progress.since, this.rollout.startTimeout)) {
-      return { kind: 'fail', reason: `${missing} after the start timeout` };
+    const problem = this.startProblem(label, progress);
+    if (problem === null) return { kind: 'go', to: 'settling' };
+    if (this.hasElapsed(progress.since, this.rollout.startTimeout)) {
+      return { kind: 'fail', reason: `${problem} after the start timeout` };
     }
-    return { kind: 'stay', reason: missing };
+    return { kind: 'stay', reason: problem };
   }
 
-  private missingAfterStart(label: string, { process }: ControllerProgress): string | null {
-    const health = this.seen.controllers.get(label) ?? null;
+  private startProblem(label: string, { process }: ControllerProgress): string | null {
+    const health = this.observation.controllers.get(label) ?? null;
     if (health === null) return 'it does not answer';
     if (health.process === process) return 'it is still the process from before';
     if (this.wantedVersion !== null && health.version !== this.wantedVersion) {
@@ -175,48 +190,50 @@
   }
 
   private settle({ since, conditionSince }: ControllerProgress): Step {
-    const { wall } = this.seen;
-    const problem = describeDegradation(this.seen, this.record.baseline, this.rollout);
+    const { wallTime } = this.observation;
+    const problem = describeDegradation(this.observation, this.record.baseline, this.rollout);
     if (problem === null) {
-      const from = conditionSince ?? wall;
-      if (wall - from >= this.rollout.soak) return { kind: 'go', to: 'done' };
+      const from = conditionSince ?? wallTime;
+      if (wallTime - from >= this.rollout.soak) return { kind: 'go', to: 'done' };
       return { kind: 'stay', reason: 'the cluster is well; soaking', conditionSince: from };
     }
-    if (this.isOver(since, this.rollout.startTimeout + this.rollout.soak)) {
+    if (this.hasElapsed(since, this.rollout.startTimeout + this.rollout.soak)) {
       return { kind: 'fail', reason: `${problem} after the start timeout` };
     }
     return { kind: 'stay', reason: problem, conditionSince: null };
   }
 
-  private isOver(since: number, seconds: number): boolean {
-    return this.seen.wall - since > seconds;
+  private hasElapsed(since: number, seconds: number): boolean {
+    return this.observation.wallTime - since > seconds;
   }
 
   private fail(cause: string): AdvanceResult {
-    const { record, rollout, seen } = this;
-    const obstacle = rollbackObstacle(record, rollout, seen.level);
-    const isTurned =
+    const { record, rollout, observation } = this;
+    const obstacle = rollbackObstacle(record, rollout, observation.level);
+    const startsRollback =
       rollout.onFailure === 'rollback' && record.direction === 'forward' && obstacle === null;
-    const next = isTurned
-      ? startRollback(record, cause, seen.wall)
-      : pauseRecord(record, cause, seen.wall);
+    const next = startsRollback
+      ? startRollback(record, cause, observation.wallTime)
+      : pauseRecord(record, cause, observation.wallTime);
     return { record: next, actions: [] };
   }
 
   private finish(reasons: string[]): AdvanceResult {
-    const isOver = Object.values(this.record.controllers).every(({ state }) => state === 'done');
-    if (isOver) {
+    const isFinished = Object.values(this.record.controllers).every(
+      ({ state }) => state === 'done',
+    );
+    if (isFinished) {
       const phase = this.record.direction === 'forward' ? 'done' : 'rolled-back';
       const cause = {
         text: phase === 'done' ? 'all controllers were replaced' : 'all controllers are back',
-        since: this.seen.wall,
+        since: this.observation.wallTime,
       };
       const actions: RolloutAction[] = this.rollout.autoFinalize ? [{ kind: 'finalize' }] : [];
       return { record: { ...this.record, phase, cause }, actions };
     }
     const text = reasons.join('; ') || this.record.cause.text;
     if (text !== this.record.cause.text) {
-      this.record = { ...this.record, cause: { text, since: this.seen.wall } };
+      this.record = { ...this.record, cause: { text, since: this.observation.wallTime } };
     }
     return { record: this.record, actions: this.actions() };
   }
--- a/packages/rollout/src/driver/rolloutTransitions.ts
+++ b/packages/rollout/src/driver/rolloutTransitions.ts
@@ -1,21 +1,21 @@
-/** Changes of a rollout's record that a driver or an operator makes: begin, pause, resume, roll back. */
+/** Changes of a rollout's record by a driver or an operator: start, pause, resume and rollback. */
 import type { ControllerProgress, DriverPermit, DriverRecord } from './driverRecord.js';
 import type { RolloutPlan } from './plan.js';
 
-/** The progress of a controller that nothing was done with yet. */
-export const initialProgress = (wall: number): ControllerProgress => ({
+/** The initial progress of a controller. */
+export const initialProgress = (wallTime: number): ControllerProgress => ({
   state: 'waiting',
-  since: wall,
+  since: wallTime,
   process: null,
   conditionSince: null,
 });
 
-/** The record of a rollout that has done nothing yet. */
+/** The initial record of a rollout. */
 export function startRecord(
   plan: RolloutPlan,
   permit: DriverPermit,
   level: number,
-  wall: number,
+  wallTime: number,
 ): DriverRecord {
   return {
     name: plan.name,
@@ -23,20 +23,20 @@
     order: plan.order,
     phase: 'running',
     direction: 'forward',
-    cause: { text: 'it has just begun', since: wall },
+    cause: { text: 'it has just begun', since: wallTime },
     permit,
     baseline: null,
     levelAtStart: level,
-    controllers: Object.fromEntries(plan.order.map((label) => [label, initialProgress(wall)])),
+    controllers: Object.fromEntries(plan.order.map((label) => [label, initialProgress(wallTime)])),
   };
 }
 
-/** Starts the rollback: the controllers that were touched are put back, the last one first. */
-export function startRollback(record: DriverRecord, cause: string, wall: number): DriverRecord {
+/** Starts the rollback of all controllers whose replacement had begun, in reverse order. */
+export function startRollback(record: DriverRecord, cause: string, wallTime: number): DriverRecord {
   const controllers = Object.entries(record.controllers).map(([label, progress]) => {
     const isUntouched = record.direction === 'forward' && progress.state === 'waiting';
     const next: ControllerProgress = {
-      ...initialProgress(wall),
+      ...initialProgress(wallTime),
       state: isUntouched ? 'done' : 'waiting',
     };
     return [label, next] as const;
@@ -46,12 +46,12 @@
     phase: 'running',
     direction: 'back',
     baseline: null,
-    cause: { text: cause, since: wall },
+    cause: { text: cause, since: wallTime },
     controllers: Object.fromEntries(controllers),
   };
 }
 
-/** Why a rollout cannot be rolled back; null: it can. */
+/** Why a rollout cannot be rolled back; null if it can. */
 export function rollbackObstacle(
   record: DriverRecord,
   plan: RolloutPlan,
@@ -64,16 +64,16 @@
   return null;
 }
 
-/** Goes on after a pause; the times of what is under way count anew. */
-export function resumeRecord(record: DriverRecord, wall: number): DriverRecord {
+/** Continues a paused rollout; the timeouts of steps in progress restart. */
+export function resumeRecord(record: DriverRecord, wallTime: number): DriverRecord {
   const controllers = Object.entries(record.controllers).map(
-    ([label, progress]) => [label, { ...progress, since: wall, conditionSince: null }] as const,
+    ([label, progress]) => [label, { ...progress, since: wallTime, conditionSince: null }] as const,
   );
-  const cause = { text: 'it was resumed', since: wall };
+  const cause = { text: 'it was resumed', since: wallTime };
   return { ...record, phase: 'running', cause, controllers: Object.fromEntries(controllers) };
 }
 
-/** Pauses a rollout; the text says why. */
-export function pauseRecord(record: DriverRecord, text: string, wall: number): DriverRecord {
-  return { ...record, phase: 'paused', cause: { text, since: wall } };
+/** Pauses a rollout for the given reason. */
+export function pauseRecord(record: DriverRecord, reason: string, wallTime: number): DriverRecord {
+  return { ...record, phase: 'paused', cause: { text: reason, since: wallTime } };
 }
--- a/packages/rollout/src/featureSwitches.ts
+++ b/packages/rollout/src/featureSwitches.ts
@@ -1,20 +1,20 @@
-/** The file that switches on what is new: `deploy/features.toml`. */
+/** The features file `deploy/features.toml`, which enables features. */
 import { closest } from 'fastest-levenshtein';
 import { parse } from 'smol-toml';
 
-/** The features file is faulty; the message says where. */
+/** The features file is invalid; the message says what is wrong. */
 export class FeatureFileError extends Error {}
 
-/** What is switched on; everything that the file does not name is off. */
+/** The enabled features; features that the file does not name are off. */
 export class FeatureSwitches {
   constructor(private readonly on: ReadonlySet<string> = new Set()) {}
 
-  /** Whether a feature is switched on. */
+  /** Whether the feature is enabled. */
   isOn(name: string): boolean {
     return this.on.has(name);
   }
 
-  /** The features that are on, sorted. */
+  /** The names of the enabled features, sorted. */
   get names(): string[] {
     return [...this.on].sort();
   }
@@ -23,8 +23,8 @@
 const TABLE = 'features';
 
 /**
- * Reads the file strictly: an unknown name is refused, since it would silently switch on nothing.
- * @throws {FeatureFileError} if the file is not as it must be.
+ * Parses the file strictly: an unknown name is an error, because a misspelt feature would silently stay off.
+ * @throws {FeatureFileError} if the file is invalid.
  */
 export function parseFeatureFile(text: string, known: readonly string[]): FeatureSwitches {
   const file = parseToml(text);
--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -1,4 +1,4 @@
-/** Staged upgrades: cluster version, feature gates, migrations in place and the rollout driver (docs/rollout.md). */
+/** Staged upgrades: cluster version, features, in-place migrations and the rollout driver (docs/rollout.md). */
 export * from './clusterView.js';
 export * from './featureSwitches.js';
 export * from './levels.js';
--- a/packages/rollout/src/levels.ts
+++ b/packages/rollout/src/levels.ts
@@ -1,32 +1,32 @@
-/** Levels of what may be stored, and the features that are written from each level on. */
+/** The levels of stored records, and the features that each level adds. */
 
-/** The levels that a build reads and writes, both included. */
+/** The levels that a build reads and writes; both bounds are inclusive. */
 export interface LevelRange {
   min: number;
   max: number;
 }
 
-/** Whether a level is within a range. */
+/** Whether the range includes the level. */
 export const covers = (range: LevelRange, level: number): boolean =>
   range.min <= level && level <= range.max;
 
-/** One feature; behaviour asks for its gate and never for the version of a build. */
+/** A feature of the stored records. Code checks whether a feature is active and never the version of the build. */
 export interface Feature {
   name: string;
-  /** From this level on it may be written. */
+  /** The lowest level at which the feature may be written. */
   level: number;
-  /** What it writes, for operators. */
+  /** Describes what the feature writes, for operators. */
   writes: string;
-  /** How it is taken back; null: it cannot be. */
+  /** Describes how the feature is reverted; null if it is irreversible. */
   undo: string | null;
-  /** Switched by the features file; the others are part of the build. */
+  /** Whether the features file enables it; otherwise it is always on. */
   isSwitched: boolean;
 }
 
-/** A build names its features inconsistently. */
+/** The feature table of the build is inconsistent. */
 export class FeatureTableError extends Error {}
 
-/** All features of a build, by rising level. */
+/** All features of a build, in ascending order of level. */
 export class FeatureTable {
   readonly features: readonly Feature[];
 
@@ -49,12 +49,12 @@
     return this.features[this.features.length - 1]?.level ?? 0;
   }
 
-  /** The feature of that name. */
+  /** The feature with this name; undefined if the build has none. */
   find(name: string): Feature | undefined {
     return this.features.find((feature) => feature.name === name);
   }
 
-  /** The highest level that may be used: up to the first feature that is switched off. */
+  /** The highest level below the first disabled feature. */
   enabledLevel(isOn: (name: string) => boolean): number {
     let level = this.lowestLevel;
     for (const feature of this.features) {
@@ -64,7 +64,7 @@
     return level;
   }
 
-  /** Features that stop being written when the level falls so far; those that cannot be undone make it impossible. */
+  /** The features that are no longer written after the level falls from `from` to `to`; an irreversible one prevents it. */
   disabledByLowering(from: number, to: number): Feature[] {
     return this.features.filter(({ level }) => level > to && level <= from);
   }
--- a/packages/rollout/src/migration/migrator.ts
+++ b/packages/rollout/src/migration/migrator.ts
@@ -1,6 +1,6 @@
 /**
- * Converts the records of one shard in place, a few in each step, from a stored cursor. The shard's leader runs it;
- * the next leader goes on where it stopped.
+ * Converts the records of one shard in place, a few per step, starting at a stored cursor. The leader of the shard runs it;
+ * the next leader continues at the cursor.
  */
 import { decodeOrNull, rolloutKeys } from '../records.js';
 import { applyChange, type Condition, type RecordCache, type RecordStore } from '../store.js';
@@ -11,52 +11,52 @@
   type MigrationProgress,
 } from './progress.js';
 
-/** What came of the conversion of one record. */
+/** The outcome of the conversion of one record. */
 export type Conversion =
   | { kind: 'converted' }
-  /** It is in the wanted form, or gone. */
+  /** The record is already in the target form, or deleted. */
   | { kind: 'needless' }
-  /** Something else is being done with it, or the store did not take it: later. */
+  /** The record is in use or the store did not apply the write; the conversion is retried in a later step. */
   | { kind: 'later' }
-  /** It will never do: it is quarantined, and the walk goes on. */
+  /** The record cannot be converted; it is quarantined and the pass continues. */
   | { kind: 'failed'; reason: string };
 
-/** The records of a shard, as its leader converts them. */
+/** The records of a shard, as the migrator accesses them. */
 export interface MigratedShard {
   label: string;
-  /** The leader key as this node holds it; null: it does not lead the shard any more. */
+  /** The condition on the leader key; null if this node does not lead the shard any more. */
   leadership(): Condition | null;
-  /** Keys of records in a form that they should not have, in their order, after a cursor; at most so many. */
+  /** The first `most` keys after a cursor, in ascending order, of records that must be converted. */
   outdatedKeys(after: string, most: number): string[];
-  /** Brings one record into the wanted form. */
+  /** Converts one record to the target form. */
   convert(key: string): Promise<Conversion>;
 }
 
 /** Limits of a migration. */
 export interface MigratorOptions {
-  /** Operations of one step at the most, the progress record's own included. */
+  /** Maximum number of operations per step, including the write of the progress record. */
   operations: number;
-  /** Quarantined records that are kept by name. */
+  /** Maximum number of quarantined records that are stored by name. */
   quarantineNames: number;
-  /** Whether the store has room for it just now. */
+  /** Whether the store currently has capacity for the migration. */
   mayWrite: () => boolean;
   log: (line: string) => void;
 }
 
-/** What came of a step. */
+/** The outcome of a step. */
 export type MigrationStepResult = 'finished' | 'advanced' | 'waiting' | 'not-leader';
 
-/** Converts records step by step; its state is the stored progress alone. */
+/** Converts records step by step; its only state is the stored progress. */
 export class Migrator {
   constructor(
     private readonly store: RecordStore,
-    private readonly copy: RecordCache,
+    private readonly cache: RecordCache,
     private readonly options: MigratorOptions,
   ) {}
 
-  /** Converts some records of a shard, as part of a walk. Doing it twice is the same as doing it once. */
+  /** Converts the next records of a shard in the migration pass `walk`. Repeating a step is harmless. */
   async step(shard: MigratedShard, walk: number): Promise<MigrationStepResult> {
-    const before = readProgress(this.copy, shard.label, walk);
+    const before = readProgress(this.cache, shard.label, walk);
     if (before.isFinished) return 'finished';
     if (!this.options.mayWrite()) return 'waiting';
     const most = Math.max(1, this.options.operations - 1);
@@ -64,26 +64,26 @@
     let progress = before;
     for (const key of keys) {
       const conversion = await shard.convert(key);
-      // Records before the cursor are never looked at again, so it stays in front of one that has to wait.
+      // Records up to the cursor are not visited again in this pass, so the cursor must not pass a deferred record.
       if (conversion.kind === 'later') break;
-      progress = this.after(progress, key, conversion);
+      progress = this.advance(progress, key, conversion);
     }
-    // What was written in an old form behind the cursor is found when the walk is verified.
+    // Verification after the pass finds records that were written in the old form before the cursor.
     if (keys.length === 0) progress = { ...progress, isFinished: true };
     if (progress === before) return 'waiting';
     return this.save(shard, progress);
   }
 
-  private after(
+  private advance(
     progress: MigrationProgress,
     key: string,
     conversion: Conversion,
   ): MigrationProgress {
-    const moved = { ...progress, cursor: key };
-    if (conversion.kind === 'converted') return { ...moved, converted: progress.converted + 1 };
-    if (conversion.kind !== 'failed') return moved;
+    const advanced = { ...progress, cursor: key };
+    if (conversion.kind === 'converted') return { ...advanced, converted: progress.converted + 1 };
+    if (conversion.kind !== 'failed') return advanced;
     this.options.log(`the record ${key} cannot be converted: ${conversion.reason}`);
-    return withQuarantined(moved, key, conversion.reason, this.options.quarantineNames);
+    return withQuarantined(advanced, key, conversion.reason, this.options.quarantineNames);
   }
 
   private async save(
@@ -93,8 +93,8 @@
     const leadership = shard.leadership();
     if (leadership === null) return 'not-leader';
     const key = rolloutKeys.migration(shard.label);
-    const outcome = await applyChange(this.store, this.copy, {
-      conditions: [leadership, { key, revision: this.copy.get(key)?.revision ?? 0 }],
+    const outcome = await applyChange(this.store, this.cache, {
+      conditions: [leadership, { key, revision: this.cache.get(key)?.revision ?? 0 }],
       puts: [{ key, value: progress }],
       deletes: [],
     });
@@ -103,14 +103,14 @@
   }
 }
 
-/** A shard's progress in a walk; a damaged record, or one of an earlier walk, counts as none. */
+/** A shard's progress in a migration pass; a damaged record or one of an earlier pass counts as no progress. */
 export function readProgress(
-  copy: Pick<RecordCache, 'get'>,
+  cache: Pick<RecordCache, 'get'>,
   shard: string,
   walk: number,
 ): MigrationProgress {
   const key = rolloutKeys.migration(shard);
-  const stored = copy.get(key);
+  const stored = cache.get(key);
   if (stored === undefined) return emptyProgress(walk);
   const progress = decodeOrNull(() => decodeProgress(key, stored.value));
   return progress?.walk === walk ? progress : emptyProgress(walk);
--- a/packages/rollout/src/migration/progress.ts
+++ b/packages/rollout/src/migration/progress.ts
@@ -1,19 +1,19 @@
-/** How far the records of one shard have been converted, as it is stored. */
+/** The stored progress of a shard's record conversion. */
 import * as v from 'valibot';
 import { decoderOf } from '../records.js';
 
 const counter = v.pipe(v.number(), v.integer(), v.minValue(0));
 
 const progressSchema = v.object({
-  /** The walk that this is about; a record of an earlier one counts as not begun. */
+  /** The migration pass; a progress record of an earlier pass counts as no progress. */
   walk: counter,
-  /** The last key that was dealt with; empty: none yet. */
+  /** The last key that was processed; empty if none was. */
   cursor: v.string(),
   isFinished: v.boolean(),
   converted: counter,
-  /** Records that could not be converted, and why. */
+  /** The keys of records that could not be converted, each with the reason. */
   quarantined: v.record(v.string(), v.string()),
-  /** Those beyond what the record holds by name. */
+  /** Number of further such records, which are not listed by name. */
   unnamed: counter,
 });
 
@@ -23,7 +23,7 @@
 /** Decodes a progress record; throws a DamagedRecordError. */
 export const decodeProgress = decoderOf(progressSchema);
 
-/** The progress of a walk that has not begun. */
+/** The progress of a pass that has not begun. */
 export const emptyProgress = (walk: number): MigrationProgress => ({
   walk,
   cursor: '',
@@ -33,20 +33,20 @@
   unnamed: 0,
 });
 
-/** Names and reasons are for people; what is kept of a reason. */
-const REASON_LENGTH = 80;
+/** Maximum number of characters of a reason that are stored; reasons are only shown to operators. */
+const MAX_REASON_LENGTH = 80;
 
-/** The progress with one more record that could not be converted; `most` are kept by name. */
+/** Adds a record that could not be converted; at most `maxNames` are listed by name. */
 export function withQuarantined(
   progress: MigrationProgress,
   key: string,
   reason: string,
-  most: number,
+  maxNames: number,
 ): MigrationProgress {
   if (key in progress.quarantined) return progress;
-  if (Object.keys(progress.quarantined).length >= most) {
+  if (Object.keys(progress.quarantined).length >= maxNames) {
     return { ...progress, unnamed: progress.unnamed + 1 };
   }
-  const quarantined = { ...progress.quarantined, [key]: reason.slice(0, REASON_LENGTH) };
+  const quarantined = { ...progress.quarantined, [key]: reason.slice(0, MAX_REASON_LENGTH) };
   return { ...progress, quarantined };
 }
--- a/packages/rollout/src/operations.ts
+++ b/packages/rollout/src/operations.ts
@@ -1,40 +1,40 @@
-/** What operators may ask of the cluster's version. Each is one change of its record, refused with a reason. */
+/** Operations of operators on the cluster's version. Each is one change of its record, or is rejected with a reason. */
 import { covers, type FeatureTable } from './levels.js';
 import { rolloutKeys, type ClusterVersion } from './records.js';
 import { applyChange, type Condition, type RecordCache, type RecordStore } from './store.js';
 
-/** What an operator asks for. */
+/** A request of an operator. */
 export type Operation =
   | { kind: 'hold'; by: string; reason: string }
-  /** Ends a hold; with `by`, only that of its own. */
+  /** Ends the hold; with `by`, only a hold that was placed under that name. */
   | { kind: 'finalize'; by: string | null }
   | { kind: 'lower'; to: number; by: string; isConfirmed: boolean }
-  /** Records that could not be converted are tried once more. */
+  /** Starts another migration pass, which tries to convert the quarantined records again. */
   | { kind: 'retry' };
 
-/** What came of it. */
+/** The outcome of an operation. */
 export type OperationResult =
   | { kind: 'done'; version: ClusterVersion }
   | { kind: 'rejected'; reason: string }
-  /** The record was changed meanwhile, or the store is out of reach: nothing is known to have changed. */
+  /** A concurrent change of the record, or no confirmation from the store: the operation can be retried. */
   | { kind: 'again'; reason: string };
 
-type Planned = { version: ClusterVersion } | { reason: string };
+type OperationPlan = { version: ClusterVersion } | { reason: string };
 
-/** The version as the operation leaves it. */
+/** The version after the operation, or the reason why it is rejected. */
 export function planOperation(
   version: ClusterVersion,
   operation: Operation,
   features: FeatureTable,
-  wall: number,
-): Planned {
+  wallTime: number,
+): OperationPlan {
   switch (operation.kind) {
     case 'hold':
       if (version.hold !== null && version.hold.by !== operation.by) {
         return { reason: `it is held by ${version.hold.by} already` };
       }
       return {
-        version: { ...version, hold: { by: operation.by, reason: operation.reason, at: wall } },
+        version: { ...version, hold: { by: operation.by, reason: operation.reason, at: wallTime } },
       };
     case 'finalize':
       if (version.hold === null) return { reason: 'nothing holds the cluster back' };
@@ -45,7 +45,7 @@
     case 'retry':
       return { version: { ...version, walk: version.walk + 1, verified: 0 } };
     case 'lower':
-      return planLower(version, operation, features, wall);
+      return planLower(version, operation, features, wallTime);
   }
 }
 
@@ -53,8 +53,8 @@
   version: ClusterVersion,
   { to, by, isConfirmed }: Extract<Operation, { kind: 'lower' }>,
   features: FeatureTable,
-  wall: number,
-): Planned {
+  wallTime: number,
+): OperationPlan {
   if (version.phase !== 'steady') return { reason: `the level is ${version.phase} just now` };
   const range = { min: features.lowestLevel, max: version.level - 1 };
   if (!covers(range, to)) {
@@ -62,14 +62,14 @@
       reason: `the cluster is at level ${version.level}; it can be lowered to ${range.min} at least`,
     };
   }
-  const undone = features.disabledByLowering(version.level, to);
-  const lasting = undone.find(({ undo }) => undo === null);
-  if (lasting !== undefined) {
-    return { reason: `${lasting.name} (level ${lasting.level}) cannot be taken back` };
+  const disabled = features.disabledByLowering(version.level, to);
+  const irreversible = disabled.find(({ undo }) => undo === null);
+  if (irreversible !== undefined) {
+    return { reason: `${irreversible.name} (level ${irreversible.level}) cannot be taken back` };
   }
   if (!isConfirmed) {
-    const steps = undone.map(({ name, undo }) => `${name}: ${undo ?? ''}`).join('; ');
-    return { reason: `this takes back ${steps}. Confirm to go on` };
+    const reversals = disabled.map(({ name, undo }) => `${name}: ${undo ?? ''}`).join('; ');
+    return { reason: `this takes back ${reversals}. Confirm to go on` };
   }
   const reason = `lowered to level ${to}`;
   return {
@@ -80,34 +80,34 @@
       proposal: version.proposal + 1,
       walk: version.walk + 1,
       verified: 0,
-      // Else the lease holder would raise it again at once.
-      hold: { by, reason, at: wall },
+      // Without the hold the lease holder would raise the level again immediately.
+      hold: { by, reason, at: wallTime },
     },
   };
 }
 
-/** The cluster's version as the operator's controller knows it. */
+/** The version that an operation is based on. */
 export interface OperationContext {
   version: ClusterVersion;
   versionCondition: Condition;
-  /** Why the version's record cannot be believed. */
+  /** Why the version record is invalid; null if it is valid. */
   damage: string | null;
 }
 
-/** Stores what an operator asks for. */
+/** Plans an operation and stores the resulting version. */
 export async function operate(
   store: RecordStore,
-  copy: Pick<RecordCache, 'note'>,
+  cache: Pick<RecordCache, 'note'>,
   cluster: OperationContext,
   operation: Operation,
   features: FeatureTable,
-  wall: number,
+  wallTime: number,
 ): Promise<OperationResult> {
   if (cluster.damage !== null) return { kind: 'rejected', reason: cluster.damage };
-  const planned = planOperation(cluster.version, operation, features, wall);
+  const planned = planOperation(cluster.version, operation, features, wallTime);
   if ('reason' in planned) return { kind: 'rejected', reason: planned.reason };
   const { version } = planned;
-  const outcome = await applyChange(store, copy, {
+  const outcome = await applyChange(store, cache, {
     conditions: [cluster.versionCondition],
     puts: [{ key: rolloutKeys.version, value: version }],
     deletes: [],
--- a/packages/rollout/src/participant.ts
+++ b/packages/rollout/src/participant.ts
@@ -1,48 +1,48 @@
-/** One node's part in it: publishes what the node reads and writes, and answers proposals. */
+/** The role of one node in a change of the version: publishes the levels that the node reads, and answers proposals. */
 import { isDeepStrictEqual } from 'node:util';
 import type { LevelRange } from './levels.js';
 import { rolloutKeys, type ClusterVersion, type Member, type Presence } from './records.js';
 import { applyChange, unchangedCondition, type RecordCache, type RecordStore } from './store.js';
 
-/** What a node publishes, and how it complies. */
+/** The values that a node publishes, and its handler for a new version. */
 export interface ParticipantOptions {
   label: string;
-  /** Sets this start of the process apart from every other. */
+  /** Identifies this start of the process. */
   process: string;
   range: LevelRange;
-  /** The highest level that this node is switched to. */
+  /** The highest level that this node's features enable. */
   wants: number;
-  /** Makes this node do as the version says, before it answers; false: not done yet. */
+  /** Puts the version into effect at this node before it answers the proposal; false if that is not complete yet. */
   applyVersion: (version: ClusterVersion) => Promise<boolean>;
 }
 
-/** What a participant needs to know of its node. */
+/** The state of the node that a participant depends on. */
 export interface ParticipantNode {
-  /** The node's lease at the store; null while it has none. */
+  /** The node's lease at the store; null if it has none. */
   readonly leaseId: number | null;
   readonly version: ClusterVersion;
 }
 
-/** Keeps the presence and member records of one node in line with what it reads and has answered. */
+/** Keeps the presence and member records of one node up to date with its levels and its latest answer. */
 export class Participant {
   private isBusy = false;
-  /** The lease that the presence record was written under. */
-  private writtenUnder: number | null = null;
-  private answered: Presence | null = null;
+  /** The lease that the presence record was last stored under. */
+  private publishedLeaseId: number | null = null;
+  private publishedPresence: Presence | null = null;
 
   constructor(
     private readonly store: RecordStore,
-    private readonly copy: RecordCache,
+    private readonly cache: RecordCache,
     private readonly node: ParticipantNode,
     private readonly options: ParticipantOptions,
   ) {}
 
-  /** Whether this process's record is stored under its present lease. */
+  /** Whether the presence record of this process is stored under its current lease. */
   get isPublished(): boolean {
-    return this.writtenUnder !== null && this.writtenUnder === this.node.leaseId;
+    return this.publishedLeaseId !== null && this.publishedLeaseId === this.node.leaseId;
   }
 
-  /** Stores what is not stored yet. */
+  /** Stores the records if they are missing or outdated. */
   async reconcile(): Promise<void> {
     if (this.isBusy || this.node.leaseId === null) return;
     this.isBusy = true;
@@ -53,38 +53,38 @@
     }
   }
 
-  private async publish(hold: number): Promise<void> {
+  private async publish(leaseId: number): Promise<void> {
     const { version } = this.node;
-    const isAnswered = this.answered?.answer === version.proposal;
-    if (isAnswered && this.writtenUnder === hold && this.isStored()) return;
+    const isAnswered = this.publishedPresence?.answer === version.proposal;
+    if (isAnswered && this.publishedLeaseId === leaseId && this.isStored()) return;
     if (!isAnswered && !(await this.options.applyVersion(version))) return;
     const { label, process, range, wants } = this.options;
     const member: Member = { ...range, wants, process };
     const presence: Presence = { ...member, answer: version.proposal };
     const key = rolloutKeys.presence(label);
     const memberKey = rolloutKeys.member(label);
-    const isNewMember = !isDeepStrictEqual(this.copy.get(memberKey)?.value, member);
-    const outcome = await applyChange(this.store, this.copy, {
+    const isNewMember = !isDeepStrictEqual(this.cache.get(memberKey)?.value, member);
+    const outcome = await applyChange(this.store, this.cache, {
       conditions: [
-        unchangedCondition(this.copy, key),
-        ...(isNewMember ? [unchangedCondition(this.copy, memberKey)] : []),
+        unchangedCondition(this.cache, key),
+        ...(isNewMember ? [unchangedCondition(this.cache, memberKey)] : []),
       ],
       puts: [
-        { key, value: presence, leaseId: hold },
+        { key, value: presence, leaseId },
         ...(isNewMember ? [{ key: memberKey, value: member }] : []),
       ],
       deletes: [],
     });
     if (outcome.kind !== 'applied') return;
-    this.writtenUnder = hold;
-    this.answered = presence;
+    this.publishedLeaseId = leaseId;
+    this.publishedPresence = presence;
   }
 
-  /** It may have been overwritten, by a late transaction of an earlier process. */
+  /** Whether the cached record is the published one; a late transaction of an earlier process may have overwritten it. */
   private isStored(): boolean {
     return isDeepStrictEqual(
-      this.copy.get(rolloutKeys.presence(this.options.label))?.value,
-      this.answered,
+      this.cache.get(rolloutKeys.presence(this.options.label))?.value,
+      this.publishedPresence,
     );
   }
 }
--- a/packages/rollout/src/records.ts
+++ b/packages/rollout/src/records.ts
@@ -1,4 +1,4 @@
-/** Stored records of a cluster's version: their keys, and the checks that they pass before they are believed. */
+/** The stored records of the cluster's version: their keys, schemas and decoders. */
 import * as v from 'valibot';
 
 const level = v.pipe(v.number(), v.integer(), v.minValue(1));
@@ -16,9 +16,9 @@
     target: level,
     phase: v.picklist(['steady', 'raising', 'lowering']),
     proposal: counter,
-    /** Rises when the records have to be walked once more. */
+    /** The number of the migration pass; incremented to start a pass over all records. */
     walk: counter,
-    /** Proposal after which no record in an old form was found; 0: not verified. */
+    /** The proposal for which verification found no record in another form; 0 if not verified. */
     verified: counter,
     hold: v.nullable(v.object({ by: v.string(), reason: v.string(), at: v.number() })),
     token: counter,
@@ -32,18 +32,18 @@
 
 const barrierSchema = v.object({ readers: level });
 
-/** What a node reads and writes, for as long as its process lives. */
+/** The levels that a node reads and wants, and its latest answer; stored under the lease of its process. */
 export type Presence = v.InferOutput<typeof presenceSchema>;
-/** The same without an end: a node that is down is still one of the cluster. */
+/** The same without a lease: a node that is down still belongs to the cluster. */
 export type Member = v.InferOutput<typeof memberSchema>;
-/** The version of the cluster: the level of what may be stored, and the change that is under way. */
+/** The version of the cluster: the level of its stored records, and the change in progress. */
 export type ClusterVersion = v.InferOutput<typeof versionSchema>;
-/** An operator's hold: the level does not rise. `at`: time of day in seconds. */
+/** A hold, which keeps the level from rising. `at`: wall-clock time in seconds. */
 export type Hold = NonNullable<ClusterVersion['hold']>;
-/** The lowest level that a reader of the records needs. */
+/** The barrier record: the level that a process must be able to read. */
 export type Barrier = v.InferOutput<typeof barrierSchema>;
 
-/** A stored record is not of the form that it must have. */
+/** A stored record does not match its schema. */
 export class DamagedRecordError extends Error {
   constructor(
     readonly key: string,
@@ -53,7 +53,7 @@
   }
 }
 
-/** Decodes a record; null for a damaged one, where that counts as none. Other errors are thrown on. */
+/** Runs a decoder; null if it throws a DamagedRecordError. Other errors propagate. */
 export function decodeOrNull<Value>(decode: () => Value): Value | null {
   try {
     return decode();
@@ -63,7 +63,7 @@
   }
 }
 
-/** A decoder for records of a schema; it throws a DamagedRecordError that names the record and the faulty field. */
+/** Creates a decoder for a schema; the decoder throws a DamagedRecordError that names the record and the invalid field. */
 export function decoderOf<Schema extends v.GenericSchema>(
   schema: Schema,
 ): (key: string, value: unknown) => v.InferOutput<Schema> {
@@ -71,11 +71,8 @@
     const result = v.safeParse(schema, value);
     if (result.success) return result.output;
     const issue = result.issues[0];
-    const place = v.getDotPath(issue);
-    throw new DamagedRecordError(
-      key,
-      place === null ? issue.message : `${place}: ${issue.message}`,
-    );
+    const path = v.getDotPath(issue);
+    throw new DamagedRecordError(key, path === null ? issue.message : `${path}: ${issue.message}`);
   };
 }
 
@@ -85,13 +82,13 @@
 export const decodeMember = decoderOf(memberSchema);
 /** Decodes the record of the cluster's version; throws a DamagedRecordError. */
 export const decodeVersion = decoderOf(versionSchema);
-/** Decodes the barrier; throws a DamagedRecordError. */
+/** Decodes the barrier record; throws a DamagedRecordError. */
 export const decodeBarrier = decoderOf(barrierSchema);
 
-/** The version of a cluster that has never stored one. */
-export const initialVersion = (lowest: number): ClusterVersion => ({
-  level: lowest,
-  target: lowest,
+/** The version of a cluster without a stored version record. */
+export const initialVersion = (initialLevel: number): ClusterVersion => ({
+  level: initialLevel,
+  target: initialLevel,
   phase: 'steady',
   proposal: 0,
   walk: 0,
@@ -100,7 +97,7 @@
   token: 0,
 });
 
-/** What the keys of this package's records begin with. */
+/** The common prefix of the keys of this package's records. */
 export const rolloutPrefix = 'b/rollout/';
 
 /** Keys of the records. */
--- a/packages/rollout/src/status.ts
+++ b/packages/rollout/src/status.ts
@@ -1,4 +1,4 @@
-/** The state of the cluster's version for operators: what it is, and what holds it back since when. */
+/** The status of the cluster's version for operators: the version, the blockers of its next change and their age. */
 import type { FeatureTable } from './levels.js';
 import { readProgress } from './migration/migrator.js';
 import type { ClusterVersion } from './records.js';
@@ -10,10 +10,10 @@
   type PlanOptions,
 } from './versionPlan.js';
 
-/** How far a feature has come. */
+/** The progress of a feature. */
 export type FeatureStep = 'can be read' | 'may be written' | 'migrated' | 'being taken back';
 
-/** One feature of the build, and how far it has come in this cluster. */
+/** A feature of the build and its progress in this cluster. */
 export interface FeatureStatus {
   name: string;
   level: number;
@@ -22,17 +22,17 @@
   isReversible: boolean;
 }
 
-/** What a node of the settings publishes. */
+/** The values that a node of the settings publishes. */
 export interface NodeStatus {
   label: string;
-  /** Levels that it reads, or null while it publishes none. */
+  /** The levels that the node reads; null if it publishes none. */
   reads: { min: number; max: number } | null;
   wants: number | null;
   process: string | null;
   answer: number | null;
 }
 
-/** How far the conversion of a shard's records has come; the names are those of the HTTP interface. */
+/** The progress of the conversion of a shard's records; the field names are part of the HTTP interface. */
 export interface PartStatus {
   part: string;
   isFinished: boolean;
@@ -41,57 +41,57 @@
   unnamed: number;
 }
 
-/** The answer to `GET /v1/rollout`; the names are part of that interface. */
+/** The response of `GET /v1/rollout`; the field names are part of that interface. */
 export interface RolloutStatus {
   version: ClusterVersion;
   damage: string | null;
   features: FeatureStatus[];
   nodes: NodeStatus[];
   parts: PartStatus[];
-  /** What the next change of the level waits for. */
+  /** The reasons why the next change of the level has to wait, and since when. */
   blockers: (Blocker & { since: number })[];
 }
 
-/** Remembers since when each thing holds the cluster back, as far as this node has seen. */
+/** Records since when this node has observed each blocker. */
 export class BlockerHistory {
   private readonly since = new Map<string, number>();
 
-  /** The blockers with the time of day at which each was first seen without a break. */
-  update(blockers: Blocker[], wall: number): (Blocker & { since: number })[] {
+  /** Adds to each blocker the wall-clock time since which it has been present without interruption. */
+  update(blockers: Blocker[], wallTime: number): (Blocker & { since: number })[] {
     const keyOf = ({ cause, subject }: Blocker): string => `${cause} ${subject}`;
     const present = new Set(blockers.map(keyOf));
     for (const key of [...this.since.keys()]) if (!present.has(key)) this.since.delete(key);
     return blockers.map((blocker) => {
-      const since = this.since.get(keyOf(blocker)) ?? wall;
+      const since = this.since.get(keyOf(blocker)) ?? wallTime;
       this.since.set(keyOf(blocker), since);
       return { ...blocker, since };
     });
   }
 }
 
-function stepOf(level: number, version: ClusterVersion): FeatureStep {
+function featureStep(level: number, version: ClusterVersion): FeatureStep {
   if (level > version.level) return 'can be read';
   if (level > version.target) return 'being taken back';
   const isVerified = version.walk > 0 && version.verified === version.proposal;
   return isVerified ? 'migrated' : 'may be written';
 }
 
-/** What holds the next change back. */
+/** The blockers of the next change of the version. */
 export function blockersOf(snapshot: ClusterSnapshot, options: PlanOptions): Blocker[] {
   const decision = planVersion(snapshot, options);
   return decision.kind === 'wait' ? decision.blockers : [];
 }
 
-/** What the status is put together from. */
+/** The input for `rolloutStatus`. */
 export interface StatusSource {
-  copy: Pick<RecordCache, 'get'>;
+  cache: Pick<RecordCache, 'get'>;
   snapshot: ClusterSnapshot;
   features: FeatureTable;
   shards: string[];
   blockers: (Blocker & { since: number })[];
 }
 
-/** Puts the status together. */
+/** Builds the status. */
 export function rolloutStatus(source: StatusSource): RolloutStatus {
   const { snapshot, features, blockers } = source;
   const { version, damage } = snapshot;
@@ -100,7 +100,7 @@
     damage,
     features: features.features.map(({ name, level, writes, undo }) => ({
       ...{ name, level, writes },
-      step: stepOf(level, version),
+      step: featureStep(level, version),
       isReversible: undo !== null,
     })),
     nodes: snapshot.nodes.map(({ label, presence }) => ({
@@ -112,7 +112,7 @@
     })),
     parts: source.shards.map((shard) => {
       const { isFinished, converted, quarantined, unnamed } = readProgress(
-        source.copy,
+        source.cache,
         shard,
         version.walk,
       );
--- a/packages/rollout/src/store.ts
+++ b/packages/rollout/src/store.ts
@@ -1,61 +1,61 @@
-/** The records that the nodes share, as this package needs them; the service adapts its own client and copy. */
+/** The interface of this package to the shared records; the service adapts its state client and its cache to it. */
 
-/** A record as the store has it. */
+/** A stored record. */
 export interface StoredRecord {
   value: unknown;
-  /** The revision of the record's last change; it never stands for two values. */
+  /** The revision of the record's last change; a revision identifies exactly one value. */
   revision: number;
 }
 
-/** A node's copy of the records, a little behind the store. */
+/** A node's cache of the records, which may lag behind the store. */
 export interface RecordCache {
   get(key: string): StoredRecord | undefined;
   entriesWithPrefix(prefix: string): Iterable<[string, StoredRecord]>;
-  /** Takes up a change that this node made itself, ahead of the watch. */
+  /** Applies a change that this node made itself, before the watch delivers it. */
   note(key: string, value: unknown, revision: number): void;
 }
 
-/** A key and the revision that it must have; 0: it must not exist. */
+/** A key and the revision that its record must have; 0 means that the key must not exist. */
 export interface Condition {
   key: string;
   revision: number;
 }
 
-/** An atomic change, applied only if every condition holds. */
+/** A transaction, applied only if all conditions hold. */
 export interface RecordChange {
   conditions: Condition[];
   puts: { key: string; value: unknown; leaseId?: number }[];
   deletes: string[];
 }
 
-/** What came of a change. */
+/** The outcome of a transaction. */
 export type ChangeOutcome =
   | { kind: 'applied'; revision: number }
   | { kind: 'conflict'; failed: string[] }
-  /** No answer: it may have been applied, or may still be. */
+  /** No response: the transaction may have been applied, or may still be. */
   | { kind: 'unknown' }
   | { kind: 'refused' | 'no-lease' | 'malformed' };
 
-/** The store, as far as this package writes to it. */
+/** The write access of this package to the store. */
 export interface RecordStore {
   transact(change: RecordChange): Promise<ChangeOutcome>;
 }
 
-/** The condition that a record is as the copy shows it. */
-export const unchangedCondition = (copy: Pick<RecordCache, 'get'>, key: string): Condition => ({
+/** The condition that a record has not changed since the cached revision. */
+export const unchangedCondition = (cache: Pick<RecordCache, 'get'>, key: string): Condition => ({
   key,
-  revision: copy.get(key)?.revision ?? 0,
+  revision: cache.get(key)?.revision ?? 0,
 });
 
-/** Applies a change and takes it up in the copy. */
+/** Executes a transaction and, if it is applied, updates the cache. */
 export async function applyChange(
   store: RecordStore,
-  copy: Pick<RecordCache, 'note'>,
+  cache: Pick<RecordCache, 'note'>,
   change: RecordChange,
 ): Promise<ChangeOutcome> {
   const outcome = await store.transact(change);
   if (outcome.kind === 'applied') {
-    for (const { key, value } of change.puts) copy.note(key, value, outcome.revision);
+    for (const { key, value } of change.puts) cache.note(key, value, outcome.revision);
   }
   return outcome;
 }
--- a/packages/rollout/src/versionCoordinator.ts
+++ b/packages/rollout/src/versionCoordinator.ts
@@ -1,6 +1,6 @@
 /**
- * Brings the cluster's version in line with what its nodes publish. Only the holder of a lease acts, and every change
- * is conditional on that lease's key, so that one that wakes late changes nothing.
+ * Advances the cluster's version according to the levels that its nodes publish. Only the holder of the leader lease acts,
+ * and every change is conditional on the key of that lease, so that a former holder that resumes late changes nothing.
  */
 import { rolloutKeys, type ClusterVersion } from './records.js';
 import {
@@ -17,38 +17,38 @@
   type PlanOptions,
 } from './versionPlan.js';
 
-/** The lease that entitles to change the version. */
+/** The lease whose holder may change the version. */
 export interface LeaderLease {
-  /** Its key with the revision that it has while this node holds it; null: another node does, or none. */
+  /** The key of the lease with its revision while this node holds it; null if this node does not hold it. */
   condition(): Condition | null;
-  /** The fencing token, above that of every earlier holder. */
+  /** The fencing token, greater than that of every earlier holder. */
   readonly token: number;
 }
 
-/** What a coordinator needs of its node. */
+/** Dependencies of a coordinator on its node. */
 export interface CoordinatorOptions extends PlanOptions {
   barrierKey: string;
-  /** Reads the store and names records that are in a form which they should not have any more. */
+  /** Reads the store and returns the keys of records that are not in the form of the version's level. */
   findOutdatedRecords: (version: ClusterVersion) => Promise<string[]>;
   log: (line: string) => void;
 }
 
-/** What a step came to; for logs and tests. */
+/** The outcome of a step; for logs and tests. */
 export type StepResult = Decision['kind'] | 'not-leader' | ChangeOutcome['kind'];
 
-/** Plans and stores the next change of the version; runs on every node, and acts on the lease holder alone. */
+/** Plans and stores the next change of the version. It runs on every node and acts only on the lease holder. */
 export class VersionCoordinator {
   private isBusy = false;
 
   constructor(
     private readonly store: RecordStore,
-    private readonly copy: Pick<RecordCache, 'note'>,
+    private readonly cache: Pick<RecordCache, 'note'>,
     private readonly lease: LeaderLease,
     private readonly snapshot: () => ClusterSnapshot,
     private readonly options: CoordinatorOptions,
   ) {}
 
-  /** One step; those that come while one is under way do nothing. */
+  /** Executes one step; does nothing if another step is in progress. */
   async step(): Promise<StepResult> {
     if (this.isBusy) return 'none';
     this.isBusy = true;
@@ -62,12 +62,12 @@
   private async advance(): Promise<StepResult> {
     const lease = this.lease.condition();
     const snapshot = this.snapshot();
-    // A record by a later holder: this node's lease is over, whether it knows that or not.
+    // A version record with a greater token comes from a later holder: this node has lost the lease, even if unnoticed.
     if (lease === null || snapshot.version.token > this.lease.token) return 'not-leader';
     const decision = planVersion(snapshot, this.options);
     if (decision.kind === 'verify') return this.verify(lease, snapshot);
     if (decision.kind !== 'change') return decision.kind;
-    const { change, what } = decision;
+    const { change, transition } = decision;
     const version = { ...change.version, token: this.lease.token };
     const puts = [{ key: rolloutKeys.version, value: version as unknown }];
     const deletes: string[] = [];
@@ -75,49 +75,49 @@
     else if (change.barrier !== undefined) {
       puts.push({ key: this.options.barrierKey, value: change.barrier });
     }
-    const outcome = await applyChange(this.store, this.copy, {
+    const outcome = await applyChange(this.store, this.cache, {
       conditions: [lease, ...change.conditions],
       puts,
       deletes,
     });
-    if (outcome.kind === 'applied') this.options.log(describeChange(what, version));
+    if (outcome.kind === 'applied') this.options.log(describeChange(transition, version));
     return outcome.kind;
   }
 
-  /** Reads what is stored; records in an old form are walked through once more. */
+  /** Verifies that no record in another form is left; starts another migration pass if there are some. */
   private async verify(lease: Condition, snapshot: ClusterSnapshot): Promise<StepResult> {
     const { version, versionCondition } = snapshot;
-    const leftovers = await this.options.findOutdatedRecords(version);
-    const isClean = leftovers.length === 0;
+    const outdated = await this.options.findOutdatedRecords(version);
+    const isClean = outdated.length === 0;
     if (!isClean) {
       this.options.log(
-        `${leftovers.length} record(s) are still in an old form, the first ${leftovers[0] ?? ''}; walking again`,
+        `${outdated.length} record(s) are still in an old form, the first ${outdated[0] ?? ''}; starting another migration pass`,
       );
     }
     const next: ClusterVersion = isClean
       ? { ...version, verified: version.proposal, token: this.lease.token }
       : { ...version, walk: version.walk + 1, token: this.lease.token };
-    const outcome = await applyChange(this.store, this.copy, {
+    const outcome = await applyChange(this.store, this.cache, {
       conditions: [lease, versionCondition],
       puts: [{ key: rolloutKeys.version, value: next }],
       deletes: [],
     });
     if (outcome.kind === 'applied' && isClean) {
-      this.options.log(`no record in a form other than that of level ${next.target} is left`);
+      this.options.log(`verified: all records are in the form of level ${next.target}`);
     }
     return outcome.kind;
   }
 }
 
-function describeChange(what: string, { level, target, proposal }: ClusterVersion): string {
-  switch (what) {
+function describeChange(transition: string, { level, target, proposal }: ClusterVersion): string {
+  switch (transition) {
     case 'propose':
-      return `level ${target} is proposed to all nodes (proposal ${proposal})`;
+      return `level ${target} has been proposed to all nodes (proposal ${proposal})`;
     case 'withdraw':
-      return `the proposal of the next level is withdrawn; the level stays ${level}`;
+      return `the proposal of the next level was withdrawn; the level stays ${level}`;
     case 'raise':
-      return `the cluster is at level ${level} from now on`;
+      return `the cluster level was raised to ${level}`;
     default:
-      return `the cluster is back at level ${level}`;
+      return `the cluster level was lowered to ${level}`;
   }
 }
--- a/packages/rollout/src/versionPlan.ts
+++ b/packages/rollout/src/versionPlan.ts
@@ -1,20 +1,20 @@
-/** What should become of the cluster's version: a pure function of the stored records. */
+/** Plans the next change of the cluster's version, as a pure function of the stored records. */
 import { covers, type FeatureTable } from './levels.js';
 import type { Barrier, ClusterVersion, Presence } from './records.js';
 import type { Condition } from './store.js';
 
-/** What is known of one node of the settings. */
+/** The view of one node of the settings. */
 export interface NodeView {
   label: string;
-  /** Its record under its lease, with the record's revision; null: there is none, or a damaged one. */
+  /** The node's presence record with its revision; null if it is missing or damaged. */
   presence: { value: Presence; revision: number } | null;
-  /** It has published a range of levels at some time. */
+  /** Whether the node has ever published a range of levels. */
   hasPublished: boolean;
-  /** The process that its messages come from; null: it has not been heard of lately. */
+  /** The process that sends the node's messages; null if none arrived recently. */
   observedProcess: string | null;
 }
 
-/** Who leads one shard, by its leader key. */
+/** The leader of one shard, according to its leader key. */
 export interface OwnerView {
   shard: string;
   key: string;
@@ -22,18 +22,18 @@
   owner: { node: string; process: string } | null;
 }
 
-/** How far the walk through the records has come. */
+/** The progress of the current migration pass. */
 export interface MigrationView {
-  /** Shards whose leaders have not finished the present walk. */
+  /** Shards whose leaders have not finished the pass. */
   unfinished: string[];
   /** Records that could not be converted. */
   quarantined: string[];
 }
 
-/** What the next change of the version is planned from. */
+/** The input for planning the next change of the version. */
 export interface ClusterSnapshot {
   version: ClusterVersion;
-  /** Why the stored version cannot be believed; `version` is then the last that could be. */
+  /** Why the version record is invalid, null if it is valid; `version` is the last valid one. */
   damage: string | null;
   versionCondition: Condition;
   nodes: NodeView[];
@@ -41,7 +41,7 @@
   migration: MigrationView;
 }
 
-/** Why the version cannot change; the names are part of `GET /v1/rollout`. */
+/** The kinds of reasons why the version cannot change; the names are part of `GET /v1/rollout`. */
 export type BlockerCause =
   | 'held'
   | 'away'
@@ -56,52 +56,56 @@
   | 'quarantined'
   | 'damaged';
 
-/** Something that keeps the version from changing; `subject` is a node, a shard or a record. */
+/** A reason why the version cannot change; `subject` is a node, a shard, a record or the cluster. */
 export interface Blocker {
   cause: BlockerCause;
   subject: string;
   detail: string;
 }
 
-/** A change of the version's record, and of the barrier where the level changes. */
+/** A change of the version record, and of the barrier if the level changes. */
 export interface VersionChange {
   version: ClusterVersion;
   conditions: Condition[];
-  /** Undefined: it stays; null: it goes. */
+  /** Undefined keeps the barrier, null deletes it. */
   barrier?: Barrier | null;
 }
 
-/** The next step of the coordinator. */
+/** The next action of the coordinator. */
 export type Decision =
   | { kind: 'none' }
   | { kind: 'wait'; blockers: Blocker[] }
-  /** Nothing but the proof is missing that no record in an old form is left. */
+  /** It remains to be verified that no record in another form is left. */
   | { kind: 'verify' }
-  | { kind: 'change'; what: 'propose' | 'withdraw' | 'raise' | 'lower'; change: VersionChange };
+  | {
+      kind: 'change';
+      transition: 'propose' | 'withdraw' | 'raise' | 'lower';
+      change: VersionChange;
+    };
 
-/** Keys of the store's conditions beside those of the nodes: the version's record and the lease's key. */
+/** Conditions of a transaction that do not depend on the number of nodes: the version record and the lease key. */
 const FIXED_CONDITIONS = 2;
 
-/** How many nodes fit the conditions of one transaction: a presence record and a leader key for each. */
+/** The number of nodes that a transaction with so many conditions can cover: a presence record and a leader key each. */
 export const maxNodesPerTransaction = (conditions: number): number =>
   Math.floor((conditions - FIXED_CONDITIONS) / 2);
 
-function blockerOfNode(node: NodeView, target: number, isRaise: boolean): Blocker | null {
+function nodeBlocker(node: NodeView, target: number, isRaise: boolean): Blocker | null {
   const blocker = (cause: BlockerCause, detail: string): Blocker => ({
     cause,
     subject: node.label,
     detail,
   });
-  const { presence, observedProcess: heardProcess } = node;
+  const { presence, observedProcess } = node;
   if (presence === null) {
-    if (heardProcess !== null) {
+    if (observedProcess !== null) {
       return blocker('publishes-no-levels', 'it serves with an older build, or with rollouts off');
     }
     if (!node.hasPublished) return blocker('never-seen', 'it has never published what it reads');
     return blocker('away', 'it is down, or cut off from the state service');
   }
   const { min, max, wants, process } = presence.value;
-  if (heardProcess !== null && heardProcess !== process) {
+  if (observedProcess !== null && observedProcess !== process) {
     return blocker('other-process', 'its messages come from another process than its record');
   }
   if (!covers({ min, max }, target)) {
@@ -113,7 +117,7 @@
   return null;
 }
 
-const unanswered = ({ nodes, version }: ClusterSnapshot): Blocker[] =>
+const unansweredBlockers = ({ nodes, version }: ClusterSnapshot): Blocker[] =>
   nodes
     .filter(({ presence }) => presence !== null && presence.value.answer !== version.proposal)
     .map(({ label }) => ({
@@ -122,8 +126,8 @@
       detail: `it has not answered proposal ${version.proposal} yet`,
     }));
 
-/** Shards that are led by another process than the one that published its levels. */
-function foreignOwners({ owners, nodes }: ClusterSnapshot): Blocker[] {
+/** Blockers for shards whose leader is not the process that published its node's levels. */
+function foreignOwnerBlockers({ owners, nodes }: ClusterSnapshot): Blocker[] {
   const processes = new Map(nodes.map((node) => [node.label, node.presence?.value.process]));
   return owners
     .filter(({ owner }) => owner !== null && processes.get(owner.node) !== owner.process)
@@ -134,14 +138,14 @@
     }));
 }
 
-function walkBlockers({ migration: walk }: ClusterSnapshot): Blocker[] {
+function migrationBlockers({ migration }: ClusterSnapshot): Blocker[] {
   return [
-    ...walk.unfinished.map((shard): Blocker => ({
+    ...migration.unfinished.map((shard): Blocker => ({
       cause: 'walking',
       subject: shard,
       detail: 'its records are being converted',
     })),
-    ...walk.quarantined.map((key): Blocker => ({
+    ...migration.quarantined.map((key): Blocker => ({
       cause: 'quarantined',
       subject: key,
       detail: 'this record could not be converted',
@@ -149,14 +153,14 @@
   ];
 }
 
-/** Nodes that keep the level from becoming `target`. */
+/** Blockers for nodes that prevent the level from becoming `target`. */
 export const nodeBlockers = (
   { nodes }: ClusterSnapshot,
   target: number,
   isRaise: boolean,
-): Blocker[] => nodes.flatMap((node) => blockerOfNode(node, target, isRaise) ?? []);
+): Blocker[] => nodes.flatMap((node) => nodeBlocker(node, target, isRaise) ?? []);
 
-/** Everything that the raise or the lowering rests on, so that it fails if any of it has changed. */
+/** Conditions on all records that the change of the level is based on, so that it fails if any of them has changed. */
 const allConditions = (snapshot: ClusterSnapshot, presenceKey: (label: string) => string) => [
   snapshot.versionCondition,
   ...snapshot.nodes.map(({ label, presence }) => ({
@@ -166,15 +170,15 @@
   ...snapshot.owners.map(({ key, revision }) => ({ key, revision })),
 ];
 
-/** What the plan depends on beside the stored records. */
+/** Parameters of the planning. */
 export interface PlanOptions {
   features: FeatureTable;
   presenceKey: (label: string) => string;
-  /** From this level on, builds that know of no cluster version are kept out by the barrier. */
+  /** The lowest level at which the barrier keeps out builds without a cluster version. */
   barrierMinLevel: number;
 }
 
-/** The next step; each is planned anew from what is stored, so that any lease holder can go on. */
+/** Plans the next action from the stored state alone, so that any lease holder can continue. */
 export function planVersion(snapshot: ClusterSnapshot, options: PlanOptions): Decision {
   const { phase } = snapshot.version;
   if (snapshot.damage !== null) {
@@ -189,17 +193,17 @@
 function planSteady(snapshot: ClusterSnapshot, options: PlanOptions): Decision {
   const { version } = snapshot;
   const next = options.features.features.find(({ level }) => level > version.level)?.level;
-  // Before the first walk there is nothing to be verified; after it, one level is finished before the next begins.
+  // Before the first migration pass nothing has to be verified; later a level must be verified before the next one.
   const isVerified = version.walk === 0 || version.verified === version.proposal;
   if (!isVerified) return planVerification(snapshot, version.level);
   if (next === undefined) return { kind: 'none' };
   const blockers = nodeBlockers(snapshot, next, true);
-  if (version.hold !== null) blockers.unshift(heldBy(version));
+  if (version.hold !== null) blockers.unshift(holdBlocker(version));
   if (blockers.length > 0) return { kind: 'wait', blockers };
   return propose(snapshot, { ...version, phase: 'raising', target: next }, 'propose');
 }
 
-const heldBy = ({ hold }: ClusterVersion): Blocker => ({
+const holdBlocker = ({ hold }: ClusterVersion): Blocker => ({
   cause: 'held',
   subject: 'cluster',
   detail: `held by ${hold?.by ?? ''}: ${hold?.reason ?? ''}`,
@@ -208,29 +212,33 @@
 function propose(
   { version, versionCondition }: ClusterSnapshot,
   next: ClusterVersion,
-  what: 'propose' | 'withdraw',
+  transition: 'propose' | 'withdraw',
 ): Decision {
   const proposal = version.proposal + 1;
-  // A proposal begins from a verified level, and changes no record; so does its withdrawal.
+  // The current level is verified, and neither a proposal nor its withdrawal changes records, so it stays verified.
   const change = {
     version: { ...next, proposal, verified: proposal },
     conditions: [versionCondition],
   };
-  return { kind: 'change', what, change };
+  return { kind: 'change', transition, change };
 }
 
 function planRaise(snapshot: ClusterSnapshot, options: PlanOptions): Decision {
   const { version } = snapshot;
   const { target, level, proposal, walk } = version;
   const blockers = nodeBlockers(snapshot, target, true);
-  const isImpossible = blockers.some(
+  const isUnreachable = blockers.some(
     ({ cause }) => cause === 'cannot-read' || cause === 'switched-off',
   );
-  if (version.hold !== null || isImpossible) {
+  if (version.hold !== null || isUnreachable) {
     return propose(snapshot, { ...version, phase: 'steady', target: level }, 'withdraw');
   }
-  const all = [...blockers, ...unanswered(snapshot), ...foreignOwners(snapshot)];
-  if (all.length > 0) return { kind: 'wait', blockers: all };
+  const allBlockers = [
+    ...blockers,
+    ...unansweredBlockers(snapshot),
+    ...foreignOwnerBlockers(snapshot),
+  ];
+  if (allBlockers.length > 0) return { kind: 'wait', blockers: allBlockers };
   const raised: ClusterVersion = {
     ...version,
     level: target,
@@ -246,7 +254,7 @@
   const { version } = snapshot;
   const verification = planVerification(snapshot, version.target);
   if (version.verified !== version.proposal) return verification;
-  // What was verified has to hold still: a node that came since may not have answered.
+  // The verification must still be valid: a node that joined since may not have answered the proposal.
   if (verification.kind === 'wait') return verification;
   const lowered: ClusterVersion = {
     ...version,
@@ -258,24 +266,24 @@
   return changeLevel('lower', snapshot, lowered, options);
 }
 
-/** Only while every node is known to write the wanted form can the absence of another be proven. */
+/** Verification requires that every node is known to write the target form; otherwise records in another form may reappear. */
 function planVerification(snapshot: ClusterSnapshot, level: number): Decision {
   const blockers = [
     ...nodeBlockers(snapshot, level, false),
-    ...unanswered(snapshot),
-    ...foreignOwners(snapshot),
-    ...walkBlockers(snapshot),
+    ...unansweredBlockers(snapshot),
+    ...foreignOwnerBlockers(snapshot),
+    ...migrationBlockers(snapshot),
   ];
   return blockers.length > 0 ? { kind: 'wait', blockers } : { kind: 'verify' };
 }
 
 function changeLevel(
-  what: 'raise' | 'lower',
+  transition: 'raise' | 'lower',
   snapshot: ClusterSnapshot,
   version: ClusterVersion,
-  { presenceKey, barrierMinLevel: barrierFrom }: PlanOptions,
+  { presenceKey, barrierMinLevel }: PlanOptions,
 ): Decision {
-  const barrier = version.level >= barrierFrom ? { readers: version.level } : null;
+  const barrier = version.level >= barrierMinLevel ? { readers: version.level } : null;
   const conditions = allConditions(snapshot, presenceKey);
-  return { kind: 'change', what, change: { version, conditions, barrier } };
+  return { kind: 'change', transition, change: { version, conditions, barrier } };
 }
--- a/packages/rollout/src/versionTracker.ts
+++ b/packages/rollout/src/versionTracker.ts
@@ -1,4 +1,4 @@
-/** The cluster's version as a node's copy of the records shows it, and what that means for this node. */
+/** Tracks the cluster's version in a node's cache, and whether this node may write a feature or must not serve. */
 import { covers, type FeatureTable, type LevelRange } from './levels.js';
 import {
   DamagedRecordError,
@@ -9,40 +9,40 @@
   type ClusterVersion,
 } from './records.js';
 
-/** This node must not serve: the records are at a level that it cannot read. */
+/** The reason why this node must not serve: it cannot read the level of the stored records. */
 export interface Refusal {
   level: number;
   range: LevelRange;
 }
 
-/** The refusal in words, with what to do about it. */
+/** A log message for the refusal, with the remedy. */
 export const describeRefusal = ({ level, range }: Refusal): string =>
   `the cluster stores records of level ${level}, and this node reads levels ${range.min} to ${range.max}; ` +
   'start it with a build and features that read that level';
 
-/** Follows the version and the barrier in the copy of the records. */
+/** Tracks the version record and the barrier record. */
 export class VersionTracker {
   private version: ClusterVersion;
-  /** Why the stored version cannot be believed; null: it can. */
+  /** Why the stored version record is invalid; null if it is valid. */
   damage: string | null = null;
-  /** The lowest level that readers need, by the barrier. */
+  /** The level that the barrier requires; 0 without a barrier. */
   private barrier = 0;
 
   constructor(
     private readonly features: FeatureTable,
     private readonly range: LevelRange,
-    /** The level of a cluster that has stored no version. */
+    /** The level of a cluster without a stored version record. */
     private readonly initialLevel: number,
   ) {
     this.version = initialVersion(initialLevel);
   }
 
-  /** The newest version that could be read. */
+  /** The most recent valid version. */
   get current(): ClusterVersion {
     return this.version;
   }
 
-  /** Whether a feature may be written: its level is reached, and not about to be given up. */
+  /** Whether a feature may be written: its level is reached and not being lowered. */
   isActive(name: string): boolean {
     const feature = this.features.find(name);
     if (feature === undefined || this.damage !== null) return false;
@@ -50,7 +50,7 @@
     return feature.level <= Math.min(level, target);
   }
 
-  /** Follows the version's record; null: it has been removed. */
+  /** Handles a new value of the version record; null if it was deleted. */
   updateVersion(value: unknown): void {
     if (value === null) {
       this.version = initialVersion(this.initialLevel);
@@ -62,12 +62,12 @@
       this.damage = null;
     } catch (error) {
       if (!(error instanceof DamagedRecordError)) throw error;
-      // What was known before still holds: nobody raises or lowers the level while its record is damaged.
+      // The previous version stays valid, because no node changes the level while the record is damaged.
       this.damage = error.message;
     }
   }
 
-  /** Follows the barrier's record; one that cannot be read is taken for the highest. */
+  /** Handles a new value of the barrier record; a damaged one is treated as a barrier that no node passes. */
   updateBarrier(key: string, value: unknown): void {
     if (value === null) {
       this.barrier = 0;
@@ -81,11 +81,11 @@
     }
   }
 
-  /** Why this node must not serve; null: it may. */
+  /** Why this node must not serve; null if it may. */
   get refusal(): Refusal | null {
     const level = this.damage === null ? this.version.level : this.barrier;
-    const needed = Math.max(level, this.barrier);
-    if (needed === 0 || covers(this.range, needed)) return null;
-    return { level: needed, range: this.range };
+    const requiredLevel = Math.max(level, this.barrier);
+    if (requiredLevel === 0 || covers(this.range, requiredLevel)) return null;
+    return { level: requiredLevel, range: this.range };
   }
 }
