--- a/packages/rollout/test/driver.test.ts
+++ b/packages/rollout/test/driver.test.ts
@@ -1,4 +1,4 @@
-/** The rollout driver on simulated controllers: one away at a time, whoever drives, crashes or stands still. */
+/** The rollout driver with simulated controllers: the concurrency limit holds despite crashes, pauses and several drivers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -11,10 +11,10 @@
 
 const labels = ['a', 'b', 'c'];
 
-/** No rollout of a test takes so long: one that does has got stuck. */
-const LONGEST_S = 100_000;
+/** Longest simulated duration of a rollout in a test; a longer one is considered stuck. */
+const MAX_DURATION_S = 100_000;
 
-function driverOf(
+function createDriver(
   controllers: SimulatedControllers,
   holder: string,
   plan: RolloutPlan,
@@ -24,69 +24,69 @@
     run: (command) => controllers.run(command),
     clock: { now: () => controllers.now, wall: () => controllers.now },
     sleep: (seconds) => {
-      if (controllers.now > LONGEST_S) throw new Error('it never ends');
-      controllers.pass(seconds);
+      if (controllers.now > MAX_DURATION_S) throw new Error('the rollout does not end');
+      controllers.advance(seconds);
       return Promise.resolve();
     },
     report: () => undefined,
   });
 }
 
-interface Setting {
+interface Fixture {
   controllers: SimulatedControllers;
   plan: RolloutPlan;
   driver: RolloutDriver;
 }
 
-function setting(changes: Record<string, string> = {}): Setting {
+function createFixture(changes: Record<string, string> = {}): Fixture {
   const controllers = new SimulatedControllers(labels);
   const plan = planFor(labels, changes);
-  return { controllers, plan, driver: driverOf(controllers, 'first', plan) };
+  return { controllers, plan, driver: createDriver(controllers, 'first', plan) };
 }
 
 const versions = ({ controllers }: SimulatedControllers): string[] =>
   [...controllers.values()].map(({ version }) => version);
 
-/** Steps until the record says something; the driver's loop without its end. */
+/** Executes driver steps until the record satisfies the predicate. */
 async function stepUntil(
-  { controllers, driver }: Setting,
-  test: (record: DriverRecord) => boolean,
+  { controllers, driver }: Fixture,
+  isReached: (record: DriverRecord) => boolean,
 ): Promise<DriverRecord> {
   for (let i = 0; i < 300; i++) {
     const record = await driver.step();
-    if (test(record)) return record;
-    controllers.pass(1);
+    if (isReached(record)) return record;
+    controllers.advance(1);
   }
-  throw new Error('never came');
+  throw new Error('the expected state was not reached');
 }
 
 test('controllers are replaced in order, one at a time, while the level is held', async () => {
-  const { controllers, driver } = setting();
+  const { controllers, driver } = createFixture();
   await driver.start();
   assert.deepEqual(controllers.held, ['rollout to-2.0']);
   const record = await driver.run();
   assert.equal(record.phase, 'done');
   assert.deepEqual(controllers.replaced, ['a 2.0', 'b 2.0', 'c 2.0']);
-  assert.equal(controllers.mostAway, 1);
+  assert.equal(controllers.maxUnavailable, 1);
   assert.deepEqual(controllers.held, []);
 });
 
-test('two at a time are away at the most where the plan says two', async () => {
-  const { controllers, driver } = setting({ concurrency: '2' });
+test('with a concurrency of two, at most two controllers are unavailable at a time', async () => {
+  const { controllers, driver } = createFixture({ concurrency: '2' });
   await driver.start();
   assert.equal((await driver.run()).phase, 'done');
-  assert.equal(controllers.mostAway, 2);
+  assert.equal(controllers.maxUnavailable, 2);
 });
 
-test('a level that an operator finalises stays held after the rollout', async () => {
-  const { controllers, driver } = setting({ finalize: 'manual' });
+test('with manual finalization the hold on the level remains after the rollout', async () => {
+  const { controllers, driver } = createFixture({ finalize: 'manual' });
   await driver.start();
   await driver.run();
   assert.deepEqual(controllers.held, ['rollout to-2.0']);
 });
 
 interface Failure {
-  what: string;
+  name: string;
   changes?: Record<string, string>;
   prepare: (controllers: SimulatedControllers) => void;
   cause: RegExp;
@@ -95,34 +95,34 @@
 
 const failures: Failure[] = [
   {
-    what: 'the command fails',
+    name: 'the command fails',
     prepare: (controllers) => {
-      controllers.failsCommand = true;
+      controllers.commandFails = true;
     },
     cause: /a: the command failed: no such host/,
     after: ['1.0', '1.0', '1.0'],
   },
   {
-    what: 'the new version does not become ready',
+    name: 'the new version does not become ready',
     prepare: (controllers) => controllers.broken.add('2.0'),
     cause: /a: it is not ready after the start timeout/,
     after: ['2.0', '1.0', '1.0'],
   },
   {
-    what: 'the new version loses live replicas',
-    prepare: (controllers) => controllers.lossy.set('2.0', 3),
+    name: 'the new version loses live replicas',
+    prepare: (controllers) => controllers.replicaLoss.set('2.0', 3),
     cause: /a: 27 of 30 live replicas are up after the start timeout/,
     after: ['2.0', '1.0', '1.0'],
   },
   {
-    what: 'it does not give up its shard in time',
+    name: 'the controller does not relinquish its shard in time',
     changes: { 'drain.timeout': '1' },
     prepare: () => undefined,
     cause: /a: it still owns a after the drain timeout/,
     after: ['1.0', '1.0', '1.0'],
   },
   {
-    what: 'the command brings up another version than the plan names',
+    name: 'the command starts another version than the plan specifies',
     changes: { command: 'replace {controller} 1.5' },
     prepare: () => undefined,
     cause: /a: it runs 1\.5 and not 2\.0 after the start timeout/,
@@ -130,9 +130,9 @@
   },
 ];
 
-for (const { what, changes, prepare, cause, after } of failures) {
-  test(`${what}: the rollout pauses with the cause and touches no other controller`, async () => {
-    const { controllers, driver } = setting(changes);
+for (const { name, changes, prepare, cause, after } of failures) {
+  test(`${name}: the rollout pauses with the cause and replaces no other controller`, async () => {
+    const { controllers, driver } = createFixture(changes);
     prepare(controllers);
     await driver.start();
     const record = await driver.run();
@@ -142,8 +142,8 @@
   });
 }
 
-test('where the plan says so, a controller that comes back badly is rolled back by itself', async () => {
-  const { controllers, driver } = setting({ 'on.failure': 'rollback' });
+test('with on.failure = rollback, a controller that does not become ready again causes an automatic rollback', async () => {
+  const { controllers, driver } = createFixture({ 'on.failure': 'rollback' });
   await driver.start();
   await stepUntil(
     { controllers, driver, plan: planFor(labels) },
@@ -156,41 +156,44 @@
   assert.deepEqual(versions(controllers), ['1.0', '1.0', '1.0']);
 });
 
-test('an operator rolls back with one, two and all of three replaced', async () => {
+test('an operator can roll back after one, two or all three controllers were replaced', async () => {
   for (const count of [1, 2, 3]) {
-    const given = setting();
-    const { controllers, plan, driver } = given;
+    const fixture = createFixture();
+    const { controllers, plan, driver } = fixture;
     await driver.start();
     const done = (record: DriverRecord): number =>
       Object.values(record.controllers).filter(({ state }) => state === 'done').length;
-    const reached = await stepUntil(given, (record) => done(record) === count);
-    // The next is being drained already: it goes back too, which ends that.
-    const touched = labels.filter((label) => reached.controllers[label].state !== 'waiting');
+    const reached = await stepUntil(fixture, (record) => done(record) === count);
+    // The next controller is already being drained; the rollback includes it, which ends the drain.
+    const begun = labels.filter((label) => reached.controllers[label].state !== 'waiting');
     if (count < 3) await pauseRollout(controllers, 'it looks odd', controllers.now);
-    const second = driverOf(controllers, 'second', plan);
+    const second = createDriver(controllers, 'second', plan);
     await second.rollBack();
     const record = await second.run();
     assert.equal(record.phase, 'rolled-back');
     assert.deepEqual(versions(controllers), ['1.0', '1.0', '1.0']);
-    assert.equal(controllers.mostAway, 1, `${count} replaced`);
+    assert.equal(controllers.maxUnavailable, 1, `${count} replaced`);
     const forward = labels.slice(0, count).map((label) => `${label} 2.0`);
-    const back = touched.reverse().map((label) => `${label} 1.0`);
+    const back = begun.reverse().map((label) => `${label} 1.0`);
     assert.deepEqual(controllers.replaced, [...forward, ...back]);
   }
 });
 
-test('nothing goes back once the level has risen since the rollout began', async () => {
-  const given = setting();
-  const { controllers, plan, driver } = given;
+test('a rollback is refused after the level has risen since the start of the rollout', async () => {
+  const fixture = createFixture();
+  const { controllers, plan, driver } = fixture;
   await driver.start();
-  await stepUntil(given, (record) => record.controllers['a'].state === 'done');
+  await stepUntil(fixture, (record) => record.controllers['a'].state === 'done');
   await pauseRollout(controllers, 'wait', controllers.now);
   controllers.clusterLevel = 3;
-  await assert.rejects(driverOf(controllers, 'second', plan).rollBack(), /from level 2 to 3 since/);
+  await assert.rejects(
+    createDriver(controllers, 'second', plan).rollBack(),
+    /from level 2 to 3 since/,
+  );
 });
 
-test('a second driver is refused while the first is at work', async () => {
-  const { controllers, plan, driver } = setting();
+test('a second driver is refused while the first is active', async () => {
+  const { controllers, plan, driver } = createFixture();
   await driver.start();
   await driver.step();
   const second = new RolloutDriver(plan, 'second', {
@@ -198,7 +201,7 @@
     run: () => Promise.reject(new Error('must not run')),
     clock: { now: () => controllers.now, wall: () => controllers.now },
     sleep: async (seconds) => {
-      controllers.pass(seconds);
+      controllers.advance(seconds);
       await driver.step();
     },
     report: () => undefined,
@@ -206,55 +209,55 @@
   await assert.rejects(second.start(), /another driver is at work: first/);
 });
 
-test('a driver that died at any step is followed by another, which goes on where it stopped', async () => {
+test('after a driver died at any step, another driver continues where it stopped', async () => {
   for (let steps = 1; steps < 40; steps += 3) {
-    const { controllers, plan, driver } = setting();
+    const { controllers, plan, driver } = createFixture();
     await driver.start();
     for (let i = 0; i < steps; i++) {
       await driver.step();
-      controllers.pass(1);
+      controllers.advance(1);
     }
-    const second = driverOf(controllers, 'second', plan);
+    const second = createDriver(controllers, 'second', plan);
     await second.start();
     const record = await second.run();
     assert.equal(record.phase, 'done', `died after ${steps} steps`);
     assert.deepEqual(versions(controllers), ['2.0', '2.0', '2.0']);
-    assert.equal(controllers.mostAway, 1, `died after ${steps} steps`);
+    assert.equal(controllers.maxUnavailable, 1, `died after ${steps} steps`);
     assert.equal(record.permit.token, 2);
   }
 });
 
-test('a driver that stood still past its permit takes nobody away any more', async () => {
-  const { controllers, plan, driver } = setting();
+test('a driver that was paused until its permit was taken over makes no more replacements', async () => {
+  const { controllers, plan, driver } = createFixture();
   await driver.start();
   await driver.step();
-  const second = driverOf(controllers, 'second', plan);
+  const second = createDriver(controllers, 'second', plan);
   await second.start();
   const before = [...controllers.replaced];
   await assert.rejects(driver.run(), DriverRefusedError);
   assert.deepEqual(controllers.replaced, before);
   assert.equal((await second.run()).phase, 'done');
-  assert.equal(controllers.mostAway, 1);
+  assert.equal(controllers.maxUnavailable, 1);
 });
 
-test('a driver that stands still between storing a step and acting on it does not act', async () => {
-  const { controllers, plan, driver } = setting({ drain: 'false' });
+test('a driver that is paused between storing a step and acting on it does not act', async () => {
+  const { controllers, plan, driver } = createFixture({ drain: 'false' });
   await driver.start();
   const write = controllers.write.bind(controllers);
   controllers.write = async (revision, record) => {
     const outcome = await write(revision, record);
-    controllers.pass(plan.permitTtl);
+    controllers.advance(plan.permitTtl);
     return outcome;
   };
   await driver.step();
   assert.deepEqual(controllers.replaced, []);
 });
 
-test('while another controller is down nobody is taken away, and the reason is stored', async () => {
-  const given = setting();
-  const { controllers, driver } = given;
+test('while another controller is down no controller is replaced, and the reason is stored', async () => {
+  const fixture = createFixture();
+  const { controllers, driver } = fixture;
   await driver.start();
-  await stepUntil(given, (record) => record.controllers['a'].state === 'settling');
+  await stepUntil(fixture, (record) => record.controllers['a'].state === 'settling');
   controllers.crash('c', null);
   for (let i = 0; i < 20; i++) await driver.step();
   assert.match(controllers.record?.cause.text ?? '', /a: c is not ready/);
@@ -263,30 +266,30 @@
   assert.equal((await driver.run()).phase, 'done');
 });
 
-test('lost answers of the store neither repeat nor skip a controller', async () => {
-  const given = setting();
-  const { controllers, driver } = given;
+test('lost responses of the store neither repeat nor skip a replacement', async () => {
+  const fixture = createFixture();
+  const { controllers, driver } = fixture;
   await driver.start();
   for (let i = 0; i < 200 && controllers.record?.phase === 'running'; i++) {
-    if (i % 3 === 0) controllers.losesWrites = 1;
+    if (i % 3 === 0) controllers.lostResponses = 1;
     await driver.step();
-    controllers.pass(1);
+    controllers.advance(1);
   }
   assert.equal(controllers.record?.phase, 'done');
   assert.deepEqual(controllers.replaced, ['a 2.0', 'b 2.0', 'c 2.0']);
 });
 
-test('another plan does not go on with a rollout that is under way', async () => {
-  const { controllers, driver } = setting();
+test('a rollout in progress is not continued with another plan', async () => {
+  const { controllers, driver } = createFixture();
   await driver.start();
   await driver.step();
-  const other = driverOf(controllers, 'second', planFor(labels, { version: '3.0' }));
+  const other = createDriver(controllers, 'second', planFor(labels, { version: '3.0' }));
   await assert.rejects(other.start(), /to-2\.0 is running with another plan/);
 });
 
 type Event = 'step' | 'crash' | 'new driver' | 'pause and resume';
 
-test('whatever crashes, and however many drivers there are, the driver takes one away at a time', async () => {
+test('with any sequence of crashes and new drivers, at most one controller is being replaced at a time', async () => {
   const event = fc.record({
     kind: fc.constantFrom<Event>(
       'step',
@@ -302,7 +305,7 @@
   const property = fc.asyncProperty(
     fc.array(event, { maxLength: 80, size: 'max' }),
     async (events) => {
-      const { controllers, plan, driver: first } = setting();
+      const { controllers, plan, driver: first } = createFixture();
       await first.start();
       let driver = first;
       let drivers = 1;
@@ -314,21 +317,24 @@
           controllers.crash(labels[node], 3);
           crashes++;
         } else if (kind === 'new driver') {
-          driver = driverOf(controllers, `driver-${++drivers}`, plan);
+          driver = createDriver(controllers, `driver-${++drivers}`, plan);
           await driver.start();
         } else if (kind === 'pause and resume' && controllers.record?.phase === 'running') {
           await pauseRollout(controllers, 'wait', controllers.now);
-          driver = driverOf(controllers, `driver-${++drivers}`, plan);
+          driver = createDriver(controllers, `driver-${++drivers}`, plan);
           await driver.resume();
         } else await driver.step();
-        const away = Object.values(controllers.record?.controllers ?? {}).filter(
+        const inProgress = Object.values(controllers.record?.controllers ?? {}).filter(
           ({ state }) => state !== 'waiting' && state !== 'done',
         );
-        assert.ok(away.length <= 1, 'two are away by the record');
-        controllers.pass(1);
+        assert.ok(
+          inProgress.length <= 1,
+          'two replacements are in progress according to the record',
+        );
+        controllers.advance(1);
       }
       if (controllers.record?.phase === 'paused') {
-        driver = driverOf(controllers, `driver-${++drivers}`, plan);
+        driver = createDriver(controllers, `driver-${++drivers}`, plan);
         await driver.resume();
       }
       const record = await driver.run();
--- a/packages/rollout/test/features.test.ts
+++ b/packages/rollout/test/features.test.ts
@@ -1,4 +1,4 @@
-/** The features file, the table of features, and what operators may ask of the level. */
+/** The features file, the feature table and the operations on the level. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FeatureFileError, parseFeatureFile } from '../src/featureSwitches.js';
@@ -9,7 +9,7 @@
 
 const known = ['rollout', 'compressed', 'merged'];
 
-test('the features file switches on what it names, and everything else is off', () => {
+test('the features file enables the features that it names, and all others are off', () => {
   const cases: [string, string[]][] = [
     ['', []],
     ['[features]\n', []],
@@ -21,7 +21,7 @@
   }
 });
 
-test('a features file with a fault is refused, with the nearest name', () => {
+test('an invalid features file is rejected, with a suggestion for a misspelt name', () => {
   const cases: [string, RegExp][] = [
     ['[features]\nrolout = true\n', /unknown feature "rolout"; did you mean "rollout"\?/],
     ['[features]\ncompresed = true\n', /did you mean "compressed"\?/],
@@ -42,7 +42,7 @@
   }
 });
 
-test('the wanted level ends before the first feature that is switched off', () => {
+test('the enabled level ends below the first feature that is off', () => {
   const cases: [string[], number][] = [
     [[], 2],
     [['compressed'], 3],
@@ -58,10 +58,11 @@
   }
 });
 
-test('a table in which two features share a name or a level is refused', () => {
+test('a feature table without features, or with a duplicate name or level, is rejected', () => {
   const one = { name: 'a', level: 1, writes: '', undo: null, isSwitched: false };
-  const faulty = [[], [one, { ...one, level: 2 }], [one, { ...one, name: 'b' }]];
-  for (const table of faulty) assert.throws(() => new FeatureTable(table), FeatureTableError);
+  const invalidTables = [[], [one, { ...one, level: 2 }], [one, { ...one, name: 'b' }]];
+  for (const table of invalidTables)
+    assert.throws(() => new FeatureTable(table), FeatureTableError);
 });
 
 const at = (changes: Partial<ClusterVersion>): ClusterVersion => ({
@@ -70,7 +71,7 @@
 });
 const hold = { by: 'anna', reason: 'one more day', at: 5 };
 
-test('operations change the version, or are refused with a reason', () => {
+test('operations change the version or are rejected with a reason', () => {
   const level3 = at({ level: 3, target: 3, proposal: 2, walk: 1, verified: 2 });
   const lower = (to: number, isConfirmed = true): Operation => ({
     ...{ kind: 'lower', to, by: 'anna', isConfirmed },
@@ -100,17 +101,17 @@
   }
 });
 
-test('a feature that cannot be undone is never taken back', () => {
-  const lasting = new FeatureTable([
+test('the level is not lowered below an irreversible feature', () => {
+  const irreversible = new FeatureTable([
     { name: 'a', level: 1, writes: '', undo: null, isSwitched: false },
     { name: 'b', level: 2, writes: '', undo: null, isSwitched: false },
   ]);
   const operation: Operation = { kind: 'lower', to: 1, by: 'anna', isConfirmed: true };
-  const planned = planOperation(at({}), operation, lasting, 0);
+  const planned = planOperation(at({}), operation, irreversible, 0);
   assert.deepEqual(planned, { reason: 'b (level 2) cannot be taken back' });
 });
 
-test('a level that was lowered is held, so that it does not rise again at once', () => {
+test('a lowered level is held, so that it does not rise again immediately', () => {
   const operation: Operation = { kind: 'lower', to: 2, by: 'anna', isConfirmed: true };
   const planned = planOperation(at({ level: 3, target: 3 }), operation, features, 9);
   assert.ok('version' in planned);
--- a/packages/rollout/test/hardCases.test.ts
+++ b/packages/rollout/test/hardCases.test.ts
@@ -1,6 +1,6 @@
 /**
- * Interleavings that break the invariants where one guard is missing: each is played with all guards, and once more
- * without the one that it is about, to see that it is needed.
+ * Interleavings that violate the invariants if one guard is missing. Each runs once with all guards and once without the
+ * guard in question, which shows that the guard is needed.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -14,13 +14,14 @@
   LEADER,
   ownerKey,
   SimulatedCluster,
-  tend,
+  runLoops,
   type Guards,
   type SimulatedNode,
 } from './support/simulatedCluster.js';
 
-async function tendAll(cluster: SimulatedCluster, rounds = 8): Promise<void> {
-  for (let i = 0; i < rounds; i++) for (const label of cluster.labels) await tend(cluster, label);
+async function runAllLoops(cluster: SimulatedCluster, rounds = 8): Promise<void> {
+  for (let i = 0; i < rounds; i++)
+    for (const label of cluster.labels) await runLoops(cluster, label);
 }
 
 function nodeOf(cluster: SimulatedCluster, label: string): SimulatedNode {
@@ -29,18 +30,18 @@
   return node;
 }
 
-/** Three nodes with parts and a leader, n0; they read levels 2 to 3, and so far are held at level 2. */
+/** Three nodes that read levels 2 to 3, each leading its shard, with n0 as the coordinator; the level is held at 2. */
 async function heldCluster(guards: Guards): Promise<SimulatedCluster> {
   const cluster = new SimulatedCluster(3, guards);
   for (const label of cluster.labels) cluster.start(label, 3);
   const first = nodeOf(cluster, 'n0');
   await first.operate({ kind: 'hold', by: 'anna', reason: 'one more day' });
-  await tendAll(cluster);
+  await runAllLoops(cluster);
   assert.equal(cluster.version.level, 2);
   return cluster;
 }
 
-/** All nodes have answered the proposal of level 3, and the leader has not looked yet. */
+/** A cluster in which all nodes have answered the proposal of level 3 and the coordinator has not acted on it yet. */
 async function answeredCluster(guards: Guards): Promise<SimulatedCluster> {
   const cluster = await heldCluster(guards);
   const leader = nodeOf(cluster, 'n0');
@@ -57,22 +58,22 @@
 
 async function raisedCluster(guards: Guards): Promise<SimulatedCluster> {
   const cluster = await answeredCluster(guards);
-  await tendAll(cluster);
+  await runAllLoops(cluster);
   assert.equal(cluster.version.level, 3);
   return cluster;
 }
 
 interface HardCase {
-  what: string;
+  name: string;
   guard: keyof Guards;
-  play: (guards: Guards) => Promise<SimulatedCluster>;
+  run: (guards: Guards) => Promise<SimulatedCluster>;
 }
 
 const hardCases: HardCase[] = [
   {
-    what: 'a node returns with an old build, and owns its shard, between the answers and the raise',
+    name: 'a node restarts with an old build and leads its shard between the answers and the raise',
     guard: 'owners',
-    play: async (guards) => {
+    run: async (guards) => {
       const cluster = await answeredCluster(guards);
       cluster.start('n1', 0).claim(ownerKey('n1'));
       await nodeOf(cluster, 'n0').coordinator.step();
@@ -80,9 +81,9 @@
     },
   },
   {
-    what: 'a node returns with an old build after the raise',
+    name: 'a node restarts with an old build after the raise',
     guard: 'barrier',
-    play: async (guards) => {
+    run: async (guards) => {
       const cluster = await raisedCluster(guards);
       const old = cluster.start('n1', 0);
       old.claim(ownerKey('n1'));
@@ -92,65 +93,65 @@
     },
   },
   {
-    what: 'a lease holder stands still between its reading and its write, and another has the lease',
+    name: 'a lease holder is paused between its read and its write, and another node gets the lease',
     guard: 'lease',
-    play: async (guards) => {
+    run: async (guards) => {
       const cluster = await answeredCluster(guards);
-      cluster.store.keepsBack = true;
+      cluster.store.delaysNext = true;
       await nodeOf(cluster, 'n0').coordinator.step();
-      // Its key goes with its lease; what its parts' keys were does not matter to the version.
+      // The key of the coordinator is deleted when the lease expires; the keys of the shards do not matter here.
       cluster.store.rows.delete(LEADER);
       const next = nodeOf(cluster, 'n1');
       next.sync();
       next.claim(LEADER);
-      cluster.store.applyLate();
+      cluster.store.applyDelayed();
       return cluster;
     },
   },
   {
-    what: 'a write in the new form is carried out after the level has fallen',
-    guard: 'restamp',
-    play: async (guards) => {
+    name: 'a write in the new form is applied after the level was lowered',
+    guard: 'newRevisions',
+    run: async (guards) => {
       const cluster = await raisedCluster(guards);
-      cluster.store.keepsBack = true;
+      cluster.store.delaysNext = true;
       await nodeOf(cluster, 'n1').write(1);
       await nodeOf(cluster, 'n0').operate({ kind: 'lower', to: 2, by: 'anna', isConfirmed: true });
-      await tendAll(cluster);
+      await runAllLoops(cluster);
       assert.equal(cluster.version.level, 2);
-      cluster.store.applyLate();
+      cluster.store.applyDelayed();
       return cluster;
     },
   },
   {
-    what: 'a record in the new form comes behind the walk that takes it back',
+    name: 'a record in the new form is written behind the cursor of the migration pass of a lowering',
     guard: 'verification',
-    play: async (guards) => {
+    run: async (guards) => {
       const cluster = await raisedCluster(guards);
       const node = nodeOf(cluster, 'n1');
-      cluster.store.keepsBack = true;
+      cluster.store.delaysNext = true;
       await node.write(1);
       await nodeOf(cluster, 'n0').operate({ kind: 'lower', to: 2, by: 'anna', isConfirmed: true });
       node.sync();
       await node.migrate();
-      cluster.store.applyLate();
-      await tendAll(cluster);
+      cluster.store.applyDelayed();
+      await runAllLoops(cluster);
       assert.equal(cluster.version.level, 2);
       return cluster;
     },
   },
 ];
 
-for (const { what, guard, play } of hardCases) {
-  test(`${what}; not without the guard "${guard}"`, async () => {
-    checkInvariants(await play(allGuards), 0);
-    const broken = await play({ ...allGuards, [guard]: false });
+for (const { name, guard, run } of hardCases) {
+  test(`${name}: the invariants hold, and not without the guard "${guard}"`, async () => {
+    checkInvariants(await run(allGuards), 0);
+    const broken = await run({ ...allGuards, [guard]: false });
     assert.throws(() => {
       checkInvariants(broken, 0);
     });
   });
 }
 
-test('a node that was left old for a day holds the level back, and nothing else', async () => {
+test('a node that keeps an old build blocks the raise of the level and nothing else', async () => {
   const cluster = new SimulatedCluster(3);
   for (const [label, max] of [
     ['n0', 3],
@@ -158,38 +159,38 @@
     ['n2', 3],
   ] as const)
     cluster.start(label, max);
-  await tendAll(cluster, 30);
+  await runAllLoops(cluster, 30);
   assert.equal(cluster.version.level, 2);
-  assert.equal(cluster.serving().length, 3);
-  // It crashes and returns old, then is replaced at last.
+  assert.equal(cluster.servingNodes().length, 3);
+  // The node crashes and restarts with the old build, then is replaced by the new one.
   cluster.start('n1', 0);
   cluster.expire('n1');
-  await tendAll(cluster);
+  await runAllLoops(cluster);
   assert.equal(cluster.version.level, 2);
   cluster.start('n1', 3);
   cluster.expire('n1');
-  await tendAll(cluster);
+  await runAllLoops(cluster);
   assert.equal(cluster.version.level, 3);
 });
 
-test('rolling back with one, two or all of three replaced leaves every node serving at the old level', async () => {
+test('after a rollback of one, two or all three nodes, every node serves at the old level', async () => {
   for (const replaced of [['n0'], ['n0', 'n1'], ['n0', 'n1', 'n2']]) {
     const cluster = await heldCluster(allGuards);
     for (const label of cluster.labels) if (!replaced.includes(label)) cluster.start(label, 0);
     for (const label of cluster.labels) cluster.expire(label);
-    await tendAll(cluster);
+    await runAllLoops(cluster);
     for (const label of replaced) {
       cluster.start(label, 0);
       cluster.expire(label);
-      await tendAll(cluster);
+      await runAllLoops(cluster);
     }
     checkInvariants(cluster, 0);
     assert.equal(cluster.version.level, 2);
-    assert.equal(cluster.serving().length, 3);
+    assert.equal(cluster.servingNodes().length, 3);
   }
 });
 
-test('lowering while a migration is half done ends with no record in either new form', async () => {
+test('lowering the level during a migration leaves no record in the new form', async () => {
   const cluster = await answeredCluster(allGuards);
   for (const name of [1, 2, 3, 0]) await nodeOf(cluster, 'n1').write(name);
   const leader = nodeOf(cluster, 'n0');
@@ -200,66 +201,66 @@
   const forms = cluster.records().map(([, { form }]) => form);
   assert.deepEqual(new Set(forms), new Set([2, 3]));
   await leader.operate({ kind: 'lower', to: 2, by: 'anna', isConfirmed: true });
-  await tendAll(cluster, 12);
+  await runAllLoops(cluster, 12);
   assert.equal(cluster.version.level, 2);
-  assert.deepEqual(cluster.leftovers(cluster.version), []);
+  assert.deepEqual(cluster.outdatedRecords(cluster.version), []);
   checkInvariants(cluster, 0);
 });
 
-test('an outage in the middle of a migration, its answer lost, changes nothing of the outcome', async () => {
+test('an outage and a lost response during a migration do not change the outcome', async () => {
   const cluster = await answeredCluster(allGuards);
   const node = nodeOf(cluster, 'n1');
   for (const name of [1, 2, 3, 0]) await node.write(name);
   await nodeOf(cluster, 'n0').coordinator.step();
   node.sync();
-  cluster.store.losesAnswer = true;
+  cluster.store.losesNextResponse = true;
   await node.migrate();
   cluster.store.isDown = true;
-  await tendAll(cluster);
+  await runAllLoops(cluster);
   cluster.store.isDown = false;
-  await tendAll(cluster, 12);
-  assert.deepEqual(cluster.leftovers(cluster.version), []);
+  await runAllLoops(cluster, 12);
+  assert.deepEqual(cluster.outdatedRecords(cluster.version), []);
   const { verified, proposal } = cluster.version;
   assert.equal(verified, proposal);
 });
 
-test('all killed at once at each step of a raise and of a lowering: they go on where they stopped', async () => {
+test('after all nodes crash at once at any step of a lowering, they continue where they stopped', async () => {
   for (let steps = 0; steps < 24; steps++) {
     const cluster = await raisedCluster(allGuards);
     await nodeOf(cluster, 'n1').write(1);
     await nodeOf(cluster, 'n0').operate({ kind: 'lower', to: 2, by: 'anna', isConfirmed: true });
-    for (let i = 0; i < steps; i++) await tend(cluster, cluster.labels[i % 3]);
+    for (let i = 0; i < steps; i++) await runLoops(cluster, cluster.labels[i % 3]);
     for (const label of cluster.labels) {
       cluster.start(label, 3);
       cluster.expire(label);
     }
-    await tendAll(cluster, 12);
+    await runAllLoops(cluster, 12);
     assert.equal(cluster.version.level, 2, `killed after ${steps} steps`);
     checkInvariants(cluster, 0);
   }
 });
 
-test('a node that is added to the settings holds the level back until it has published; one taken out does not', async () => {
+test('a node added to the settings blocks the raise until it has published its levels; a removed node does not', async () => {
   const cluster = await answeredCluster(allGuards);
   cluster.labels.push('n3');
-  await tendAll(cluster);
+  await runAllLoops(cluster);
   assert.equal(cluster.version.level, 2);
   cluster.labels.pop();
-  await tendAll(cluster);
+  await runAllLoops(cluster);
   assert.equal(cluster.version.level, 3);
 });
 
-test('a node that is cut from the store at the raise holds it back until it is served again', async () => {
+test('a node without access to the store blocks the raise until it is served again', async () => {
   const cluster = await answeredCluster(allGuards);
-  // Its lease runs out, and it does not know.
-  cluster.store.endHold(nodeOf(cluster, 'n2').leaseId ?? 0);
-  for (let i = 0; i < 4; i++) for (const label of ['n0', 'n1']) await tend(cluster, label);
+  // Its lease expires without its knowledge.
+  cluster.store.expireLease(nodeOf(cluster, 'n2').leaseId ?? 0);
+  for (let i = 0; i < 4; i++) for (const label of ['n0', 'n1']) await runLoops(cluster, label);
   assert.equal(cluster.version.level, 2);
-  await tendAll(cluster);
+  await runAllLoops(cluster);
   assert.equal(cluster.version.level, 3);
 });
 
-test('damaged records are refused by name, and what was known before still holds', () => {
+test('a damaged version record is reported by its key, and the previous version stays valid', () => {
   const good = {
     level: 3,
     target: 3,
@@ -288,13 +289,13 @@
     tracker.updateVersion(value);
     assert.equal(tracker.current.level, 3);
     assert.match(tracker.damage ?? '', /b\/rollout\/version is damaged/);
-    // Nothing new is written while nobody can tell the level.
+    // No feature is written while the level is unknown.
     assert.equal(tracker.isActive('compressed'), false);
     assert.equal(tracker.refusal, null);
   }
 });
 
-test('a node whose range does not hold the level refuses to serve, also by the barrier alone', () => {
+test('a node that cannot read the level refuses to serve, also if only the barrier shows the level', () => {
   const version = (level: number) => ({
     ...{ level, target: level, phase: 'steady', proposal: 1, walk: 0, verified: 1, hold: null },
     token: 1,
@@ -316,12 +317,12 @@
   }
 });
 
-test('while the stored version is damaged nobody writes over it, and every node goes on serving', async () => {
+test('a damaged version record is not overwritten, and every node continues to serve', async () => {
   const cluster = await raisedCluster(allGuards);
   cluster.store.put(rolloutKeys.version, 'torn');
   for (const label of cluster.labels) cluster.start(label, 3);
   for (const label of cluster.labels) cluster.expire(label);
-  await tendAll(cluster);
+  await runAllLoops(cluster);
   assert.equal(cluster.store.rows.get(rolloutKeys.version)?.value, 'torn');
-  assert.equal(cluster.serving().length, 3);
+  assert.equal(cluster.servingNodes().length, 3);
 });
--- a/packages/rollout/test/migrator.test.ts
+++ b/packages/rollout/test/migrator.test.ts
@@ -1,4 +1,4 @@
-/** Walking through the records of a shard: interrupted, repeated, refused and damaged. */
+/** Migration passes over the records of a shard, with interruptions, repetitions, rejected writes and damaged records. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -8,14 +8,14 @@
   type MigratedShard,
 } from '../src/migration/migrator.js';
 import { rolloutKeys } from '../src/records.js';
-import { SimulatedCopy, SimulatedStore } from './support/simulatedStore.js';
+import { SimulatedCache, SimulatedStore } from './support/simulatedStore.js';
 
 const OWNER = 'b/own/p';
 const OPERATIONS = 5;
 
-class Walk {
+class MigrationPass {
   readonly store = new SimulatedStore();
-  readonly old = new Set<string>();
+  readonly outdated = new Set<string>();
   readonly damaged = new Set<string>();
   readonly busy = new Set<string>();
   readonly converted: string[] = [];
@@ -24,7 +24,7 @@
 
   constructor(count: number) {
     this.store.put(OWNER, { node: 'p' });
-    for (let i = 0; i < count; i++) this.old.add(`b/run/p/${String(i).padStart(4, '0')}`);
+    for (let i = 0; i < count; i++) this.outdated.add(`b/run/p/${String(i).padStart(4, '0')}`);
   }
 
   private shard(): MigratedShard {
@@ -33,7 +33,7 @@
       label: 'p',
       leadership: () => (this.isLeader ? { key: OWNER, revision } : null),
       outdatedKeys: (after, most) =>
-        [...this.old]
+        [...this.outdated]
           .filter((key) => key > after)
           .sort()
           .slice(0, most),
@@ -45,21 +45,21 @@
     if (this.damaged.has(key)) return { kind: 'failed', reason: 'its checksum does not match' };
     if (this.busy.has(key)) return { kind: 'later' };
     this.converted.push(key);
-    this.old.delete(key);
+    this.outdated.delete(key);
     return { kind: 'converted' };
   }
 
-  /** Another process, which knows only what is stored. */
+  /** Executes one step in a new process, which only knows the stored state. */
   async step(walk = 1): Promise<string> {
     const log = (): void => undefined;
-    const copy = new SimulatedCopy(this.store);
+    const cache = new SimulatedCache(this.store);
     const mayWrite = (): boolean => this.mayWrite;
     const options = { operations: OPERATIONS, quarantineNames: 2, mayWrite, log };
-    return new Migrator(this.store, copy, options).step(this.shard(), walk);
+    return new Migrator(this.store, cache, options).step(this.shard(), walk);
   }
 
   get progress() {
-    return readProgress(new SimulatedCopy(this.store), 'p', 1);
+    return readProgress(new SimulatedCache(this.store), 'p', 1);
   }
 
   async finish(): Promise<void> {
@@ -67,26 +67,26 @@
   }
 }
 
-test('a walk goes on from its stored cursor, whoever takes the steps, and does each record once', async () => {
-  const walk = new Walk(30);
-  await walk.finish();
-  assert.equal(walk.converted.length, 30);
-  assert.equal(new Set(walk.converted).size, 30);
-  const { converted, isFinished } = walk.progress;
+test('a pass continues at its stored cursor in any process and converts each record once', async () => {
+  const pass = new MigrationPass(30);
+  await pass.finish();
+  assert.equal(pass.converted.length, 30);
+  assert.equal(new Set(pass.converted).size, 30);
+  const { converted, isFinished } = pass.progress;
   assert.deepEqual({ converted, isFinished }, { converted: 30, isFinished: true });
 });
 
-test('a step takes no more operations than it may', async () => {
-  const walk = new Walk(30);
-  assert.equal(await walk.step(), 'advanced');
-  assert.equal(walk.converted.length + walk.store.writes, OPERATIONS);
+test('a step stays within its operation limit', async () => {
+  const pass = new MigrationPass(30);
+  assert.equal(await pass.step(), 'advanced');
+  assert.equal(pass.converted.length + pass.store.writes, OPERATIONS);
 });
 
-test('a record that cannot be converted is kept by name and stalls neither the others nor the end', async () => {
-  const walk = new Walk(12);
-  for (const index of ['0001', '0005', '0009', '0011']) walk.damaged.add(`b/run/p/${index}`);
-  await walk.finish();
-  const { quarantined, unnamed, converted, isFinished } = walk.progress;
+test('a record that cannot be converted is quarantined by name and blocks neither the others nor the end of the pass', async () => {
+  const pass = new MigrationPass(12);
+  for (const index of ['0001', '0005', '0009', '0011']) pass.damaged.add(`b/run/p/${index}`);
+  await pass.finish();
+  const { quarantined, unnamed, converted, isFinished } = pass.progress;
   assert.deepEqual(quarantined, {
     'b/run/p/0001': 'its checksum does not match',
     'b/run/p/0005': 'its checksum does not match',
@@ -97,40 +97,40 @@
   );
 });
 
-test('a record that is busy is waited for, and nothing behind it is passed over', async () => {
-  const walk = new Walk(6);
-  walk.busy.add('b/run/p/0002');
-  for (let i = 0; i < 5; i++) await walk.step();
-  assert.equal(walk.progress.cursor, 'b/run/p/0001');
-  walk.busy.clear();
-  await walk.finish();
-  assert.equal(walk.progress.isFinished, true);
-  assert.equal(walk.old.size, 0);
+test('the cursor stops at a busy record, and no record after it is skipped', async () => {
+  const pass = new MigrationPass(6);
+  pass.busy.add('b/run/p/0002');
+  for (let i = 0; i < 5; i++) await pass.step();
+  assert.equal(pass.progress.cursor, 'b/run/p/0001');
+  pass.busy.clear();
+  await pass.finish();
+  assert.equal(pass.progress.isFinished, true);
+  assert.equal(pass.outdated.size, 0);
 });
 
-test('nothing is written while the store is short, down, or owned by another', async () => {
-  const cases: [string, (walk: Walk) => void, string][] = [
-    ['short', (walk) => (walk.mayWrite = false), 'waiting'],
-    ['down', (walk) => (walk.store.isDown = true), 'waiting'],
-    ['not led', (walk) => (walk.isLeader = false), 'not-leader'],
+test('no progress is written while the store is overloaded or down, or another node leads the shard', async () => {
+  const cases: [string, (pass: MigrationPass) => void, string][] = [
+    ['overloaded', (pass) => (pass.mayWrite = false), 'waiting'],
+    ['down', (pass) => (pass.store.isDown = true), 'waiting'],
+    ['not led', (pass) => (pass.isLeader = false), 'not-leader'],
   ];
   for (const [what, prepare, outcome] of cases) {
-    const walk = new Walk(3);
-    prepare(walk);
-    assert.equal(await walk.step(), outcome, what);
-    assert.equal(walk.store.rows.get(rolloutKeys.migration('p')), undefined, what);
+    const pass = new MigrationPass(3);
+    prepare(pass);
+    assert.equal(await pass.step(), outcome, what);
+    assert.equal(pass.store.rows.get(rolloutKeys.migration('p')), undefined, what);
   }
 });
 
-test('a lost answer, and a progress record that is damaged or of an earlier walk, only cost repetition', async () => {
-  const walk = new Walk(10);
-  walk.store.losesAnswer = true;
-  await walk.step();
-  await walk.finish();
-  assert.equal(walk.old.size, 0);
-  walk.old.add('b/run/p/0003');
-  walk.store.put(rolloutKeys.migration('p'), { cursor: 7 });
-  await walk.finish();
-  assert.equal(walk.old.size, 0);
-  assert.equal(await walk.step(2), 'finished');
+test('a lost response, and a progress record that is damaged or of an earlier pass, only cause repetition', async () => {
+  const pass = new MigrationPass(10);
+  pass.store.losesNextResponse = true;
+  await pass.step();
+  await pass.finish();
+  assert.equal(pass.outdated.size, 0);
+  pass.outdated.add('b/run/p/0003');
+  pass.store.put(rolloutKeys.migration('p'), { cursor: 7 });
+  await pass.finish();
+  assert.equal(pass.outdated.size, 0);
+  assert.equal(await pass.step(2), 'finished');
 });
--- a/packages/rollout/test/model.test.ts
+++ b/packages/rollout/test/model.test.ts
@@ -1,6 +1,6 @@
 /**
- * Random interleavings of a cluster that is upgraded, rolled back, cut off and killed, against the invariants of
- * docs/safety.md (R1 to R6).
+ * Random interleavings of upgrades, rollbacks, outages and crashes, checked against the invariants of docs/safety.md
+ * (R1 to R6).
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -10,18 +10,46 @@
   LEADER,
   ownerKey,
   SimulatedCluster,
-  tend,
+  runLoops,
 } from './support/simulatedCluster.js';
 
-/** Fixed, so that every run gives the same verdict; another one is tried by the environment. */
+/** The default seed is fixed, so that every run has the same result; the environment can set another one. */
 const SEED = Number(process.env['ROLLOUT_SEED'] ?? 20261202);
 const RUNS = Number(process.env['ROLLOUT_RUNS'] ?? 250);
 
 const operations = [
   ...['start old', 'start 2', 'start 3', 'start 3', 'start 4', 'kill', 'expire', 'renew'],
-  ...['sync', 'sync', 'sync', 'publish', 'publish', 'claim', 'claim', 'lead', 'coordinate'],
-  ...['coordinate', 'coordinate', 'write', 'write', 'migrate', 'migrate', 'tend', 'tend all'],
-  ...['tend all', 'hold', 'finalize', 'lower', 'lower', 'keep back', 'lose answer', 'apply late'],
+  ...[
+    'sync',
+    'sync',
+    'sync',
+    'publish',
+    'publish',
+    'claim',
+    'claim',
+    'claim coordinator',
+    'coordinate',
+  ],
+  ...[
+    'coordinate',
+    'coordinate',
+    'write',
+    'write',
+    'migrate',
+    'migrate',
+    'run loops',
+    'run all loops',
+  ],
+  ...[
+    'run all loops',
+    'hold',
+    'finalize',
+    'lower',
+    'lower',
+    'delay transaction',
+    'lose response',
+    'apply delayed',
+  ],
   ...['outage', 'outage over'],
 ] as const;
 type OperationName = (typeof operations)[number];
@@ -32,7 +60,10 @@
   record: number;
 }
 
-async function play(cluster: SimulatedCluster, { name, node: index, record }: Step): Promise<void> {
+async function execute(
+  cluster: SimulatedCluster,
+  { name, node: index, record }: Step,
+): Promise<void> {
   const label = cluster.labels[index % cluster.labels.length];
   const node = cluster.nodes.get(label);
   const isActive = node?.isVersioned === true && !node.isRefused;
@@ -63,7 +94,7 @@
     case 'claim':
       node?.claim(ownerKey(label));
       break;
-    case 'lead':
+    case 'claim coordinator':
       node?.claim(LEADER);
       break;
     case 'coordinate':
@@ -75,11 +106,11 @@
     case 'migrate':
       if (isActive) await node.migrate();
       break;
-    case 'tend':
-      await tend(cluster, label);
+    case 'run loops':
+      await runLoops(cluster, label);
       break;
-    case 'tend all':
-      for (const each of cluster.labels) await tend(cluster, each);
+    case 'run all loops':
+      for (const each of cluster.labels) await runLoops(cluster, each);
       break;
     case 'hold':
       if (isActive) await node.operate({ kind: 'hold', by: 'anna', reason: 'wait' });
@@ -90,14 +121,14 @@
     case 'lower':
       if (isActive) await node.operate({ kind: 'lower', to: 2, by: 'anna', isConfirmed: true });
       break;
-    case 'keep back':
-      cluster.store.keepsBack = true;
+    case 'delay transaction':
+      cluster.store.delaysNext = true;
       break;
-    case 'lose answer':
-      cluster.store.losesAnswer = true;
+    case 'lose response':
+      cluster.store.losesNextResponse = true;
       break;
-    case 'apply late':
-      cluster.store.applyLate();
+    case 'apply delayed':
+      cluster.store.applyDelayed();
       break;
     case 'outage':
       cluster.store.isDown = true;
@@ -108,45 +139,45 @@
   }
 }
 
-/** Plays a whole sequence on nodes that all begin alike. */
-async function playAll(size: number, steps: Step[]): Promise<void> {
+/** Executes a sequence of steps on a cluster whose nodes all start with the same build. */
+async function executeAll(size: number, steps: Step[]): Promise<void> {
   const cluster = new SimulatedCluster(size);
   for (const label of cluster.labels) cluster.start(label, 3);
-  for (const label of cluster.labels) await tend(cluster, label);
+  for (const label of cluster.labels) await runLoops(cluster, label);
   let token = 0;
   for (const step of steps) {
-    await play(cluster, step);
+    await execute(cluster, step);
     checkInvariants(cluster, token);
     token = cluster.version.token;
   }
 }
 
-const step: fc.Arbitrary<Step> = fc.record({
+const arbitraryStep: fc.Arbitrary<Step> = fc.record({
   name: fc.constantFrom(...operations),
   node: fc.nat(4),
   record: fc.nat(3),
 });
 
-test('no interleaving lets a node serve what it cannot read', async () => {
+test('in no interleaving does a node serve records that it cannot read', async () => {
   const property = fc.asyncProperty(
     fc.integer({ min: 2, max: 5 }),
-    fc.array(step, { minLength: 10, maxLength: 120, size: 'max' }),
-    playAll,
+    fc.array(arbitraryStep, { minLength: 10, maxLength: 120, size: 'max' }),
+    executeAll,
   );
   await fc.assert(property, { seed: SEED, numRuns: RUNS });
 });
 
-test('a cluster that is left alone reaches the highest level that all read, whatever came before', async () => {
+test('an undisturbed cluster reaches the highest level that all nodes read, from any state', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 2, max: 5 }),
-      fc.array(step, { maxLength: 60, size: 'max' }),
+      fc.array(arbitraryStep, { maxLength: 60, size: 'max' }),
       async (size, steps) => {
         const cluster = new SimulatedCluster(size);
         for (const label of cluster.labels) cluster.start(label, 3);
-        for (const each of steps) await play(cluster, each);
+        for (const each of steps) await execute(cluster, each);
         cluster.store.isDown = false;
-        while (cluster.store.applyLate() !== null);
+        while (cluster.store.applyDelayed() !== null);
         for (const label of cluster.labels) {
           cluster.start(label, Math.max(3, cluster.version.level));
           cluster.expire(label);
@@ -156,12 +187,12 @@
           if (cluster.version.hold !== null) {
             await cluster.nodes.get(first)?.operate({ kind: 'finalize', by: null });
           }
-          for (const label of cluster.labels) await tend(cluster, label);
+          for (const label of cluster.labels) await runLoops(cluster, label);
         }
         const { level, phase, verified, proposal } = cluster.version;
         assert.ok(level >= 3, `level ${level}`);
         assert.deepEqual({ phase, verified }, { phase: 'steady', verified: proposal });
-        assert.deepEqual(cluster.leftovers(cluster.version), []);
+        assert.deepEqual(cluster.outdatedRecords(cluster.version), []);
       },
     ),
     { seed: SEED, numRuns: RUNS },
--- a/packages/rollout/test/plan.test.ts
+++ b/packages/rollout/test/plan.test.ts
@@ -1,10 +1,10 @@
-/** The plan of a rollout: what is read, and what is refused before anything is touched. */
+/** Parsing the plan of a rollout, and rejecting an invalid one before any controller is changed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { checkControllers, expandCommand, parsePlan, PlanError } from '../src/driver/plan.js';
 import { planFor, planText } from './support/simulatedControllers.js';
 
-test('a plan is read, with its usual values', () => {
+test('a plan is parsed, with defaults for missing settings', () => {
   const plan = planFor(['a', 'b'], { concurrency: '', 'drain.timeout': '' });
   assert.deepEqual(plan.order, ['a', 'b']);
   assert.deepEqual(plan.command, ['replace', '{controller}', '{version}']);
@@ -23,7 +23,7 @@
   assert.notEqual(plan.digest, planFor(['b', 'a']).digest);
 });
 
-test('a faulty plan is refused with what is wrong with it', () => {
+test('an invalid plan is rejected with the reason', () => {
   const cases: [Record<string, string>, RegExp][] = [
     [{ order: 'a, b, a' }, /order names a twice/],
     [{ order: 'a, c' }, /order names c, and address\.c is missing/],
@@ -50,7 +50,7 @@
   }
 });
 
-test('a plan for controllers that the cluster does not have is refused', () => {
+test('a plan with controllers that are not in the cluster is rejected', () => {
   assert.throws(() => {
     checkControllers(planFor(['a', 'b']), ['a', 'c']);
   }, /b is no controller of this cluster \(a, c\)/);
--- a/packages/rollout/test/support/features.ts
+++ b/packages/rollout/test/support/features.ts
@@ -1,9 +1,9 @@
-/** Levels as the service has them: one that cannot be undone, and two that can. */
+/** A feature table like that of the service: one irreversible feature and two reversible ones. */
 import { FeatureTable } from '../../src/levels.js';
 
 const feature = (name: string, level: number, undo: string | null, isSwitched: boolean) => ({
   ...{ name, level, undo, isSwitched },
-  writes: `what ${name} writes`,
+  writes: `records of ${name}`,
 });
 
 export const features = new FeatureTable([
--- a/packages/rollout/test/support/simulatedCluster.ts
+++ b/packages/rollout/test/support/simulatedCluster.ts
@@ -1,6 +1,6 @@
 /**
- * A cluster in which any interleaving can be played: nodes with builds of several levels, copies that lag, leases that
- * end, transactions that come late. Records are written in the form that each node's gate allows.
+ * A simulated cluster for arbitrary interleavings: nodes with builds of different levels, caches that lag, leases that
+ * expire and transactions that are applied late. Each node writes records in the form that its version tracker allows.
  */
 import assert from 'node:assert/strict';
 import { viewCluster } from '../../src/clusterView.js';
@@ -18,7 +18,7 @@
 import { VersionCoordinator } from '../../src/versionCoordinator.js';
 import { VersionTracker } from '../../src/versionTracker.js';
 import { features } from './features.js';
-import { SimulatedCopy, SimulatedStore } from './simulatedStore.js';
+import { SimulatedCache, SimulatedStore } from './simulatedStore.js';
 
 export const BARRIER = 'b/run/~barrier/level';
 export const LEADER = 'b/own/~leader';
@@ -34,41 +34,41 @@
   token: number;
 }
 
-/** A record, as the form of one level. */
+/** A record in the form of one level. */
 interface LevelRecord {
   form: number;
   value: number;
 }
 
-/** Guards that a test may leave out, to see that it is missed. */
+/** Guards of the protocol, which a test may disable to show that each of them is needed. */
 export interface Guards {
-  /** Transactions of the lease holder are conditional on its lease. */
+  /** Transactions of the lease holder are conditional on the key of its lease. */
   lease: boolean;
-  /** The raise is conditional on who owns the parts. */
+  /** The raise is conditional on the leader keys of the shards. */
   owners: boolean;
-  /** Nodes take new stamps before they answer that the level falls. */
-  restamp: boolean;
-  /** What is stored is read before the level falls. */
+  /** Nodes rewrite their leader keys, which changes the revisions, before they answer a lowering of the level. */
+  newRevisions: boolean;
+  /** The stored records are verified before the level is lowered. */
   verification: boolean;
-  /** Builds that know of no version are kept out by the barrier. */
+  /** The barrier keeps out builds without a cluster version. */
   barrier: boolean;
 }
 
 export const allGuards: Guards = {
-  ...{ lease: true, owners: true, restamp: true, verification: true, barrier: true },
+  ...{ lease: true, owners: true, newRevisions: true, verification: true, barrier: true },
 };
 
-/** One process of a node. */
+/** A process of a node. */
 export class SimulatedNode {
-  readonly copy: SimulatedCopy;
+  readonly cache: SimulatedCache;
   readonly tracker: VersionTracker;
   readonly participant: Participant;
   readonly coordinator: VersionCoordinator;
   readonly migrator: Migrator;
   leaseId: number | null;
-  /** What it owns, with the stamp under which it does. */
-  readonly held = new Map<string, { revision: number; token: number }>();
-  /** A build without a version reads all records before it owns anything. */
+  /** The leader keys that this process holds, with their revisions and fencing tokens. */
+  readonly leaderships = new Map<string, { revision: number; token: number }>();
+  /** A build without a cluster version must load all records before it can lead a shard. */
   isLoaded: boolean;
 
   constructor(
@@ -81,29 +81,29 @@
   ) {
     const { store } = cluster;
     this.leaseId = store.grant();
-    this.copy = new SimulatedCopy(store);
+    this.cache = new SimulatedCache(store);
     this.tracker = new VersionTracker(features, range, INITIAL);
     this.isLoaded = isVersioned || !this.seesBarrier;
-    this.participant = new Participant(store, this.copy, this.participantView(), {
+    this.participant = new Participant(store, this.cache, this.participantView(), {
       ...{ label, process, range, wants: Math.min(wants, range.max) },
-      applyVersion: (version) => this.comply(version),
+      applyVersion: (version) => this.applyVersion(version),
     });
     this.coordinator = this.createCoordinator();
-    this.migrator = new Migrator(store, this.copy, {
+    this.migrator = new Migrator(store, this.cache, {
       ...{ operations: 3, quarantineNames: 2, mayWrite: () => true, log: () => undefined },
     });
-    this.copy.changed = () => {
-      this.follow();
+    this.cache.onChange = () => {
+      this.onCacheChange();
     };
-    this.follow();
+    this.onCacheChange();
   }
 
   private participantView(): { readonly leaseId: number | null; readonly version: ClusterVersion } {
     const current = (): ClusterVersion => this.tracker.current;
-    const hold = (): number | null => this.leaseId;
+    const currentLease = (): number | null => this.leaseId;
     return {
       get leaseId() {
-        return hold();
+        return currentLease();
       },
       get version() {
         return current();
@@ -112,71 +112,71 @@
   }
 
   private createCoordinator(): VersionCoordinator {
-    const { cluster, copy, held } = this;
+    const { cluster, cache, leaderships } = this;
     const { guards } = cluster;
     const lease = {
       condition: () => {
-        const mine = held.get(LEADER);
-        return mine === undefined ? null : { key: LEADER, revision: mine.revision };
+        const leadership = leaderships.get(LEADER);
+        return leadership === undefined ? null : { key: LEADER, revision: leadership.revision };
       },
       get token() {
-        return held.get(LEADER)?.token ?? 0;
+        return leaderships.get(LEADER)?.token ?? 0;
       },
     };
     const store: RecordStore = {
       transact: (change) => cluster.store.transact(this.withoutGuards(change), this.process),
     };
-    return new VersionCoordinator(store, copy, lease, () => this.snapshot(), {
+    return new VersionCoordinator(store, cache, lease, () => this.snapshot(), {
       ...{ features, presenceKey: rolloutKeys.presence, barrierKey: BARRIER, log: () => undefined },
       barrierMinLevel: BARRIER_FROM,
       findOutdatedRecords: (version) =>
-        Promise.resolve(guards.verification ? cluster.leftovers(version) : []),
+        Promise.resolve(guards.verification ? cluster.outdatedRecords(version) : []),
     });
   }
 
-  /** Leaves out the conditions whose guard is missing. */
+  /** Removes the conditions whose guard is disabled. */
   private withoutGuards(change: RecordChange): RecordChange {
     const { guards } = this.cluster;
-    const when = change.conditions.filter(({ key }) => {
+    const conditions = change.conditions.filter(({ key }) => {
       if (key === LEADER) return guards.lease;
       return key.startsWith('b/own/') ? guards.owners : true;
     });
     const puts = change.puts.filter(({ key }) => key !== BARRIER || guards.barrier);
-    return { ...change, conditions: when, puts };
+    return { ...change, conditions, puts };
   }
 
   private get seesBarrier(): boolean {
-    return this.copy.get(BARRIER) !== undefined;
+    return this.cache.get(BARRIER) !== undefined;
   }
 
   private snapshot() {
-    const { cluster, copy } = this;
+    const { cluster, cache } = this;
     const service = {
       nodes: cluster.labels,
       shards: cluster.labels,
       observedProcess: () => null,
       ownerOf: (shard: string) => {
-        const stored = copy.get(ownerKey(shard));
+        const stored = cache.get(ownerKey(shard));
         const owner = (stored?.value ?? null) as Owner | null;
         return { shard, key: ownerKey(shard), revision: stored?.revision ?? 0, owner };
       },
     };
-    return viewCluster(copy, service, this.tracker.current, this.tracker.damage);
+    return viewCluster(cache, service, this.tracker.current, this.tracker.damage);
   }
 
-  /** Takes up what the store holds; a build without a version gets stuck at the barrier. */
+  /** Updates the cache from the store; a build without a cluster version stops updating at the barrier. */
   sync(): void {
     if (!this.isVersioned && this.isLoaded && this.cluster.store.rows.has(BARRIER)) return;
-    this.copy.sync();
+    this.cache.sync();
     if (!this.isVersioned) this.isLoaded = !this.seesBarrier;
   }
 
-  private follow(): void {
+  private onCacheChange(): void {
     if (!this.isVersioned) return;
-    this.tracker.updateVersion(this.copy.get(rolloutKeys.version)?.value ?? null);
-    this.tracker.updateBarrier(BARRIER, this.copy.get(BARRIER)?.value ?? null);
-    for (const [key, { revision }] of this.held) {
-      if (this.copy.get(key)?.revision !== revision) this.held.delete(key);
+    this.tracker.updateVersion(this.cache.get(rolloutKeys.version)?.value ?? null);
+    this.tracker.updateBarrier(BARRIER, this.cache.get(BARRIER)?.value ?? null);
+    for (const [key, { revision }] of this.leaderships) {
+      if (this.cache.get(key)?.revision !== revision) this.leaderships.delete(key);
     }
   }
 
@@ -184,16 +184,17 @@
     return this.isVersioned && this.tracker.refusal !== null;
   }
 
-  private get isFenced(): boolean {
+  private get isBarrierActive(): boolean {
     return this.tracker.current.level >= BARRIER_FROM;
   }
 
-  /** Writes the ownership key of a shard, or of the lease holder's duty. */
+  /** Claims the leadership of a shard, or that of the coordinator. */
   claim(key: string): void {
     const { store } = this.cluster;
-    if (this.leaseId === null || this.isRefused || !this.isLoaded || this.held.has(key)) return;
-    if (this.isVersioned && this.isFenced && !this.participant.isPublished) return;
-    const stored = this.copy.get(key);
+    if (this.leaseId === null || this.isRefused || !this.isLoaded || this.leaderships.has(key))
+      return;
+    if (this.isVersioned && this.isBarrierActive && !this.participant.isPublished) return;
+    const stored = this.cache.get(key);
     const owner = stored?.value as Owner | undefined;
     if (owner !== undefined && owner.node !== this.label && this.isEntitled(owner)) return;
     const token = ++this.cluster.nextToken;
@@ -204,23 +205,23 @@
       deletes: [],
     });
     if (outcome.kind !== 'applied') return;
-    // Only what is caught up with may be owned: that is where a build without a version fails at the barrier.
-    this.copy.note(key, value, outcome.revision);
+    // A leader must have loaded all records first; a build without a cluster version fails to do so at the barrier.
+    this.cache.note(key, value, outcome.revision);
     if (!this.isVersioned && store.rows.has(BARRIER)) return;
-    this.copy.sync();
-    if (!this.isRefused) this.held.set(key, { revision: outcome.revision, token });
+    this.cache.sync();
+    if (!this.isRefused) this.leaderships.set(key, { revision: outcome.revision, token });
   }
 
   private isEntitled({ node, process }: Owner): boolean {
-    if (!this.isVersioned || !this.isFenced) return true;
-    const presence = this.copy.get(rolloutKeys.presence(node))?.value as
+    if (!this.isVersioned || !this.isBarrierActive) return true;
+    const presence = this.cache.get(rolloutKeys.presence(node))?.value as
       { process?: string } | undefined;
     return presence?.process === process;
   }
 
-  private comply({ phase }: ClusterVersion): Promise<boolean> {
-    if (phase !== 'lowering' || !this.cluster.guards.restamp) return Promise.resolve(true);
-    for (const [key, { revision, token }] of [...this.held]) {
+  private applyVersion({ phase }: ClusterVersion): Promise<boolean> {
+    if (phase !== 'lowering' || !this.cluster.guards.newRevisions) return Promise.resolve(true);
+    for (const [key, { revision, token }] of [...this.leaderships]) {
       if (this.leaseId === null) return Promise.resolve(false);
       const value: Owner = { node: this.label, process: this.process, token };
       const outcome = this.cluster.store.apply({
@@ -229,41 +230,41 @@
         deletes: [],
       });
       if (outcome.kind !== 'applied') return Promise.resolve(false);
-      this.copy.note(key, value, outcome.revision);
-      this.held.set(key, { revision: outcome.revision, token });
+      this.cache.note(key, value, outcome.revision);
+      this.leaderships.set(key, { revision: outcome.revision, token });
     }
     return Promise.resolve(true);
   }
 
   /** The highest level that this node may write. */
-  get form(): number {
+  get writableLevel(): number {
     if (!this.isVersioned) return INITIAL;
     const active = features.features.filter(({ name }) => this.tracker.isActive(name));
     return Math.max(INITIAL, ...active.map(({ level }) => level));
   }
 
-  /** Stores a record of its own shard, under its ownership. */
+  /** Writes a record of its own shard, on condition of its leader key. */
   async write(name: number): Promise<void> {
-    const mine = this.held.get(ownerKey(this.label));
-    if (mine === undefined) return;
+    const leadership = this.leaderships.get(ownerKey(this.label));
+    if (leadership === undefined) return;
     const key = `${recordsOf(this.label)}${name}`;
-    const value: LevelRecord = { form: this.form, value: name };
+    const value: LevelRecord = { form: this.writableLevel, value: name };
     const change: RecordChange = {
       conditions: [
-        { key: ownerKey(this.label), revision: mine.revision },
-        unchangedCondition(this.copy, key),
+        { key: ownerKey(this.label), revision: leadership.revision },
+        unchangedCondition(this.cache, key),
       ],
       puts: [{ key, value }],
       deletes: [],
     };
     const outcome = await this.cluster.store.transact(change);
-    if (outcome.kind === 'applied') this.copy.note(key, value, outcome.revision);
+    if (outcome.kind === 'applied') this.cache.note(key, value, outcome.revision);
   }
 
   async migrate(): Promise<void> {
     const { walk } = this.tracker.current;
-    const mine = this.held.get(ownerKey(this.label));
-    if (walk > 0 && mine !== undefined) await this.migrator.step(this.migratedShard(), walk);
+    const leadership = this.leaderships.get(ownerKey(this.label));
+    if (walk > 0 && leadership !== undefined) await this.migrator.step(this.migratedShard(), walk);
   }
 
   private migratedShard(): MigratedShard {
@@ -271,12 +272,15 @@
     return {
       label: this.label,
       leadership: () => {
-        const mine = this.held.get(key);
-        return mine === undefined ? null : { key, revision: mine.revision };
+        const leadership = this.leaderships.get(key);
+        return leadership === undefined ? null : { key, revision: leadership.revision };
       },
       outdatedKeys: (after, most) =>
-        [...this.copy.entriesWithPrefix(recordsOf(this.label))]
-          .filter(([name, { value }]) => name > after && (value as LevelRecord).form !== this.form)
+        [...this.cache.entriesWithPrefix(recordsOf(this.label))]
+          .filter(
+            ([name, { value }]) =>
+              name > after && (value as LevelRecord).form !== this.writableLevel,
+          )
           .map(([name]) => name)
           .sort()
           .slice(0, most),
@@ -285,29 +289,29 @@
   }
 
   private async convert(key: string): Promise<Conversion> {
-    const stored = this.copy.get(key);
-    const mine = this.held.get(ownerKey(this.label));
+    const stored = this.cache.get(key);
+    const leadership = this.leaderships.get(ownerKey(this.label));
     if (stored === undefined) return { kind: 'needless' };
-    if (mine === undefined) return { kind: 'later' };
-    const value: LevelRecord = { ...(stored.value as LevelRecord), form: this.form };
+    if (leadership === undefined) return { kind: 'later' };
+    const value: LevelRecord = { ...(stored.value as LevelRecord), form: this.writableLevel };
     const outcome = await this.cluster.store.transact({
       conditions: [
-        { key: ownerKey(this.label), revision: mine.revision },
+        { key: ownerKey(this.label), revision: leadership.revision },
         { key, revision: stored.revision },
       ],
       puts: [{ key, value }],
       deletes: [],
     });
     if (outcome.kind !== 'applied') return { kind: 'later' };
-    this.copy.note(key, value, outcome.revision);
+    this.cache.note(key, value, outcome.revision);
     return { kind: 'converted' };
   }
 
   async operate(operation: Operation): Promise<void> {
     const version = this.tracker.current;
-    const versionCondition = unchangedCondition(this.copy, rolloutKeys.version);
+    const versionCondition = unchangedCondition(this.cache, rolloutKeys.version);
     const cluster = { version, versionCondition, damage: this.tracker.damage };
-    await operate(this.cluster.store, this.copy, cluster, operation, features, 0);
+    await operate(this.cluster.store, this.cache, cluster, operation, features, 0);
   }
 }
 
@@ -315,8 +319,8 @@
   readonly store = new SimulatedStore();
   readonly nodes = new Map<string, SimulatedNode>();
   readonly labels: string[];
-  /** Leases of processes that have ended, and still run. */
-  readonly orphanedHolds = new Map<string, number>();
+  /** Unexpired leases of processes that have ended. */
+  readonly orphanedLeases = new Map<string, number>();
   nextToken = 0;
   private starts = 0;
 
@@ -325,21 +329,21 @@
     readonly guards: Guards = allGuards,
   ) {
     this.store.observer = (change, writer) => {
-      this.noteWriter(change, writer);
+      this.checkWriter(change, writer);
     };
     this.labels = Array.from({ length: size }, (_, i) => `n${i}`);
   }
 
-  /** Changes of the version by a coordinator that did not hold the lease any more. */
-  readonly lateChanges: string[] = [];
+  /** Processes that changed the version without holding the lease of the coordinator. */
+  readonly changesWithoutLease: string[] = [];
 
-  private noteWriter({ puts }: RecordChange, writer: string): void {
+  private checkWriter({ puts }: RecordChange, writer: string): void {
     if (writer === '' || !puts.some(({ key }) => key === rolloutKeys.version)) return;
     const leader = this.store.rows.get(LEADER)?.value as Owner | undefined;
-    if (leader?.process !== writer) this.lateChanges.push(writer);
+    if (leader?.process !== writer) this.changesWithoutLease.push(writer);
   }
 
-  /** A build that reads up to a level; 0: one that knows of no version, which reads level 2. */
+  /** Starts a process with a build that reads levels up to `max`; 0 means a build without a cluster version (level 2). */
   start(label: string, max: number, wants = max): SimulatedNode {
     this.kill(label);
     const range = { min: INITIAL, max: Math.max(INITIAL, max) };
@@ -352,26 +356,27 @@
   kill(label: string): void {
     const node = this.nodes.get(label);
     if (node !== undefined && node.leaseId !== null)
-      this.orphanedHolds.set(`${label}-${node.leaseId}`, node.leaseId);
+      this.orphanedLeases.set(`${label}-${node.leaseId}`, node.leaseId);
     this.nodes.delete(label);
   }
 
-  /** Leases of processes that have ended run out, and so does that of a node that stands still. */
+  /** Expires the lease of a node and the leases of its earlier processes. */
   expire(label: string): void {
-    for (const [name, hold] of this.orphanedHolds) {
+    for (const [name, leaseId] of this.orphanedLeases) {
       if (!name.startsWith(`${label}-`)) continue;
-      this.store.endHold(hold);
-      this.orphanedHolds.delete(name);
+      this.store.expireLease(leaseId);
+      this.orphanedLeases.delete(name);
     }
     const node = this.nodes.get(label);
-    if (node !== undefined && node.leaseId !== null) this.store.endHold(node.leaseId);
+    if (node !== undefined && node.leaseId !== null) this.store.expireLease(node.leaseId);
   }
 
-  /** A node finds its lease ended, and gets another. */
+  /** Grants a new lease to a node whose lease has expired. */
   renew(label: string): void {
     const node = this.nodes.get(label);
-    if (node === undefined || (node.leaseId !== null && this.store.holds.has(node.leaseId))) return;
-    node.held.clear();
+    if (node === undefined || (node.leaseId !== null && this.store.leases.has(node.leaseId)))
+      return;
+    node.leaderships.clear();
     node.leaseId = this.store.grant();
   }
 
@@ -386,26 +391,27 @@
       .map(([key, { value }]) => [key, value as LevelRecord]);
   }
 
-  leftovers({ level, target }: ClusterVersion): string[] {
-    const wanted = Math.min(level, target);
+  outdatedRecords({ level, target }: ClusterVersion): string[] {
+    const targetForm = Math.min(level, target);
     return this.records()
-      .filter(([, { form }]) => form !== wanted)
+      .filter(([, { form }]) => form !== targetForm)
       .map(([key]) => key);
   }
 
-  /** Nodes whose ownership of a shard the store confirms: what they read and write counts. */
-  serving(): SimulatedNode[] {
+  /** Nodes whose leadership of their shard is confirmed by the store. */
+  servingNodes(): SimulatedNode[] {
     return [...this.nodes.values()].filter((node) => {
-      const mine = node.held.get(ownerKey(node.label));
+      const leadership = node.leaderships.get(ownerKey(node.label));
       return (
-        mine !== undefined && this.store.rows.get(ownerKey(node.label))?.revision === mine.revision
+        leadership !== undefined &&
+        this.store.rows.get(ownerKey(node.label))?.revision === leadership.revision
       );
     });
   }
 }
 
-/** One node does all that its loops do. */
-export async function tend(cluster: SimulatedCluster, label: string): Promise<void> {
+/** Runs one iteration of each loop of a node. */
+export async function runLoops(cluster: SimulatedCluster, label: string): Promise<void> {
   const node = cluster.nodes.get(label);
   if (node === undefined) return;
   cluster.renew(label);
@@ -419,7 +425,7 @@
   await node.migrate();
 }
 
-/** What must hold after every step. */
+/** Checks the invariants that must hold after every step. */
 export function checkInvariants(cluster: SimulatedCluster, tokenBefore: number): void {
   const { version } = cluster;
   const forms = cluster.records().map(([, { form }]) => form);
@@ -428,7 +434,7 @@
     highest <= Math.max(version.level, 2),
     `a record of level ${highest} at level ${version.level}`,
   );
-  for (const { label, range } of cluster.serving()) {
+  for (const { label, range } of cluster.servingNodes()) {
     assert.ok(
       version.level <= range.max,
       `${label} serves at level ${version.level}, reads ${range.max}`,
@@ -438,6 +444,6 @@
       `${label} serves, and cannot read a record of level ${highest}`,
     );
   }
-  assert.ok(version.token >= tokenBefore, 'the version was changed under an older token');
-  assert.deepEqual(cluster.lateChanges, [], 'a lease holder that was replaced changed the version');
+  assert.ok(version.token >= tokenBefore, 'the version was changed with a smaller fencing token');
+  assert.deepEqual(cluster.changesWithoutLease, [], 'a former lease holder changed the version');
 }
--- a/packages/rollout/test/support/simulatedControllers.ts
+++ b/packages/rollout/test/support/simulatedControllers.ts
@@ -1,4 +1,4 @@
-/** Controllers as a rollout driver sees them: they drain, end, start after a while, and may come back badly. */
+/** Simulated controllers for rollout driver tests: they drain, stop, start after a delay and may fail to become healthy. */
 import type {
   ControllerApi,
   DriverWriteOutcome,
@@ -10,7 +10,7 @@
 interface Controller {
   version: string;
   starts: number;
-  /** Time at which it is up; null: it is down for good. */
+  /** Time at which it is up; null if it stays down. */
   upAt: number | null;
   isDraining: boolean;
   drainedAt: number;
@@ -28,16 +28,16 @@
   held: string[] = [];
   readonly controllers = new Map<string, Controller>();
   private stored: StoredDriver = { record: null, revision: 0 };
-  /** Versions that never become ready, and commands that fail. */
+  /** Versions that never become ready. */
   readonly broken = new Set<string>();
-  failsCommand = false;
-  /** Replicas that a version does not bring up again. */
-  readonly lossy = new Map<string, number>();
+  commandFails = false;
+  /** Number of replicas that a version fails to restart. */
+  readonly replicaLoss = new Map<string, number>();
   readonly replaced: string[] = [];
-  /** The most controllers that were ever away at a time. */
-  mostAway = 0;
-  /** Answers of the store that get lost. */
-  losesWrites = 0;
+  /** Maximum number of controllers that were unavailable at the same time. */
+  maxUnavailable = 0;
+  /** Number of next writes whose responses are lost. */
+  lostResponses = 0;
 
   constructor(labels: string[], version = '1.0') {
     for (const label of labels) {
@@ -47,7 +47,7 @@
     }
   }
 
-  private of(label: string): Controller {
+  private controller(label: string): Controller {
     const controller = this.controllers.get(label);
     if (controller === undefined) throw new Error(`no controller ${label}`);
     return controller;
@@ -61,22 +61,24 @@
     return this.isUp(controller) && !controller.isDraining && !this.broken.has(controller.version);
   }
 
-  /** Passes time, and looks how many are away. */
-  pass(seconds: number): void {
+  /** Advances the time and updates `maxUnavailable`. */
+  advance(seconds: number): void {
     this.now += seconds;
-    const away = [...this.controllers.values()].filter((controller) => !this.isReady(controller));
-    this.mostAway = Math.max(this.mostAway, away.length);
+    const unavailable = [...this.controllers.values()].filter(
+      (controller) => !this.isReady(controller),
+    );
+    this.maxUnavailable = Math.max(this.maxUnavailable, unavailable.length);
   }
 
   crash(label: string, downFor: number | null): void {
-    const controller = this.of(label);
+    const controller = this.controller(label);
     controller.upAt = downFor === null ? null : this.now + downFor;
     controller.starts++;
     controller.isDraining = false;
   }
 
   health(label: string): Promise<ControllerHealth | null> {
-    const controller = this.of(label);
+    const controller = this.controller(label);
     if (!this.isUp(controller)) return Promise.resolve(null);
     const isDrained = controller.isDraining && this.now >= controller.drainedAt;
     return Promise.resolve({
@@ -99,20 +101,20 @@
   write(revision: number, record: DriverRecord): Promise<DriverWriteOutcome> {
     if (revision !== this.stored.revision) return Promise.resolve({ kind: 'conflict' });
     this.stored = { record: structuredClone(record), revision: revision + 1 };
-    if (this.losesWrites > 0) {
-      this.losesWrites--;
+    if (this.lostResponses > 0) {
+      this.lostResponses--;
       return Promise.resolve({ kind: 'unknown' });
     }
     return Promise.resolve({ kind: 'stored', revision: revision + 1 });
   }
 
-  /** Only the driver whose step it is, as a controller decides by its copy of the record. */
+  /** Accepts a drain only from the driver with the current permit, like a controller that checks its cached record. */
   drain(label: string, token: number): Promise<void> {
-    const controller = this.of(label);
+    const controller = this.controller(label);
     const { record } = this.stored;
-    const isItsStep =
+    const isCurrentStep =
       record?.permit.token === token && record.controllers[label]?.state === 'draining';
-    if (isItsStep && !controller.isDraining) {
+    if (isCurrentStep && !controller.isDraining) {
       controller.isDraining = true;
       controller.drainedAt = this.now + DRAIN_S;
     }
@@ -129,17 +131,17 @@
     return Promise.resolve();
   }
 
-  /** The command of a plan: `replace LABEL VERSION`. */
+  /** Executes the command of a plan: `replace LABEL VERSION`. */
   run(command: string[]): Promise<void> {
     const [, label = '', version = ''] = command;
-    if (this.failsCommand) return Promise.reject(new Error('no such host'));
-    const controller = this.of(label);
+    if (this.commandFails) return Promise.reject(new Error('no such host'));
+    const controller = this.controller(label);
     this.replaced.push(`${label} ${version}`);
     controller.version = version;
     controller.starts++;
     controller.upAt = this.now + START_S;
     controller.isDraining = false;
-    controller.lostReplicas = this.lossy.get(version) ?? 0;
+    controller.lostReplicas = this.replicaLoss.get(version) ?? 0;
     return Promise.resolve();
   }
 }
--- a/packages/rollout/test/support/simulatedStore.ts
+++ b/packages/rollout/test/support/simulatedStore.ts
@@ -1,87 +1,87 @@
-/** A store in memory with stamps, leases and answers that get lost, and copies of it that lag behind. */
+/** An in-memory store with revisions, leases, lost responses and delayed transactions, and caches that lag behind it. */
 import type { ChangeOutcome, RecordChange, RecordCache, StoredRecord } from '../../src/store.js';
 
 interface Row extends StoredRecord {
-  hold: number | null;
+  leaseId: number | null;
 }
 
 export class SimulatedStore {
   readonly rows = new Map<string, Row>();
-  readonly holds = new Set<number>();
-  epoch = 0;
-  private nextHold = 0;
-  /** In an outage nothing is carried out. */
+  readonly leases = new Set<number>();
+  lastRevision = 0;
+  private lastLeaseId = 0;
+  /** Simulates an outage: no transaction is executed. */
   isDown = false;
-  /** The next change is carried out, and its answer is lost. */
-  losesAnswer = false;
-  /** The next change is kept back, and carried out by `applyLate`. */
-  keepsBack = false;
-  readonly kept: { change: RecordChange; writer: string }[] = [];
-  /** Hears of every change that is carried out, and who asked for it. */
+  /** The next transaction is executed and its response is lost. */
+  losesNextResponse = false;
+  /** The next transaction is delayed until `applyDelayed`. */
+  delaysNext = false;
+  readonly delayed: { change: RecordChange; writer: string }[] = [];
+  /** Called for every transaction that is executed, with the process that sent it. */
   observer: (change: RecordChange, writer: string) => void = () => undefined;
-  /** Changes that were carried out, for counting. */
+  /** Number of transactions that were executed. */
   writes = 0;
 
   grant(): number {
-    this.holds.add(++this.nextHold);
-    return this.nextHold;
+    this.leases.add(++this.lastLeaseId);
+    return this.lastLeaseId;
   }
 
-  /** A lease ends, and the records that it holds with it. */
-  endHold(hold: number): void {
-    this.holds.delete(hold);
-    for (const [key, row] of [...this.rows]) if (row.hold === hold) this.rows.delete(key);
-    this.epoch++;
+  /** Expires a lease and deletes the records stored under it. */
+  expireLease(leaseId: number): void {
+    this.leases.delete(leaseId);
+    for (const [key, row] of [...this.rows]) if (row.leaseId === leaseId) this.rows.delete(key);
+    this.lastRevision++;
   }
 
-  put(key: string, value: unknown, hold: number | null = null): void {
-    this.rows.set(key, { value: structuredClone(value), revision: ++this.epoch, hold });
+  put(key: string, value: unknown, leaseId: number | null = null): void {
+    this.rows.set(key, { value: structuredClone(value), revision: ++this.lastRevision, leaseId });
   }
 
   transact(change: RecordChange, writer = ''): Promise<ChangeOutcome> {
     if (this.isDown) return Promise.resolve({ kind: 'refused' });
-    if (this.keepsBack) {
-      this.keepsBack = false;
-      this.kept.push({ change: structuredClone(change), writer });
+    if (this.delaysNext) {
+      this.delaysNext = false;
+      this.delayed.push({ change: structuredClone(change), writer });
       return Promise.resolve({ kind: 'unknown' });
     }
     const outcome = this.apply(change, writer);
-    if (!this.losesAnswer) return Promise.resolve(outcome);
-    this.losesAnswer = false;
+    if (!this.losesNextResponse) return Promise.resolve(outcome);
+    this.losesNextResponse = false;
     return Promise.resolve({ kind: 'unknown' });
   }
 
-  applyLate(): ChangeOutcome | null {
-    const late = this.kept.shift();
-    return late === undefined ? null : this.apply(late.change, late.writer);
+  applyDelayed(): ChangeOutcome | null {
+    const next = this.delayed.shift();
+    return next === undefined ? null : this.apply(next.change, next.writer);
   }
 
   apply(change: RecordChange, writer = ''): ChangeOutcome {
-    const { conditions: when, puts, deletes: removes } = change;
-    const failed = when.filter(
+    const { conditions, puts, deletes } = change;
+    const failed = conditions.filter(
       ({ key, revision }) => (this.rows.get(key)?.revision ?? 0) !== revision,
     );
     if (failed.length > 0) return { kind: 'conflict', failed: failed.map(({ key }) => key) };
-    if (puts.some(({ leaseId: hold }) => hold !== undefined && !this.holds.has(hold))) {
+    if (puts.some(({ leaseId }) => leaseId !== undefined && !this.leases.has(leaseId))) {
       return { kind: 'no-lease' };
     }
     this.observer(change, writer);
-    const revision = ++this.epoch;
-    for (const { key, value, leaseId: hold } of puts) {
-      this.rows.set(key, { value: structuredClone(value), revision, hold: hold ?? null });
+    const revision = ++this.lastRevision;
+    for (const { key, value, leaseId } of puts) {
+      this.rows.set(key, { value: structuredClone(value), revision, leaseId: leaseId ?? null });
     }
-    for (const key of removes) this.rows.delete(key);
+    for (const key of deletes) this.rows.delete(key);
     this.writes++;
     return { kind: 'applied', revision };
   }
 }
 
-/** A copy that knows of changes only when it is synchronised. */
-export class SimulatedCopy implements RecordCache {
+/** A cache that reflects changes of the store only after `sync`. */
+export class SimulatedCache implements RecordCache {
   private readonly rows = new Map<string, StoredRecord>();
 
-  /** Hears of every change of the copy, as the service's own does. */
-  changed: () => void = () => undefined;
+  /** Called after every change of the cache, like the listener of the service's cache. */
+  onChange: () => void = () => undefined;
 
   constructor(private readonly store: SimulatedStore) {
     this.sync();
@@ -91,7 +91,7 @@
     this.rows.clear();
     for (const [key, { value, revision }] of this.store.rows)
       this.rows.set(key, { value, revision });
-    this.changed();
+    this.onChange();
   }
 
   get(key: string): StoredRecord | undefined {
@@ -105,6 +105,6 @@
   note(key: string, value: unknown, revision: number): void {
     if (revision <= (this.rows.get(key)?.revision ?? 0)) return;
     this.rows.set(key, { value, revision });
-    this.changed();
+    this.onChange();
   }
 }
--- a/packages/rollout/test/versionPlan.test.ts
+++ b/packages/rollout/test/versionPlan.test.ts
@@ -1,4 +1,4 @@
-/** What should become of the cluster's version, case by case. */
+/** Planning the next change of the cluster's version, case by case. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { initialVersion, rolloutKeys, type ClusterVersion, type Presence } from '../src/records.js';
@@ -50,13 +50,13 @@
 const lowering = { level: 3, target: 2, phase: 'lowering' as const, proposal: 5, walk: 2 };
 const hold = { by: 'anna', reason: 'wait', at: 0 };
 
-test('what keeps the level from rising is named', () => {
+test('the blockers of a raise are reported', () => {
   const good = presence();
   const cases: [string, NodeView, BlockerCause][] = [
     ['down', node('b', null), 'away'],
     ['new in the settings', node('b', null, { hasPublished: false }), 'never-seen'],
     ['back with an old build', node('b', null, { observedProcess: 'y' }), 'publishes-no-levels'],
-    ['another process talks', node('b', good, { observedProcess: 'y' }), 'other-process'],
+    ['messages from another process', node('b', good, { observedProcess: 'y' }), 'other-process'],
     ['too old', node('b', presence({ max: 2, wants: 2 })), 'cannot-read'],
     ['too new', node('b', presence({ min: 4, max: 5, wants: 5 })), 'cannot-read'],
     ['not switched on', node('b', presence({ wants: 2 })), 'switched-off'],
@@ -73,10 +73,10 @@
   }
 });
 
-const whatOf = (decision: Decision): string =>
-  decision.kind === 'change' ? decision.what : decision.kind;
+const transitionOf = (decision: Decision): string =>
+  decision.kind === 'change' ? decision.transition : decision.kind;
 
-test('each phase goes on only when everything that it rests on is there', () => {
+test('each phase continues only when all of its preconditions hold', () => {
   const answered = presence({ answer: 1 });
   const owner = { shard: 'a', key: 'b/own/a', revision: 1, owner: { node: 'a', process: 'old' } };
   const cases: [string, ClusterSnapshot, string][] = [
@@ -115,23 +115,23 @@
     ],
   ];
   for (const [what, given, expected] of cases) {
-    assert.equal(whatOf(planVersion(given, options)), expected, what);
+    assert.equal(transitionOf(planVersion(given, options)), expected, what);
   }
 });
 
-test('a walk that is not over, and quarantined records, keep a level from being finished', () => {
-  for (const walk of [
+test('an unfinished migration pass and quarantined records block the verification of a level', () => {
+  for (const migration of [
     { unfinished: ['a'], quarantined: [] },
     { unfinished: [], quarantined: ['b/job/x'] },
   ]) {
     const given = snapshot({ ...lowering, verified: 0 }, two(presence({ answer: 5 })), {
-      migration: walk,
+      migration,
     });
     assert.equal(planVersion(given, options).kind, 'wait');
   }
 });
 
-test('a raise rests on the stamps of everything that was looked at, and writes the barrier', () => {
+test('a raise is conditional on the revisions of all observed records, and writes the barrier', () => {
   const decision = planVersion(snapshot(raising, two(presence({ answer: 1 }))), options);
   assert.ok(decision.kind === 'change');
   assert.deepEqual(decision.change.conditions, [
@@ -149,14 +149,14 @@
   );
 });
 
-test('the barrier goes when the level falls below it', () => {
+test('the barrier is deleted when the level falls below it', () => {
   const given = snapshot({ ...lowering, verified: 5 }, two(presence({ answer: 5 })));
   const decision = planVersion(given, options);
   assert.ok(decision.kind === 'change');
   assert.equal(decision.change.barrier, null);
 });
 
-test('how many nodes one transaction carries follows from its conditions', () => {
+test('the number of nodes per transaction follows from its condition limit', () => {
   for (const [conditions, nodes] of [
     [64, 31],
     [20, 9],
