--- a/test/cli/cli.test.ts
+++ b/test/cli/cli.test.ts
@@ -1,4 +1,4 @@
-/** The command line as a new user would try it, wrong arguments included. */
+/** The command line interface, including invalid arguments. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -7,7 +7,7 @@
 import { Cluster, submission, until } from '../support/cluster.js';
 import { run } from '../support/commandLine.js';
 
-test('wrong arguments and bad settings end with one clear line', async () => {
+test('invalid arguments and settings are reported in a single line', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'barrowlb-'));
   const bad = join(folder, 'bad.toml');
   const properties = join(folder, 'bad.properties');
@@ -63,7 +63,7 @@
   }
 });
 
-test('three stages as a new user tries them: why the second waits, and what cancelling the first does', async () => {
+test('dependent jobs: `why` names the jobs waited for, and cancelling the first job cancels the others', async () => {
   const cluster = new Cluster({ nodes: 1, runs: () => Infinity });
   try {
     await cluster.start();
--- a/test/cli/rolloutCli.test.ts
+++ b/test/cli/rolloutCli.test.ts
@@ -1,4 +1,4 @@
-/** `barrowlb rollout` and `barrowlb drain` as a new user would try them, wrong arguments included. */
+/** `barrowlb rollout` and `barrowlb drain`, including invalid arguments. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -25,15 +25,15 @@
   return path;
 }
 
-test('faulty files and arguments end with one clear line', async () => {
+test('invalid files and arguments are reported in a single line', async () => {
   const config = file('settings.toml', loneSettings('drone-0'));
   const unknown = file('unknown.toml', '[features]\nrolout = true\n');
   const needs = file('needs.toml', '[features]\ncompressed-records = true\n');
-  const twice = file(
+  const duplicateLabel = file(
     'twice.properties',
     'rollout = x\norder = a, a\naddress.a = 127.0.0.1:1\nversion = 2\ncommand = true\n',
   );
-  const alone = file(
+  const unreachable = file(
     'alone.properties',
     'rollout = x\norder = a\naddress.a = 127.0.0.1:1\nversion = 2\ncommand = true\n',
   );
@@ -42,9 +42,9 @@
     [['--check', '--config', config, '--features', unknown], /did you mean "rollout"\?/],
     [['--check', '--config', config, '--features', needs], /needs rollout to be on/],
     [['rollout', 'start', '--plan', join(folder, 'none')], /cannot read .*none: ENOENT/],
-    [['rollout', 'start', '--plan', twice], /plan: order names a twice/],
-    [['rollout', 'start', '--plan', alone], /no controller tells of rollouts/],
-    [['rollout', 'pause', '--plan', alone], /there is no rollout/],
+    [['rollout', 'start', '--plan', duplicateLabel], /plan: order names a twice/],
+    [['rollout', 'start', '--plan', unreachable], /no controller tells of rollouts/],
+    [['rollout', 'pause', '--plan', unreachable], /there is no rollout/],
     [['rollout', 'status', ...server], /127\.0\.0\.1:1 cannot be reached/],
     [['rollout', 'hold', ...server, '--by', 'anna'], /required option '--reason/],
     [['drain'], /required option '--server/],
@@ -57,7 +57,7 @@
   });
 });
 
-test('a controller with rollouts off ends with code 4 when it finds a barrier, and has written nothing', async () => {
+test('a controller with rollouts off exits with code 4 at a barrier, without having written anything', async () => {
   const state = new StateStandIn();
   try {
     const endpoint = await state.listenFor('drone-0');
@@ -72,7 +72,7 @@
   }
 });
 
-test('SIGTERM drains where the settings say so, and else ends the process at once', async () => {
+test('SIGTERM drains the controller if configured, and otherwise ends the process immediately', async () => {
   const config = file('sigterm.toml', loneSettings('drone-0'));
   const properties = file('sigterm.properties', 'drain.on.sigterm = 5\n');
   const terminate = (log: string, kill: (signal: NodeJS.Signals) => void): void => {
@@ -87,10 +87,10 @@
   assert.deepEqual([ended.code, ended.signal], [null, 'SIGTERM']);
 });
 
-test('an operator holds, finalises, lowers and drains a running cluster', async () => {
+test('hold, finalize, lower and drain work on a running cluster', async () => {
   const cluster = new Cluster({ nodes: 3, runs: () => 1 });
   for (const label of LABELS) cluster.builds.set(label, buildWithFeatures(FEATURES));
-  // Without it nobody can propose the next level, so that the hold comes first.
+  // drone-2 starts without rollouts, so that the next level cannot be proposed before the hold is stored.
   cluster.builds.set('drone-2', presentBuild);
   try {
     await cluster.start();
@@ -127,7 +127,7 @@
   }
 });
 
-test('a rollout of whole controllers is driven from the command line, and its record says so', async () => {
+test('a rollout started from the command line replaces all controllers, and its status shows it', async () => {
   const cluster = new Cluster({ nodes: 3, runs: () => 1 });
   for (const label of LABELS) cluster.builds.set(label, buildWithFeatures(FEATURES));
   try {
@@ -144,24 +144,24 @@
       [
         ...['rollout = restart', `order = ${LABELS.join(', ')}`, ...addresses],
         `version = ${VERSION}`,
-        // The controllers are in this process: the command only says whose turn it is.
+        // The controllers run in this process, so the command does nothing; the watcher below restarts them.
         ...[`command = ${process.execPath} -e process.exit(0)`, 'soak = 0', 'permit.ttl = 2'],
       ].join('\n'),
     );
     const replaced: string[] = [];
-    const watch = setInterval(() => {
+    const watcher = setInterval(() => {
       for (const label of LABELS) {
         const record = cluster.state.rows.get(rolloutKeys.driver)?.value as
           DriverRecord | undefined;
-        const isItsTurn = record?.controllers[label]?.state === 'replacing';
-        if (!isItsTurn || replaced.includes(label)) continue;
+        const isReplacing = record?.controllers[label]?.state === 'replacing';
+        if (!isReplacing || replaced.includes(label)) continue;
         replaced.push(label);
         cluster.crash(label);
         void cluster.boot(label);
       }
     }, 50);
     const ran = await run('rollout', 'start', '--plan', plan);
-    clearInterval(watch);
+    clearInterval(watcher);
     assert.match(ran.out, /rollout restart: done: all controllers were replaced\n$/, ran.err);
     assert.deepEqual(replaced, LABELS);
     const status = await run(
--- a/test/cli/startup.test.ts
+++ b/test/cli/startup.test.ts
@@ -1,4 +1,4 @@
-/** The startup snapshot that the deploy file builds and starts from. */
+/** The startup snapshot that the deploy file builds and starts controllers from. */
 import assert from 'node:assert/strict';
 import { execFileSync, spawn } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -36,8 +36,8 @@
   rmSync(folder, { recursive: true });
 });
 
-test('the deploy file starts from the snapshot with the flags it was built with', () => {
-  // V8 refuses a snapshot that was made with other heap flags, and no controller would start.
+test('the deploy file starts from the snapshot with the heap flags of its build', () => {
+  // V8 rejects a snapshot that was built with different heap flags, and no controller would start.
   assert.deepEqual(heapFlags(runLine), heapFlags(scripts['snapshot'] ?? ''));
   assert.equal(heapFlags(runLine).length, 2);
   const blob = /--snapshot-blob (\S+)/.exec(scripts['snapshot'] ?? '')?.[1];
@@ -52,7 +52,7 @@
   ...args,
 ];
 
-test('arguments and settings are read at the start, not when the snapshot was made', () => {
+test('arguments and settings are read at startup, not when the snapshot is built', () => {
   const checked = execFileSync(
     process.execPath,
     command('--check', '--config', settingsFile),
@@ -60,7 +60,7 @@
   assert.equal(checked, 'settings are sound: drone-0 in a\n');
 });
 
-test('the log level is that of the start, and a controller listens', async () => {
+test('the log level is read at startup, and the controller listens', async () => {
   const controller = spawn(process.execPath, command('--config', settingsFile), {
     env: { LOG_LEVEL: 'info' },
   });
--- a/test/rollout/rollout.test.ts
+++ b/test/rollout/rollout.test.ts
@@ -1,4 +1,4 @@
-/** Whole controllers that are replaced one after the other while users submit, and the level of what they store. */
+/** Rollouts of complete controllers under load, and the level of the stored records. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { rolloutPath } from '../../src/protocol/routes.js';
@@ -9,7 +9,7 @@
 
 const withFeatures = buildWithFeatures(FEATURES);
 
-test('three controllers are upgraded in turn, records change in place and back, and no job notices', async () => {
+test('three controllers are upgraded in turn, the level is raised and lowered, and no job is affected', async () => {
   const rollout = new RolloutCluster();
   try {
     await rollout.start();
@@ -23,7 +23,7 @@
     assert.ok(rollout.forms.compressed > 0);
     const body = { to: 2, by: 'anna', confirm: true };
     await until('the lowering is accepted', async () => {
-      // 503 while the node's copy is behind: the operator's command asks again too.
+      // The node answers 503 while its cache lags; the operator's command retries in the same way.
       const { status } = await rollout.cluster.call(
         'drone-1',
         'POST',
@@ -44,13 +44,13 @@
   }
 });
 
-test('a rollout that is rolled back midway leaves the level alone, and no job notices', async () => {
+test('a rollout that is rolled back midway does not change the level, and no job is affected', async () => {
   const rollout = new RolloutCluster();
   try {
     await rollout.start();
     const users = rollout.submit();
     for (const label of ['drone-0', 'drone-1']) await rollout.replace(label, withFeatures);
-    await until('what holds the level back is named', async () => {
+    await until('the blocker of the raise is reported', async () => {
       const { blockers } = await rollout.status();
       return blockers.some((b) => b.subject === 'drone-2' && b.cause === 'publishes-no-levels');
     });
@@ -65,7 +65,7 @@
   }
 });
 
-test('a controller that returns with rollouts off after the raise is refused, and its shard is taken over', async () => {
+test('a controller that restarts with rollouts off after the raise refuses to serve, and a peer takes over its shard', async () => {
   const rollout = new RolloutCluster(withFeatures);
   const { cluster } = rollout;
   let reason = '';
@@ -95,7 +95,7 @@
   }
 });
 
-test('a leader key of a process that published no levels does not keep a shard from being served', async () => {
+test('a peer takes over a shard whose leader key belongs to a process that published no levels', async () => {
   const rollout = new RolloutCluster(withFeatures);
   const { cluster } = rollout;
   try {
@@ -107,7 +107,7 @@
       const leader = cluster.state.rows.get(key)?.value as StoredLeaderRecord | undefined;
       return leader?.node !== 'drone-2';
     });
-    // An old process that had loaded before the barrier writes its key again and again.
+    // Simulates an old process that loaded its records before the barrier and keeps claiming its shard.
     const stored = cluster.state.rows.get(key);
     const token = (stored?.value as StoredLeaderRecord | undefined)?.token ?? 0;
     const value: StoredLeaderRecord = {
@@ -129,13 +129,13 @@
   }
 });
 
-test('a hold keeps the level, is named, and ends with finalize; wrong requests are refused', async () => {
+test('a hold blocks the raise, is reported and ends with finalize; invalid requests are rejected', async () => {
   const rollout = new RolloutCluster(withFeatures);
   const { cluster } = rollout;
   const post = (name: string, body: unknown) =>
     cluster.call('drone-1', 'POST', `${rolloutPath}${name}`, body);
   try {
-    // Without it nobody can propose the next level, so that the hold comes first.
+    // drone-2 starts without rollouts, so that the next level cannot be proposed before the hold is stored.
     cluster.builds.set('drone-2', presentBuild);
     await cluster.start();
     await until('the hold is stored', async () => {
@@ -169,7 +169,7 @@
   }
 });
 
-test('a drained controller owns nothing, sends users on, and comes back when the drain is cancelled', async () => {
+test('a drained controller leads nothing, is not ready, and gets its shard back after the drain is cancelled', async () => {
   const rollout = new RolloutCluster(withFeatures);
   const { cluster } = rollout;
   try {
--- a/test/transport/http.test.ts
+++ b/test/transport/http.test.ts
@@ -1,3 +1,4 @@
+/** The HTTP parser, client and server: valid, malformed and oversized input, connection limits and overload. */
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
@@ -14,7 +15,7 @@
 };
 
 const post = 'POST /v1/jobs HTTP/1.1\r\nHost: x\r\n';
-const good: { name: string; input: string; bodies: string[]; keepAlive?: boolean }[] = [
+const validRequests: { name: string; input: string; bodies: string[]; keepAlive?: boolean }[] = [
   { name: 'no body', input: 'GET /a HTTP/1.1\r\n\r\n', bodies: [''], keepAlive: true },
   { name: 'a length', input: `${post}Content-Length: 5\r\n\r\nhello`, bodies: ['hello'] },
   { name: 'length 0', input: `${post}content-length: 0\r\n\r\n`, bodies: [''] },
@@ -24,7 +25,7 @@
     bodies: ['hello'],
   },
   {
-    name: 'one after the other',
+    name: 'two requests in one buffer',
     input: `${post}Content-Length: 1\r\n\r\naGET /b HTTP/1.1\r\nConnection: close\r\n\r\n`,
     bodies: ['a', ''],
     keepAlive: false,
@@ -33,13 +34,13 @@
   { name: 'a blank line first', input: '\r\nGET / HTTP/1.1\r\n\r\n', bodies: [''] },
 ];
 
-test('the parser reads requests however they are split', () => {
-  for (const { name, input, bodies, keepAlive } of good) {
+test('the parser reads requests regardless of how the bytes are split', () => {
+  for (const { name, input, bodies, keepAlive } of validRequests) {
     for (const step of [1, 2, 7, input.length]) {
       const parser = new HttpParser('request', 100);
       const messages = [];
-      for (let at = 0; at < input.length; at += step) {
-        messages.push(...parser.push(Buffer.from(input.slice(at, at + step))));
+      for (let offset = 0; offset < input.length; offset += step) {
+        messages.push(...parser.push(Buffer.from(input.slice(offset, offset + step))));
       }
       assert.deepEqual(
         messages.map((m) => m.body),
@@ -52,7 +53,7 @@
   }
 });
 
-const bad: [string, string, number][] = [
+const invalidRequests: [string, string, number][] = [
   ['no request line', 'hello\r\n\r\n', 400],
   ['a bad version', 'GET / HTTP/2.0\r\n\r\n', 400],
   ['a header without a colon', 'GET / HTTP/1.1\r\nnonsense\r\n\r\n', 400],
@@ -67,8 +68,8 @@
   ['a huge header', `GET / HTTP/1.1\r\nA: ${'x'.repeat(20000)}`, 431],
 ];
 
-test('the parser refuses malformed and oversized input', () => {
-  for (const [name, input, status] of bad) {
+test('the parser rejects malformed and oversized input', () => {
+  for (const [name, input, status] of invalidRequests) {
     const parser = new HttpParser('request', 100);
     assert.throws(
       () => parser.push(Buffer.from(input)),
@@ -78,7 +79,7 @@
   }
 });
 
-test('a response without a length ends with its connection', () => {
+test('a response without a length ends when the connection closes', () => {
   const parser = new HttpParser('response', 100);
   assert.deepEqual(parser.push(Buffer.from('HTTP/1.1 200 OK\r\n\r\nab')), []);
   assert.equal(parser.end()?.body, 'ab');
@@ -87,29 +88,29 @@
 async function exchange(port: number, text: string): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = net.connect(port, '127.0.0.1');
-    let seen = '';
-    socket.on('data', (data) => (seen += data.toString()));
+    let received = '';
+    socket.on('data', (data) => (received += data.toString()));
     socket.on('close', () => {
-      resolve(seen);
+      resolve(received);
     });
     socket.on('error', reject);
     socket.write(text);
   });
 }
 
-test('the server answers, keeps connections, closes when asked and survives bad input', async () => {
+test('the server responds, keeps connections alive, closes them on request and survives malformed input', async () => {
   const server = new HttpServer((request) => {
     if (request.target === '/fail') throw new Error('broken');
     return Promise.resolve({ status: 200, body: { got: request.body } });
   }, SMALL_SERVER);
   const port = await server.listen({ host: '127.0.0.1', port: 0 });
   try {
-    const two = await exchange(
+    const responses = await exchange(
       port,
       'POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\naGET / HTTP/1.1\r\nConnection: close\r\n\r\n',
     );
-    assert.match(two, /"got":"a"[^]*"got":""/);
-    assert.equal(two.match(/Connection: close/g)?.length, 1);
+    assert.match(responses, /"got":"a"[^]*"got":""/);
+    assert.equal(responses.match(/Connection: close/g)?.length, 1);
     assert.match(await exchange(port, 'rubbish\r\n\r\n'), /^HTTP\/1.1 400 /);
     const large = 'POST / HTTP/1.1\r\nContent-Length: 99\r\n\r\n';
     assert.match(await exchange(port, large), /^HTTP\/1.1 413 /);
@@ -125,7 +126,7 @@
   }
 });
 
-test('the client tells what was never sent from what may have been carried out', async () => {
+test('the client distinguishes requests that were never sent from those that may have been executed', async () => {
   const silent = net.createServer((socket) => socket.resume());
   await new Promise<void>((resolve) => silent.listen(0, '127.0.0.1', resolve));
   const { port } = silent.address() as net.AddressInfo;
@@ -139,44 +140,44 @@
   });
 });
 
-interface Caller {
+interface TestConnection {
   socket: net.Socket;
   text: string;
   closed: Promise<void>;
 }
 
 /** A connection that stays open until the server closes it. */
-function caller(port: number, request: string): Caller {
+function openConnection(port: number, request: string): TestConnection {
   const socket = net.connect(port, '127.0.0.1', () => socket.write(request));
-  const made: Caller = {
+  const connection: TestConnection = {
     socket,
     text: '',
     closed: new Promise((resolve) => socket.on('close', () => resolve())),
   };
-  socket.on('data', (data) => (made.text += data.toString()));
+  socket.on('data', (data) => (connection.text += data.toString()));
   socket.on('error', () => undefined);
-  return made;
+  return connection;
 }
 
-const answered = async (one: Caller): Promise<void> => {
-  while (one.text === '') await new Promise((resolve) => setTimeout(resolve, 5));
+const responded = async (connection: TestConnection): Promise<void> => {
+  while (connection.text === '') await new Promise((resolve) => setTimeout(resolve, 5));
 };
 
-const crowds: {
+const limitCases: {
   name: string;
   options: { maxConnections?: number; maxInFlight?: number; idleTimeout?: number };
-  play: (port: number) => Promise<void>;
+  run: (port: number) => Promise<void>;
 }[] = [
   {
-    name: 'at the limit the one that was idle for longest makes room',
+    name: 'at the limit the connection that was idle for longest is closed',
     options: { maxConnections: 2 },
-    play: async (port) => {
-      const first = caller(port, 'GET /report HTTP/1.1\r\n\r\n');
-      await answered(first);
-      const second = caller(port, 'GET /report HTTP/1.1\r\n\r\n');
-      await answered(second);
-      const third = caller(port, 'GET /ready HTTP/1.1\r\n\r\n');
-      await answered(third);
+    run: async (port) => {
+      const first = openConnection(port, 'GET /report HTTP/1.1\r\n\r\n');
+      await responded(first);
+      const second = openConnection(port, 'GET /report HTTP/1.1\r\n\r\n');
+      await responded(second);
+      const third = openConnection(port, 'GET /ready HTTP/1.1\r\n\r\n');
+      await responded(third);
       await first.closed;
       assert.ok(!second.socket.closed && !third.socket.closed);
       second.socket.destroy();
@@ -184,12 +185,12 @@
     },
   },
   {
-    name: 'users do not keep their connections when few are left',
+    name: 'connections of users are not kept alive near the limit',
     options: { maxConnections: 2 },
-    play: async (port) => {
-      const worker = caller(port, 'GET /report HTTP/1.1\r\n\r\n');
-      await answered(worker);
-      const user = caller(port, 'GET /user HTTP/1.1\r\n\r\n');
+    run: async (port) => {
+      const worker = openConnection(port, 'GET /report HTTP/1.1\r\n\r\n');
+      await responded(worker);
+      const user = openConnection(port, 'GET /user HTTP/1.1\r\n\r\n');
       await user.closed;
       assert.match(user.text, /^HTTP\/1.1 200 [^]*Connection: close/);
       assert.doesNotMatch(worker.text, /Connection: close/);
@@ -197,29 +198,29 @@
     },
   },
   {
-    name: 'a connection whose other side is gone without a word is not kept for ever',
+    name: 'a connection whose client disappeared without closing it is closed after the idle timeout',
     options: { idleTimeout: 0.05 },
-    play: async (port) => {
-      const silent = caller(port, 'GET /report HTTP/1.1\r\n\r\n');
-      await answered(silent);
+    run: async (port) => {
+      const silent = openConnection(port, 'GET /report HTTP/1.1\r\n\r\n');
+      await responded(silent);
       await silent.closed;
     },
   },
   {
-    name: 'under load users are told to come back, and workers are answered',
+    name: 'under load users are told to retry and workers are served',
     options: { maxInFlight: 1 },
-    play: async (port) => {
-      const slow = caller(port, 'GET /slow HTTP/1.1\r\n\r\n');
-      const user = caller(port, '');
-      const worker = caller(port, '');
-      // Both are asked once the slow one is being worked on.
+    run: async (port) => {
+      const slow = openConnection(port, 'GET /slow HTTP/1.1\r\n\r\n');
+      const user = openConnection(port, '');
+      const worker = openConnection(port, '');
+      // Both requests are sent while the slow one is in progress.
       await slowStarted;
       user.socket.write('GET /user HTTP/1.1\r\n\r\n');
       worker.socket.write('GET /report HTTP/1.1\r\n\r\n');
-      await Promise.all([answered(user), answered(worker)]);
+      await Promise.all([responded(user), responded(worker)]);
       assert.match(user.text, /^HTTP\/1.1 503 [^]*Retry-After: 1/);
       assert.match(worker.text, /^HTTP\/1.1 200 /);
-      for (const one of [slow, user, worker]) one.socket.destroy();
+      for (const connection of [slow, user, worker]) connection.socket.destroy();
     },
   },
 ];
@@ -227,7 +228,7 @@
 let startSlow: () => void = () => undefined;
 const slowStarted = new Promise<void>((resolve) => (startSlow = resolve));
 
-for (const { name, options, play } of crowds) {
+for (const { name, options, run } of limitCases) {
   test(`many connections: ${name}`, async () => {
     const server = new HttpServer(
       (request) => {
@@ -249,14 +250,14 @@
     );
     const port = await server.listen({ host: '127.0.0.1', port: 0 });
     try {
-      await play(port);
+      await run(port);
     } finally {
       server.close();
     }
   });
 }
 
-test('a request whose right has ended by the time that its connection is up is never sent', async () => {
+test('a request that is no longer allowed when its connection is established is never sent', async () => {
   let requests = 0;
   const server = new HttpServer(() => {
     requests++;
@@ -264,22 +265,22 @@
   }, SMALL_SERVER);
   const port = await server.listen({ host: '127.0.0.1', port: 0 });
   const client = new HttpClient(2, 1);
-  const ask = (mayLeave: () => boolean): Promise<unknown> =>
-    client.call(`127.0.0.1:${port}`, 'POST', '/', {}, 5, mayLeave);
+  const send = (maySend: () => boolean): Promise<unknown> =>
+    client.call(`127.0.0.1:${port}`, 'POST', '/', {}, 5, maySend);
   await assert.rejects(
-    ask(() => false),
+    send(() => false),
     (error) => error instanceof HttpCallError && error.unsent,
   );
   assert.equal(requests, 0);
-  await ask(() => true);
+  await send(() => true);
   assert.equal(requests, 1);
-  // On the connection that was kept too.
-  await assert.rejects(ask(() => false));
+  // The check also applies to a reused connection.
+  await assert.rejects(send(() => false));
   assert.equal(requests, 1);
   server.close();
 });
 
-test('what leaves in place of a reply is asked for as it is written', async () => {
+test('a reply is replaced by its atSending result when it is written', async () => {
   const server = new HttpServer(
     () =>
       Promise.resolve({
--- a/test/transport/overload.test.ts
+++ b/test/transport/overload.test.ts
@@ -1,4 +1,4 @@
-/** More than a node can take, and input that is none: what is answered, and that work goes on meanwhile. */
+/** Overload and invalid input: every request gets a response, and jobs continue to run meanwhile. */
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
@@ -12,15 +12,15 @@
   return { host, port: Number(port) };
 }
 
-/** Sends text as it is and gives what comes back until the connection ends. */
+/** Sends raw text and returns all data received until the connection closes. */
 function send(cluster: Cluster, label: string, text: string): Promise<string> {
   return new Promise((resolve) => {
     const socket = net.connect(addressOf(cluster, label));
-    let seen = '';
-    socket.on('data', (data) => (seen += data.toString()));
+    let received = '';
+    socket.on('data', (data) => (received += data.toString()));
     socket.on('error', () => undefined);
     socket.on('close', () => {
-      resolve(seen);
+      resolve(received);
     });
     socket.write(text);
   });
@@ -29,35 +29,35 @@
 const requestOf = (path: string, body: string): string =>
   `POST ${path} HTTP/1.1\r\nConnection: close\r\nContent-Length: ${body.length}\r\n\r\n${body}`;
 
-test('far more submissions than can be stored: each is answered, and work goes on', () =>
+test('each of far more submissions than can be stored gets a response, and jobs continue to run', () =>
   withCluster({ nodes: 2, runs: () => 0.3, stateWrites: 24 }, async (cluster) => {
     await accept(cluster, 'drone-0', submission('wk-001000', service));
     await until('replicas run', async () => {
       return (await status(cluster, 'drone-0', 'wk-001000')).running === 2;
     });
     const ids = Array.from({ length: 60 }, (_, n) => `wk-${String(1001 + n).padStart(6, '0')}`);
-    const flood = ids.map(async (id): Promise<[string, Response]> => {
+    const submissions = ids.map(async (id): Promise<[string, Response]> => {
       const job = submission(id, { Pieces: 1 });
       return [id, await cluster.call('drone-0', 'POST', '/v1/jobs', job)];
     });
     const ready = await settled(cluster, 'drone-0', 'GET', '/ready');
     assert.equal(ready.status, 200);
-    const answers = await Promise.all(flood);
+    const answers = await Promise.all(submissions);
     for (const [id, { status: code, retryAfter }] of answers) {
       assert.ok([200, 201, 503].includes(code), `${id}: ${code}`);
       if (code === 503) assert.ok((retryAfter ?? 0) >= 1, `${id} is not told when to come back`);
     }
     const accepted = answers.filter(([, { status: code }]) => code < 300).map(([id]) => id);
     assert.ok(accepted.length > 0, 'none was accepted');
-    // A live service that comes behind the flood does not wait for the batch work to be through.
+    // A service that is submitted after the batch jobs does not wait for them to finish.
     await accept(cluster, 'drone-0', submission('wk-001200', service));
-    await until('the live service runs', async () => {
+    await until('the service runs', async () => {
       return (await status(cluster, 'drone-1', 'wk-001200')).running === 2;
     });
     const isDone = async (id: string): Promise<boolean> =>
       (await status(cluster, 'drone-0', id)).Status === 'done';
     for (const id of accepted) await until(`${id} is done`, () => isDone(id));
-    // The live service may have stopped some of them, but nothing was lost for want of answers to workers.
+    // The service may preempt batch tasks, but no service task is restarted because responses to workers were delayed.
     for (const task of ['wk-001000/0', 'wk-001000/1', 'wk-001200/0', 'wk-001200/1']) {
       const starts = cluster.cloud.starts.filter((started) => started === task);
       assert.equal(starts.length, 1, `${task} was started ${starts.length} times`);
@@ -65,20 +65,20 @@
   }));
 
 const malformed: { name: string; path: string; body: string; answer: RegExp }[] = [
-  { name: 'no JSON', path: '/v1/jobs', body: '{"Uid":', answer: /^HTTP\/1.1 400 / },
-  { name: 'no object', path: '/v1/jobs', body: '[1,2]', answer: /^HTTP\/1.1 400 / },
+  { name: 'not JSON', path: '/v1/jobs', body: '{"Uid":', answer: /^HTTP\/1.1 400 / },
+  { name: 'not an object', path: '/v1/jobs', body: '[1,2]', answer: /^HTTP\/1.1 400 / },
   { name: 'deeply nested', path: '/v1/jobs', body: '['.repeat(30000), answer: /^HTTP\/1.1 400 / },
   { name: 'oversized', path: '/v1/jobs', body: 'x'.repeat(70000), answer: /^HTTP\/1.1 413 / },
-  { name: 'a report that is none', path: '/hello', body: '{"Drone":7}', answer: /^HTTP\/1.1 400 / },
+  { name: 'an invalid report', path: '/hello', body: '{"Drone":7}', answer: /^HTTP\/1.1 400 / },
   {
-    name: 'a report of no machine of ours',
+    name: 'a report that is null',
     path: '/hello',
     body: 'null',
     answer: /^HTTP\/1.1 400 /,
   },
 ];
 
-test('malformed and oversized requests are refused, and work goes on', () =>
+test('malformed and oversized requests are rejected, and jobs continue to run', () =>
   withCluster({ nodes: 1, runs: () => 0.3 }, async (cluster) => {
     for (const { name, path, body, answer } of malformed) {
       for (let turn = 0; turn < 5; turn++) {
@@ -91,16 +91,16 @@
     });
   }));
 
-test('senders that stop half way do not keep others out at the limit of connections', () => {
+test('incomplete requests up to the connection limit do not lock out other clients', () => {
   const front = { maxConnections: 20, requestTimeout: 0.3 };
   return withCluster({ nodes: 1, runs: () => 0.3, front }, async (cluster) => {
-    const halves = Array.from({ length: 60 }, () =>
+    const incomplete = Array.from({ length: 60 }, () =>
       send(cluster, 'drone-0', 'POST /v1/jobs HTTP/1.1\r\nContent-Length: 50\r\n\r\n{"Uid"'),
     );
     await accept(cluster, 'drone-0', submission('wk-001311'));
     await until('it is done', async () => {
       return (await status(cluster, 'drone-0', 'wk-001311')).Status === 'done';
     });
-    await Promise.all(halves);
+    await Promise.all(incomplete);
   });
 });
--- a/test/transport/peerLink.test.ts
+++ b/test/transport/peerLink.test.ts
@@ -1,12 +1,12 @@
-/** Calls between our own processes: slow answers, answers that were there in time, and connections that hang. */
+/** Calls between controllers: slow responses, responses that arrive in time but are read late, and stalled connections. */
 import assert from 'node:assert/strict';
 import { mock, test, type TestContext } from 'node:test';
 import { PeerClient, PeerServer } from '../../src/transport/peerLink.js';
 
 const HOST = '127.0.0.1';
 
-/** A server whose answers are given by hand, in the order of the calls. */
-class HeldAnswers {
+/** A server whose responses the test releases one by one, in the order of the calls. */
+class ManualPeer {
   readonly server: PeerServer;
   readonly calls: string[] = [];
   private readonly waiting: (() => void)[] = [];
@@ -26,7 +26,7 @@
     return `${HOST}:${await this.server.listen({ host: HOST, port: 0 })}`;
   }
 
-  answerNext(): void {
+  respondNext(): void {
     this.waiting.shift()?.();
   }
 
@@ -35,19 +35,19 @@
   }
 }
 
-/** Lets the event loop turn: sockets are read, immediates run. Timers stand still but for `tick`. */
+/** Runs one turn of the event loop: reads sockets and runs immediates. Mocked timers only advance by `tick`. */
 const turn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-const SECOND = 1000;
+const SECOND_MS = 1000;
 
-/** A peer and a client that gives a silent connection up after so many seconds; timers are moved by hand. */
+/** Creates a peer and a client with the given silence timeout in seconds; timers are mocked. */
 async function connect(
   t: TestContext,
-  silence: number,
-): Promise<{ peer: HeldAnswers; client: PeerClient }> {
+  silenceTimeout: number,
+): Promise<{ peer: ManualPeer; client: PeerClient }> {
   mock.timers.enable({ apis: ['setTimeout'] });
-  const peer = new HeldAnswers();
-  const client = new PeerClient(await peer.listen(), 16, silence);
+  const peer = new ManualPeer();
+  const client = new PeerClient(await peer.listen(), 16, silenceTimeout);
   t.after(() => {
     client.close();
     peer.server.close();
@@ -56,43 +56,43 @@
   return { peer, client };
 }
 
-test('calls that got no answer in time do not cost those that still wait their connection', async (t) => {
-  // Two questions without an answer closed the connection, and a relayed request went with it.
+test('calls that time out do not close the connection of calls that still wait', async (t) => {
+  // Guards against closing the connection after two timed-out calls, which also failed a relayed request.
   const { peer, client } = await connect(t, 10);
-  const patient = client.call(Buffer.from('patient'), 5);
+  const longCall = client.call(Buffer.from('patient'), 5);
   await peer.received(1);
   for (const [index, name] of ['a', 'b', 'c'].entries()) {
-    const hasty = client.call(Buffer.from(name), 1);
+    const shortCall = client.call(Buffer.from(name), 1);
     await peer.received(index + 2);
-    mock.timers.tick(SECOND);
-    await assert.rejects(hasty, /silent/);
+    mock.timers.tick(SECOND_MS);
+    await assert.rejects(shortCall, /silent/);
   }
-  peer.answerNext();
-  assert.equal((await patient).toString(), 'answer to patient');
+  peer.respondNext();
+  assert.equal((await longCall).toString(), 'answer to patient');
 });
 
-test('an answer that has arrived is taken, also when the time is up before it is read', async (t) => {
+test('a response that has arrived is accepted even if the timeout fires before it is read', async (t) => {
   const { peer, client } = await connect(t, 10);
   const call = client.call(Buffer.from('slow'), 1);
   await peer.received(1);
   await turn();
-  peer.answerNext();
-  // The answer is written at the end of this turn, and the time is up before the next one reads it.
+  peer.respondNext();
+  // The response is written at the end of this turn, and the timeout fires before the next turn reads it.
   await Promise.resolve();
-  mock.timers.tick(SECOND);
+  mock.timers.tick(SECOND_MS);
   assert.equal((await call).toString(), 'answer to slow');
 });
 
-test('a connection on which nothing arrives is given up, and the next call has a new one', async (t) => {
+test('a connection without incoming data is closed, and the next call uses a new one', async (t) => {
   const { peer, client } = await connect(t, 2);
   const lost = client.call(Buffer.from('lost'), 60);
   await peer.received(1);
-  mock.timers.tick(2 * SECOND);
+  mock.timers.tick(2 * SECOND_MS);
   await assert.rejects(lost, /connection lost/);
-  // The first call's answer goes nowhere.
-  peer.answerNext();
+  // The response to the first call is sent on the closed connection and lost.
+  peer.respondNext();
   const next = client.call(Buffer.from('next'), 60);
   await peer.received(2);
-  peer.answerNext();
+  peer.respondNext();
   assert.equal((await next).toString(), 'answer to next');
 });
--- a/test/transport/turnQueue.test.ts
+++ b/test/transport/turnQueue.test.ts
@@ -1,11 +1,11 @@
-/** Work spread over turns of the event loop: new connections are accepted between the turns. */
+/** Tasks are spread over turns of the event loop, so that new connections are accepted in between. */
 import assert from 'node:assert/strict';
 import net from 'node:net';
 import { test } from 'node:test';
 import { HttpServer } from '../../src/transport/httpServer.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
 
-/** Runs all turns and gives what was done in each. */
+/** Runs all turns and returns the tasks that were executed in each. */
 function turnsOf(items: [name: string, isUrgent: boolean][]): string[][] {
   const deferred: (() => void)[] = [];
   const queue = new TurnQueue({ urgent: 2, ordinary: 1 }, (turn) => deferred.push(turn));
@@ -21,10 +21,10 @@
 }
 
 for (const { name, items, turns } of [
-  { name: 'nothing', items: [], turns: [] },
-  { name: 'a little', items: [['u1', true]], turns: [['u1']] },
+  { name: 'no tasks', items: [], turns: [] },
+  { name: 'a single task', items: [['u1', true]], turns: [['u1']] },
   {
-    name: 'urgent work goes first and does not stop the rest',
+    name: 'urgent tasks run first and do not starve the others',
     items: [
       ['o1', false],
       ['o2', false],
@@ -38,7 +38,7 @@
     ],
   },
   {
-    name: 'a turn takes so much and no more',
+    name: 'the number of tasks per turn is limited',
     items: [
       ['u1', true],
       ['u2', true],
@@ -54,7 +54,7 @@
   });
 }
 
-test('a burst of requests is spread over turns, so that new connections are let in between', async () => {
+test('a burst of requests is spread over turns, so that connections are accepted in between', async () => {
   const clients = 40;
   let turn = 0;
   const handledIn = new Map<number, number>();
@@ -73,12 +73,12 @@
       return socket;
     }),
   );
-  let counting = true;
-  const count = (): void => {
+  let isCounting = true;
+  const countTurn = (): void => {
     turn++;
-    if (counting) setImmediate(count);
+    if (isCounting) setImmediate(countTurn);
   };
-  count();
+  countTurn();
   try {
     await Promise.all(
       sockets.map((socket) => {
@@ -87,20 +87,20 @@
         return answered;
       }),
     );
-    const most = Math.max(...handledIn.values());
-    assert.ok(most <= 6, `${most} requests in one turn`);
+    const maxPerTurn = Math.max(...handledIn.values());
+    assert.ok(maxPerTurn <= 6, `${maxPerTurn} requests in one turn`);
     assert.equal(
       [...handledIn.values()].reduce((a, b) => a + b, 0),
       clients,
     );
   } finally {
-    counting = false;
+    isCounting = false;
     for (const socket of sockets) socket.destroy();
     server.close();
   }
 });
 
-test('a request whose client has gone before its turn is not worked on, and holds no socket', async () => {
+test('a queued request whose client has disconnected is not handled, and its socket is closed', async () => {
   const handled: string[] = [];
   const options = {
     bodyLimit: 10,
@@ -120,26 +120,26 @@
       await new Promise((resolve) => socket.once('connect', resolve));
       return socket;
     };
-    const ask = (socket: net.Socket): Promise<unknown> => {
+    const sendFirst = (socket: net.Socket): Promise<unknown> => {
       const reply = new Promise((resolve) => socket.once('data', resolve));
       socket.write('GET /first HTTP/1.1\r\n\r\n');
       return reply;
     };
-    // Connections that are accepted already, so that all that follows arrives at once.
-    const gone = await Promise.all(Array.from({ length: 30 }, connect));
+    // The connections are accepted beforehand, so that all following requests arrive at once.
+    const disconnecting = await Promise.all(Array.from({ length: 30 }, connect));
     const patient = await connect();
-    await Promise.all([...gone, patient].map(ask));
+    await Promise.all([...disconnecting, patient].map(sendFirst));
     handled.length = 0;
-    const closed = gone.map((socket) => {
+    const closed = disconnecting.map((socket) => {
       socket.resume();
       return new Promise((resolve) => socket.once('close', resolve));
     });
-    for (const socket of gone) socket.end('GET /gone HTTP/1.1\r\n\r\n');
+    for (const socket of disconnecting) socket.end('GET /gone HTTP/1.1\r\n\r\n');
     const reply = new Promise((resolve) => patient.once('data', resolve));
     patient.write('GET /patient HTTP/1.1\r\n\r\n');
     await Promise.all([reply, ...closed]);
     assert.ok(handled.includes('/patient'));
-    // Some may have had their turn before their end was read.
+    // Some requests may be handled before the end of their connection is read.
     assert.ok(handled.length < 30, `${handled.length} handled`);
     patient.destroy();
   } finally {
