--- a/packages/rollout/src/levels.ts
+++ b/packages/rollout/src/levels.ts
@@ -20,7 +20,7 @@
   /** Describes how the feature is reverted; null if it is irreversible. */
   undo: string | null;
   /** Whether the features file enables it; otherwise it is always on. */
-  isSwitched: boolean;
+  isSwitchable: boolean;
 }
 
 /** The feature table of the build is inconsistent. */
@@ -58,7 +58,7 @@
   enabledLevel(isOn: (name: string) => boolean): number {
     let level = this.lowestLevel;
     for (const feature of this.features) {
-      if (feature.isSwitched && !isOn(feature.name)) return level;
+      if (feature.isSwitchable && !isOn(feature.name)) return level;
       level = feature.level;
     }
     return level;
--- a/packages/rollout/src/migration/migrator.ts
+++ b/packages/rollout/src/migration/migrator.ts
@@ -15,9 +15,9 @@
 export type Conversion =
   | { kind: 'converted' }
   /** The record is already in the target form, or deleted. */
-  | { kind: 'needless' }
+  | { kind: 'not-needed' }
   /** The record is in use or the store did not apply the write; the conversion is retried in a later step. */
-  | { kind: 'later' }
+  | { kind: 'deferred' }
   /** The record cannot be converted; it is quarantined and the pass continues. */
   | { kind: 'failed'; reason: string };
 
@@ -65,7 +65,7 @@
     for (const key of keys) {
       const conversion = await shard.convert(key);
       // Records up to the cursor are not visited again in this pass, so the cursor must not pass a deferred record.
-      if (conversion.kind === 'later') break;
+      if (conversion.kind === 'deferred') break;
       progress = this.advance(progress, key, conversion);
     }
     // Verification after the pass finds records that were written in the old form before the cursor.
--- a/packages/rollout/src/operations.ts
+++ b/packages/rollout/src/operations.ts
@@ -17,7 +17,7 @@
   | { kind: 'done'; version: ClusterVersion }
   | { kind: 'rejected'; reason: string }
   /** A concurrent change of the record, or no confirmation from the store: the operation can be retried. */
-  | { kind: 'again'; reason: string };
+  | { kind: 'retriable'; reason: string };
 
 type OperationPlan = { version: ClusterVersion } | { reason: string };
 
@@ -114,6 +114,9 @@
   });
   if (outcome.kind === 'applied') return { kind: 'done', version };
   if (outcome.kind === 'conflict')
-    return { kind: 'again', reason: 'the version has changed meanwhile' };
-  return { kind: 'again', reason: 'the state service has not confirmed it; look at the status' };
+    return { kind: 'retriable', reason: 'the version has changed meanwhile' };
+  return {
+    kind: 'retriable',
+    reason: 'the state service has not confirmed it; look at the status',
+  };
 }
--- a/packages/rollout/test/features.test.ts
+++ b/packages/rollout/test/features.test.ts
@@ -59,7 +59,7 @@
 });
 
 test('a feature table without features, or with a duplicate name or level, is rejected', () => {
-  const one = { name: 'a', level: 1, writes: '', undo: null, isSwitched: false };
+  const one = { name: 'a', level: 1, writes: '', undo: null, isSwitchable: false };
   const invalidTables = [[], [one, { ...one, level: 2 }], [one, { ...one, name: 'b' }]];
   for (const table of invalidTables)
     assert.throws(() => new FeatureTable(table), FeatureTableError);
@@ -103,8 +103,8 @@
 
 test('the level is not lowered below an irreversible feature', () => {
   const irreversible = new FeatureTable([
-    { name: 'a', level: 1, writes: '', undo: null, isSwitched: false },
-    { name: 'b', level: 2, writes: '', undo: null, isSwitched: false },
+    { name: 'a', level: 1, writes: '', undo: null, isSwitchable: false },
+    { name: 'b', level: 2, writes: '', undo: null, isSwitchable: false },
   ]);
   const operation: Operation = { kind: 'lower', to: 1, by: 'anna', isConfirmed: true };
   const planned = planOperation(at({}), operation, irreversible, 0);
--- a/packages/rollout/test/migrator.test.ts
+++ b/packages/rollout/test/migrator.test.ts
@@ -43,7 +43,7 @@
 
   private convert(key: string): Conversion {
     if (this.damaged.has(key)) return { kind: 'failed', reason: 'its checksum does not match' };
-    if (this.busy.has(key)) return { kind: 'later' };
+    if (this.busy.has(key)) return { kind: 'deferred' };
     this.converted.push(key);
     this.outdated.delete(key);
     return { kind: 'converted' };
--- a/packages/rollout/test/support/features.ts
+++ b/packages/rollout/test/support/features.ts
@@ -1,8 +1,8 @@
 /** A feature table like that of the service: one irreversible feature and two reversible ones. */
 import { FeatureTable } from '../../src/levels.js';
 
-const feature = (name: string, level: number, undo: string | null, isSwitched: boolean) => ({
-  ...{ name, level, undo, isSwitched },
+const feature = (name: string, level: number, undo: string | null, isSwitchable: boolean) => ({
+  ...{ name, level, undo, isSwitchable },
   writes: `records of ${name}`,
 });
 
--- a/packages/rollout/test/support/simulatedCluster.ts
+++ b/packages/rollout/test/support/simulatedCluster.ts
@@ -291,8 +291,8 @@
   private async convert(key: string): Promise<Conversion> {
     const stored = this.cache.get(key);
     const leadership = this.leaderships.get(ownerKey(this.label));
-    if (stored === undefined) return { kind: 'needless' };
-    if (leadership === undefined) return { kind: 'later' };
+    if (stored === undefined) return { kind: 'not-needed' };
+    if (leadership === undefined) return { kind: 'deferred' };
     const value: LevelRecord = { ...(stored.value as LevelRecord), form: this.writableLevel };
     const outcome = await this.cluster.store.transact({
       conditions: [
@@ -302,7 +302,7 @@
       puts: [{ key, value }],
       deletes: [],
     });
-    if (outcome.kind !== 'applied') return { kind: 'later' };
+    if (outcome.kind !== 'applied') return { kind: 'deferred' };
     this.cache.note(key, value, outcome.revision);
     return { kind: 'converted' };
   }
--- a/src/coordination/rollout/featureTable.ts
+++ b/src/coordination/rollout/featureTable.ts
@@ -20,27 +20,27 @@
     level: 1,
     writes: 'records as version 0.2 wrote them',
     undo: null,
-    isSwitched: false,
+    isSwitchable: false,
   },
   {
     name: 'compact-records',
     level: CAPABILITIES_LEVEL,
     writes: 'records without their usual values, large ones in pieces',
     undo: null,
-    isSwitched: false,
+    isSwitchable: false,
   },
   {
     name: COMPRESSED_RECORDS,
     level: BARRIER_MIN_LEVEL,
     writes: 'compressed values for records that would be stored in pieces',
     undo: 'records are stored in pieces again',
-    isSwitched: true,
+    isSwitchable: true,
   },
 ]);
 
 const switchable = [
   ROLLOUT,
-  ...featureTable.features.filter(({ isSwitched }) => isSwitched).map(({ name }) => name),
+  ...featureTable.features.filter(({ isSwitchable }) => isSwitchable).map(({ name }) => name),
 ];
 
 /** Parses the features file; features that it does not name are off. */
--- a/src/coordination/rollout/migratedShards.ts
+++ b/src/coordination/rollout/migratedShards.ts
@@ -70,7 +70,7 @@
   private async convert(shard: string, key: string): Promise<Conversion> {
     const reason = this.node.stateClient.unreadable.get(key);
     if (reason !== undefined) return { kind: 'failed', reason };
-    if (!this.isOutdated(key)) return { kind: 'needless' };
+    if (!this.isOutdated(key)) return { kind: 'not-needed' };
     const ownedShard = this.node.ownedShards.get(shard);
     if (ownedShard === undefined) return this.rewriteDirectly(shard, key);
     if (key.startsWith(BUCKET_PREFIX)) return this.rewriteBucket(ownedShard, key);
@@ -81,7 +81,7 @@
   private async rewriteBucket(ownedShard: OwnedShard, key: string): Promise<Conversion> {
     const name = key.slice(keys.bucketsOf(ownedShard.shard.label).length);
     const bucket = ownedShard.buckets.get(name);
-    if (bucket === undefined) return { kind: 'later' };
+    if (bucket === undefined) return { kind: 'deferred' };
     const [chunk] = bucket.chunks;
     if (chunk === undefined) bucket.isDirty = true;
     else ownedShard.shard.noteChunkChanged(chunk, this.node.clock.now());
@@ -92,7 +92,7 @@
     const { clock, settings } = this.node;
     const deadline = clock.now() + settings.heartbeatInterval * WRITE_TIMEOUT_INTERVALS;
     while (this.isOutdated(key)) {
-      if (clock.now() >= deadline) return { kind: 'later' };
+      if (clock.now() >= deadline) return { kind: 'deferred' };
       await sleep(settings.heartbeatInterval * WRITE_POLL_INTERVALS);
     }
     return { kind: 'converted' };
@@ -103,7 +103,7 @@
     // A job that is not in memory is finished; only the migration still writes its record.
     if (job === undefined) return this.rewriteDirectly(ownedShard.shard.label, key);
     const isWritten = await this.node.persistence.rewrite(ownedShard, job);
-    return isWritten ? { kind: 'converted' } : { kind: 'later' };
+    return isWritten ? { kind: 'converted' } : { kind: 'deferred' };
   }
 
   /** Writes the stored value again, on condition of the leader key of the shard. */
@@ -111,8 +111,8 @@
     const { stateClient, stateCache } = this.node;
     const leadership = this.leadership(shard);
     const item = await stateClient.get(key);
-    if (leadership === null) return { kind: 'later' };
-    if (item === null) return { kind: 'needless' };
+    if (leadership === null) return { kind: 'deferred' };
+    if (item === null) return { kind: 'not-needed' };
     const { value, revision } = item;
     const result = await stateClient.transact({
       conditions: [leadership, { key, revision }],
@@ -122,7 +122,7 @@
     if (result.kind === 'malformed') {
       return { kind: 'failed', reason: 'its conversion is beyond the limits of a transaction' };
     }
-    if (result.kind !== 'applied') return { kind: 'later' };
+    if (result.kind !== 'applied') return { kind: 'deferred' };
     stateCache.note(key, value, result.revision);
     return { kind: 'converted' };
   }
