--- a/src/coordination/audit/auditEvent.ts
+++ b/src/coordination/audit/auditEvent.ts
@@ -8,38 +8,39 @@
 export type Invariant =
   | 'start-beside-live-attempt'
   | 'attempt-vanished'
-  /** A worker was told to forget an attempt under a token that a copy of its start may have as well. */
+  /** A worker was told to forget an attempt under a fencing token that a copy of the attempt's start may have as well. */
   | 'acknowledgement-under-start-token'
-  /** A worker reports an attempt again that it had forgotten. */
+  /** A worker reported an attempt again that it had forgotten. */
   | 'acknowledged-attempt-returned'
-  /** A user's question was about to be answered by what was known of the job before it came. */
+  /** A user's request was about to be answered by information about the job that is older than the request. */
   | 'answer-older-than-question'
-  /** A job that was called done was about to be called cancelled, or the other way round. */
+  /** A job that was reported as done was about to be reported as cancelled, or the other way round. */
   | 'final-states-differ'
-  /** A start of a task was about to leave though its job's cancellation is announced or stored. */
+  /** A start of a task was about to be sent although its job's cancellation is announced or stored. */
   | 'start-of-cancelled-job'
-  /** A worker's lease was renewed over a task of a cancelled job, and no stop of it is on its way. */
+  /** A worker's lease was renewed over a task of a cancelled job without a stop of the task being sent. */
   | 'renewal-without-stop'
   /** A chunk of a cancelled job was in a shard as if the job were open. */
   | 'unmarked-cancelled-chunk';
 
-/** What a user has asked of a job. */
+/** The kind of a user's request about a job. */
 export type UserRequestKind = 'read' | 'submit' | 'cancel';
 
-/** On what a job's state was told. Durations are in seconds. */
+/** The source of an answer about a job's state. Durations are in seconds. */
 export type AnswerSource =
-  /** A final record; `revision` is that of this node's copy. */
+  /** A final record; `revision` is that of this node's cached record. */
   | { source: 'final'; revision: number }
   | { source: 'leader'; shard: string; fencingToken: number; leaseLeft: number }
-  /** `age`: since the store, or the peer, was asked. */
+  /** `age`: time since the store, or the peer, was queried. */
   | { source: 'store'; age: number }
   | { source: 'peer'; peer: string; age: number };
 
 /**
- * Why a user was told to come back in place of a job's state. `told-final-before`: this node has told that the job is over;
- * `leadership-ended`: the right to speak for the job's shard is gone, or a change of its record has no answer;
- * `older-than-question`, `final-states-differ`: an invariant is violated; `dependency-may-be-cancelled`: a job
- * that it needs was cancelled, or this node can't know (safety, P4); `job-is-known`: the job was about to be denied.
+ * Why a user was told to retry instead of being told a job's state. `told-final-before`: this node has reported before that
+ * the job is over; `leadership-ended`: the right to answer for the job's shard has ended, or a change of its record has no
+ * answer; `older-than-question`, `final-states-differ`: an invariant is violated; `dependency-may-be-cancelled`: a job that
+ * it depends on was cancelled, or this node can't rule that out (safety, P4); `job-is-known`: the answer was about to be
+ * that there is no such job.
  */
 export type AnswerWithheldReason =
   | 'told-final-before'
@@ -49,7 +50,10 @@
   | 'dependency-may-be-cancelled'
   | 'job-is-known';
 
-/** `never-came`: not up long after its boot; `silent`: it does not respond while others do. */
+/**
+ * Why a machine's release is requested. `never-came`: not up long after its boot; `silent`: it does not respond while
+ * others do.
+ */
 export type MachineReleaseReason = 'never-came' | 'silent';
 
 /** A decision about who may act for a shard, or about an attempt. Durations are in seconds. */
@@ -64,7 +68,7 @@
       leaseLeft: number;
       /** Seconds for which an earlier leader may still answer the shard's workers. */
       otherOwnersLeft: number;
-      /** Revision and age in seconds of the state cache that the shard was loaded from. */
+      /** Revision, and age in seconds, of the state cache from which the shard was loaded. */
       revision: number;
       copyAge: number;
     }
@@ -75,7 +79,7 @@
       shard: string;
       /** The token of the message. */
       fencingToken: number;
-      /** The highest token under which a start has left for the machine before; null: none has under this leadership. */
+      /** The highest token under which a start was sent to the machine before; null: none was under this leadership. */
       startToken: number | null;
       /** The highest token that the worker has shown. */
       seenToken: number;
@@ -90,7 +94,10 @@
       event: 'commands-outcome';
       shard: string;
       fencingToken: number;
-      /** By the report that came back; null: none did. Above `fencingToken`: the command was older than that. */
+      /**
+       * The highest token in the heartbeat that came back; null: none did. If it is above `fencingToken`, the command was
+       * outdated.
+       */
       seenToken: number | null;
       machine: string;
       outcome: CommandOutcome;
@@ -127,7 +134,7 @@
       /** As `shard=turnaround` of each answer, separated by commas. */
       answers: string;
     }
-  /** A user was told how a job stands. */
+  /** A user was told a job's state. */
   | ({
       event: 'job-answered';
       request: UserRequestKind;
--- a/src/coordination/audit/auditTrail.ts
+++ b/src/coordination/audit/auditTrail.ts
@@ -6,7 +6,7 @@
 import type { AuditEvent } from './auditEvent.js';
 import { statusCounterName } from './statusCounters.js';
 
-/** Events that come for every task or every question and say little by themselves: logged at `debug` only. */
+/** Events that occur for every task or request and say little by themselves; they are logged at `debug` only. */
 function isRoutine(event: AuditEvent): boolean {
   switch (event.event) {
     case 'commands-outcome':
@@ -31,7 +31,7 @@
   return typeof value === 'string' && value.includes(' ') ? JSON.stringify(value) : String(value);
 };
 
-/** One line: `audit at=… node=… event=… name=value …`; `at` is the time of day in seconds. */
+/** Formats an event as one line: `audit at=… node=… event=… name=value …`; `at` is wall-clock time in seconds. */
 export function formatAuditEvent(node: string, at: number, event: AuditEvent): string {
   const values: Record<string, string | number | null> = event;
   const fields = Object.entries(values).map(([name, value]) => `${name}=${formatValue(value)}`);
@@ -42,7 +42,7 @@
 export class AuditTrail {
   private readonly counts = new Map<string, number>();
 
-  /** `wallTime` gives the time of day in seconds. */
+  /** `wallTime` returns the wall-clock time in seconds. */
   constructor(
     private readonly node: string,
     private readonly wallTime: () => number,
@@ -57,7 +57,7 @@
     } else if (log.getLevel() <= log.levels.INFO) log.info(this.format(event));
   }
 
-  /** How often each kind of event was noted since the start, by counter name in alphabetical order. */
+  /** Number of events of each kind since the start, by counter name in alphabetical order. */
   get counters(): Record<string, number> {
     return Object.fromEntries([...this.counts].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
--- a/src/coordination/audit/cancellationEvent.ts
+++ b/src/coordination/audit/cancellationEvent.ts
@@ -1,14 +1,14 @@
 /**
- * Audit events by which one cancellation can be followed: who announced it, who acknowledged it under which fencing token,
- * what was stored, and which workers' leases were renewed meanwhile (docs/operations.md, Following one cancellation).
+ * Audit events that trace one cancellation: who announced it, who acknowledged it under which fencing token, what was
+ * stored, and which workers' leases were renewed meanwhile (docs/operations.md, Following one cancellation).
  */
 import type { TransactionResult } from '../../storage/stateClient.js';
 
 /** Why a node does not acknowledge a cancellation for a chunk that it has. */
 export type AcknowledgementWithheldReason =
-  /** It is, or may be, on its way to another shard. */
+  /** The chunk is, or may be, on its way to another shard. */
   | 'migrating'
-  /** An earlier leader of the shard may answer the worker of one of its tasks for too long. */
+  /** An earlier leader of the shard may still answer the worker of one of the chunk's tasks for too long. */
   | 'previous-leader';
 
 /** A step of a cancellation. Durations are in seconds, revisions are those of the state service. */
@@ -17,7 +17,7 @@
   | {
       event: 'cancellation-announced';
       job: string;
-      /** Chunks of the job at shards that this node leads, and for how many of them it answers. */
+      /** Chunks of the job in shards that this node leads, and the number of them that it acknowledges. */
       chunks: number;
       acknowledged: number;
       /** As `chunk=reason`, separated by commas. */
@@ -25,13 +25,13 @@
       copyRevision: number;
       copyAge: number;
     }
-  /** The leader of the home shard has heard from the nodes, or has waited long enough. */
+  /** The leader of the home shard has heard from all nodes, or has waited long enough. */
   | {
       event: 'cancellation-prepared';
       job: string;
       shard: string;
       jobRevision: number;
-      /** Open chunks that nobody has acknowledged, by their indices; empty: it may be stored. */
+      /** Indices of open chunks that nobody has acknowledged; if empty, the cancellation may be stored. */
       missing: string;
       /** The leadership of each shard that was counted, as `shard=token@revision`. */
       leaders: string;
@@ -44,12 +44,12 @@
       fencingToken: number;
       outcome: TransactionResult['kind'];
       jobRevision: number;
-      /** Since the storing of this cancellation was begun. */
+      /** Time since the first attempt to store this cancellation began. */
       age: number;
     }
-  /** The job is still open after its cancellation was announced, and goes on here. */
+  /** The job is still open after its cancellation was announced, and continues here. */
   | { event: 'cancellation-abandoned'; job: string; age: number; copyRevision: number }
-  /** A chunk of a job whose cancellation is announced or stored has come to a shard. */
+  /** A chunk of a job whose cancellation is announced or stored has arrived in a shard. */
   | {
       event: 'cancelled-chunk-taken-up';
       job: string;
@@ -63,9 +63,9 @@
       shard: string;
       fencingToken: number;
       machine: string;
-      /** Such tasks, and for how many of them the answer carries the stop. */
+      /** Number of such tasks, and of those for which the answer carries the stop. */
       tasks: number;
       stops: number;
-      /** Until this node may start no more work; negative: it answers in its grace period. */
+      /** Time until this node may start no more work; negative: it answers in its grace period. */
       leaseLeft: number;
     };
--- a/src/coordination/audit/commandOutcome.ts
+++ b/src/coordination/audit/commandOutcome.ts
@@ -1,4 +1,4 @@
-/** How commands reach a worker and what becomes of them. */
+/** The routes of commands to a worker, and their outcomes. */
 
 /** The route of a command: a request to the worker (`command`), or the answer to its heartbeat (`answer`). */
 export type CommandRoute = 'command' | 'answer';
--- a/src/coordination/audit/statusCounters.ts
+++ b/src/coordination/audit/statusCounters.ts
@@ -1,11 +1,11 @@
 /**
- * The counters of audit events that `/v1/overview` shows. Their names are part of that interface and stay those of
- * version 0.4.1, while the events themselves have the names that the log lines show.
+ * The counters of audit events that `/v1/overview` shows. Their names are part of that interface and stay those of version
+ * 0.4.1, while the events have the names that the log lines show.
  */
 import type { AuditEvent } from './auditEvent.js';
 import type { TerminationRule } from './terminationRule.js';
 
-/** Counters of events that are counted under one name, whatever their fields are. */
+/** Counters of events that are counted under one name, whatever their fields. */
 const EVENT_COUNTERS = {
   'leadership-gained': 'part-gained',
   'leadership-lost': 'part-lost',
@@ -17,7 +17,7 @@
   'cancelled-task-renewed': 'cancellations.task-renewed',
 } as const;
 
-/** The last part of the counter of terminated attempts, by the rule that terminated them. */
+/** The last part of the counter's name for terminated attempts, by the rule of their termination. */
 const RULE_COUNTERS: Record<TerminationRule, string> = {
   ended: 'ended',
   absent: 'absent',
@@ -28,7 +28,7 @@
   'never-sent': 'never-sent',
 };
 
-/** The name under which an event is counted in `/v1/overview`. */
+/** The name of an event's counter in `/v1/overview`. */
 export function statusCounterName(event: AuditEvent): string {
   switch (event.event) {
     case 'attempt-terminated':
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -1,4 +1,4 @@
-/** Scale-out and scale-in of all shards, by the one controller that is elected for it. */
+/** Scale-out and scale-in of all shards, run by the one controller that is elected for it. */
 import { sleep } from '../../base/clock.js';
 import { describeError, log } from '../../base/log.js';
 import type { MachineType } from '../../protocol/cloudProtocol.js';
@@ -30,26 +30,32 @@
     process: string,
   ) {
     const { clock, links, settings } = node;
-    const { cloudEndpoint, cloudRequestRate: cloudRate } = settings;
-    this.cloud = new CloudClient(links.services, clock, cloudEndpoint, cloudRate);
+    const { cloudEndpoint, cloudRequestRate } = settings;
+    this.cloud = new CloudClient(links.services, clock, cloudEndpoint, cloudRequestRate);
     this.groups = new MachineGroupStore(node, process);
-    const openRentals = new UnansweredLaunches(node);
-    this.scaleOut = new ScaleOut(node, this.cloud, this.groups, openRentals);
+    const unansweredLaunches = new UnansweredLaunches(node);
+    this.scaleOut = new ScaleOut(node, this.cloud, this.groups, unansweredLaunches);
     this.scaleIn = new ScaleIn(node, this.cloud, this.groups);
     const isReleased = (machine: string): boolean => this.scaleIn.isReleased(machine);
-    this.inventorySync = new InventorySync(node, this.cloud, this.groups, openRentals, isReleased);
+    this.inventorySync = new InventorySync(
+      node,
+      this.cloud,
+      this.groups,
+      unansweredLaunches,
+      isReleased,
+    );
   }
 
-  /** This controller has been elected as the autoscaler. */
+  /** Called when this controller has been elected as the autoscaler. */
   onElected(): void {
     this.isElected = true;
-    this.groups.pending.clear();
+    this.groups.pendingMachines.clear();
     this.scaleOut.reset();
     this.inventorySync.invalidate();
     log.info('this node is the autoscaler');
   }
 
-  /** Another controller is the autoscaler, or none is. */
+  /** Called when another controller is the autoscaler, or none is. */
   onElectionLost(): void {
     this.isElected = false;
   }
@@ -68,7 +74,7 @@
         if (this.isElected && leadership.isLeaseValid && this.node.machineTypes.size > 0)
           this.step();
       } catch (error) {
-        log.error(`autoscaler: ${describeError(error)}`);
+        log.error(`autoscaling step failed: ${describeError(error)}`);
       }
       await sleep(settings.heartbeatInterval * INTERVAL);
     }
@@ -77,8 +83,8 @@
   private step(): void {
     const { clock, stateClient, stateLeaseTtl } = this.node;
     const now = clock.now();
-    if (this.cloud.isPausing) return;
-    // A request sent into a partition may be carried out after it, when nobody wants it any more.
+    if (this.cloud.isPaused) return;
+    // A request sent during a partition may be executed after it has ended, when nobody wants it any more.
     if (now - stateClient.lastServed > stateLeaseTtl / 2) return;
     void this.storeTypes();
     void this.inventorySync.readIfDue(now);
--- a/src/coordination/autoscaling/autoscalingContext.ts
+++ b/src/coordination/autoscaling/autoscalingContext.ts
@@ -1,4 +1,4 @@
-/** What the autoscaler uses of its controller. */
+/** The autoscaler's view of its controller. */
 import type { Clock } from '../../base/clock.js';
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { Settings } from '../../protocol/settings.js';
@@ -10,7 +10,7 @@
 import type { Gossiper } from '../peers/gossiper.js';
 import type { PeerRegistry } from '../peers/peerRegistry.js';
 
-/** The parts of a controller that the autoscaler works with; `Controller` is one. */
+/** The parts of a controller that the autoscaler uses; `Controller` implements it. */
 export interface AutoscalingContext {
   readonly clock: Clock;
   readonly settings: Settings;
--- a/src/coordination/autoscaling/cloudClient.ts
+++ b/src/coordination/autoscaling/cloudClient.ts
@@ -4,26 +4,29 @@
 import { RateLimiter } from '../../storage/rateLimiter.js';
 import type { HttpClient, Response } from '../../transport/httpClient.js';
 
-/** What has become of a request for machines; `unavailable`: it may or may not be carried out. */
+/** The result of a launch request; `unavailable`: the request may or may not be executed. */
 export type LaunchResult =
   | { kind: 'launched'; machines: string[] }
   | { kind: 'insufficient-capacity' }
   | { kind: 'malformed' }
   | { kind: 'unavailable' };
 
-/** A little below the cloud's own limit, since the other controllers read the machine types. */
+/**
+ * Share of the cloud's rate limit that is used here: a little less than all, since the other controllers read the machine
+ * types.
+ */
 const RATE_SHARE = 0.8;
 
-/** Timeout in seconds: the cloud may take a second or two when it is busy. */
+/** Request timeout in seconds; a busy cloud may take a second or two to answer. */
 const TIMEOUT = 5;
 
 /** Seconds without requests after a failure. */
 const PAUSE_AFTER_FAILURE = 1;
 
-/** The cloud's interface: machines are listed, launched and released. */
+/** Client for the cloud's interface: lists, launches and releases machines. */
 export class CloudClient {
   private readonly rateLimiter: RateLimiter;
-  private failedUntil = 0;
+  private pausedUntil = 0;
 
   constructor(
     private readonly http: Pick<HttpClient, 'call'>,
@@ -35,11 +38,11 @@
   }
 
   /** Whether a request has failed less than `PAUSE_AFTER_FAILURE` ago. */
-  get isPausing(): boolean {
-    return this.clock.now() < this.failedUntil;
+  get isPaused(): boolean {
+    return this.clock.now() < this.pausedUntil;
   }
 
-  /** All machines that the cloud lists, by name; null when it did not give the whole list. */
+  /** All machines that the cloud lists, by name; null if the list could not be read to its end. */
   async listMachines(): Promise<Map<string, cloud.ListedMachine> | null> {
     const found = new Map<string, cloud.ListedMachine>();
     for (let after = ''; ;) {
@@ -53,7 +56,7 @@
     }
   }
 
-  /** Requests machines; repeating a request with the same `ask` gives the machines of the first. */
+  /** Requests machines. Repeating a request with the same `idempotencyKey` returns the machines of the first one. */
   async launch(request: cloud.RentalRequest): Promise<LaunchResult> {
     const answer = await this.call('POST', cloud.paths.rentals, cloud.rentalRequest(request));
     if (answer.status === 200) {
@@ -76,7 +79,7 @@
   }
 
   private pause(): void {
-    this.failedUntil = this.clock.now() + PAUSE_AFTER_FAILURE;
+    this.pausedUntil = this.clock.now() + PAUSE_AFTER_FAILURE;
   }
 
   private async call(method: string, target: string, body?: unknown): Promise<Response> {
--- a/src/coordination/autoscaling/machineGroupStore.ts
+++ b/src/coordination/autoscaling/machineGroupStore.ts
@@ -1,4 +1,4 @@
-/** The stored groups of machines, written only by the elected autoscaler, on condition of its leadership. */
+/** The stored groups of machines. Only the elected autoscaler writes them, on condition of its leadership. */
 import { sleep } from '../../base/clock.js';
 import { MAX_TRANSACTION_CHANGE_BYTES } from '../../protocol/stateProtocol.js';
 import type { RequestPriority } from '../../storage/rateLimiter.js';
@@ -7,13 +7,13 @@
 import { AUTOSCALER_ROLE } from '../leadership/shardLeadership.js';
 import type { AutoscalingContext } from './autoscalingContext.js';
 
-/** How often the removal of released machines from their records may fail. */
+/** Failed writes after which the removal of released machines from their records is given up. */
 const REMOVAL_TRIES = 20;
 
 /** Writes of machine group records. */
 export class MachineGroupStore {
-  /** Machines whose group is being stored, by the group's name: they are not unknown. */
-  readonly pending = new Map<string, string[]>();
+  /** Machines whose group is being stored, by the group's name. They do not count as unknown. */
+  readonly pendingMachines = new Map<string, string[]>();
   private readonly storing = new Set<string>();
   private sequence = 0;
   private stopped = false;
@@ -23,7 +23,7 @@
     private readonly process: string,
   ) {}
 
-  /** Ends repeated writes. */
+  /** Ends the retries of writes. */
   stop(): void {
     this.stopped = true;
   }
@@ -42,15 +42,15 @@
 
   /** Whether a machine is being stored in another group than this one. */
   isBeingStoredElsewhere(machine: string, group: string): boolean {
-    for (const [name, machines] of this.pending)
+    for (const [name, machines] of this.pendingMachines)
       if (name !== group && machines.includes(machine)) return true;
     return false;
   }
 
-  /** Forgets pending machines, but for groups that are still being stored. */
+  /** Forgets pending machines, except those of open scale-outs and of groups that are still being stored. */
   prunePending(isOpen: (name: string) => boolean): void {
-    for (const name of this.pending.keys()) {
-      if (!isOpen(name) && !this.storing.has(name)) this.pending.delete(name);
+    for (const name of this.pendingMachines.keys()) {
+      if (!isOpen(name) && !this.storing.has(name)) this.pendingMachines.delete(name);
     }
   }
 
@@ -69,22 +69,22 @@
     return result;
   }
 
-  /** Stores machines that no recorded scale-out launched, under a name of their own. */
+  /** Stores machines that no recorded scale-out launched as a group with a name of its own. */
   async adopt(group: MachineGroupRecord): Promise<void> {
     const { node } = this;
     const name = this.nextName();
     const leadership = node.leadership.get(AUTOSCALER_ROLE);
     this.storing.add(name);
-    this.pending.set(name, Object.keys(group.machines));
-    // Its machines go into no other group before it is known whether this one is stored: a machine in
-    // two groups would belong to two shards.
+    this.pendingMachines.set(name, Object.keys(group.machines));
+    // The write is repeated until it is known whether the group is stored. Until then its machines must not go into another
+    // group: a machine in two groups would belong to two shards.
     while (!this.stopped && node.leadership.get(AUTOSCALER_ROLE) === leadership) {
       if (await this.tryAdopt(name, group)) break;
     }
     this.storing.delete(name);
   }
 
-  /** True once it is known whether the group is stored. */
+  /** Returns true once it is known whether the group is stored. */
   private async tryAdopt(name: string, group: MachineGroupRecord): Promise<boolean> {
     const { node } = this;
     const result = await this.create(name, group);
@@ -97,12 +97,12 @@
     const item = await node.stateClient.get(key).catch(() => undefined);
     if (item === undefined) return false;
     if (item !== null) node.stateCache.note(key, item.value, item.revision);
-    // Neither the key nor the leadership is as expected: a new autoscaler will find the machines.
+    // The record does not exist, so the leadership has changed: a new autoscaler will find the machines.
     else await node.leadership.verifyLeadership(AUTOSCALER_ROLE).catch(() => undefined);
     return true;
   }
 
-  /** Changes groups in one transaction; null removes one. */
+  /** Writes groups in one transaction; null removes a group. */
   async replace(
     groups: Map<string, MachineGroupRecord | null>,
     priority: RequestPriority,
@@ -136,7 +136,7 @@
     else stateCache.note(key, item.value, item.revision);
   }
 
-  /** Removes machines that the cloud has confirmed to be released: what ran there has ended. */
+  /** Removes machines from their groups after the cloud has confirmed their release: what ran there has ended. */
   async removeMachines(machines: string[]): Promise<void> {
     const { leadership, settings } = this.node;
     for (let failures = 0; failures < REMOVAL_TRIES;) {
@@ -145,7 +145,7 @@
       const result = await this.replace(groups, 'urgent');
       if (result.kind === 'refused' && this.leaderCondition() === null) return;
       if (result.kind === 'conflict') {
-        // An earlier copy was applied, or the watch is late: read the records again.
+        // An earlier copy of the transaction was applied, or the watch lags behind: read the records again.
         for (const name of groups.keys()) await this.reread(name);
         await leadership.verifyLeadership(AUTOSCALER_ROLE);
       }
@@ -155,7 +155,7 @@
     }
   }
 
-  /** The groups that hold any of the machines, without them: as many as fit a transaction, or one. */
+  /** The groups that contain any of the machines, without those: as many groups as fit a transaction, at least one. */
   private withoutMachines(machines: string[]): Map<string, MachineGroupRecord | null> {
     const { inventory, stateCache, settings, stateClient: state } = this.node;
     const groups = new Map<string, MachineGroupRecord | null>();
--- a/src/coordination/autoscaling/machineGroups.ts
+++ b/src/coordination/autoscaling/machineGroups.ts
@@ -1,31 +1,31 @@
-/** Which shard a machine goes to, and how many machines one record may hold: pure functions. */
+/** Pure functions that choose the shard of a machine and limit the number of machines in a record. */
 import { MAX_RENTAL_COUNT } from '../../protocol/cloudProtocol.js';
 import type { MachineInventory } from '../../storage/machineInventory.js';
 import type { MachineGroupRecord } from '../../storage/records.js';
 
-/** Bytes of a machine's name, time and address in its group's record, with room for long ones. */
+/** Bytes of a machine's name, launch time and address in its group's record, with room for long ones. */
 const MACHINE_BYTES = 120;
 
 /** Share of a record's size limit that the machines of a group may use. */
 const RECORD_SHARE = 0.8;
 
-/** Machines that a group may have: its record, and copies of it in a transaction, stay within the limits. */
+/** Most machines that a group may have, so that its record, and copies of it in a transaction, stay within the limits. */
 export function groupLimit(valueBytes: number): number {
   const fitting = Math.floor((valueBytes * RECORD_SHARE) / MACHINE_BYTES);
   return Math.max(1, Math.min(MAX_RENTAL_COUNT, fitting));
 }
 
-/** The same machines in groups of at most `most`. */
-export function splitGroup(group: MachineGroupRecord, most: number): MachineGroupRecord[] {
+/** The same machines in groups of at most `limit`. */
+export function splitGroup(group: MachineGroupRecord, limit: number): MachineGroupRecord[] {
   const machines = Object.entries(group.machines);
   const groups: MachineGroupRecord[] = [];
-  for (let from = 0; from < machines.length; from += most) {
-    groups.push({ ...group, machines: Object.fromEntries(machines.slice(from, from + most)) });
+  for (let from = 0; from < machines.length; from += limit) {
+    groups.push({ ...group, machines: Object.fromEntries(machines.slice(from, from + limit)) });
   }
   return groups;
 }
 
-/** What is needed to choose a shard for machines. */
+/** The parts of a controller that the choice of a shard depends on. */
 export interface MachineGroupContext {
   shards: string[];
   zoneOf: ReadonlyMap<string, string>;
@@ -34,8 +34,8 @@
 }
 
 /**
- * Machines go to a shard of their own zone, so that a partition between zones leaves shards whole: to the
- * one that wants them, or else to the one with the fewest CPUs.
+ * Chooses the shard for machines. They go to a shard of their own zone, so that a partition between zones leaves shards
+ * whole: to the shard that wants them, or else to the one with the fewest CPUs.
  */
 export function chooseShardFor(
   node: MachineGroupContext,
--- a/src/coordination/autoscaling/scaleIn.ts
+++ b/src/coordination/autoscaling/scaleIn.ts
@@ -5,12 +5,12 @@
 import type { AutoscalingContext } from './autoscalingContext.js';
 import type { MachineGroupStore } from './machineGroupStore.js';
 
-/** How long a released machine is remembered, as a ratio to the lag of the cloud's list. */
-const RELEASED_MEMORY = 10;
+/** How long a released machine is remembered, as a ratio to the list's lag. */
+const RELEASED_RETENTION = 10;
 
 /** Scale-in of all shards by the elected autoscaler. */
 export class ScaleIn {
-  /** Machines whose release was confirmed, and when: gone, whatever a late list says. */
+  /** Machines whose release was confirmed, with its monotonic time: they are gone, whatever a late list says. */
   private readonly released = new Map<string, number>();
   private readonly releasing = new Set<string>();
 
@@ -20,24 +20,28 @@
     private readonly groups: MachineGroupStore,
   ) {}
 
-  /** Whether the machine's release was confirmed lately. */
+  /** Whether the machine's release was confirmed recently. */
   isReleased(machine: string): boolean {
     return this.released.has(machine);
   }
 
-  /** Starts the release of all that is due; `unusable` machines failed to come up, or are gone by the cloud's lists. */
+  /**
+   * Starts the release of all machines that are due; `unusable` ones failed to come up, or are gone according to the cloud's lists.
+   */
   releaseDue(now: number, unusable: string[]): void {
-    this.forget(now);
+    this.forgetOldReleases(now);
     const due = [...this.unwanted(unusable)].filter(
       (machine) => !this.releasing.has(machine) && !this.released.has(machine),
     );
-    // All at once: when hundreds of machines are lost together, replicas wait for each of them.
+    // All requests are sent at once: when hundreds of machines are lost together, replicas wait for each of them.
     for (let from = 0; from < due.length; from += MAX_RELEASE_COUNT) {
       void this.release(due.slice(from, from + MAX_RELEASE_COUNT));
     }
   }
 
-  /** Lost machines first, since their tasks are started anew once they are released; then idle ones. */
+  /**
+   * The machines to release. Lost ones come first, since their tasks are restarted only after the release; then idle ones.
+   */
   private unwanted(unusable: string[]): Set<string> {
     const { gossiper, peers, inventory } = this.node;
     const gossips = peers.gossips().filter((gossip) => gossip.isServed);
@@ -45,16 +49,16 @@
       ...gossiper.lostMachines(),
       ...gossips.flatMap((gossip) => gossip.lostMachines),
       ...unusable,
-      // Two shards count on it: only a confirmed release ends its attempts for both.
+      // Groups of two shards contain the machine: only a confirmed release ends its attempts for both.
       ...inventory.contested(),
       ...gossiper.spareMachines(),
       ...gossips.flatMap((gossip) => gossip.idleMachines),
     ]);
   }
 
-  private forget(now: number): void {
+  private forgetOldReleases(now: number): void {
     for (const [machine, at] of this.released) {
-      if (now - at > this.node.settings.cloudListLag * RELEASED_MEMORY)
+      if (now - at > this.node.settings.cloudListLag * RELEASED_RETENTION)
         this.released.delete(machine);
     }
   }
@@ -68,7 +72,7 @@
       for (const machine of machines) this.released.set(machine, now);
       await this.groups.removeMachines(machines);
     } catch (error) {
-      log.debug(`release: ${describeError(error)}`);
+      log.debug(`release of machines failed: ${describeError(error)}`);
     } finally {
       for (const machine of machines) this.releasing.delete(machine);
     }
--- a/src/coordination/autoscaling/scaleOut.ts
+++ b/src/coordination/autoscaling/scaleOut.ts
@@ -13,21 +13,21 @@
 const SERVICE_HORIZON = 600;
 
 /**
- * A kind that is out of stock is requested again after a pause: twice the heartbeat interval at first,
- * doubled each time, up to this ratio to the interval.
+ * Longest pause before a kind that is out of stock is requested again, as a ratio to the heartbeat interval. The pause is
+ * twice the interval at first, and doubles each time.
  */
-const LONGEST_PAUSE = 10;
+const MAX_OUT_OF_STOCK_PAUSE = 10;
 
-/** How long a shard's demands take to count a scale-out, as a ratio to the heartbeat interval. */
+/** Time until a shard's demands account for a scale-out, as a ratio to the heartbeat interval. */
 const DEMAND_LAG = 0.7;
 
 /** Cooldown of a shard after a kind was out of stock, as a ratio to the heartbeat interval. */
-const RETRY_OTHER_KIND = 1 / 5;
+const OTHER_KIND_COOLDOWN = 1 / 5;
 
-/** A scale-out whose machines the demands may not count yet. */
+/** A scale-out whose machines the demands may not account for yet. */
 interface PendingScaleOut {
   plan: ScaleOutPlan;
-  /** Steady time until which the shards may not have counted its machines. */
+  /** Monotonic time until which the shards' demands may not account for its machines. */
   until: number;
 }
 
@@ -35,14 +35,14 @@
   `${type}/${zone}/${String(spot)}`;
 
 /**
- * Sizes of the requests for `count` machines; `most` fit a record. Of a kind that was out of stock one
- * request is sent as a probe: each costs two changes of the state service, and a dozen that failed
- * together delayed starts at the autoscaler's own shard for minutes.
+ * Sizes of the launch requests for `count` machines, at most `limit` of which fit a record. For a kind that was out of stock
+ * a single request is sent as a probe: each request costs two writes to the state service, and a dozen that failed together
+ * delayed starts in the autoscaler's own shard for minutes.
  */
-export function requestSizes(count: number, most: number, wasOutOfStock: boolean): number[] {
+export function requestSizes(count: number, limit: number, wasOutOfStock: boolean): number[] {
   const sizes: number[] = [];
-  for (let left = count; left > 0; left -= most) {
-    sizes.push(Math.min(left, most));
+  for (let left = count; left > 0; left -= limit) {
+    sizes.push(Math.min(left, limit));
     if (wasOutOfStock) break;
   }
   return sizes;
@@ -50,33 +50,33 @@
 
 /** Scale-out of all shards by the elected autoscaler. */
 export class ScaleOut {
-  /** Kinds of machines that are out of stock, and the steady time at which they are requested again. */
+  /** Kinds of machines that are out of stock, with the monotonic time at which each is requested again. */
   private readonly outOfStock = new Map<string, { until: number; pause: number }>();
   /** Scale-outs, by name, that are being stored or requested. */
   private readonly inProgress = new Set<string>();
-  /** Scale-outs in progress, and those whose machines the shards may not have counted yet, by name. */
+  /** Scale-outs in progress, and those that the shards' demands may not account for yet, by name. */
   private readonly pending = new Map<string, PendingScaleOut>();
-  /** Steady time at which each shard's cooldown ends: its demands are not looked at before. */
+  /** Monotonic time at which each shard's cooldown ends; its demands are ignored before that. */
   private readonly cooldownUntil = new Map<string, number>();
 
   constructor(
     private readonly node: AutoscalingContext,
     private readonly cloud: CloudClient,
     private readonly groups: MachineGroupStore,
-    private readonly openRentals: UnansweredLaunches,
+    private readonly unansweredLaunches: UnansweredLaunches,
   ) {}
 
-  /** This controller has been elected: what it knew of an earlier election's scale-outs is void. */
+  /** Forgets the scale-outs of an earlier election. */
   reset(): void {
     this.pending.clear();
   }
 
-  /** Whether the scale-out has not been concluded. */
+  /** Whether the scale-out is in progress, or recorded and not answered yet. */
   isOpen(name: string): boolean {
     return this.inProgress.has(name) || this.node.inventory.isIntention(name);
   }
 
-  /** Goes on with all recorded scale-outs, also those of an earlier autoscaler. */
+  /** Sends the launch requests of all recorded scale-outs again, also those of an earlier autoscaler. */
   continueOpen(now: number): void {
     for (const [name, { until }] of this.pending) if (until <= now) this.pending.delete(name);
     for (const [name, group] of this.node.inventory.entries()) {
@@ -92,10 +92,10 @@
       (demand) => (this.cooldownUntil.get(demand.shard) ?? 0) <= now,
     );
     if (demands.length === 0) return;
-    // A large scale-out is several requests side by side: hundreds of machines may be missing.
-    const most = groupLimit(settings.valueBytes);
+    // A large scale-out is split into concurrent requests: hundreds of machines may be missing.
+    const limit = groupLimit(settings.valueBytes);
     for (const plan of mergePlans(this.plan(demands))) {
-      for (const count of requestSizes(plan.count, most, this.wasOutOfStock(plan))) {
+      for (const count of requestSizes(plan.count, limit, this.wasOutOfStock(plan))) {
         void this.startScaleOut({ ...plan, count });
       }
     }
@@ -123,7 +123,7 @@
       pending,
       batchWindow: windows.length > 0 ? Math.min(...windows) : settings.workerLease * 2,
       serviceHorizon: SERVICE_HORIZON,
-      promptHorizon: settings.workerLease * 2,
+      urgentServiceHorizon: settings.workerLease * 2,
     });
   }
 
@@ -136,7 +136,7 @@
     return (this.outOfStock.get(kind)?.until ?? 0) > this.node.clock.now();
   }
 
-  /** Records the scale-out before the request is sent, so that a later autoscaler can go on with it. */
+  /** Records the scale-out before the request is sent, so that a later autoscaler can continue it. */
   private async startScaleOut(plan: ScaleOutPlan): Promise<void> {
     const { clock, stateCache, settings } = this.node;
     if (this.groups.leaderCondition() === null) return;
@@ -151,9 +151,9 @@
       requestedCount: count,
     };
     this.inProgress.add(name);
-    this.openRentals.noteRecorded(name);
+    this.unansweredLaunches.noteRecorded(name);
     this.pending.set(name, { plan, until: Infinity });
-    // Demands that arrive one by one are gathered: together they fill larger, cheaper machines.
+    // The cooldown collects demands that arrive one by one: together they fill larger, cheaper machines.
     this.cooldownUntil.set(shard, clock.now() + settings.heartbeatInterval);
     try {
       await this.groups.create(name, group);
@@ -161,15 +161,18 @@
       this.inProgress.delete(name);
     }
     if (stateCache.get(keys.machineGroup(name)) === undefined) this.forgetUnrecorded(name);
-    // Requests go out side by side; once the first has found the kind out of stock, no other is sent.
+    // Requests are concurrent. Once one of them has found the kind out of stock, no other is sent.
     else if (this.isOutOfStock(kindOf(type, zone, spot))) await this.conclude(name, null);
     else await this.launch(name, group);
   }
 
-  /** Its record was not stored, as far as is known; if it turns up after all, it is gone on with like an earlier process's. */
+  /**
+   * Forgets a scale-out whose record was not stored, as far as is known. If the record appears after all, it is continued
+   * like that of an earlier process.
+   */
   private forgetUnrecorded(name: string): void {
     this.pending.delete(name);
-    this.openRentals.forget(name);
+    this.unansweredLaunches.forget(name);
   }
 
   private async launch(name: string, group: MachineGroupRecord): Promise<void> {
@@ -180,7 +183,7 @@
       const result = await this.cloud.launch({ idempotencyKey: name, type, zone, spot, count });
       await this.handleResult(name, group, result);
     } catch (error) {
-      log.debug(`scale-out: ${describeError(error)}`);
+      log.debug(`scale-out failed: ${describeError(error)}`);
     } finally {
       this.inProgress.delete(name);
     }
@@ -218,11 +221,11 @@
   ): Promise<void> {
     const { shard, type, zone, spot, requestedCount: requested = 0 } = group;
     const kind = kindOf(type, zone, spot);
-    // One that is being adopted just now: the request is repeated, and gets the same answer once that is settled.
+    // A machine is being adopted in another group. The request is repeated, and gets the same answer once that is settled.
     if (names.some((machine) => this.groups.isBeingStoredElsewhere(machine, name))) return;
     const own = names.filter((machine) => this.mayRecord(machine, name));
-    // Until the group is stored, machines that the list shows must not be taken for unknown ones.
-    this.groups.pending.set(name, own);
+    // Until the group is stored, its machines must not be taken for unknown ones when the list shows them.
+    this.groups.pendingMachines.set(name, own);
     log.info(`launched ${names.length} of ${requested} ${kind} for ${shard}: ${names.join(' ')}`);
     const launchedAt = this.node.clock.wall();
     const machines = Object.fromEntries(own.map((machine) => [machine, { launchedAt }]));
@@ -232,17 +235,20 @@
   }
 
   /**
-   * Not a machine that another group names already: its rental's answer was late, and it was adopted meanwhile. That is known
-   * for certain, since all group records are written under this election's key, and those of before were read with it.
+   * False for a machine that another group already names: the answer to its launch request was late, and the machine was
+   * adopted meanwhile. This is known for certain, since all group records are written under this election's key, and
+   * earlier ones were read with it.
    */
   private mayRecord(machine: string, name: string): boolean {
     const groups = this.node.inventory.groupsOf(machine);
     if (groups.length === 0 || groups.includes(name)) return true;
-    log.info(`${machine} of ${name} is recorded already, in ${groups.join(' ')}`);
+    log.info(`machine ${machine} of scale-out ${name} is already recorded in ${groups.join(' ')}`);
     return false;
   }
 
-  /** Replaces the record of the scale-out by its machines; without an answer the next step tries again. */
+  /**
+   * Replaces the record of the scale-out by its machines; if the state service does not answer, the next step tries again.
+   */
   private async conclude(name: string, group: MachineGroupRecord | null): Promise<void> {
     const { clock, leadership, settings } = this.node;
     const pending = this.pending.get(name);
@@ -250,10 +256,10 @@
     if (pending !== undefined && count === 0) this.pending.delete(name);
     else if (pending !== undefined) {
       pending.plan.count = count;
-      // Until the shard has the record and has announced its new demand.
+      // The shard has to receive the record and announce its new demand first.
       pending.until = clock.now() + settings.heartbeatInterval * DEMAND_LAG;
     }
-    this.openRentals.forget(name);
+    this.unansweredLaunches.forget(name);
     const stored = new Map([[name, count === 0 ? null : group]]);
     const replaced = await this.groups.replace(stored, 'rental');
     if (replaced.kind !== 'conflict') return;
@@ -264,11 +270,11 @@
   private noteOutOfStock(kind: string, shard: string): void {
     const { heartbeatInterval } = this.node.settings;
     const before = this.outOfStock.get(kind)?.pause ?? heartbeatInterval;
-    const pause = Math.min(heartbeatInterval * LONGEST_PAUSE, before * 2);
+    const pause = Math.min(heartbeatInterval * MAX_OUT_OF_STOCK_PAUSE, before * 2);
     const now = this.node.clock.now();
     this.outOfStock.set(kind, { until: now + pause, pause });
-    log.info(`out of stock: ${kind}`);
-    // The next best kind is requested as soon as the shard's demand is up to date.
-    this.cooldownUntil.set(shard, now + heartbeatInterval * RETRY_OTHER_KIND);
+    log.info(`the cloud has no capacity for ${kind}`);
+    // The shard's next best kind is requested as soon as its demand is up to date.
+    this.cooldownUntil.set(shard, now + heartbeatInterval * OTHER_KIND_COOLDOWN);
   }
 }
--- a/src/coordination/autoscaling/scaleOutPlan.ts
+++ b/src/coordination/autoscaling/scaleOutPlan.ts
@@ -1,4 +1,4 @@
-/** Which machines to launch for work that has no room: pure functions of demands and machine types. */
+/** Plans which machines to launch for work that has no room: pure functions of demands and machine types. */
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { Demand } from '../../protocol/peerMessages.js';
 import type { Resources } from '../model/resources.js';
@@ -12,59 +12,59 @@
   count: number;
 }
 
-/** What planning needs to know besides the demands. */
+/** The inputs of planning besides the demands. */
 export interface ScaleOutContext {
   machineTypes: MachineType[];
-  /** Whether the cloud has lately had no machines of this kind. */
+  /** Whether the cloud recently had no machines of this kind. */
   isOutOfStock(type: string, zone: string, spot: boolean): boolean;
   /** The shard that machines of this zone go to, for a demand of the shard `wanted`. */
   shardFor(zone: string, wanted: string): string;
   /** The zone that the demanding shard is in. */
   zoneOf(shard: string): string | undefined;
-  /** Scale-outs whose machines the demands do not count yet. */
+  /** Scale-outs whose machines the demands do not account for yet. */
   pending: ScaleOutPlan[];
   /** Seconds in which batch work should be completed. */
   batchWindow: number;
   /** Seconds for which a live service's machine is expected to be kept. */
   serviceHorizon: number;
-  /** The same for replicas that wait for it: the shorter, the more a quick boot is worth. */
-  promptHorizon: number;
+  /** The same for replicas that are waiting for a machine; the shorter it is, the more a quick boot is worth. */
+  urgentServiceHorizon: number;
 }
 
 /** Ranks of demands in the order in which they are planned for. */
 const RANKS = ['prod', 'high', 'normal', 'idle'];
 
-/** Room for rounding where resources are divided. */
+/** Tolerance for rounding errors in the division of resources. */
 const EPSILON = 1e-9;
 
 /** Shortest horizon of batch work, in seconds, and its ratio to the expected run time. */
 const MIN_BATCH_HORIZON = 60;
 const BATCH_HORIZON_RUNS = 2;
 
-/** Of a machine's price, what counts as wasted where one task leaves the rest to others that may come. */
+/** Share of a machine's price that counts as wasted where a task leaves room to others that may never come. */
 const WASTED_SHARE = 0.5;
 
 /** Price factor of machines outside the demanding shard's zone. */
 const OTHER_ZONE_FACTOR = 1.05;
 
-/** Floor of fetch rates, in GB a second, against division by zero. */
+/** Lower bound of fetch rates, in GB per second, against division by zero. */
 const MIN_FETCH_RATE = 1e-3;
 
-/** How many short tasks may at most be planned to follow each other on one machine. */
+/** Most short tasks that are planned to run one after the other on one machine. */
 const MAX_SUCCESSIVE_TASKS = 3;
 
-/** A kind of machine for a demand. */
+/** A kind of machine that can serve a demand. */
 interface Offer {
   type: MachineType;
   zone: string;
   spot: boolean;
   /** Tasks that one machine holds at once. */
   fits: number;
-  /** Price for the work; the lowest is best. */
+  /** Price of the work per task, with all factors; the lowest is best. */
   score: number;
 }
 
-/** Merges plans of one kind and shard: each request costs changes at the state service. */
+/** Merges plans of the same kind and shard: each request costs writes to the state service. */
 export function mergePlans(plans: ScaleOutPlan[]): ScaleOutPlan[] {
   const merged = new Map<string, ScaleOutPlan>();
   for (const plan of plans) {
@@ -76,14 +76,14 @@
   return [...merged.values()];
 }
 
-/** Machines that hold the demands, each kind at the lowest price for the work; highest rank first. */
+/** Plans machines for the demands, each kind at the lowest price for the work; the highest rank comes first. */
 export function planScaleOut(demands: Demand[], context: ScaleOutContext): ScaleOutPlan[] {
   return new ScaleOutPlanner(context).plan(demands);
 }
 
 class ScaleOutPlanner {
   private readonly plans: ScaleOutPlan[] = [];
-  /** Resources left on machines that are launched for other demands. */
+  /** Resources left on machines that are launched for other demands, by plan. */
   private readonly spare = new Map<ScaleOutPlan, Resources>();
   private readonly machineTypes: ReadonlyMap<string, MachineType>;
 
@@ -104,7 +104,7 @@
     return this.plans;
   }
 
-  /** Uses what is left on machines launched for others; gives the number of tasks that remain. */
+  /** Places tasks on resources left on machines that are launched for others; returns the number of tasks that remain. */
   private placeOnSpare(demand: Demand): number {
     let count = demand.count;
     for (const [plan, room] of this.spare) {
@@ -161,7 +161,7 @@
   );
 }
 
-/** How many short tasks may follow each other on one machine and still complete in the window. */
+/** How many short tasks may run one after the other on one machine and still complete in the window. */
 function successiveTasks(demand: Demand, type: MachineType, context: ScaleOutContext): number {
   if (demand.isService) return 1;
   const available = context.batchWindow - type.bootSeconds;
@@ -201,7 +201,7 @@
 ): number {
   const price = spot ? type.spotPrice : type.price;
   const used = Math.min(fits, demand.count);
-  // Work that comes later may use the rest: half of it counts as wasted.
+  // Later work may use the remaining room: half of its price counts as wasted.
   const pricePerTask = price * (WASTED_SHARE / fits + WASTED_SHARE / used);
   const horizon = horizonOf(demand, context);
   const fetch = demand.imageGb / Math.max(MIN_FETCH_RATE, type.fetchGbPerSecond);
@@ -209,10 +209,10 @@
   return pricePerTask * ((horizon + type.bootSeconds + fetch) / horizon) * zoneFactor;
 }
 
-/** Seconds for which the machine is expected to be of use to the demand. */
+/** Seconds for which the machine is expected to be used by the demand. */
 function horizonOf(demand: Demand, context: ScaleOutContext): number {
   if (!demand.isService) {
     return Math.max(demand.expectedRunSeconds * BATCH_HORIZON_RUNS, MIN_BATCH_HORIZON);
   }
-  return demand.isUrgent ? context.promptHorizon : context.serviceHorizon;
+  return demand.isUrgent ? context.urgentServiceHorizon : context.serviceHorizon;
 }
--- a/src/coordination/autoscaling/unansweredLaunches.ts
+++ b/src/coordination/autoscaling/unansweredLaunches.ts
@@ -1,25 +1,28 @@
-/** Rentals that the cloud has not answered yet, and which listed machines they may have launched. */
+/** Launch requests that the cloud has not answered yet, and the listed machines that they may have launched. */
 import type { ListedMachine } from '../../protocol/cloudProtocol.js';
 import type { AutoscalingContext } from './autoscalingContext.js';
 
-/** The recorded rentals without an answer. */
+/** The recorded launch requests without an answer. */
 export class UnansweredLaunches {
-  /** Steady time at which this process has recorded each of its own rentals. */
+  /** Monotonic time at which this process recorded each of its own launch requests, by the group's name. */
   private readonly recordedAt = new Map<string, number>();
 
   constructor(private readonly node: Pick<AutoscalingContext, 'clock' | 'inventory'>) {}
 
-  /** This process is about to record a rental. */
+  /** Called when this process is about to record a launch request. */
   noteRecorded(group: string): void {
     this.recordedAt.set(group, this.node.clock.now());
   }
 
-  /** The rental has been answered. */
+  /** Called when a launch request has been answered. */
   forget(group: string): void {
     this.recordedAt.delete(group);
   }
 
-  /** Whether a rental without an answer may have launched the machine. Of one by an earlier process the time is not known. */
+  /**
+   * Whether an unanswered launch request may have launched the machine. The time of a request by an earlier process is not
+   * known, so a machine of any age may be from it.
+   */
   mayHaveLaunched({ type, zone, spot, age }: ListedMachine): boolean {
     const latestLaunch = this.node.clock.now() - age;
     for (const [name, group] of this.node.inventory.entries()) {
--- a/src/coordination/autoscaling/vanishedMachines.ts
+++ b/src/coordination/autoscaling/vanishedMachines.ts
@@ -1,36 +1,36 @@
 /**
- * Recorded machines that the cloud's list shows to be gone. A machine stays listed until it is gone, but a list may be up to
- * `LONGEST_LAG` times its usual lag old, and older than the one before it. So a machine is gone only if a list that was asked for so
- * much later than a moment at which it certainly existed does not name it. This ends no attempt: the machine is released, and only
- * the confirmed release does (safety, T2).
+ * Finds recorded machines that are gone according to the cloud's list. A machine stays listed until it is gone, but a list may be up
+ * to `LONGEST_LAG` times its usual lag old, and older than the previous list. So a machine is gone only if it is missing
+ * from a list that was requested more than that lag after a moment at which the machine certainly existed. This terminates
+ * no attempt: the machine is released, and only the confirmed release does (safety, T2).
  */
 
-/** The most that a list lags behind, as a ratio to the usual lag (PROTOCOL, GET /rentals). */
+/** The longest lag of a list, as a ratio to the usual lag (PROTOCOL, GET /rentals). */
 const LONGEST_LAG = 2;
 
-/** Allowance for the drift of our clock against the cloud's, as a ratio. */
+/** Allowance for the drift of this clock against the cloud's, as a ratio. */
 const CLOCK_MARGIN = 1.01;
 
-/** Finds recorded machines that are gone by the cloud's lists. */
+/** Finds recorded machines that are gone, according to the cloud's lists. */
 export class VanishedMachines {
-  /** Steady time at which each recorded machine certainly existed: its record was seen, or a list named it. */
+  /** Monotonic time at which each recorded machine certainly existed: its record was read, or a list named it. */
   private readonly existedAt = new Map<string, number>();
   private gone: string[] = [];
 
-  /** `listLag`: how far the cloud's list usually lags behind, in seconds. */
+  /** `listLag`: the usual lag of the cloud's list, in seconds. */
   constructor(private readonly listLag: number) {}
 
-  /** The machines that the last list has shown to be gone. */
+  /** The machines that are gone according to the last list. */
   get names(): readonly string[] {
     return this.gone;
   }
 
   /**
    * Takes in a whole list.
-   * @param recorded names of all machines that are recorded, without those of rentals under way.
+   * @param recorded names of all machines that are recorded, without those of unanswered launches.
    * @param isListed whether the list names a machine, in whatever state.
-   * @param requestedAt steady time at which the list was asked for.
-   * @param now steady time at which it was received.
+   * @param requestedAt monotonic time at which the list was requested.
+   * @param now monotonic time at which it was received.
    * @returns machines that have just been found to be gone.
    */
   noteList(
@@ -52,7 +52,7 @@
     return this.gone.filter((machine) => !before.has(machine));
   }
 
-  /** Whether a list that was asked for then surely describes a later moment. */
+  /** Whether a list requested at that time certainly describes a moment after `existedAt`. */
   private isLaterThan(requestedAt: number, existedAt: number): boolean {
     return requestedAt - existedAt > this.listLag * LONGEST_LAG * CLOCK_MARGIN;
   }
--- a/src/coordination/commands/cancelledTaskMonitor.ts
+++ b/src/coordination/commands/cancelledTaskMonitor.ts
@@ -1,6 +1,6 @@
 /**
- * Asserts at run time what keeps a confirmed cancellation (safety, C2, C3): no start of such a job leaves, and no worker's
- * lease is renewed over one of its tasks without the stop.
+ * Runtime checks for confirmed cancellations (safety, C2, C3): no start of a cancelled job is sent, and no worker's lease
+ * is renewed for one of its tasks without a stop command.
  */
 import type { Clock } from '../../base/clock.js';
 import type { Settings } from '../../protocol/settings.js';
@@ -10,22 +10,25 @@
 import { unconditionalStops } from '../model/dueCommands.js';
 import type { Machine } from '../model/machine.js';
 
-/** What the monitor needs of a node. */
+/** The parts of a controller that the monitor uses. */
 export interface CancelledTaskMonitorContext {
   readonly settings: Pick<Settings, 'heartbeatInterval'>;
   readonly clock: Pick<Clock, 'now'>;
   readonly leadership: Pick<ShardLeadership, 'leaseExpiresAt'>;
 }
 
-/** Watches commands and answers on their way to workers. It notes; it changes nothing. */
+/**
+ * Checks the commands and heartbeat answers sent to workers. It records events and violations and never changes what is
+ * sent.
+ */
 export class CancelledTaskMonitor {
-  /** `resendIntervals`: a stop without effect is sent again after so many heartbeat intervals. */
+  /** `resendIntervals`: heartbeat intervals after which a stop without effect is sent again. */
   constructor(
     private readonly context: CancelledTaskMonitorContext,
     private readonly resendIntervals: number,
   ) {}
 
-  /** A 200 with these commands renews the lease of the machine's worker. */
+  /** Checks an answer (a 200 with these commands) that renews the lease of the machine's worker. */
   noteRenewal(ownedShard: OwnedShard, machine: Machine, commands: readonly Command[]): void {
     const cancelled = unconditionalStops(machine);
     if (cancelled.length === 0) return;
@@ -49,19 +52,19 @@
       leaseLeft: this.context.leadership.leaseExpiresAt - now,
     });
     for (const { task } of missing) {
-      if (this.isStopUnderWay(machine, task, now)) continue;
+      if (this.wasStopSentRecently(machine, task, now)) continue;
       shard.reportInvariantViolation('renewal-without-stop', `${task} at ${machine.name}`);
     }
   }
 
-  private isStopUnderWay(machine: Machine, task: string, now: number): boolean {
+  private wasStopSentRecently(machine: Machine, task: string, now: number): boolean {
     const sentAt = machine.placements.get(task)?.attempt.stop?.sentAt ?? null;
     const resendAfter = this.context.settings.heartbeatInterval * this.resendIntervals;
     return sentAt !== null && now - sentAt <= resendAfter;
   }
 }
 
-/** Starts among commands that are about to leave must not be of cancelled jobs. */
+/** Reports an invariant violation for each start of a cancelled job's task among commands that are about to be sent. */
 export function assertNoCancelledStarts(
   { shard }: OwnedShard,
   machine: Machine,
--- a/src/coordination/commands/commandAudit.ts
+++ b/src/coordination/commands/commandAudit.ts
@@ -1,6 +1,6 @@
 /**
- * The audit trail of commands: under which fencing token each message leaves and how that stands to the starts that left before
- * and to what the worker has shown; and what must hold of a message as it leaves (docs/safety.md).
+ * Audit events of messages to workers, and the invariants checked when one is sent (docs/safety.md). An event shows the
+ * message's fencing token next to the highest token of an earlier start and the highest token that the worker has shown.
  */
 import type { Clock } from '../../base/clock.js';
 import type { Command, Heartbeat } from '../../protocol/workerProtocol.js';
@@ -13,7 +13,7 @@
 import type { Machine } from '../model/machine.js';
 import { assertNoCancelledStarts } from './cancelledTaskMonitor.js';
 
-/** What is needed of a node. */
+/** The parts of a controller that the command audit uses. */
 export interface CommandAuditContext {
   readonly clock: Pick<Clock, 'now'>;
   readonly leadership: Pick<ShardLeadership, 'leaseExpiresAt'>;
@@ -23,11 +23,11 @@
 const formatCommands = (commands: readonly Command[]): string =>
   commands.map(({ verb, task, attemptNumber }) => `${verb} ${task}#${attemptNumber}`).join(',');
 
-/** Notes messages to workers, and asserts what must hold of them. */
+/** Records messages to workers in the audit trail and checks their invariants. */
 export class CommandAudit {
   constructor(private readonly node: CommandAuditContext) {}
 
-  /** A message is about to leave. */
+  /** Checks and records a message that is about to be sent. */
   noteSent(
     ownedShard: OwnedShard,
     machine: Machine,
@@ -55,19 +55,19 @@
     });
   }
 
-  /** What became of a message, and the report that came back with it. */
+  /** Records the outcome of a message, and the heartbeat in its response; null if there was none. */
   noteOutcome(
     ownedShard: OwnedShard,
     machine: Machine,
     { commands, token }: CommandBatch,
     outcome: CommandOutcome,
-    report: Heartbeat | null,
+    heartbeat: Heartbeat | null,
   ): void {
     this.node.audit.note({
       event: 'commands-outcome',
       shard: ownedShard.shard.label,
       fencingToken: token,
-      seenToken: report?.highestFencingToken ?? null,
+      seenToken: heartbeat?.highestFencingToken ?? null,
       machine: machine.name,
       outcome,
       commands: formatCommands(commands),
@@ -75,7 +75,10 @@
   }
 }
 
-/** The worker must be past every command with the start of what it is told to forget, by the token of this message at the latest. */
+/**
+ * Once it has seen the token of this message, the worker must refuse every copy of a start of the attempt that it is told
+ * to forget.
+ */
 function assertCopiesRefused(
   { shard }: OwnedShard,
   machine: Machine,
--- a/src/coordination/commands/commandDispatcher.ts
+++ b/src/coordination/commands/commandDispatcher.ts
@@ -1,4 +1,4 @@
-/** Commands to machines: those that are due are sent, and what becomes of them is noted. */
+/** Sends due commands to machines and records their outcomes. */
 import {
   dueCommands,
   hasDueCommand,
@@ -27,23 +27,26 @@
 import type { Machine } from '../model/machine.js';
 import type { ShardLeadership } from '../leadership/shardLeadership.js';
 
-/** A round may have commands for hundreds of machines; sent at once they would keep reports waiting. */
+/**
+ * Messages sent in one turn of the event loop. A scheduling round may have commands for hundreds of machines; sent all at
+ * once they would delay the handling of heartbeats.
+ */
 const COMMANDS_PER_TURN = 4;
 
-/** What is needed of a node. */
+/** The parts of a controller that the command dispatcher uses. */
 export interface CommandDispatcherContext extends MachineProberContext {
   leadership: Pick<ShardLeadership, 'isLeaseValid' | 'advanceFencingToken' | 'leaseExpiresAt'>;
   authority: Pick<Authority, 'mayAct' | 'mayEnd'>;
   audit: AuditTrail;
 }
 
-/** Carried out (200), certainly not (409), or perhaps. */
+/** A 200 means executed, a 409 certainly not executed; any other status leaves it open. */
 function outcomeOf(status: number): CommandOutcome {
   if (status === 200) return 'executed';
   return status === 409 ? 'refused' : 'unanswered';
 }
 
-/** Where the commands with the starts among these are noted, attempt by attempt. */
+/** The sent start commands of the attempts that these commands start. */
 function startCommandsOf(machine: Machine, commands: readonly Command[]): StartCommands[] {
   return commands.flatMap(({ verb, task }) => {
     const placement = verb === 'start' ? machine.placements.get(task) : undefined;
@@ -51,20 +54,20 @@
   });
 }
 
-/** Sends commands to machines, and raises their fencing tokens where an attempt waits for that. */
+/** Sends commands to machines, and raises a machine's fencing token where the end of an attempt depends on it. */
 export class CommandDispatcher {
-  /** Notes what leaves for workers, by whichever route. */
+  /** Records all messages to workers, whichever route they take. */
   readonly audit: CommandAudit;
 
   constructor(
     private readonly node: CommandDispatcherContext,
-    private readonly turns = new TurnQueue({ urgent: COMMANDS_PER_TURN, ordinary: 0 }),
+    private readonly turnQueue = new TurnQueue({ urgent: COMMANDS_PER_TURN, ordinary: 0 }),
     readonly prober = new MachineProber(node),
   ) {
     this.audit = new CommandAudit(node);
   }
 
-  /** Starts whose chunks have just been stored may leave now. */
+  /** Queues and sends the starts of chunks that have just been stored. */
   queueStarts(ownedShard: OwnedShard, chunks: Chunk[]): void {
     for (const chunk of chunks) {
       for (const attempt of chunk.attempts.values()) {
@@ -83,9 +86,9 @@
       for (const machine of ownedShard.shard.machinesWithDueCommands) {
         if (machine.hasCommandInFlight || machine.address === '' || machine.isReassigned) continue;
         ownedShard.shard.machinesWithDueCommands.delete(machine);
-        // Questions go on until it answers one; orders meanwhile would only hold sockets.
+        // Probes continue until the machine responds to one; until then commands would only occupy sockets.
         if (machine.isUnresponsive || !this.isDue(ownedShard, machine)) continue;
-        this.turns.add(() => {
+        this.turnQueue.add(() => {
           void this.sendDueCommands(ownedShard, machine);
         }, true);
       }
@@ -112,7 +115,7 @@
     if (!this.isDue(ownedShard, machine)) return;
     const message = this.prepareDueCommands(ownedShard, machine);
     const starts = startCommandsOf(machine, message.commands);
-    // From now on they may be carried out, late or once more.
+    // From here on a start may be executed, possibly late or a second time.
     for (const start of starts) start.noteSent(message.token);
     this.audit.noteSent(ownedShard, machine, message, 'command');
     machine.hasCommandInFlight = true;
@@ -125,7 +128,7 @@
       const effect = ownedShard.shard.heartbeats.apply(machine, heartbeat, now, 'response');
       if (effect === 'changed') this.node.requestSchedulingRound();
     }
-    if (this.isDue(ownedShard, machine)) this.sendAgainLater(ownedShard, machine);
+    if (this.isDue(ownedShard, machine)) this.scheduleResend(ownedShard, machine);
   }
 
   private prepareDueCommands(ownedShard: OwnedShard, machine: Machine): CommandBatch {
@@ -133,12 +136,15 @@
     const commands: Command[] = this.node.authority.mayAct(ownedShard)
       ? dueCommands(machine, now, this.resendAfter)
       : unconditionalStops(machine);
-    const { fencingTokens: tokens } = ownedShard.shard;
+    const { fencingTokens } = ownedShard.shard;
     const seenToken = machine.highestFencingToken;
-    return machine.commandTokens.assignToken(commands, tokens, { seenToken, mayRaise: true });
+    return machine.commandTokens.assignToken(commands, fencingTokens, {
+      seenToken,
+      mayRaise: true,
+    });
   }
 
-  private sendAgainLater({ shard }: OwnedShard, machine: Machine): void {
+  private scheduleResend({ shard }: OwnedShard, machine: Machine): void {
     setTimeout(
       () => {
         shard.machinesWithDueCommands.add(machine);
@@ -148,7 +154,7 @@
     );
   }
 
-  /** Sends commands; what became of them, and the heartbeat that came back. */
+  /** Sends a message; returns its outcome and the heartbeat in the response, null if there is none. */
   private async exchange(
     ownedShard: OwnedShard,
     { address, agentEpoch, name }: Machine,
@@ -157,23 +163,26 @@
     const { links, settings, authority } = this.node;
     const body = commandsRequest(token, agentEpoch, commands);
     const startsWork = commands.some(({ verb }) => verb === 'start');
-    const mayLeave = (): boolean =>
+    const maySend = (): boolean =>
       startsWork ? authority.mayAct(ownedShard) : authority.mayEnd(ownedShard);
     const target = workerPaths.commands;
     try {
       const timeout = settings.heartbeatInterval / 2;
       const answer = await links.machines.call(
-        ...[address, 'POST', target, body, timeout, mayLeave],
+        ...[address, 'POST', target, body, timeout, maySend],
       );
       return { outcome: outcomeOf(answer.status), heartbeat: parseHeartbeat(answer.body) };
     } catch (error) {
-      log.debug(`commands to ${name}: ${describeError(error)}`);
+      log.debug(`sending commands to ${name} failed: ${describeError(error)}`);
       const isUnsent = error instanceof HttpCallError && error.unsent;
       return { outcome: isUnsent ? 'unsent' : 'unanswered', heartbeat: null };
     }
   }
 
-  /** The regular look at all machines: probes, stops and starts that are due again. */
+  /**
+   * Periodic pass over all machines: checks liveness, raises fencing tokens, and sends probes, stops and starts that are
+   * due again.
+   */
   sweep(): void {
     const now = this.node.clock.now();
     if (!this.node.leadership.isLeaseValid) {
@@ -189,7 +198,7 @@
     this.node.requestSchedulingRound();
   }
 
-  /** Without a valid lease: only stops that may leave at any time are seen to. */
+  /** Queues and sends the stops that may be sent at any time, also without a valid lease. */
   private queueUnconditionalStops(): void {
     for (const { shard } of this.node.ownedShards.values()) {
       for (const machine of shard.machines.values()) {
@@ -200,26 +209,29 @@
   }
 
   /**
-   * An attempt that no heartbeat shows can't be given up while a copy of its start may come: the next message to its worker gets
-   * a higher fencing token. Where a machine has used up those of the leadership, another block is stored.
+   * Raises the fencing token of machines where a missing attempt can't be declared terminated because a copy of its start
+   * may still arrive: the worker refuses the copy once it has seen the higher token. Where a machine has used up the tokens
+   * of this leadership, the next block is stored.
    */
   private raiseTokens(ownedShard: OwnedShard, now: number): void {
-    const { machines, fencingTokens: tokens } = ownedShard.shard;
+    const { machines, fencingTokens } = ownedShard.shard;
     let isUsedUp = false;
     for (const machine of machines.values()) {
-      isUsedUp ||= machine.commandTokens.isExhausted(tokens);
-      // A command on its way would be refused.
+      isUsedUp ||= machine.commandTokens.isExhausted(fencingTokens);
+      // A higher token would make the worker refuse a command that is in flight.
       if (machine.hasCommandInFlight || !machine.isBlockedByStartCommand) continue;
-      machine.commandTokens.raiseToken(tokens);
+      machine.commandTokens.raiseToken(fencingTokens);
     }
-    if (isUsedUp) this.storeNextBlock(ownedShard, now);
+    if (isUsedUp) this.storeNextTokenBlock(ownedShard, now);
   }
 
-  private storeNextBlock(ownedShard: OwnedShard, now: number): void {
+  private storeNextTokenBlock(ownedShard: OwnedShard, now: number): void {
     if (now - ownedShard.fencingTokenAdvancedAt < this.node.settings.heartbeatInterval) return;
     ownedShard.fencingTokenAdvancedAt = now;
     advanceFencingToken(this.node.leadership, ownedShard).catch((error: unknown) => {
-      log.debug(`fencing tokens of ${ownedShard.shard.label}: ${describeError(error)}`);
+      log.debug(
+        `storing the next fencing tokens of shard ${ownedShard.shard.label} failed: ${describeError(error)}`,
+      );
     });
   }
 }
--- a/src/coordination/commands/heartbeatEndpoint.ts
+++ b/src/coordination/commands/heartbeatEndpoint.ts
@@ -1,4 +1,4 @@
-/** Heartbeats of workers: answered by the leader of the machine's shard, wherever they arrive. */
+/** Answers heartbeats of workers. Heartbeats for another controller's shard are redirected or forwarded to its leader. */
 import type { Clock } from '../../base/clock.js';
 import { log } from '../../base/log.js';
 import type { Settings } from '../../protocol/settings.js';
@@ -21,7 +21,7 @@
 import { CancelledTaskMonitor } from './cancelledTaskMonitor.js';
 import type { CommandDispatcher } from './commandDispatcher.js';
 
-/** What the endpoint needs of the controller. */
+/** The parts of a controller that the endpoint uses. */
 export interface HeartbeatEndpointContext {
   settings: Pick<Settings, 'label' | 'heartbeatInterval' | 'workerLease'>;
   clock: Pick<Clock, 'now'>;
@@ -36,7 +36,7 @@
   requestSchedulingRound(): void;
 }
 
-/** How a heartbeat came: passed on by a peer, or after an answer on the same connection. */
+/** How a heartbeat arrived: forwarded by a peer, or as a follow-up to an answer on the same connection. */
 export interface HeartbeatArrival {
   isRelayed: boolean;
   isFollowUp: boolean;
@@ -48,10 +48,10 @@
 });
 
 /**
- * Whether to probe a machine whose heartbeat has come, to see that answers reach it: the heartbeat may be a late copy. A
- * worker that runs tasks and has not seen this leader's fencing token sends another heartbeat within half a second of
- * the answer, on the same connection, which proves as much. After a takeover hundreds do, and a probe of each would
- * cost more than answering them.
+ * Whether to probe a machine whose heartbeat has arrived, to check that answers reach it: the heartbeat may be a late copy.
+ * A worker that runs tasks and has not seen this leader's fencing token sends another heartbeat within half a second of the
+ * answer, on the same connection, which proves as much. After a takeover hundreds of workers do so, and probing each of
+ * them would cost more than answering them.
  */
 function needsProbe(machine: Machine, heartbeat: Heartbeat, fencingToken: number): boolean {
   if (machine.reachability.missedProbes > 0) return true;
@@ -59,9 +59,9 @@
   return heartbeat.attempts.length === 0 || heartbeat.highestFencingToken >= fencingToken;
 }
 
-/** Answers heartbeats for the shards that this controller owns, and passes the others on. */
+/** Answers heartbeats for the shards that this controller owns, and redirects or forwards the others. */
 export class HeartbeatEndpoint {
-  /** When each worker was last redirected: one that comes back cannot reach its shard's leader. */
+  /** Monotonic time at which each worker was last redirected; a worker that returns cannot reach its shard's leader. */
   private readonly redirectedAt = new Map<string, number>();
 
   private readonly cancelledTasks: CancelledTaskMonitor;
@@ -75,7 +75,7 @@
     const reply = await this.decide(body, arrival);
     if (reply.status !== 200) {
       const name = /"Drone": ?"([^"]*)"/.exec(body)?.[1] ?? '?';
-      log.debug(`heartbeat of ${name}: ${reply.status} ${JSON.stringify(reply.body)}`);
+      log.debug(`heartbeat of ${name} answered with ${reply.status} ${JSON.stringify(reply.body)}`);
     }
     return reply;
   }
@@ -84,8 +84,8 @@
     const heartbeat = decodeHeartbeat(body);
     if (heartbeat === null) return { status: 400, body: { error: 'malformed report' } };
     const { inventory, ownedShards } = this.context;
-    // A machine without a shard gets one from the autoscaler, by the cloud's list: a heartbeat may be a late copy from
-    // a machine that is gone, and must not bring it back.
+    // Only the autoscaler assigns a machine to a shard, from the cloud's list: a heartbeat may be a late copy from a
+    // machine that is gone, and must not bring the machine back.
     const shard = inventory.get(heartbeat.machine)?.shard;
     if (shard === undefined) return redirectTo(null);
     const ownedShard = ownedShards.get(shard);
@@ -112,11 +112,11 @@
     if (needsProbe(machine, heartbeat, fencingToken))
       void dispatcher.prober.probe(ownedShard, machine);
     const mayAct = effect !== 'stale' && authority.mayAct(ownedShard);
-    const message = this.sealedFor(ownedShard, machine, mayAct, now);
+    const message = this.prepareAnswerCommands(ownedShard, machine, mayAct, now);
     const { commands } = message;
     noteStartsInAnswer(machine, commands);
-    // Also when a probe's response has overtaken this heartbeat: the worker's lease counts from it all the same, and its
-    // tasks are not over before that.
+    // This answer renews the worker's lease even if a probe's response has overtaken the heartbeat, so the worker's tasks
+    // may run until that lease expires.
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
     if (effect === 'changed') this.context.requestSchedulingRound();
     if (commands.length > 0) dispatcher.audit.noteSent(ownedShard, machine, message, 'answer');
@@ -124,7 +124,7 @@
     return { status: 200, body: heartbeatAnswer(message.token, commands) };
   }
 
-  private sealedFor(
+  private prepareAnswerCommands(
     { shard }: OwnedShard,
     machine: Machine,
     mayAct: boolean,
@@ -133,12 +133,12 @@
     const commands = this.commandsFor(machine, mayAct, now);
     return machine.commandTokens.assignToken(commands, shard.fencingTokens, {
       seenToken: machine.highestFencingToken,
-      // The answer may overtake a command that is on its way, which would then be refused.
+      // An answer with a higher token may overtake a command in flight, which the worker would then refuse.
       mayRaise: !machine.hasCommandInFlight,
     });
   }
 
-  /** Without the right to act only stops that can't be wrong are sent. */
+  /** Without the right to act for the shard only stops that can't be wrong are sent. */
   private commandsFor(machine: Machine, mayAct: boolean, now: number): Command[] {
     if (!mayAct) return unconditionalStops(machine);
     const { heartbeatInterval } = this.context.settings;
@@ -155,14 +155,14 @@
     const leader = this.context.leaderOf(shard);
     if (leader === null || leader === settings.label) return redirectTo(null);
     this.forgetOldRedirects(now);
-    const before = this.redirectedAt.get(heartbeat.machine);
-    // Set anew each time, so that the names stand in the order in which they are forgotten.
+    const lastRedirect = this.redirectedAt.get(heartbeat.machine);
+    // Deleted and set again, so that the map stays in the order in which entries expire.
     this.redirectedAt.delete(heartbeat.machine);
-    if (before === undefined) {
+    if (lastRedirect === undefined) {
       this.redirectedAt.set(heartbeat.machine, now);
       return redirectTo(leader);
     }
-    // It came back, so it cannot reach the leader, or another controller leads the shard by now.
+    // The worker has returned: it cannot reach the leader, or another controller leads the shard by now.
     const request = { method: 'POST', target: '/hello', body };
     const answer = await peers.relay(leader, request, settings.heartbeatInterval / 2);
     if (answer?.status !== 200) return redirectTo(null);
@@ -170,7 +170,7 @@
     return { status: 200, body: JSON.parse(answer.body) as unknown };
   }
 
-  /** Else the names of all machines that ever were would be kept. */
+  /** Removes expired entries; otherwise the map would keep the names of all machines that ever existed. */
   private forgetOldRedirects(now: number): void {
     for (const [name, at] of this.redirectedAt) {
       if (now - at <= this.context.settings.workerLease) return;
@@ -179,7 +179,7 @@
   }
 }
 
-/** Null for a body that is no heartbeat; it is answered with 400. */
+/** Parses a heartbeat; null for a malformed body, which is answered with 400. */
 function decodeHeartbeat(body: string): Heartbeat | null {
   try {
     return parseHeartbeat(JSON.parse(body));
@@ -188,7 +188,7 @@
   }
 }
 
-/** The worker's next heartbeat settles whether a start that an answer carries has arrived. */
+/** Marks the starts that an answer carries; the worker's next heartbeat shows whether they arrived. */
 function noteStartsInAnswer(machine: Machine, commands: Command[]): void {
   for (const { verb, task } of commands) {
     const placement = verb === 'start' ? machine.placements.get(task) : undefined;
--- a/src/coordination/commands/machineProber.ts
+++ b/src/coordination/commands/machineProber.ts
@@ -1,4 +1,4 @@
-/** Questions to machines: to those that have not been reached, and to those whose report is overdue. */
+/** Probes machines that have not been reached yet, and machines whose heartbeat is overdue. */
 import type { Clock } from '../../base/clock.js';
 import type { Settings } from '../../protocol/settings.js';
 import { parseHeartbeat, paths as workerPaths } from '../../protocol/workerProtocol.js';
@@ -6,10 +6,10 @@
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import type { Machine } from '../model/machine.js';
 
-/** Machines that one core may ask in a second without noticing it. */
+/** Probes that one core can send per second without noticeable load. */
 const PROBES_PER_CORE = 120;
 
-/** What is needed of a node. */
+/** The parts of a controller that the prober uses. */
 export interface MachineProberContext {
   settings: Pick<Settings, 'heartbeatInterval' | 'cores' | 'maxSockets'>;
   clock: Pick<Clock, 'now'>;
@@ -18,44 +18,47 @@
   requestSchedulingRound(): void;
 }
 
-/** Asks machines for a report: a hanging one is told from one that can't reach us. */
+/** Requests heartbeats from machines, which tells a machine that hangs from one that can't reach this controller. */
 export class MachineProber {
-  /** Questions on their way to machines that have left one without an answer. */
+  /** Probes in flight to machines that have missed an earlier one. */
   private probesToSilentMachines = 0;
 
   constructor(private readonly node: MachineProberContext) {}
 
-  /** The regular look at a shard's machines. */
+  /** Periodic pass over a shard's machines. */
   sweep(ownedShard: OwnedShard, now: number): void {
     this.probeUnreached(ownedShard);
     this.probeOverdue(ownedShard, now);
   }
 
-  /** Asks a machine whose report is overdue: a hanging one is told from one that can't reach us. */
+  /**
+   * Probes a machine, which tells one that hangs from one that can't reach this controller. Does nothing if a probe is in
+   * flight already, the address is unknown, or too many silent machines are being probed.
+   */
   async probe(ownedShard: OwnedShard, machine: Machine): Promise<void> {
     const { clock, settings } = this.node;
     const { reachability } = machine;
     if (reachability.isProbeInFlight || machine.address === '') return;
     const isSilent = reachability.missedProbes > 0;
-    // A question to a silent machine holds its socket until its time is up. When a zone is cut off they
-    // are hundreds, and those that answer still must be asked: half of the sockets are left for them.
+    // A probe to a silent machine holds its socket until the timeout. When a zone is cut off there are hundreds of them,
+    // and the responsive machines must still be probed: half of the sockets are left for those.
     if (isSilent && this.probesToSilentMachines >= settings.maxSockets / 12) return;
     reachability.isProbeInFlight = true;
     const sentAt = clock.now();
     reachability.lastProbeAt = sentAt;
     if (isSilent) this.probesToSilentMachines++;
     const timeout = settings.heartbeatInterval / 3;
-    await this.ask(ownedShard, machine, sentAt, timeout);
+    await this.sendProbe(ownedShard, machine, sentAt, timeout);
     reachability.isProbeInFlight = false;
     if (isSilent) this.probesToSilentMachines--;
-    // Where time was lost with waiting, the second question goes at once, not with the next round.
+    // After a long wait the second probe is sent at once, not in the next sweep.
     const hasWaited = clock.now() - sentAt >= timeout / 2;
     if (hasWaited && reachability.missedProbes === 1 && ownedShard.isOwned)
       void this.probe(ownedShard, machine);
   }
 
-  /** Notes what the machine answers, or that it does not; never throws. Times in seconds. */
-  private async ask(
+  /** Sends the probe and records the response or the miss; never throws. Times are in seconds. */
+  private async sendProbe(
     ownedShard: OwnedShard,
     machine: Machine,
     sentAt: number,
@@ -78,20 +81,20 @@
       const effect = ownedShard.shard.heartbeats.apply(machine, heartbeat, now, 'response');
       if (effect === 'changed') this.node.requestSchedulingRound();
     } catch (error) {
-      // Not asked for want of sockets: healthy machines would be taken for silent ones.
-      const wasAsked = !(error instanceof HttpCallError && error.isLocal);
-      if (wasAsked) machine.reachability.noteMissedProbe(sentAt);
+      // A probe that found no free socket is not a miss: healthy machines would seem to be silent.
+      const wasSent = !(error instanceof HttpCallError && error.isLocal);
+      if (wasSent) machine.reachability.noteMissedProbe(sentAt);
     }
   }
 
-  /** Questions a second that this node can afford for each shard: more would take the processor from users. */
-  private get affordableProbes(): number {
+  /** Probes per second that this node can afford for each shard; more would take processor time from user requests. */
+  private get probesPerShard(): number {
     return (PROBES_PER_CORE * this.node.settings.cores) / this.node.ownedShards.size;
   }
 
   /**
-   * Machines stored by an earlier owner are asked directly, since their workers may never come. After a
-   * takeover they are hundreds: those with live services go first, and most of the others report meanwhile.
+   * Probes recorded machines that this node has not reached: their workers may never contact it by themselves. After a
+   * takeover there are hundreds: those with live services go first, and most of the others send a heartbeat meanwhile.
    */
   private probeUnreached(ownedShard: OwnedShard): void {
     const unreached: Machine[] = [];
@@ -103,34 +106,36 @@
       (a, b) =>
         a.reachability.lastProbeAt - b.reachability.lastProbeAt || b.serviceCpus - a.serviceCpus,
     );
-    const most = Math.ceil(this.affordableProbes * this.node.settings.heartbeatInterval);
-    for (const machine of unreached.slice(0, most)) void this.probe(ownedShard, machine);
+    const limit = Math.ceil(this.probesPerShard * this.node.settings.heartbeatInterval);
+    for (const machine of unreached.slice(0, limit)) void this.probe(ownedShard, machine);
   }
 
-  /** Machines that were in reach and have said nothing for too long. */
+  /** Probes machines that were reached before and have been silent for too long. */
   private probeOverdue(ownedShard: OwnedShard, now: number): void {
     const { heartbeatInterval } = this.node.settings;
     const machines = [...ownedShard.shard.machines.values()].filter(
       (machine) => machine.isUp && !machine.isReassigned,
     );
-    // Those that were asked longest ago go first, since not all may get their turn.
+    // Machines probed longest ago go first, since the limits may not allow all of them.
     machines.sort((a, b) => a.reachability.lastProbeAt - b.reachability.lastProbeAt);
-    const doubtful = [...ownedShard.shard.machines.values()].some(
+    const anyMissedProbe = [...ownedShard.shard.machines.values()].some(
       (machine) => machine.reachability.missedProbes > 0,
     );
-    // Only those with live services are asked so often: in a large shard they are the fewer.
-    const serviceCpus = machines.reduce((n, machine) => n + (machine.serviceCpus > 0 ? 1 : 0), 0);
-    const watchful = Math.min(
+    // Only machines with live services are probed this often; in a large shard they are the minority.
+    const serviceMachines = machines.reduce(
+      (n, machine) => n + (machine.serviceCpus > 0 ? 1 : 0),
+      0,
+    );
+    const shortInterval = Math.min(
       1.3,
-      Math.max(0.3, serviceCpus / this.affordableProbes / heartbeatInterval),
+      Math.max(0.3, serviceMachines / this.probesPerShard / heartbeatInterval),
     );
     for (const machine of machines) {
       if (machine.reachability.lastReachedAt === null) continue;
       ownedShard.shard.machinesWithDueCommands.add(machine);
-      // Where live services run, silence is noticed within a second or two; elsewhere when a heartbeat
-      // is overdue.
-      // When one does not answer, all are asked: others that answer show that the fault is not ours.
-      const silenceIntervals = machine.serviceCpus > 0 || doubtful ? watchful : 1.3;
+      // Silence is noticed within a second or two where live services run, elsewhere once a heartbeat is overdue. While any
+      // machine misses probes, all are probed this often: responses of others show that the fault is not on this side.
+      const silenceIntervals = machine.serviceCpus > 0 || anyMissedProbe ? shortInterval : 1.3;
       if (now - machine.reachability.lastReachedAt > heartbeatInterval * silenceIntervals)
         void this.probe(ownedShard, machine);
     }
--- a/src/coordination/peers/gossiper.ts
+++ b/src/coordination/peers/gossiper.ts
@@ -1,4 +1,4 @@
-/** Sends gossip: at a steady pace the peers are told what this controller leads, lacks and can spare. */
+/** Sends gossip: tells the peers at a fixed interval what this controller leads, lacks and can spare. */
 import type { Clock } from '../../base/clock.js';
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { Settings, Tuning } from '../../protocol/settings.js';
@@ -7,10 +7,10 @@
 import type { Shard } from '../shard/shard.js';
 import type { PeerRegistry } from './peerRegistry.js';
 
-/** Demands for machines, as a shard's estimator gives them. */
+/** Demands for machines, as a shard's estimator returns them. */
 export type Demands = ReturnType<Shard['demand']['demands']>;
 
-/** The parts of a controller that gossip works with; `Controller` is one. */
+/** The parts of a controller that gossip uses; `Controller` implements it. */
 export interface GossipContext {
   settings: Pick<Settings, 'label' | 'heartbeatInterval' | 'workerLease' | 'teams'>;
   tuning: Pick<Tuning, 'idleRatio'>;
@@ -20,13 +20,13 @@
   stateClient: Pick<StateClient, 'demand' | 'adoptRateShare' | 'lastServed'>;
   stateLeaseTtl: number;
   leadership: { readonly isLeaseValid: boolean };
-  peers: Pick<PeerRegistry, 'gossip' | 'needs'>;
+  peers: Pick<PeerRegistry, 'broadcastGossip' | 'stateDemands'>;
   drain: { readonly isActive: boolean };
 }
 
 /**
- * Time between two messages, as a ratio to the heartbeat interval. At an eighth, a message to each peer, with
- * the demands worked out for it, would be a tenth of a small controller's work.
+ * Time between two messages, as a ratio to the heartbeat interval. At an eighth, the messages to all peers and the
+ * computation of the demands in them would be a tenth of a small controller's work.
  */
 const INTERVAL = 1 / 5;
 
@@ -45,20 +45,13 @@
     const now = clock.now();
     if (now - this.lastSent < settings.heartbeatInterval * INTERVAL) return;
     this.lastSent = now;
-    state.adoptRateShare(peers.needs());
-    peers.gossip(this.message(now), settings.heartbeatInterval / 2);
+    state.adoptRateShare(peers.stateDemands());
+    peers.broadcastGossip(this.composeMessage(now), settings.heartbeatInterval / 2);
   }
 
-  private message(now: number): Gossip {
-    const {
-      settings,
-      process,
-      clock,
-      stateClient: state,
-      leadership: ownership,
-      drain,
-    } = this.node;
-    const isServed = ownership.isLeaseValid;
+  private composeMessage(now: number): Gossip {
+    const { settings, process, clock, stateClient: state, leadership, drain } = this.node;
+    const isServed = leadership.isLeaseValid;
     if (isServed) this.demands = this.shards.flatMap((shard) => shard.demand.demands(now));
     return {
       sender: settings.label,
@@ -66,7 +59,7 @@
       sequence: ++this.sequence,
       sentAt: clock.wall(),
       stateDemand: state.demand,
-      // A draining controller must not be given its shard back.
+      // A draining controller must not get its shard back.
       isServed: isServed && !drain.isActive,
       shards: this.ownedShards(now),
       demands: isServed ? this.demands : [],
@@ -94,7 +87,7 @@
     }));
   }
 
-  /** What the tasks of teams with a guarantee use here. */
+  /** What the tasks of teams with a guarantee use in this controller's shards. */
   private teamUsage(): Gossip['teamUsage'] {
     const guaranteed = this.node.settings.teams.filter((team) => team.cpus > 0 || team.gpus > 0);
     return guaranteed.map(({ name: team }) => {
@@ -117,7 +110,7 @@
   lostMachines(): string[] {
     const { clock, settings, stateClient, stateLeaseTtl } = this.node;
     const now = clock.now();
-    // Without the state service this controller may be partitioned, and every machine seems lost.
+    // Without the state service this controller may be partitioned, and then every machine seems to be lost.
     if (now - stateClient.lastServed > stateLeaseTtl / 2) return [];
     const boot = (machine: Machine): number =>
       machine.machineType?.bootSeconds ?? settings.workerLease;
--- a/src/coordination/peers/peerRegistry.ts
+++ b/src/coordination/peers/peerRegistry.ts
@@ -1,4 +1,4 @@
-/** What this controller knows of the others by their gossip, and its calls to them. */
+/** What this controller knows of its peers by their gossip, and its calls to them. */
 import type { Clock } from '../../base/clock.js';
 import { decodeAnswer, encodeRequest, encodeSpec } from '../../protocol/peerCodec.js';
 import type {
@@ -12,7 +12,7 @@
 import type { JobSpec } from '../../protocol/job.js';
 import type { PeerClient } from '../../transport/peerLink.js';
 
-/** Peers whose last gossip is older than this share of its validity are not asked for estimates. */
+/** Peers are asked for estimates only while the age of their last gossip is at most this share of its validity. */
 const REACHABLE_SHARE = 0.4;
 
 interface Peer {
@@ -20,9 +20,9 @@
   zone: string;
   client: PeerClient;
   gossip: Gossip | null;
-  /** Steady time of the last gossip. */
-  heardAt: number;
-  /** Steady time since which the state service has served it; null: it does not. */
+  /** Monotonic time at which the last gossip was received. */
+  gossipReceivedAt: number;
+  /** Monotonic time since which the state service has served the peer; null: it does not. */
   servedSince: number | null;
 }
 
@@ -32,14 +32,19 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Seconds after which gossip is ignored. */
-    private readonly fresh: number,
-    /** Seconds by which two controllers' times of day may differ. */
-    private readonly skew: number,
+    /** Seconds for which gossip is valid. */
+    private readonly gossipValidity: number,
+    /** Seconds by which the wall-clock times of two controllers may differ. */
+    private readonly clockSkew: number,
     peers: { label: string; zone: string; client: PeerClient }[],
   ) {
     for (const peer of peers) {
-      this.peers.set(peer.label, { ...peer, gossip: null, heardAt: -Infinity, servedSince: null });
+      this.peers.set(peer.label, {
+        ...peer,
+        gossip: null,
+        gossipReceivedAt: -Infinity,
+        servedSince: null,
+      });
     }
   }
 
@@ -53,29 +58,30 @@
     for (const peer of this.peers.values()) peer.client.close();
   }
 
-  /** Takes a peer's gossip, unless it is late or older than what is known (safety, T12). */
+  /** Takes in a peer's gossip, unless it is late or older than what is known (safety, T12). */
   receiveGossip(gossip: Gossip): void {
     const peer = this.peers.get(gossip.sender);
     if (peer === undefined) return;
     const now = this.clock.now();
-    // After a partition messages arrive late, also those of earlier starts of the peer: what they say
-    // of machines to release, of fencing tokens and of teams is outdated.
-    const before = peer.gossip;
-    const isStale = this.isLate(gossip.sentAt);
+    // After a partition messages arrive late, also those of the peer's earlier processes: what they say of machines to
+    // release, of fencing tokens and of teams is outdated.
+    const previous = peer.gossip;
+    const isLate = this.isLate(gossip.sentAt);
     const isOutdated =
-      before !== null &&
-      (before.process === gossip.process
-        ? gossip.sequence <= before.sequence
-        : gossip.sentAt < before.sentAt - 2 * this.skew);
-    if (isStale || isOutdated) return;
-    if (!gossip.isServed || now - peer.heardAt > this.fresh) peer.servedSince = null;
+      previous !== null &&
+      (previous.process === gossip.process
+        ? gossip.sequence <= previous.sequence
+        : gossip.sentAt < previous.sentAt - 2 * this.clockSkew);
+    if (isLate || isOutdated) return;
+    if (!gossip.isServed || now - peer.gossipReceivedAt > this.gossipValidity)
+      peer.servedSince = null;
     if (gossip.isServed) peer.servedSince ??= now;
     peer.gossip = gossip;
-    peer.heardAt = now;
+    peer.gossipReceivedAt = now;
   }
 
   private isFresh(peer: Peer): boolean {
-    return this.clock.now() - peer.heardAt <= this.fresh;
+    return this.clock.now() - peer.gossipReceivedAt <= this.gossipValidity;
   }
 
   /** Whether the peer has been up, reachable and served by the state service for this long. */
@@ -92,13 +98,13 @@
       .map((p) => p.label);
   }
 
-  /** The process that a peer's messages come from; null: there has been no gossip lately. */
+  /** The process that a peer's messages come from; null if there has been no gossip recently. */
   processOf(label: string): string | null {
     const peer = this.peers.get(label);
     return peer !== undefined && this.isFresh(peer) ? (peer.gossip?.process ?? null) : null;
   }
 
-  /** The latest gossip of each peer, where it is fresh. */
+  /** The latest gossip of each peer, as long as it is valid. */
   gossips(): Gossip[] {
     return [...this.peers.values()].flatMap((p) =>
       p.gossip !== null && this.isFresh(p) ? [p.gossip] : [],
@@ -106,7 +112,7 @@
   }
 
   /** The peers' demands on the state service. */
-  needs(): Gossip['stateDemand'][] {
+  stateDemands(): Gossip['stateDemand'][] {
     return this.gossips().map((g) => g.stateDemand);
   }
 
@@ -115,7 +121,7 @@
     return this.gossips().flatMap((g) => g.demands);
   }
 
-  /** Who leads a shard, by the peers' gossip; the highest fencing token counts. */
+  /** The peer that leads a shard, by the peers' gossip; the highest fencing token counts. */
   leaderOf(shard: string): { label: string; fencingToken: number } | null {
     let best: { label: string; fencingToken: number } | null = null;
     for (const gossip of this.gossips()) {
@@ -128,7 +134,7 @@
   }
 
   /** Sends gossip to all peers, without waiting for their answers. */
-  gossip(gossip: Gossip, timeout: number): void {
+  broadcastGossip(gossip: Gossip, timeout: number): void {
     const body = encodeRequest({ Gossip: gossip });
     for (const peer of this.peers.values()) {
       peer.client.call(body, timeout).catch(() => undefined);
@@ -136,8 +142,8 @@
   }
 
   /**
-   * Asks all peers at once for turnaround estimates (DESIGN); those silent for `timeout` are ignored. Peers
-   * whose gossip has stopped are not asked: each submission in a partition would wait for the timeout.
+   * Asks all peers at once for turnaround estimates (DESIGN); peers that do not answer within `timeout` are ignored. Peers
+   * whose gossip has stopped are not asked: in a partition each submission would wait for the timeout.
    */
   async requestEstimates(
     spec: JobSpec,
@@ -147,7 +153,7 @@
   ): Promise<(TurnaroundEstimate & { node: string })[]> {
     const body = encodeRequest({ Ask: { spec: encodeSpec(spec), zone, tasks } });
     const reachable = [...this.peers.values()].filter(
-      (p) => this.clock.now() - p.heardAt <= this.fresh * REACHABLE_SHARE,
+      (p) => this.clock.now() - p.gossipReceivedAt <= this.gossipValidity * REACHABLE_SHARE,
     );
     const calls = reachable.map(async (peer) => {
       try {
@@ -161,14 +167,14 @@
     return (await Promise.all(calls)).flat();
   }
 
-  /** Whether a message sent at this time of day is late: what it says may have been given up since. */
+  /** Whether a message sent at this wall-clock time is late: what it says may have been revoked since. */
   isLate(at: number): boolean {
-    return this.clock.wall() - at > this.fresh + 2 * this.skew;
+    return this.clock.wall() - at > this.gossipValidity + 2 * this.clockSkew;
   }
 
   /**
-   * Announces a cancellation to all peers. `note` takes each answer and says whether the answers so far are
-   * enough; the result is false if they never were.
+   * Announces a cancellation to all peers. `note` receives each answer and returns whether the answers so far are enough;
+   * the result is false if they never were.
    */
   prepareCancel(
     job: string,
@@ -182,7 +188,7 @@
           const answer = decodeAnswer(await client.call(body, timeout));
           if ('PreparedChunks' in answer && note(answer.PreparedChunks.of)) resolve(true);
         } catch {
-          // Unreachable: its tasks are not known to have ended.
+          // The peer is unreachable: its tasks are not known to have ended.
         }
       });
       void Promise.all(calls).then(() => {
--- a/src/coordination/reconciliation/attemptTermination.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -1,6 +1,6 @@
 /**
- * When an attempt is over (safety, T2). This module alone says so: what releases a task takes a verdict of this type, and
- * nothing else can make one.
+ * Decides when an attempt has terminated (safety, T2). Only this module does: releasing a task requires an
+ * `AttemptTermination`, and no other module can create one.
  */
 import { MAX_CLOCK_DRIFT } from '../../base/clock.js';
 import type { TerminationRule } from '../audit/terminationRule.js';
@@ -15,21 +15,23 @@
   readonly heartbeatInterval: number;
 }
 
-/** The proof that an attempt is over. */
+/** Proof that an attempt has terminated. */
 export class AttemptTermination {
   private constructor(
     readonly rule: TerminationRule,
-    /** Steady time at which the evidence was heard. */
+    /** Monotonic time at which the evidence was received. */
     readonly evidenceAt: number,
   ) {}
 
-  /** By the newest heartbeat of its machine, which has been taken in already; null: it may still be there, or come. */
+  /**
+   * Decides by the machine's newest heartbeat, which has already been applied; null if the attempt may still run or start.
+   */
   static byHeartbeat(
     machine: Machine,
     { chunk, attempt }: Placement,
     now: number,
   ): AttemptTermination | null {
-    // The worker killed everything when its lease ran out; nothing of that agent epoch comes back.
+    // The worker killed all tasks of the earlier agent epoch when its lease expired; none of them returns.
     if (machine.agentEpoch > attempt.agentEpoch)
       return new AttemptTermination('new-agent-epoch', now);
     const reportedAttempt = machine.reportedAttempts.find(
@@ -39,42 +41,49 @@
     if (reportedAttempt !== undefined) {
       return reportedAttempt.state === 'ended' ? new AttemptTermination('ended', now) : null;
     }
-    // It was here and is no more.
-    const mayCome = machine.mayStartStillExecute(attempt);
-    if (attempt.wasReported) return mayCome ? null : new AttemptTermination('absent', now);
-    // It never came and is not to be started any longer.
+    // The attempt was reported before and no longer is.
+    const mayStillStart = machine.mayStartStillExecute(attempt);
+    if (attempt.wasReported) return mayStillStart ? null : new AttemptTermination('absent', now);
+    // The attempt was never reported and is not to be started any more.
     const isUnwanted = attempt.stop !== null || attempt.isInherited;
-    return isUnwanted && !mayCome && !attempt.startSentInAnswer
+    return isUnwanted && !mayStillStart && !attempt.startSentInAnswer
       ? new AttemptTermination('never-started', now)
       : null;
   }
 
-  /** By the worker's lease: all that ran there was killed by the worker itself. */
+  /**
+   * Decides by the worker's lease: once it has expired, the worker itself has killed all its tasks. Null while the lease
+   * may be valid.
+   */
   static byLeaseExpiry(
     machine: Machine,
     { workerLease, heartbeatInterval }: LeaseTimes,
     now: number,
   ): AttemptTermination | null {
-    // Another shard's leader may renew it without our knowledge.
+    // The leader of another shard may renew the lease without this controller's knowledge.
     if (machine.isReassigned) return null;
     const limit = workerLease * (1 + MAX_CLOCK_DRIFT) + heartbeatInterval / 2;
     if (now - machine.leaseRenewedAt <= limit) return null;
     return new AttemptTermination('lease-expired', machine.leaseRenewedAt);
   }
 
-  /** The record of its machine was removed, which happens only after the cloud has confirmed the release. */
+  /** Decides by the removal of the machine's record, which happens only after the cloud has confirmed the release. */
   static byMachineRemoval(now: number): AttemptTermination {
     return new AttemptTermination('machine-released', now);
   }
 
-  /** No start was sent, so nothing can come of it; null: one was, or is on its way. */
+  /**
+   * Decides by the commands sent: an attempt without a start command can't run. Null if one was sent or may be in flight.
+   */
   static byStartNeverSent(
     machine: Machine,
     attempt: Attempt,
     now: number,
   ): AttemptTermination | null {
-    const mayCome =
+    const mayStillStart =
       attempt.wasReported || attempt.startSentInAnswer || machine.mayStartStillExecute(attempt);
-    return mayCome || machine.hasCommandInFlight ? null : new AttemptTermination('never-sent', now);
+    return mayStillStart || machine.hasCommandInFlight
+      ? null
+      : new AttemptTermination('never-sent', now);
   }
 }
--- a/src/coordination/reconciliation/heartbeatReconciler.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -1,4 +1,4 @@
-/** What workers' heartbeats say of machines and of the attempts that are, or may be, there. */
+/** Applies workers' heartbeats to what a shard knows of its machines and of the attempts that are, or may be, on them. */
 import type { Heartbeat, ReportedAttempt } from '../../protocol/workerProtocol.js';
 import { AttemptTermination, type LeaseTimes } from './attemptTermination.js';
 import type { Chunk, Attempt } from '../model/chunk.js';
@@ -7,38 +7,38 @@
 import type { UnknownAttempts } from './unknownAttempts.js';
 
 /**
- * Where a heartbeat comes from: a worker's own, which may be late or get no answer; one that follows an
- * answer of ours on the same connection; the answer to a question or command of ours.
+ * How a heartbeat was received. `unsolicited`: sent by the worker on its own; it may be late or stay unanswered.
+ * `follow-up`: follows an answer of this node on the same connection. `response`: responds to a probe or command.
  */
 export type HeartbeatOrigin = 'unsolicited' | 'follow-up' | 'response';
 
-/** What a heartbeat says: nothing, since it is older than what is known; nothing new; or something new. */
+/** The effect of a heartbeat. `stale`: older than what is known; `unchanged`: nothing new; `changed`: something new. */
 export type HeartbeatEffect = 'stale' | 'unchanged' | 'changed';
 
-/** Of a machine's pace, how much one task that has ended counts: one odd task says little. */
+/** Weight of one completed task in the moving average of a machine's slowness: one outlier says little. */
 const SLOWNESS_WEIGHT = 0.25;
 
-/** The slowest pace that is believed, as a ratio to what was expected. */
+/** Upper bound of a task's measured slowness, as a ratio of its actual to its expected run time. */
 const MAX_SLOWNESS = 8;
 
-/** Machines on which a job must have failed before the job is blamed, not they. */
+/** Machines on which a job must have failed before the job, and not the machines, counts as faulty. */
 const FAULTY_JOB_MACHINES = 3;
 
-/** Jobs that must have failed in a row on a machine before the machine is blamed. */
+/** Jobs that must have failed in a row on a machine before the machine counts as faulty. */
 const FAULTY_MACHINE_JOBS = 2;
 
-/** What the reconciler needs of its shard. */
+/** The parts of a shard that the reconciler uses. */
 export interface HeartbeatReconcilerContext {
   readonly unknownAttempts: UnknownAttempts;
   /** The chunks of a job that are in the shard. */
   chunksOf(job: string): Chunk[];
   /** Records that a chunk has changed and has to be stored. */
   noteChunkChanged(chunk: Chunk, now: number): void;
-  /** Reports attempts that are back although their worker has forgotten them. */
+  /** Reports a violated invariant for attempts that a worker reports again after it has forgotten them. */
   noteReturnedAttempts(machine: Machine): void;
-  /** Asks for the stop of an attempt, with seconds for its checkpoint. */
+  /** Requests the stop of an attempt, with seconds for its checkpoint. */
   requestStop(machine: Machine, attempt: Attempt, gracePeriod: number): void;
-  /** Ends an attempt that is over. */
+  /** Removes an attempt that has terminated. */
   terminateAttempt(
     machine: Machine,
     placement: Placement,
@@ -64,8 +64,8 @@
   ) {}
 
   /**
-   * Takes a worker's heartbeat. Most say nothing new, and nothing has to be decided anew for them: with
-   * hundreds of machines that would be most of a node's work.
+   * Applies a worker's heartbeat. Most say nothing new and trigger no scheduling round: with hundreds of machines, that
+   * would be most of a node's work.
    */
   apply(
     machine: Machine,
@@ -74,12 +74,12 @@
     origin: HeartbeatOrigin,
   ): HeartbeatEffect {
     if (!machine.isNewer(heartbeat)) return 'stale';
-    const before = machine.isSchedulable(now);
+    const wasSchedulable = machine.isSchedulable(now);
     const isUnsolicited = origin !== 'response';
-    const newSession =
+    const isNewEpoch =
       heartbeat.agentEpoch > machine.agentEpoch && machine.reachability.lastHeartbeatAt !== null;
-    const isFirstOfSession = newSession || machine.reachability.lastHeartbeatAt === null;
-    // The first that is known stays: a late copy must not send orders elsewhere.
+    const isFirstOfEpoch = isNewEpoch || machine.reachability.lastHeartbeatAt === null;
+    // The first known address stays: a late copy must not divert commands.
     if (machine.address === '') machine.address = heartbeat.address;
     machine.agentEpoch = heartbeat.agentEpoch;
     machine.heartbeatSequence = heartbeat.heartbeatSequence;
@@ -87,13 +87,13 @@
       machine.highestFencingToken,
       heartbeat.highestFencingToken,
     );
-    // At once, not with the next sweep: a machine that has just come up is waited for.
+    // Applied here and not in the next sweep, since work may be waiting for a machine that has just come up.
     machine.reachability.noteHeartbeat(now, isUnsolicited);
     if (origin !== 'unsolicited') machine.markReached(now);
     machine.preemptionDeadline =
       heartbeat.preemptionWarning === null ? null : now + heartbeat.preemptionWarning;
     const changed = machine.updateReportedAttempts(heartbeat.attempts);
-    if (newSession) machine.endedAttempts.clear();
+    if (isNewEpoch) machine.endedAttempts.clear();
     this.reviewEndedAttempts(machine, isUnsolicited);
     for (const placement of [...machine.placements.values()]) {
       this.reconcileAttempt(machine, placement, isUnsolicited, now);
@@ -103,16 +103,20 @@
       this.shard.noteReturnedAttempts(machine);
     }
     this.claimOrphanedResults(machine, now);
-    // A worker's lease counts from when its agent epoch began, also one that reaches no controller and only answers.
-    if (isFirstOfSession && machine.placements.size === 0)
+    // A worker's lease counts from the start of its agent epoch, also if the worker reaches no controller and only responds
+    // to probes.
+    if (isFirstOfEpoch && machine.placements.size === 0)
       machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
     if (machine.preemptionDeadline !== null) this.checkpointBeforePreemption(machine, now);
     if (machine.placements.size > 0) machine.idleSince = now;
-    const news = changed || newSession || before !== machine.isSchedulable(now);
-    return news ? 'changed' : 'unchanged';
+    const hasNews = changed || isNewEpoch || wasSchedulable !== machine.isSchedulable(now);
+    return hasNews ? 'changed' : 'unchanged';
   }
 
-  /** Ended attempts that the worker has forgotten; the others wait for what a start of them may still do. */
+  /**
+   * Removes ended attempts that the worker no longer reports. For the others, an unsolicited heartbeat settles starts sent
+   * in an answer.
+   */
   private reviewEndedAttempts(machine: Machine, isUnsolicited: boolean): void {
     if (machine.endedAttempts.size === 0) return;
     const reported = new Set(
@@ -124,7 +128,7 @@
     }
   }
 
-  /** What a newer heartbeat says of one attempt. */
+  /** Applies a newer heartbeat to one attempt. */
   private reconcileAttempt(
     machine: Machine,
     placement: Placement,
@@ -144,7 +148,7 @@
     else this.endAttempt(machine, placement, reportedAttempt, termination, now);
   }
 
-  /** It is there, and not over. */
+  /** Records that the attempt is reported and has not ended. */
   private noteProgress(
     machine: Machine,
     { chunk, attempt }: Placement,
@@ -159,7 +163,7 @@
     attempt.state = reportedAttempt.state;
   }
 
-  /** The worker says that it has ended, and why. */
+  /** Handles an attempt that the worker reports as ended, by the cause of its end. */
   private endAttempt(
     machine: Machine,
     placement: Placement,
@@ -175,7 +179,7 @@
       if (reportedAttempt.cause === 'no_room' || reportedAttempt.cause === 'busy') {
         machine.quarantinedUntil = now + this.options.heartbeatInterval;
       }
-      // The description is on its way, or the user never sent it: try again, but not at once.
+      // The worker lacks the job's description: it is still on its way, or the user never sent it. Retry, but not at once.
       if (reportedAttempt.cause === 'unknown') this.backOff(chunk, now);
       this.shard.terminateAttempt(machine, placement, termination, now);
     }
@@ -193,7 +197,7 @@
       const actual = now - attempt.runningSince;
       const expected = this.runTimes.expected(chunk.spec.jobClass, chunk.spec.expectedRunSeconds);
       this.runTimes.record(chunk.spec.jobClass, chunk.spec.expectedRunSeconds, actual);
-      // A machine's own pace, slowly followed.
+      // Moving average of the machine's slowness.
       if (expected > 0) {
         machine.slowness +=
           SLOWNESS_WEIGHT * (Math.min(MAX_SLOWNESS, actual / expected) - machine.slowness);
@@ -206,7 +210,7 @@
     this.shard.terminateAttempt(machine, placement, termination, now);
   }
 
-  /** The attempt's end stays in the worker's reports until it may be forgotten. */
+  /** Remembers the ended attempt: its worker reports it until it is told to forget it. */
   private rememberEndedAttempt(
     machine: Machine,
     chunk: Chunk,
@@ -222,8 +226,8 @@
     machine.failedJobs.add(chunk.spec.id);
     chunk.failureCount++;
     chunk.failedMachines.add(machine.name);
-    // Several jobs failing on one machine point at the machine; one job failing on several machines
-    // points at the job. Neither takes the other's good name with it.
+    // Several jobs failing on one machine point to a faulty machine; one job failing on several machines points to a faulty
+    // job. Neither counts against the other.
     const jobIsBad = chunk.failedMachines.size >= FAULTY_JOB_MACHINES;
     if (jobIsBad) machine.failedJobs.delete(chunk.spec.id);
     if (machine.failedJobs.size >= FAULTY_MACHINE_JOBS) {
@@ -237,19 +241,23 @@
     chunk.retryNotBefore = now + (this.options.heartbeatInterval / 4) * 2 ** steps;
   }
 
-  /** A done attempt of ours that an earlier owner started and we hold no entry for. */
+  /** Records tasks as done that the worker reports as completed by attempts of an earlier leader without an entry here. */
   private claimOrphanedResults(machine: Machine, now: number): void {
     for (const { task, attemptNumber, state, cause } of machine.reportedAttempts.all) {
       if (state !== 'ended' || cause !== 'done') continue;
       const key = attemptKey(task, attemptNumber);
       if (machine.placements.has(task) || machine.endedAttempts.has(key)) continue;
       const slash = task.lastIndexOf('/');
-      const number = Number(task.slice(slash + 1));
+      const taskIndex = Number(task.slice(slash + 1));
       for (const chunk of this.shard.chunksOf(task.slice(0, slash))) {
-        if (number < chunk.firstTask || number >= chunk.endTask || chunk.doneTasks.has(number))
+        if (
+          taskIndex < chunk.firstTask ||
+          taskIndex >= chunk.endTask ||
+          chunk.doneTasks.has(taskIndex)
+        )
           continue;
-        if (chunk.attempts.has(number)) continue;
-        chunk.doneTasks.add(number);
+        if (chunk.attempts.has(taskIndex)) continue;
+        chunk.doneTasks.add(taskIndex);
         this.shard.noteChunkChanged(chunk, now);
         machine.endedAttempts.set(key, new EndedAttempt(chunk, now, false, null));
       }
@@ -260,15 +268,13 @@
     for (const { chunk, attempt } of machine.placements.values()) {
       if (attempt.stop !== null || chunk.isCancelRequested) continue;
       const left = (machine.preemptionDeadline ?? now) - now;
-      const {
-        isService: service,
-        checkpointInterval: checkpoint,
-        checkpointDuration: save,
-      } = chunk.spec;
-      // Without a checkpoint stopping gains nothing, save that a replica's successor starts sooner.
-      const worth =
-        service || (checkpoint > 0 && left <= save + 2 * this.options.heartbeatInterval);
-      if (worth) this.shard.requestStop(machine, attempt, checkpoint > 0 ? save : 0);
+      const { isService, checkpointInterval, checkpointDuration } = chunk.spec;
+      // Without a checkpoint a stop gains nothing, except that the successor of a service replica starts sooner.
+      const isWorthStopping =
+        isService ||
+        (checkpointInterval > 0 && left <= checkpointDuration + 2 * this.options.heartbeatInterval);
+      if (isWorthStopping)
+        this.shard.requestStop(machine, attempt, checkpointInterval > 0 ? checkpointDuration : 0);
     }
   }
 }
--- a/src/coordination/reconciliation/machineLiveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -1,4 +1,4 @@
-/** Which machines of a shard are silent, and since when what ran there is over. */
+/** Detects silent machines of a shard, terminates attempts once the worker's lease has expired, and finds lost machines. */
 import { log } from '../../base/log.js';
 import { AttemptTermination, type LeaseTimes } from './attemptTermination.js';
 import { isCapacity, bootTimeout, rediscoveryTimeout } from '../model/availability.js';
@@ -6,12 +6,12 @@
 import type { MachineReleaseReason } from '../audit/auditEvent.js';
 import type { AuditTrail } from '../audit/auditTrail.js';
 
-/** What the liveness checks need of their shard. */
+/** The parts of a shard that the liveness checks use. */
 export interface MachineLivenessContext {
   readonly label: string;
   readonly audit: Pick<AuditTrail, 'note'>;
   readonly machines: ReadonlyMap<string, Machine>;
-  /** Ends an attempt that is over. */
+  /** Removes an attempt that has terminated. */
   terminateAttempt(
     machine: Machine,
     placement: Placement,
@@ -20,19 +20,22 @@
   ): void;
 }
 
-/** Finds machines that are silent, and ends attempts of which the worker's lease has expired. */
+/** Finds silent machines, and terminates attempts whose worker's lease has expired. */
 export class MachineLiveness {
-  /** When most of the machines were last silent: more likely a fault on our side than on theirs. */
+  /** Monotonic time at which most machines were last silent: more likely a fault on this side than on theirs. */
   private mostSilentAt = -Infinity;
-  /** The machines that are no capacity, as last logged. */
-  private notedCapacity = 'lost 0, unresponsive 0, overdue 0, partitioned 0';
+  /** The counts of machines that are not capacity, as last logged. */
+  private loggedCapacity = 'lost 0, unresponsive 0, overdue 0, partitioned 0';
 
   constructor(
     private readonly shard: MachineLivenessContext,
     private readonly options: LeaseTimes,
   ) {}
 
-  /** Silent machines: what ran there is over once nobody can have renewed the lease that long. */
+  /**
+   * Marks partitioned machines, and terminates attempts on machines whose worker's lease nobody can have renewed for too
+   * long.
+   */
   sweep(now: number): void {
     for (const machine of this.shard.machines.values()) {
       machine.reachability.isPartitioned =
@@ -46,11 +49,11 @@
         this.shard.terminateAttempt(machine, placement, termination, now);
       }
     }
-    this.noteCapacity(now);
+    this.logCapacity(now);
   }
 
-  /** Logs how many machines work may count on, and why others don't count, when that has changed. */
-  private noteCapacity(now: number): void {
+  /** Logs how many machines count as capacity, and why others don't, when that has changed. */
+  private logCapacity(now: number): void {
     const counts = { capacity: 0, lost: 0, unresponsive: 0, overdue: 0, partitioned: 0 };
     for (const machine of this.shard.machines.values()) {
       const state = machine.availability(now);
@@ -61,45 +64,50 @@
     const missing =
       `lost ${lost}, unresponsive ${unresponsive}, overdue ${overdue}, ` +
       `partitioned ${partitioned}`;
-    if (missing === this.notedCapacity) return;
-    this.notedCapacity = missing;
+    if (missing === this.loggedCapacity) return;
+    this.loggedCapacity = missing;
     const { label, machines } = this.shard;
     log.info(
-      `shard ${label}: work may count on ${capacity} of ${machines.size} machines; ${missing}`,
+      `shard ${label}: ${capacity} of ${machines.size} machines count as capacity; ${missing}`,
     );
   }
 
   /**
-   * Machines so long silent that they count as lost. Ending them is the quickest proof that their
-   * tasks are over. When no other machine has answered since, the fault is more likely ours: a node
-   * that lost its network once asked for the release of healthy machines, and the request was carried
-   * out when the cut was over.
+   * Machines that have been silent for so long that they count as lost. Releasing them is the quickest proof that their
+   * tasks have ended. If no other machine has responded since, the fault is more likely on this side: a node that had lost
+   * its network once requested the release of healthy machines, and the request was executed when the partition ended.
    */
-  lostMachines(now: number, bootOf: (machine: Machine) => number, wall: number): string[] {
+  lostMachines(
+    now: number,
+    bootSecondsOf: (machine: Machine) => number,
+    wallTime: number,
+  ): string[] {
     if (this.mostAreSilent()) this.mostSilentAt = now;
     const lost: string[] = [];
     for (const machine of this.shard.machines.values()) {
       if (machine.isReassigned) {
-        // It has come back: what ran here is over once its release is confirmed, and not known to be before.
+        // The machine's record has returned to this shard. Only its confirmed release proves that its attempts here have
+        // ended.
         if (machine.recordedShard === this.shard.label) lost.push(machine.name);
         continue;
       }
-      // Its last owner may be alive and answer it: that we can't reach it says nothing of the machine.
+      // The shard's previous leader may be alive and answer the machine's worker: that this node can't reach it says
+      // nothing about the machine.
       if (machine.reachability.lastReachedAt === null && machine.leaseRenewedAt > now) continue;
       const isNew =
         machine.reachability.lastReachedAt === null &&
         machine.reachability.firstMissedProbeAt === null;
       const isLost = isNew
-        ? this.neverCame(machine, now, wall, bootOf(machine))
+        ? this.hasNeverComeUp(machine, now, wallTime, bootSecondsOf(machine))
         : this.isLost(machine, now);
       if (!isLost) continue;
       lost.push(machine.name);
-      this.noteGivenUp(machine, isNew ? 'never-came' : 'silent', now);
+      this.recordReleaseRequest(machine, isNew ? 'never-came' : 'silent', now);
     }
     return lost;
   }
 
-  private noteGivenUp(machine: Machine, reason: MachineReleaseReason, now: number): void {
+  private recordReleaseRequest(machine: Machine, reason: MachineReleaseReason, now: number): void {
     if (machine.isReleaseRequested) return;
     machine.isReleaseRequested = true;
     this.shard.audit.note({
@@ -113,25 +121,30 @@
   }
 
   private mostAreSilent(): boolean {
-    let asked = 0;
+    let probed = 0;
     let silent = 0;
     for (const { reachability, isReassigned } of this.shard.machines.values()) {
       const { lastReachedAt, missedProbes } = reachability;
       if (isReassigned) continue;
       if (lastReachedAt === null && missedProbes === 0) continue;
-      asked++;
+      probed++;
       if (missedProbes > 0) silent++;
     }
-    return silent * 2 > asked;
+    return silent * 2 > probed;
   }
 
   /**
-   * Most are up within 1.5 times the boot time; one that isn't may never come, and is charged. After a
-   * takeover every worker first has to find us; one that has tasks was up before.
+   * Most machines are up within 1.5 times the boot time; one that is not may never come up, and is charged. After a
+   * takeover every worker first has to find this node; a machine with tasks was up before.
    */
-  private neverCame(machine: Machine, now: number, wall: number, boot: number): boolean {
+  private hasNeverComeUp(
+    machine: Machine,
+    now: number,
+    wallTime: number,
+    bootSeconds: number,
+  ): boolean {
     const { heartbeatInterval } = this.options;
-    const isOverdue = wall - machine.launchedAt > bootTimeout(boot, heartbeatInterval);
+    const isOverdue = wallTime - machine.launchedAt > bootTimeout(bootSeconds, heartbeatInterval);
     const isWatched = now - machine.firstSeenAt > rediscoveryTimeout(heartbeatInterval);
     return isOverdue && isWatched && machine.placements.size === 0;
   }
@@ -146,15 +159,16 @@
       silentFor < heartbeatInterval * 0.8
     )
       return false;
-    const { answering, silent } = this.othersSince(machine, since);
+    const { answering, silent } = this.countOthers(machine, since);
     const isAlone = answering === 0 && silent === 0 && silentFor > heartbeatInterval * 3;
-    // When a cut ends most answer at once. The others have not been asked since, and were released as lost.
-    const askedSince = machine.reachability.lastProbeAt >= this.mostSilentAt;
-    return isAlone || (answering > silent && askedSince);
+    // When a partition ends, most machines respond at once. Those that had not been probed since were once released as
+    // lost.
+    const wasProbedSince = machine.reachability.lastProbeAt >= this.mostSilentAt;
+    return isAlone || (answering > silent && wasProbedSince);
   }
 
-  /** Of the other machines, how many have answered since then, and how many are silent. */
-  private othersSince(machine: Machine, since: number): { answering: number; silent: number } {
+  /** Counts the other machines that have responded since then, and those that are silent. */
+  private countOthers(machine: Machine, since: number): { answering: number; silent: number } {
     let answering = 0;
     let silent = 0;
     for (const other of this.shard.machines.values()) {
--- a/src/coordination/reconciliation/unknownAttempts.ts
+++ b/src/coordination/reconciliation/unknownAttempts.ts
@@ -1,37 +1,42 @@
 /**
- * Attempts that run on machines of a shard and that the shard does not know: each is ended as soon as it is seen. A task of
- * which such an attempt runs is started nowhere else meanwhile (safety, T18).
+ * Attempts that run on machines of a shard and that the shard does not know. Each is stopped as soon as it is seen, and
+ * meanwhile its task is started nowhere else (safety, T18).
  */
 import type { Machine } from '../model/machine.js';
 
-/** Attempts that workers report and no chunk of the shard knows. */
+/** Tracks the attempts that workers report and no chunk of the shard knows, by machine and by task. */
 export class UnknownAttempts {
-  private readonly tasksOn = new Map<Machine, string[]>();
-  private readonly machinesOf = new Map<string, Set<Machine>>();
+  private readonly tasksByMachine = new Map<Machine, string[]>();
+  private readonly machinesByTask = new Map<string, Set<Machine>>();
 
-  /** Takes in what the machine's worker has just reported. */
+  /** Replaces the machine's entries by what its worker has just reported. */
   update(machine: Machine): void {
     this.forget(machine);
     const tasks = machine.unknownAttempts.map(({ task }) => task);
     if (tasks.length === 0) return;
-    this.tasksOn.set(machine, tasks);
+    this.tasksByMachine.set(machine, tasks);
     for (const task of tasks) {
-      this.machinesOf.set(task, (this.machinesOf.get(task) ?? new Set()).add(machine));
+      this.machinesByTask.set(task, (this.machinesByTask.get(task) ?? new Set()).add(machine));
     }
   }
 
-  /** The machine is gone. */
+  /** Removes the entries of a machine that is gone. */
   forget(machine: Machine): void {
-    for (const task of this.tasksOn.get(machine) ?? []) {
-      const machines = this.machinesOf.get(task);
-      if (machines?.delete(machine) === true && machines.size === 0) this.machinesOf.delete(task);
+    for (const task of this.tasksByMachine.get(machine) ?? []) {
+      const machines = this.machinesByTask.get(task);
+      if (machines?.delete(machine) === true && machines.size === 0)
+        this.machinesByTask.delete(task);
     }
-    this.tasksOn.delete(machine);
+    this.tasksByMachine.delete(machine);
   }
 
-  /** A machine that was last seen with such an attempt, and whose worker's lease may not be over. */
+  /**
+   * A machine that last reported an unknown attempt of the task, and whose worker's lease may not have expired; null if
+   * there is none.
+   */
   findMachine(task: string, mayBeAlive: (machine: Machine) => boolean): Machine | null {
-    for (const machine of this.machinesOf.get(task) ?? []) if (mayBeAlive(machine)) return machine;
+    for (const machine of this.machinesByTask.get(task) ?? [])
+      if (mayBeAlive(machine)) return machine;
     return null;
   }
 }
--- a/test/autoscaling/inventorySync.test.ts
+++ b/test/autoscaling/inventorySync.test.ts
@@ -28,7 +28,7 @@
   inventory.update('g2', group('n-2', 'n-3'));
   const written = new Map<string, string[]>();
   const groups = {
-    pending: new Map<string, string[]>(),
+    pendingMachines: new Map<string, string[]>(),
     replace: (changes: Map<string, MachineGroupRecord | null>) => {
       for (const [name, value] of changes) written.set(name, Object.keys(value?.machines ?? {}));
       inventory.update('g2', group('n-3'));
--- a/test/autoscaling/scaleOutPlan.test.ts
+++ b/test/autoscaling/scaleOutPlan.test.ts
@@ -31,7 +31,7 @@
     pending: [] as ScaleOutPlan[],
     batchWindow: 60,
     serviceHorizon: 600,
-    promptHorizon: 60,
+    urgentServiceHorizon: 60,
   };
   const demand = {
     shard: 'p',
