--- a/test/commands/cancelledTaskMonitor.test.ts
+++ b/test/commands/cancelledTaskMonitor.test.ts
@@ -1,4 +1,4 @@
-/** What must not happen to cancelled jobs is noticed when it does. */
+/** Runtime checks for cancelled jobs: a lease renewal without the stop, and a start that is about to be sent, are reported. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -15,57 +15,73 @@
 const RESEND_INTERVALS = 1.5;
 
 /** A machine that runs a task of a job whose cancellation is announced. */
-function cancelledTask(): { b: ShardFixture; machine: Machine; owned: OwnedShard } {
-  const b = new ShardFixture();
-  const machine = b.machine();
-  const chunk = b.createRunningChunk(machine);
-  b.shard.prepareCancel(chunk, b.now);
-  return { b, machine, owned: createOwnedShard(b.shard, { fencingToken: 7, revision: 1 }, b.now) };
+function createCancelledTask(): {
+  fixture: ShardFixture;
+  machine: Machine;
+  ownedShard: OwnedShard;
+} {
+  const fixture = new ShardFixture();
+  const machine = fixture.machine();
+  const chunk = fixture.createRunningChunk(machine);
+  fixture.shard.prepareCancel(chunk, fixture.now);
+  return {
+    fixture,
+    machine,
+    ownedShard: createOwnedShard(fixture.shard, { fencingToken: 7, revision: 1 }, fixture.now),
+  };
 }
 
-const violations = (b: ShardFixture): string[] =>
-  Object.keys(b.shard.audit.counters).filter((name) => name.startsWith('invariant-broken.'));
+const violations = (fixture: ShardFixture): string[] =>
+  Object.keys(fixture.shard.audit.counters).filter((name) => name.startsWith('invariant-broken.'));
 
-for (const { name, isSent, broken } of [
-  { name: 'the answer carries the stop', isSent: true, broken: false },
-  { name: 'no stop was ever sent', isSent: false, broken: true },
+for (const { name, isSent, isViolation } of [
+  { name: 'the answer carries the stop', isSent: true, isViolation: false },
+  { name: 'no stop was ever sent', isSent: false, isViolation: true },
 ]) {
-  test(`a renewal over a task of a cancelled job: ${name}`, () => {
-    const { b, machine, owned } = cancelledTask();
-    const monitor = new CancelledTaskMonitor(contextOf(b), RESEND_INTERVALS);
-    const repeatAfter = HEARTBEAT_INTERVAL * RESEND_INTERVALS;
-    const sent = isSent ? dueCommands(machine, b.now, repeatAfter) : [];
-    monitor.noteRenewal(owned, machine, sent);
-    assert.deepEqual(violations(b), broken ? ['invariant-broken.renewal-without-stop'] : []);
-    assert.equal(b.shard.audit.counters['cancellations.task-renewed'], 1);
+  test(`lease renewal over a task of a cancelled job: ${name}`, () => {
+    const { fixture, machine, ownedShard } = createCancelledTask();
+    const monitor = new CancelledTaskMonitor(contextOf(fixture), RESEND_INTERVALS);
+    const resendAfter = HEARTBEAT_INTERVAL * RESEND_INTERVALS;
+    const sent = isSent ? dueCommands(machine, fixture.now, resendAfter) : [];
+    monitor.noteRenewal(ownedShard, machine, sent);
+    assert.deepEqual(
+      violations(fixture),
+      isViolation ? ['invariant-broken.renewal-without-stop'] : [],
+    );
+    assert.equal(fixture.shard.audit.counters['cancellations.task-renewed'], 1);
   });
 }
 
-for (const { name, later, broken } of [
-  { name: 'while it is on its way', later: HEARTBEAT_INTERVAL, broken: false },
-  { name: 'once it should have been sent again', later: HEARTBEAT_INTERVAL * 2, broken: true },
+for (const { name, delay, isViolation } of [
+  { name: 'before the stop is due again', delay: HEARTBEAT_INTERVAL, isViolation: false },
+  { name: 'once the stop is due again', delay: HEARTBEAT_INTERVAL * 2, isViolation: true },
 ]) {
-  test(`a renewal after a stop without effect, ${name}`, () => {
-    const { b, machine, owned } = cancelledTask();
-    const monitor = new CancelledTaskMonitor(contextOf(b), RESEND_INTERVALS);
-    dueCommands(machine, b.now, HEARTBEAT_INTERVAL * RESEND_INTERVALS);
-    b.now += later;
-    monitor.noteRenewal(owned, machine, []);
-    assert.deepEqual(violations(b), broken ? ['invariant-broken.renewal-without-stop'] : []);
+  test(`lease renewal after a stop without effect, ${name}`, () => {
+    const { fixture, machine, ownedShard } = createCancelledTask();
+    const monitor = new CancelledTaskMonitor(contextOf(fixture), RESEND_INTERVALS);
+    dueCommands(machine, fixture.now, HEARTBEAT_INTERVAL * RESEND_INTERVALS);
+    fixture.now += delay;
+    monitor.noteRenewal(ownedShard, machine, []);
+    assert.deepEqual(
+      violations(fixture),
+      isViolation ? ['invariant-broken.renewal-without-stop'] : [],
+    );
   });
 }
 
-test('a start of a cancelled job that is about to leave', () => {
-  const { b, machine, owned } = cancelledTask();
+test('a start of a cancelled job that is about to be sent is a violation', () => {
+  const { fixture, machine, ownedShard } = createCancelledTask();
   const start: Command = { verb: 'start', task: 'wk-1/0', attemptNumber: 1 };
-  assertNoCancelledStarts(owned, machine, [{ ...start, task: 'wk-2/0' }]);
-  assert.deepEqual(violations(b), []);
-  assertNoCancelledStarts(owned, machine, [start]);
-  assert.deepEqual(violations(b), ['invariant-broken.start-of-cancelled-job']);
+  assertNoCancelledStarts(ownedShard, machine, [{ ...start, task: 'wk-2/0' }]);
+  assert.deepEqual(violations(fixture), []);
+  assertNoCancelledStarts(ownedShard, machine, [start]);
+  assert.deepEqual(violations(fixture), ['invariant-broken.start-of-cancelled-job']);
 });
 
-const contextOf = (b: ShardFixture): ConstructorParameters<typeof CancelledTaskMonitor>[0] => ({
+const contextOf = (
+  fixture: ShardFixture,
+): ConstructorParameters<typeof CancelledTaskMonitor>[0] => ({
   settings: { heartbeatInterval: HEARTBEAT_INTERVAL },
-  clock: { now: () => b.now },
-  leadership: { leaseExpiresAt: b.now + 1 },
+  clock: { now: () => fixture.now },
+  leadership: { leaseExpiresAt: fixture.now + 1 },
 });
