--- a/test/audit/auditTrail.test.ts
+++ b/test/audit/auditTrail.test.ts
@@ -1,10 +1,10 @@
-/** The audit trail: how a line reads, what is counted, and that decisions about attempts leave their evidence. */
+/** The audit trail: the format of a line, the counters, and the rule recorded for each terminated attempt. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { AuditTrail, formatAuditEvent } from '../../src/coordination/audit/auditTrail.js';
 import { ShardFixture } from '../support/shardFixture.js';
 
-test('a line names time, node and event, and quotes what has spaces', () => {
+test('a line shows time, node and event, and quotes values with spaces', () => {
   const line = formatAuditEvent('drone-0', 12.5, {
     event: 'commands-sent',
     shard: 'drone-1',
@@ -24,48 +24,50 @@
   );
 });
 
-for (const { name, end, rule, broken = {} } of [
+for (const { name, endAttempt, rule, violations = {} } of [
   {
     name: 'its worker reports the end',
     rule: 'ended',
-    end: (b: ShardFixture) => b.report(b.machineOf('n-1'), [{ state: 'ended', cause: 'halted' }]),
+    endAttempt: (fixture: ShardFixture) =>
+      fixture.report(fixture.machineOf('n-1'), [{ state: 'ended', cause: 'halted' }]),
   },
   {
-    name: 'it is in no report any more, which its worker owes us an end for',
+    name: 'it is missing from a heartbeat although its worker has not reported the end',
     rule: 'absent',
-    broken: { 'invariant-broken.attempt-vanished': 1 },
-    end: (b: ShardFixture) => b.report(b.machineOf('n-1'), []),
+    violations: { 'invariant-broken.attempt-vanished': 1 },
+    endAttempt: (fixture: ShardFixture) => fixture.report(fixture.machineOf('n-1'), []),
   },
   {
-    name: 'its worker has a newer session',
+    name: 'its worker has a newer agent epoch',
     rule: 'new-session',
-    end: (b: ShardFixture) => b.report(b.machineOf('n-1'), [], { agentEpoch: 2 }),
+    endAttempt: (fixture: ShardFixture) =>
+      fixture.report(fixture.machineOf('n-1'), [], { agentEpoch: 2 }),
   },
   {
     name: 'nobody can have renewed the lease',
     rule: 'lease-over',
-    end: (b: ShardFixture) => {
-      b.now += 30;
-      b.shard.liveness.sweep(b.now);
+    endAttempt: (fixture: ShardFixture) => {
+      fixture.now += 30;
+      fixture.shard.liveness.sweep(fixture.now);
     },
   },
   {
     name: 'its machine is gone',
     rule: 'machine-gone',
-    end: (b: ShardFixture) => {
-      b.shard.removeMachine('n-1', b.now);
+    endAttempt: (fixture: ShardFixture) => {
+      fixture.shard.removeMachine('n-1', fixture.now);
     },
   },
 ]) {
-  test(`an attempt that is over is counted by the rule that ended it: ${name}`, () => {
-    const b = new ShardFixture();
-    b.createRunningChunk(b.machine());
-    end(b);
-    assert.deepEqual(b.shard.audit.counters, { [`attempt-over.${rule}`]: 1, ...broken });
+  test(`a terminated attempt is counted by the rule of its termination: ${name}`, () => {
+    const fixture = new ShardFixture();
+    fixture.createRunningChunk(fixture.machine());
+    endAttempt(fixture);
+    assert.deepEqual(fixture.shard.audit.counters, { [`attempt-over.${rule}`]: 1, ...violations });
   });
 }
 
-test('broken invariants are counted by their kind', () => {
+test('violated invariants are counted by their kind', () => {
   const audit = new AuditTrail('drone-0', () => 0);
   const detail = 'seen by a test';
   audit.note({ event: 'invariant-violated', invariant: 'attempt-vanished', shard: 'p', detail });
--- a/test/autoscaling/inventorySync.test.ts
+++ b/test/autoscaling/inventorySync.test.ts
@@ -1,4 +1,4 @@
-/** The cloud's list and the stored groups. */
+/** Synchronisation of the stored groups with the cloud's list. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { AutoscalingContext } from '../../src/coordination/autoscaling/autoscalingContext.js';
@@ -21,7 +21,7 @@
   machines: Object.fromEntries(names.map((name) => [name, { launchedAt: 0 }])),
 });
 
-test('addresses that are stored bring back no machine that was released meanwhile', async () => {
+test('storing addresses does not restore a machine that was released meanwhile', async () => {
   // The groups were read before the first of them was written; the second lost a machine in between.
   const inventory = new MachineInventory();
   inventory.update('g1', group('n-1'));
--- a/test/autoscaling/openRentals.test.ts
+++ b/test/autoscaling/openRentals.test.ts
@@ -1,4 +1,4 @@
-/** Guards against a machine that is adopted while the rental that launched it is still to be answered. */
+/** Guards against the adoption of a machine while the launch request that may have created it is unanswered. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { UnansweredLaunches } from '../../src/coordination/autoscaling/unansweredLaunches.js';
@@ -14,35 +14,53 @@
   ...changes,
 });
 
-const rental: MachineGroupRecord = {
+const requestedGroup: MachineGroupRecord = {
   ...{ shard: 'p', type: 'm8', zone: 'a', spot: true, machines: {}, requestedCount: 2 },
 };
 
-for (const { name, machine, recordedAgo, group = rental, may } of [
-  { name: 'launched since its rental was recorded', machine: {}, recordedAgo: 10, may: true },
-  { name: 'launched before that', machine: { age: 50 }, recordedAgo: 10, may: false },
-  { name: 'an earlier process has recorded the rental', machine: { age: 50 }, may: true },
-  { name: 'of another type', machine: { type: 'm32' }, may: false },
-  { name: 'in another zone', machine: { zone: 'b' }, may: false },
-  { name: 'of the other market', machine: { spot: false }, may: false },
+for (const { name, machine, recordedSecondsAgo, group = requestedGroup, mayHaveLaunched } of [
   {
-    name: 'the rental has been answered',
+    name: 'launched after the request was recorded',
+    machine: {},
+    recordedSecondsAgo: 10,
+    mayHaveLaunched: true,
+  },
+  {
+    name: 'launched before that',
+    machine: { age: 50 },
+    recordedSecondsAgo: 10,
+    mayHaveLaunched: false,
+  },
+  {
+    name: 'an earlier process has recorded the request',
+    machine: { age: 50 },
+    mayHaveLaunched: true,
+  },
+  { name: 'of another type', machine: { type: 'm32' }, mayHaveLaunched: false },
+  { name: 'in another zone', machine: { zone: 'b' }, mayHaveLaunched: false },
+  {
+    name: 'an on-demand machine for a spot request',
+    machine: { spot: false },
+    mayHaveLaunched: false,
+  },
+  {
+    name: 'the request has been answered',
     machine: {},
     group: { ...{ shard: 'p', type: 'm8', zone: 'a', spot: true }, machines: {} },
-    may: false,
+    mayHaveLaunched: false,
   },
 ]) {
-  test(`a listed machine that an open rental may have launched: ${name}`, () => {
+  test(`whether an unanswered launch request may have launched a listed machine: ${name}`, () => {
     let now = NOW;
     const inventory = new MachineInventory();
     const clock = { now: () => now, wall: () => now };
-    const rentals = new UnansweredLaunches({ clock, inventory });
-    if (recordedAgo !== undefined) {
-      now -= recordedAgo;
-      rentals.noteRecorded('rental');
+    const launches = new UnansweredLaunches({ clock, inventory });
+    if (recordedSecondsAgo !== undefined) {
+      now -= recordedSecondsAgo;
+      launches.noteRecorded('request');
       now = NOW;
     }
-    inventory.update('rental', group);
-    assert.equal(rentals.mayHaveLaunched(listed(machine)), may);
+    inventory.update('request', group);
+    assert.equal(launches.mayHaveLaunched(listed(machine)), mayHaveLaunched);
   });
 }
--- a/test/autoscaling/scaleOutPlan.test.ts
+++ b/test/autoscaling/scaleOutPlan.test.ts
@@ -1,4 +1,4 @@
-/** Which machines are launched for demands. */
+/** The kinds and numbers of machines planned for demands. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -20,7 +20,7 @@
   zones: ['a', 'b'],
 });
 
-test('renting: the cheapest kind for the work, within what a job allows', () => {
+test('a plan uses the cheapest kind for the work, within the constraints of the job', () => {
   const outOfStock = new Set<string>();
   const context = {
     machineTypes: [type('small', 4, 0.2, 0.08, 50), type('large', 32, 1.9, 0.7, 15)],
@@ -57,25 +57,25 @@
   assert.deepEqual(kinds({ ...demand, zone: 'b' as unknown as null }), ['1 small/b/true']);
   assert.deepEqual(kinds({ ...demand, cpus: 5 }), ['1 large/a/true']);
   assert.deepEqual(kinds({ ...demand, cpus: 64 }), []);
-  // Replicas that wait get what boots sooner, where it is not much dearer.
+  // Waiting replicas get a kind that boots sooner, if it is not much more expensive.
   assert.deepEqual(kinds({ ...demand, allowsSpot: false, count: 8, isUrgent: true }), [
     '1 large/a/false',
   ]);
-  // What is on its way and not counted yet is not rented once more.
+  // Machines of pending scale-outs are not launched again.
   const plan = { shard: 'p', type: 'large', zone: 'a', spot: true, count: 1 };
   const pending: [string, Partial<ScaleOutPlan>, number, string[]][] = [
     ['holds all of it', {}, 8, []],
     ['holds some of it', {}, 10, ['2 small/a/true']],
-    ['goes to another part', { shard: 'q' }, 8, ['8 small/a/true']],
+    ['goes to another shard', { shard: 'q' }, 8, ['8 small/a/true']],
   ];
-  for (const [name, change, count, rented] of pending) {
-    context.pending = [{ ...plan, ...change }];
-    assert.deepEqual(kinds({ ...demand, count }), rented, name);
+  for (const [name, changes, count, planned] of pending) {
+    context.pending = [{ ...plan, ...changes }];
+    assert.deepEqual(kinds({ ...demand, count }), planned, name);
   }
   context.pending = [];
   outOfStock.add('small/a/true');
   assert.deepEqual(kinds(demand), ['1 small/b/true']);
-  // Where no cheap machine is left, only what could not be through in time has machines at full price.
+  // Where no spot machine is left, only tasks that would not complete in time get on-demand machines.
   outOfStock.add('small/b/true').add('large/a/true').add('large/b/true');
   const batch = { ...demand, isService: false, expectedRunSeconds: 30, count: 80 };
   assert.deepEqual(kinds(batch), []);
--- a/test/autoscaling/vanishedMachines.test.ts
+++ b/test/autoscaling/vanishedMachines.test.ts
@@ -1,5 +1,5 @@
 /**
- * Machines that are gone by the cloud's lists. Guards against records of machines that nobody gives up, and against the release
+ * Machines that are gone according to the cloud's lists. Guards against records of gone machines that stay, and against the release
  * of healthy machines that a late list does not name.
  */
 import assert from 'node:assert/strict';
@@ -16,7 +16,7 @@
 
 const cases: { name: string; recorded?: string[]; lists: List[]; gone: string[] }[] = [
   {
-    name: 'a machine that was just rented is not listed yet',
+    name: 'a machine that was just launched is not listed yet',
     lists: [
       { at: 0, names: [] },
       { at: LAG_S * 2, names: [] },
@@ -24,7 +24,7 @@
     gone: [],
   },
   {
-    name: 'no list that surely describes a later moment names it',
+    name: 'a list that certainly describes a later moment does not name it',
     lists: [
       { at: 0, names: [] },
       { at: LAG_S * 2 + 1, names: [] },
@@ -59,7 +59,7 @@
     gone: [],
   },
   {
-    name: 'nobody records it',
+    name: 'it is not recorded',
     recorded: [],
     lists: [
       { at: 0, names: [] },
@@ -70,7 +70,7 @@
 ];
 
 for (const { name, recorded = ['n-1'], lists, gone } of cases) {
-  test(`gone by the cloud's lists: ${name}`, () => {
+  test(`gone according to the cloud's lists: ${name}`, () => {
     const vanished = new VanishedMachines(LAG_S);
     for (const { at, names } of lists)
       vanished.noteList(recorded, (machine) => names.includes(machine), at, at);
@@ -78,24 +78,24 @@
   });
 }
 
-test('a machine that exists is never taken for gone, however late and disordered the lists are', () => {
+test('an existing machine is never found to be gone, however late and out of order the lists are', () => {
   const arrivals = fc.array(
     fc.record({
-      pause: fc.double({ min: 0, max: 20, noNaN: true }),
+      delay: fc.double({ min: 0, max: 20, noNaN: true }),
       lag: fc.double({ min: 0, max: 2, noNaN: true }),
     }),
     { minLength: 1, maxLength: 30 },
   );
   fc.assert(
-    fc.property(arrivals, fc.double({ min: 0, max: 60, noNaN: true }), (lists, rentedAt) => {
+    fc.property(arrivals, fc.double({ min: 0, max: 60, noNaN: true }), (lists, launchedAt) => {
       const vanished = new VanishedMachines(LAG_S);
       let now = 0;
-      for (const { pause, lag } of lists) {
-        now += pause;
-        // It is recorded once the rental has been answered.
-        const recorded = now >= rentedAt ? ['n-1'] : [];
-        const describes = now - lag * LAG_S;
-        vanished.noteList(recorded, () => describes >= rentedAt, now, now);
+      for (const { delay, lag } of lists) {
+        now += delay;
+        // The machine is recorded once its launch request has been answered.
+        const recorded = now >= launchedAt ? ['n-1'] : [];
+        const describedAt = now - lag * LAG_S;
+        vanished.noteList(recorded, () => describedAt >= launchedAt, now, now);
         assert.deepEqual(vanished.names, []);
       }
     }),
--- a/test/commands/costs.test.ts
+++ b/test/commands/costs.test.ts
@@ -230,15 +230,15 @@
   const { shard, machines } = createShard(200);
   // The queue is not empty, so every estimate needs a replay of the queue.
   addChunk(shard, 'wk-0', 1000);
-  const asked = { spec: spec({ id: 'wk-x', cpus: 8 }), zone: null, count: 200, run: 20 };
-  const ask = (now: number): number => shard.waitEstimates.estimateWait(asked, now);
+  const request = { spec: spec({ id: 'wk-x', cpus: 8 }), zone: null, count: 200, run: 20 };
+  const estimate = (now: number): number => shard.waitEstimates.estimateWait(request, now);
   const visits = countFree(() => {
-    for (let i = 0; i < 30; i++) assert.equal(ask(1 + i / 1000), 0);
+    for (let i = 0; i < 30; i++) assert.equal(estimate(1 + i / 1000), 0);
   });
   assert.ok(visits <= 2 * machines.length, `${visits} visits`);
   addChunk(shard, 'wk-1');
   shard.scheduler.runRound(1.03, () => false);
-  assert.ok(ask(1.03) > 0, 'resources that were just taken were promised again');
+  assert.ok(estimate(1.03) > 0, 'resources that were just taken were promised again');
 });
 
 test('machines that are full when a round begins are not visited for each waiting job', () => {
@@ -293,7 +293,7 @@
       cluster.state.reads.filter((key) => key === 'b/job/wk-000711'),
       [],
     );
-    // A job that is refused is read first: it may have been accepted before.
+    // A refused job is read: it may have been accepted before.
     const tooLarge = submission('wk-000712', { Cores: 64 });
     const refused = await settled(cluster, 'drone-0', 'POST', '/v1/jobs', tooLarge);
     assert.equal(refused.status, 422);
--- a/test/reconciliation/machineLiveness.test.ts
+++ b/test/reconciliation/machineLiveness.test.ts
@@ -1,75 +1,82 @@
-/** Silent machines: when their tasks are over, and which machines are lost. */
+/** Silent machines: when their attempts terminate, and which machines are lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ShardFixture } from '../support/shardFixture.js';
 
 test('a silent machine keeps its tasks until nobody can have renewed its lease', () => {
-  const b = new ShardFixture();
-  const machine = b.machine();
-  const chunk = b.createRunningChunk(machine);
-  machine.leaseRenewedAt = b.now;
-  b.shard.liveness.sweep(b.now + 18);
+  const fixture = new ShardFixture();
+  const machine = fixture.machine();
+  const chunk = fixture.createRunningChunk(machine);
+  machine.leaseRenewedAt = fixture.now;
+  fixture.shard.liveness.sweep(fixture.now + 18);
   assert.equal(chunk.attempts.size, 1);
-  b.shard.liveness.sweep(b.now + 20);
+  fixture.shard.liveness.sweep(fixture.now + 20);
   assert.equal(chunk.attempts.size, 0);
 });
 
-test('a silent machine is lost only while others answer', () => {
+test('a silent machine is lost only while others respond', () => {
   const cases: [string, 'answers' | 'silent' | 'none', number, string[]][] = [
-    ['the others answer', 'answers', 4, ['n-1']],
-    ['nobody answers: the fault is ours', 'silent', 4, []],
-    ['there is no other: only after three reports', 'none', 4, []],
-    ['there is no other, and it is long silent', 'none', 10, ['n-1']],
+    ['the others respond', 'answers', 4, ['n-1']],
+    ['nobody responds: the fault is on this side', 'silent', 4, []],
+    ['there is no other: only after three heartbeat intervals', 'none', 4, []],
+    ['there is no other, and it has been silent for longer', 'none', 10, ['n-1']],
   ];
   for (const [name, others, seconds, lost] of cases) {
-    const b = new ShardFixture();
-    const machine = b.machine('n-1');
-    const rest = others === 'none' ? [] : ['n-2', 'n-3'].map((n) => b.machine(n));
-    b.now += 1;
-    for (const m of [machine, ...(others === 'silent' ? rest : [])]) b.missTwoProbes(m);
-    b.now += 1;
-    if (others === 'answers') for (const m of rest) b.report(m, []);
-    b.now += seconds - 2;
+    const fixture = new ShardFixture();
+    const machine = fixture.machine('n-1');
+    const otherMachines = others === 'none' ? [] : ['n-2', 'n-3'].map((n) => fixture.machine(n));
+    fixture.now += 1;
+    for (const m of [machine, ...(others === 'silent' ? otherMachines : [])])
+      fixture.missTwoProbes(m);
+    fixture.now += 1;
+    if (others === 'answers') for (const m of otherMachines) fixture.report(m, []);
+    fixture.now += seconds - 2;
     assert.deepEqual(
-      b.shard.liveness.lostMachines(b.now, () => 30, 1000),
+      fixture.shard.liveness.lostMachines(fixture.now, () => 30, 1000),
       lost,
       name,
     );
   }
 });
 
-test('machines that never come up are given back, but not right after a takeover', () => {
-  const b = new ShardFixture();
-  b.machine('n-1', false);
-  const boot = (): number => 30;
+test('machines that never come up are released, but not right after a takeover', () => {
+  const fixture = new ShardFixture();
+  fixture.machine('n-1', false);
+  const bootSecondsOf = (): number => 30;
   assert.deepEqual(
-    b.shard.liveness.lostMachines(b.now + 5, boot, 1000),
+    fixture.shard.liveness.lostMachines(fixture.now + 5, bootSecondsOf, 1000),
     [],
-    'its worker may be on its way',
+    'its worker may still find the new leader',
   );
-  assert.deepEqual(b.shard.liveness.lostMachines(b.now + 20, boot, 50), [], 'it may still boot');
-  assert.deepEqual(b.shard.liveness.lostMachines(b.now + 20, boot, 60), ['n-1']);
+  assert.deepEqual(
+    fixture.shard.liveness.lostMachines(fixture.now + 20, bootSecondsOf, 50),
+    [],
+    'it may still boot',
+  );
+  assert.deepEqual(fixture.shard.liveness.lostMachines(fixture.now + 20, bootSecondsOf, 60), [
+    'n-1',
+  ]);
 });
 
 test('after a restart a silent machine is lost too, but not when all are silent', () => {
-  const setUp = (othersAnswer: boolean): string[] => {
-    const b = new ShardFixture();
-    const machine = b.machine('n-1', false);
-    const rest = ['n-2', 'n-3'].map((n) => b.machine(n, false));
-    for (const m of othersAnswer ? [machine] : [machine, ...rest]) {
+  const lostMachines = (othersAnswer: boolean): string[] => {
+    const fixture = new ShardFixture();
+    const machine = fixture.machine('n-1', false);
+    const otherMachines = ['n-2', 'n-3'].map((n) => fixture.machine(n, false));
+    for (const m of othersAnswer ? [machine] : [machine, ...otherMachines]) {
       m.reachability.missedProbes = 3;
-      m.reachability.firstMissedProbeAt = b.now;
+      m.reachability.firstMissedProbeAt = fixture.now;
     }
-    b.now += 12;
-    if (othersAnswer) for (const m of rest) b.report(m, []);
-    return b.shard.liveness.lostMachines(b.now, () => 30, 100);
+    fixture.now += 12;
+    if (othersAnswer) for (const m of otherMachines) fixture.report(m, []);
+    return fixture.shard.liveness.lostMachines(fixture.now, () => 30, 100);
   };
-  assert.deepEqual(setUp(true), ['n-1']);
-  assert.deepEqual(setUp(false), [], 'the fault is ours');
+  assert.deepEqual(lostMachines(true), ['n-1']);
+  assert.deepEqual(lostMachines(false), [], 'the fault is on this side');
 });
 
-test('a machine that its last owner may still answer is not lost for being out of our reach', () => {
-  const b = new ShardFixture();
+test('an unreachable machine is not lost while the previous leader may still answer it', () => {
+  const fixture = new ShardFixture();
   const record = {
     shard: 'p',
     type: 'm8',
@@ -78,103 +85,113 @@
     launchedAt: 0,
     address: '127.0.0.1:1',
   };
-  const adopted = b.shard.addMachine('n-1', record, b.now, b.now + 36);
-  const other = b.machine('n-2', false);
-  adopted.reachability.missedProbes = 3;
-  adopted.reachability.firstMissedProbeAt = b.now;
-  b.now += 12;
-  b.report(other, []);
+  const inheritedMachine = fixture.shard.addMachine('n-1', record, fixture.now, fixture.now + 36);
+  const other = fixture.machine('n-2', false);
+  inheritedMachine.reachability.missedProbes = 3;
+  inheritedMachine.reachability.firstMissedProbeAt = fixture.now;
+  fixture.now += 12;
+  fixture.report(other, []);
   assert.deepEqual(
-    b.shard.liveness.lostMachines(b.now, () => 30, 100),
+    fixture.shard.liveness.lostMachines(fixture.now, () => 30, 100),
     [],
   );
   assert.deepEqual(
-    b.shard.liveness.lostMachines(b.now + 30, () => 30, 100),
+    fixture.shard.liveness.lostMachines(fixture.now + 30, () => 30, 100),
     ['n-1'],
   );
 });
 
-test('a machine that reports but answers nothing is returned, and its replicas go elsewhere', () => {
-  const b = new ShardFixture();
-  const machine = b.machine();
-  const chunk = b.createRunningChunk(machine, { isService: true, rank: 'prod' });
-  const other = b.machine('n-2');
-  const since = b.now;
+test('a machine that sends heartbeats but responds to no probe is released, and its replicas move to another machine', () => {
+  const fixture = new ShardFixture();
+  const machine = fixture.machine();
+  const chunk = fixture.createRunningChunk(machine, { isService: true, rank: 'prod' });
+  const other = fixture.machine('n-2');
+  const since = fixture.now;
   for (let n = 0; n < 3; n++) {
-    b.now += 3;
+    fixture.now += 3;
     machine.reachability.missedProbes++;
     machine.reachability.firstMissedProbeAt ??= since + 1;
-    b.report(machine, [{}], {}, 'unsolicited');
-    b.report(other, []);
+    fixture.report(machine, [{}], {}, 'unsolicited');
+    fixture.report(other, []);
   }
   assert.deepEqual(
-    b.shard.liveness.lostMachines(b.now, () => 30, 1000),
+    fixture.shard.liveness.lostMachines(fixture.now, () => 30, 1000),
     ['n-1'],
   );
-  b.runSchedulingRound();
-  assert.equal(chunk.attempts.get(0)?.machine, 'n-1', 'its attempt is not known to be over yet');
-  b.shard.removeMachine('n-1', b.now);
-  b.runSchedulingRound();
+  fixture.runSchedulingRound();
+  assert.equal(chunk.attempts.get(0)?.machine, 'n-1', 'its attempt has not terminated yet');
+  fixture.shard.removeMachine('n-1', fixture.now);
+  fixture.runSchedulingRound();
   assert.equal(chunk.attempts.get(0)?.machine, 'n-2');
 });
 
-test('when a cut ends, those that have not been asked since are not lost', () => {
-  const b = new ShardFixture();
-  const machines = [1, 2, 3, 4].map((n) => b.machine(`n-${n}`));
-  const lost = (): string[] => b.shard.liveness.lostMachines(b.now, () => 30, 1000);
+test('when a partition ends, machines that have not been probed since are not lost', () => {
+  const fixture = new ShardFixture();
+  const machines = [1, 2, 3, 4].map((n) => fixture.machine(`n-${n}`));
+  const lost = (): string[] => fixture.shard.liveness.lostMachines(fixture.now, () => 30, 1000);
   for (const machine of machines) {
     machine.reachability.missedProbes = 3;
-    machine.reachability.firstMissedProbeAt = machine.reachability.lastProbeAt = b.now + 1;
+    machine.reachability.firstMissedProbeAt = machine.reachability.lastProbeAt = fixture.now + 1;
   }
-  b.now += 20;
+  fixture.now += 20;
   assert.deepEqual(lost(), []);
-  b.now += 1;
-  for (const machine of machines.slice(1)) b.report(machine, [], {}, 'response');
-  assert.deepEqual(lost(), [], 'it was last asked during the cut');
+  fixture.now += 1;
+  for (const machine of machines.slice(1)) fixture.report(machine, [], {}, 'response');
+  assert.deepEqual(lost(), [], 'it was last probed during the partition');
   const [silent] = machines;
   if (silent === undefined) throw new Error('no machine');
-  silent.reachability.lastProbeAt = b.now + 1;
-  b.now += 3;
+  silent.reachability.lastProbeAt = fixture.now + 1;
+  fixture.now += 3;
   assert.deepEqual(lost(), ['n-1']);
 });
 
-const silences: { name: string; report: boolean; after: number; used: boolean }[] = [
-  { name: 'it reports', report: true, after: 4, used: true },
-  { name: 'its reports are overdue', report: true, after: 8, used: true },
-  { name: 'it has not reported for half of its lease', report: true, after: 10, used: false },
-  { name: 'it answers, but has never reported', report: false, after: 10, used: false },
+const heartbeatCases: { name: string; report: boolean; after: number; takesWork: boolean }[] = [
+  { name: 'it sends heartbeats', report: true, after: 4, takesWork: true },
+  { name: 'its heartbeats are overdue', report: true, after: 8, takesWork: true },
+  {
+    name: 'it has sent no heartbeat for half of its lease',
+    report: true,
+    after: 10,
+    takesWork: false,
+  },
+  {
+    name: 'it responds, but has never sent a heartbeat',
+    report: false,
+    after: 10,
+    takesWork: false,
+  },
 ];
-for (const { name, report, after, used } of silences) {
-  // Answers do not renew a lease: what starts there would be killed again and again.
-  test(`a machine that answers questions is given work: ${name}`, () => {
-    const b = new ShardFixture();
-    const machine = b.machine('n-1', false);
-    b.report(machine, [], {}, report ? 'follow-up' : 'response');
-    b.now += after;
-    b.report(machine, [], {}, 'response');
-    b.shard.liveness.sweep(b.now);
-    const chunk = b.chunk();
-    b.runSchedulingRound();
-    assert.equal(chunk.attempts.size, used ? 1 : 0);
+for (const { name, report, after, takesWork } of heartbeatCases) {
+  // Responses to probes do not renew a lease: tasks started there would be killed again and again.
+  test(`whether a machine that responds to probes is given work: ${name}`, () => {
+    const fixture = new ShardFixture();
+    const machine = fixture.machine('n-1', false);
+    fixture.report(machine, [], {}, report ? 'follow-up' : 'response');
+    fixture.now += after;
+    fixture.report(machine, [], {}, 'response');
+    fixture.shard.liveness.sweep(fixture.now);
+    const chunk = fixture.chunk();
+    fixture.runSchedulingRound();
+    assert.equal(chunk.attempts.size, takesWork ? 1 : 0);
   });
 }
 
-test('a worker that is only known by its answers: its lease counts from the first of its session', () => {
-  for (const firstSession of [true, false]) {
-    const b = new ShardFixture();
-    const machine = b.machine('n-1', false);
-    if (!firstSession) b.report(machine, []);
-    b.now += 8;
-    if (!firstSession) b.agentEpoch++;
-    b.report(machine, [], {}, 'response');
-    const chunk = b.chunk();
-    b.runSchedulingRound();
-    b.store(chunk);
-    b.report(machine, [{}], {}, 'response');
+test('the lease of a worker that only responds to probes counts from the first response of its agent epoch', () => {
+  for (const isFirstEpoch of [true, false]) {
+    const fixture = new ShardFixture();
+    const machine = fixture.machine('n-1', false);
+    if (!isFirstEpoch) fixture.report(machine, []);
+    fixture.now += 8;
+    if (!isFirstEpoch) fixture.agentEpoch++;
+    fixture.report(machine, [], {}, 'response');
+    const chunk = fixture.chunk();
+    fixture.runSchedulingRound();
+    fixture.store(chunk);
+    fixture.report(machine, [{}], {}, 'response');
     assert.equal(chunk.attempts.size, 1);
-    b.shard.liveness.sweep(b.now + 17);
-    assert.equal(chunk.attempts.size, 1, 'the worker may have begun just before its answer');
-    b.shard.liveness.sweep(b.now + 20);
+    fixture.shard.liveness.sweep(fixture.now + 17);
+    assert.equal(chunk.attempts.size, 1, 'the agent epoch may have begun just before the response');
+    fixture.shard.liveness.sweep(fixture.now + 20);
     assert.equal(chunk.attempts.size, 0);
   }
 });
--- a/test/reconciliation/startCommands.test.ts
+++ b/test/reconciliation/startCommands.test.ts
@@ -1,4 +1,4 @@
-/** Commands with a start: they may be carried out late, or once more, whatever became of them and of later ones. */
+/** Commands with a start: a worker may execute them late, or a second time, whatever the outcome of them and of later ones. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CommandOutcome } from '../../src/coordination/audit/commandOutcome.js';
@@ -13,140 +13,151 @@
 
 const TASK = 'wk-1/0';
 
-/** As stored while the second attempt runs. */
-const SECOND = [{ task: 0, attemptNumber: 2, machine: 'n-1', agentEpoch: 1 }];
+/** The stored attempts while the second attempt runs. */
+const SECOND_ATTEMPT = [{ task: 0, attemptNumber: 2, machine: 'n-1', agentEpoch: 1 }];
 
-/** The first attempt of `TASK` fails on a machine, whose worker reports it. */
-function endFirstAttempt(b: CommandBench, machine: Machine): void {
-  const attempt = b.worker(machine).find(TASK, 1);
+/** Lets the first attempt of `TASK` fail on a machine, whose worker reports it. */
+function failFirstAttempt(fixture: CommandBench, machine: Machine): void {
+  const attempt = fixture.worker(machine).find(TASK, 1);
   assert.ok(attempt, 'it was started');
-  b.worker(machine).end(attempt, 'error');
-  b.hello(machine);
+  fixture.worker(machine).end(attempt, 'error');
+  fixture.hello(machine);
 }
 
-/** What becomes of the second command with the same start, while the first is held. */
+/** Outcomes of the second command with the same start, while the first is held by the network. */
 const repeats: Passage[] = ['no socket', 'connection refused'];
 
-test('a start that was held stays in doubt when its repeat was never sent', async () => {
+test('a held start may still be executed when its repeat was never sent', async () => {
   for (const repeat of repeats) {
-    const b = new CommandBench();
-    const first = b.machine('n-1');
-    const chunk = b.bench.chunk();
-    b.place(chunk);
-    b.passages.push('held', repeat);
-    await b.send(first);
-    await b.send(first);
-    // Its user asks to cancel it; the record can't be stored, and the job goes on.
-    b.bench.shard.prepareCancel(chunk, b.bench.now);
-    b.bench.shard.abandonCancellation(chunk);
-    b.bench.missTwoProbes(first);
-    const second = b.machine('n-2');
-    b.place(chunk);
-    await b.send(second);
-    b.deliverHeld();
-    assert.deepEqual(b.ranTwice, [], repeat);
-    assert.equal(b.worker(first).running.length, 1, `${repeat}: the held start was carried out`);
+    const fixture = new CommandBench();
+    const first = fixture.machine('n-1');
+    const chunk = fixture.bench.chunk();
+    fixture.place(chunk);
+    fixture.passages.push('held', repeat);
+    await fixture.send(first);
+    await fixture.send(first);
+    // The user requests the cancellation of the job; the record can't be stored, and the job continues.
+    fixture.bench.shard.prepareCancel(chunk, fixture.bench.now);
+    fixture.bench.shard.abandonCancellation(chunk);
+    fixture.bench.missTwoProbes(first);
+    const second = fixture.machine('n-2');
+    fixture.place(chunk);
+    await fixture.send(second);
+    fixture.deliverHeld();
+    assert.deepEqual(fixture.ranTwice, [], repeat);
+    assert.equal(fixture.worker(first).running.length, 1, `${repeat}: the held start was executed`);
   }
 });
 
-test('a start that was held stays in doubt when its repeat was carried out', async () => {
-  const b = new CommandBench();
-  const first = b.machine('n-1');
-  const chunk = b.bench.chunk();
-  b.place(chunk);
-  b.passages.push('held', 'arrives');
-  await b.send(first);
-  await b.send(first);
-  const entry = chunk.attempts.get(0);
-  assert.ok(entry?.wasReported, 'the repeat has started it');
-  b.bench.shard.requestStop(first, entry, 0);
-  await b.send(first);
-  assert.equal(chunk.attempts.size, 0, 'it was stopped');
+test('a held start may still be executed when its repeat was executed', async () => {
+  const fixture = new CommandBench();
+  const first = fixture.machine('n-1');
+  const chunk = fixture.bench.chunk();
+  fixture.place(chunk);
+  fixture.passages.push('held', 'arrives');
+  await fixture.send(first);
+  await fixture.send(first);
+  const attempt = chunk.attempts.get(0);
+  assert.ok(attempt?.wasReported, 'the repeat has started the task');
+  fixture.bench.shard.requestStop(first, attempt, 0);
+  await fixture.send(first);
+  assert.equal(chunk.attempts.size, 0, 'the attempt was stopped');
   first.isCordoned = true;
-  const second = b.machine('n-2');
-  b.place(chunk);
-  b.helloForOrders(first);
-  await b.send(second);
-  assert.equal(b.worker(second).running.length, 1, 'it goes on elsewhere');
-  assert.equal(b.worker(first).find(TASK, 1), undefined, 'its worker was told to forget it');
-  b.deliverHeld();
-  assert.deepEqual(new Set(b.deliverCopies()), new Set([409, 200]));
-  assert.deepEqual(b.ranTwice, []);
-  assert.equal(b.worker(first).find(TASK, 1), undefined, 'a late start is refused');
+  const second = fixture.machine('n-2');
+  fixture.place(chunk);
+  fixture.helloForOrders(first);
+  await fixture.send(second);
+  assert.equal(fixture.worker(second).running.length, 1, 'the task continues on another machine');
+  assert.equal(
+    fixture.worker(first).find(TASK, 1),
+    undefined,
+    'its worker was told to forget the attempt',
+  );
+  fixture.deliverHeld();
+  assert.deepEqual(new Set(fixture.deliverCopies()), new Set([409, 200]));
+  assert.deepEqual(fixture.ranTwice, []);
+  assert.equal(fixture.worker(first).find(TASK, 1), undefined, 'a late start is refused');
 });
 
 /** A machine whose worker was told to forget the first attempt of `TASK`, and has forgotten it; `wk-2/0` runs there as well. */
-async function acknowledged(): Promise<{ b: CommandBench; machine: Machine }> {
-  const b = new CommandBench();
-  const machine = b.machine('n-1');
-  const chunk = b.bench.chunk();
-  const other = b.bench.chunk({ id: 'wk-2' });
-  b.place(chunk);
-  b.bench.store(other);
-  await b.send(machine);
-  endFirstAttempt(b, machine);
-  b.bench.store(chunk);
-  b.helloForOrders(machine);
-  assert.equal(b.worker(machine).find(TASK, 1), undefined, 'its worker was told to forget it');
-  return { b, machine };
+async function acknowledgedAttempt(): Promise<{ fixture: CommandBench; machine: Machine }> {
+  const fixture = new CommandBench();
+  const machine = fixture.machine('n-1');
+  const chunk = fixture.bench.chunk();
+  const other = fixture.bench.chunk({ id: 'wk-2' });
+  fixture.place(chunk);
+  fixture.bench.store(other);
+  await fixture.send(machine);
+  failFirstAttempt(fixture, machine);
+  fixture.bench.store(chunk);
+  fixture.helloForOrders(machine);
+  assert.equal(
+    fixture.worker(machine).find(TASK, 1),
+    undefined,
+    'its worker was told to forget the attempt',
+  );
+  return { fixture, machine };
 }
 
-test('a copy of an answered start is refused once the attempt was acknowledged, and other work goes on', async () => {
-  const { b, machine } = await acknowledged();
-  assert.deepEqual(new Set(b.deliverCopies()), new Set([409]));
-  assert.equal(b.worker(machine).find('wk-2/0', 1)?.state, 'running');
-  assert.deepEqual(b.bench.shard.audit.counters, { 'attempt-over.ended': 1 });
+test('a copy of an answered start is refused once the attempt was acknowledged, and other work continues', async () => {
+  const { fixture, machine } = await acknowledgedAttempt();
+  assert.deepEqual(new Set(fixture.deliverCopies()), new Set([409]));
+  assert.equal(fixture.worker(machine).find('wk-2/0', 1)?.state, 'running');
+  assert.deepEqual(fixture.bench.shard.audit.counters, { 'attempt-over.ended': 1 });
 });
 
-test('a worker that is back as if new refuses copies from our first answer on', async () => {
-  const { b, machine } = await acknowledged();
-  b.worker(machine).token = 0;
-  b.helloForOrders(machine);
-  assert.deepEqual(new Set(b.deliverCopies()), new Set([409]));
+test('a worker that has lost its highest fencing token refuses copies from the first answer on', async () => {
+  const { fixture, machine } = await acknowledgedAttempt();
+  fixture.worker(machine).token = 0;
+  fixture.helloForOrders(machine);
+  assert.deepEqual(new Set(fixture.deliverCopies()), new Set([409]));
 });
 
-test('an attempt that its worker had forgotten and reports again is noted and ended', async () => {
-  const { b, machine } = await acknowledged();
+test('an attempt that its worker had forgotten and reports again is a violation, and is stopped', async () => {
+  const { fixture, machine } = await acknowledgedAttempt();
   machine.acknowledgedAttempts.noteAcknowledged(TASK, 1);
-  b.hello(machine);
-  // As a worker would that has lost its highest fencing token.
-  b.worker(machine).token = 0;
-  b.deliverCopies();
-  b.hello(machine);
-  assert.equal(b.bench.shard.audit.counters['invariant-broken.acknowledged-attempt-returned'], 1);
+  fixture.hello(machine);
+  // Simulates a worker that has lost its highest fencing token.
+  fixture.worker(machine).token = 0;
+  fixture.deliverCopies();
+  fixture.hello(machine);
+  assert.equal(
+    fixture.bench.shard.audit.counters['invariant-broken.acknowledged-attempt-returned'],
+    1,
+  );
   assert.deepEqual(
     machine.unknownAttempts.map(({ task }) => task),
     [TASK],
   );
 });
 
-test('two attempts of a task in one report are told apart, in whatever order they stand', async () => {
+test('two attempts of a task in one heartbeat are told apart, in whichever order they are listed', async () => {
   for (const order of ['oldest first', 'newest first'] as const) {
-    const b = new CommandBench();
-    const first = b.machine('n-1', order);
-    const chunk = b.bench.chunk();
-    b.place(chunk);
-    b.passages.push('held', 'arrives');
-    await b.send(first);
-    await b.send(first);
-    const entry = chunk.attempts.get(0);
-    assert.ok(entry, order);
-    b.bench.shard.requestStop(first, entry, 0);
-    await b.send(first);
+    const fixture = new CommandBench();
+    const first = fixture.machine('n-1', order);
+    const chunk = fixture.bench.chunk();
+    fixture.place(chunk);
+    fixture.passages.push('held', 'arrives');
+    await fixture.send(first);
+    await fixture.send(first);
+    const attempt = chunk.attempts.get(0);
+    assert.ok(attempt, order);
+    fixture.bench.shard.requestStop(first, attempt, 0);
+    await fixture.send(first);
     // The second attempt goes to the same machine, which still reports the first.
-    b.place(chunk);
-    await b.send(first);
-    b.worker(first).reportOrder = 'oldest first';
-    b.hello(first);
+    fixture.place(chunk);
+    await fixture.send(first);
+    fixture.worker(first).reportOrder = 'oldest first';
+    fixture.hello(first);
     assert.equal(chunk.attempts.get(0)?.state, 'running', order);
-    b.worker(first).reportOrder = order;
-    b.deliverHeld();
-    b.hello(first);
-    const second = b.machine('n-2');
+    fixture.worker(first).reportOrder = order;
+    fixture.deliverHeld();
+    fixture.hello(first);
+    const second = fixture.machine('n-2');
     first.isCordoned = true;
-    b.place(chunk);
-    await b.send(second);
-    assert.deepEqual(b.ranTwice, [], order);
+    fixture.place(chunk);
+    await fixture.send(second);
+    assert.deepEqual(fixture.ranTwice, [], order);
     assert.equal(
       chunk.attempts.get(0)?.attemptNumber,
       2,
@@ -155,67 +166,67 @@
   }
 });
 
-/** Commands with the same start: token and outcome; then whether one may still come, by the token that the worker has seen. */
-const histories: {
+/** Tokens and outcomes of commands with the same start, and whether a copy may still be executed, by the token that the worker has seen. */
+const outcomeCases: {
   name: string;
   commands: [number, CommandOutcome][];
-  open: [number, boolean][];
+  expectations: [number, boolean][];
 }[] = [
-  { name: 'never sent', commands: [], open: [[0, false]] },
+  { name: 'never sent', commands: [], expectations: [[0, false]] },
   {
     name: 'unanswered: until a higher token is seen',
     commands: [[5, 'unanswered']],
-    open: [
+    expectations: [
       [5, true],
       [6, false],
     ],
   },
-  { name: 'unsent', commands: [[5, 'unsent']], open: [[0, false]] },
+  { name: 'unsent', commands: [[5, 'unsent']], expectations: [[0, false]] },
   {
     name: 'unanswered, and its repeat unsent',
     commands: [
       [5, 'unanswered'],
       [5, 'unsent'],
     ],
-    open: [[5, true]],
+    expectations: [[5, true]],
   },
   {
-    name: 'unanswered, and its repeat carried out under the same token',
+    name: 'unanswered, and its repeat executed under the same token',
     commands: [
       [5, 'unanswered'],
       [5, 'executed'],
     ],
-    open: [
+    expectations: [
       [5, true],
       [6, false],
     ],
   },
   {
-    name: 'carried out: a copy may follow until a higher token is seen',
+    name: 'executed: a copy may follow until a higher token is seen',
     commands: [[5, 'executed']],
-    open: [
+    expectations: [
       [5, true],
       [6, false],
     ],
   },
   {
-    name: 'unanswered, and its repeat carried out under a higher token',
+    name: 'unanswered, and its repeat executed under a higher token',
     commands: [
       [5, 'unanswered'],
       [6, 'executed'],
     ],
-    open: [
+    expectations: [
       [6, true],
       [7, false],
     ],
   },
   {
-    name: 'unanswered, and its repeat refused: token or session are past it',
+    name: 'unanswered, and its repeat refused: the worker has seen a higher token or agent epoch',
     commands: [
       [5, 'unanswered'],
       [5, 'refused'],
     ],
-    open: [[5, false]],
+    expectations: [[5, false]],
   },
   {
     name: 'unanswered under a higher token, and a late unsent one',
@@ -223,94 +234,94 @@
       [6, 'unanswered'],
       [5, 'unsent'],
     ],
-    open: [[6, true]],
+    expectations: [[6, true]],
   },
 ];
-for (const { name, commands, open } of histories) {
-  test(`whether a start may still come: ${name}`, () => {
-    const doubt = new StartCommands();
+for (const { name, commands, expectations } of outcomeCases) {
+  test(`whether a start may still be executed: ${name}`, () => {
+    const startCommands = new StartCommands();
     for (const [token, outcome] of commands) {
-      doubt.noteSent(token);
-      assert.ok(doubt.mayStillExecute(token), 'while it is on its way');
-      doubt.noteOutcome(token, outcome);
+      startCommands.noteSent(token);
+      assert.ok(startCommands.mayStillExecute(token), 'while the command is in flight');
+      startCommands.noteOutcome(token, outcome);
     }
-    for (const [seen, isOpen] of open)
-      assert.equal(doubt.mayStillExecute(seen), isOpen, `seen ${seen}`);
+    for (const [seenToken, mayStillExecute] of expectations)
+      assert.equal(startCommands.mayStillExecute(seenToken), mayStillExecute, `seen ${seenToken}`);
   });
 }
 
-test('an attempt whose start got no answer is given up once its worker has shown a higher token, without a write', async () => {
-  const b = new CommandBench();
-  const machine = b.machine('n-1');
-  const chunk = b.bench.chunk();
-  b.place(chunk);
-  b.passages.push('held');
-  await b.send(machine);
-  // While nothing has to wait for it, the token stays: a held start that comes late is welcome.
-  b.orders.sweep();
-  b.helloForOrders(machine);
-  assert.equal(b.worker(machine).token, TOKEN);
+test('an attempt whose start got no answer terminates once its worker has shown a higher token, without a write', async () => {
+  const fixture = new CommandBench();
+  const machine = fixture.machine('n-1');
+  const chunk = fixture.bench.chunk();
+  fixture.place(chunk);
+  fixture.passages.push('held');
+  await fixture.send(machine);
+  // The token is not raised while nothing depends on it: a held start may arrive late and be executed.
+  fixture.orders.sweep();
+  fixture.helloForOrders(machine);
+  assert.equal(fixture.worker(machine).token, TOKEN);
   const attempt = chunk.attempts.get(0);
   assert.ok(attempt);
-  b.bench.shard.requestStop(machine, attempt, 0);
-  b.bench.shard.cancel(chunk, b.bench.now);
-  b.orders.sweep();
-  b.helloForOrders(machine);
+  fixture.bench.shard.requestStop(machine, attempt, 0);
+  fixture.bench.shard.cancel(chunk, fixture.bench.now);
+  fixture.orders.sweep();
+  fixture.helloForOrders(machine);
   assert.equal(chunk.attempts.size, 1, 'its worker has not shown the higher token yet');
-  b.hello(machine);
+  fixture.hello(machine);
   assert.equal(chunk.attempts.size, 0);
-  b.deliverHeld();
-  assert.equal(b.worker(machine).running.length, 0, 'the held start is refused');
-  assert.equal(b.raises.length, 0);
+  fixture.deliverHeld();
+  assert.equal(fixture.worker(machine).running.length, 0, 'the held start is refused');
+  assert.equal(fixture.raises.length, 0);
 });
 
-test('a leadership whose tokens are used up for a machine acknowledges nothing there before it has others', async () => {
-  const b = new CommandBench();
-  const machine = b.machine('n-1');
-  const chunk = b.bench.chunk();
-  const { last } = b.host.shard.fencingTokens;
-  b.worker(machine).token = last;
-  b.hello(machine);
-  b.place(chunk);
-  await b.send(machine);
-  endFirstAttempt(b, machine);
-  b.bench.store(chunk);
-  b.helloForOrders(machine);
-  assert.ok(b.worker(machine).find(TASK, 1), 'a copy of its start would not be refused');
-  b.bench.now += 7;
-  b.raises.push({ fencingToken: last + 1, revision: 2, previousLeaderLostAt: 0 });
-  b.orders.sweep();
+test('a leadership that has used up its tokens for a machine acknowledges nothing there before it has stored more', async () => {
+  const fixture = new CommandBench();
+  const machine = fixture.machine('n-1');
+  const chunk = fixture.bench.chunk();
+  const { last } = fixture.host.shard.fencingTokens;
+  fixture.worker(machine).token = last;
+  fixture.hello(machine);
+  fixture.place(chunk);
+  await fixture.send(machine);
+  failFirstAttempt(fixture, machine);
+  fixture.bench.store(chunk);
+  fixture.helloForOrders(machine);
+  assert.ok(fixture.worker(machine).find(TASK, 1), 'a copy of its start would not be refused');
+  fixture.bench.now += 7;
+  fixture.raises.push({ fencingToken: last + 1, revision: 2, previousLeaderLostAt: 0 });
+  fixture.orders.sweep();
   await new Promise((resolve) => setImmediate(resolve));
-  b.helloForOrders(machine);
-  assert.equal(b.worker(machine).find(TASK, 1), undefined);
-  assert.equal(b.worker(machine).token, last + 1);
+  fixture.helloForOrders(machine);
+  assert.equal(fixture.worker(machine).find(TASK, 1), undefined);
+  assert.equal(fixture.worker(machine).token, last + 1);
 });
 
-test('an end that an answer to a command shows first is reaped once a report has settled its start', () => {
-  const b = new ShardFixture();
-  const machine = b.machine();
-  const chunk = b.chunk();
-  b.runSchedulingRound();
-  b.store(chunk);
-  const entry = chunk.attempts.get(0);
-  assert.ok(entry);
-  // The start rides in the answer to a report; the answer to a command of ours overtakes the next report.
-  entry.startSentInAnswer = true;
+test('an end first shown in the response to a command is acknowledged once a heartbeat has settled the start', () => {
+  const fixture = new ShardFixture();
+  const machine = fixture.machine();
+  const chunk = fixture.chunk();
+  fixture.runSchedulingRound();
+  fixture.store(chunk);
+  const attempt = chunk.attempts.get(0);
+  assert.ok(attempt);
+  // The start is sent in the answer to a heartbeat; the response to a command overtakes the next heartbeat.
+  attempt.startSentInAnswer = true;
   const refused = [{ state: 'ended', cause: 'no_room' }] as const;
-  b.report(machine, [...refused], {}, 'response');
-  b.store(chunk);
+  fixture.report(machine, [...refused], {}, 'response');
+  fixture.store(chunk);
   assert.equal(chunk.attempts.size, 0);
   assert.deepEqual(
-    b.dueCommandNames(machine),
+    fixture.dueCommandNames(machine),
     [],
     'the answer with the start may still be on its way',
   );
-  b.report(machine, [...refused], {}, 'follow-up');
-  assert.deepEqual(b.dueCommandNames(machine), ['acknowledge wk-1/0 1']);
+  fixture.report(machine, [...refused], {}, 'follow-up');
+  assert.deepEqual(fixture.dueCommandNames(machine), ['acknowledge wk-1/0 1']);
 });
 
-test('of attempts of one task on a machine each is stopped, reaped or kept by itself', () => {
-  const orders: [string, Partial<ReportedAttempt>[], string[]][] = [
+test('each attempt of one task on a machine is stopped, acknowledged or kept on its own', () => {
+  const cases: [string, Partial<ReportedAttempt>[], string[]][] = [
     ['an earlier one still runs', [{ attemptNumber: 1 }, { attemptNumber: 2 }], ['stop wk-1/0 1']],
     ['in the other order', [{ attemptNumber: 2 }, { attemptNumber: 1 }], ['stop wk-1/0 1']],
     [
@@ -319,92 +330,96 @@
       ['acknowledge wk-1/0 1'],
     ],
     [
-      'an earlier one was refused beside it',
+      'an earlier one was refused while the later one ran',
       [{ attemptNumber: 2 }, { attemptNumber: 1, state: 'ended', cause: 'busy' }],
       ['acknowledge wk-1/0 1'],
     ],
   ];
-  for (const [name, tasks, verbs] of orders) {
-    const b = new ShardFixture();
-    const machine = b.machine();
-    const chunk = b.shard.loadChunk(
+  for (const [name, tasks, commands] of cases) {
+    const fixture = new ShardFixture();
+    const machine = fixture.machine();
+    const chunk = fixture.shard.loadChunk(
       0,
-      { ...startedRecord(), nextAttemptNumber: 3, attempts: SECOND },
+      { ...startedRecord(), nextAttemptNumber: 3, attempts: SECOND_ATTEMPT },
       TOKEN,
       1,
     );
-    b.report(machine, [{ attemptNumber: 2 }]);
-    b.report(machine, tasks);
+    fixture.report(machine, [{ attemptNumber: 2 }]);
+    fixture.report(machine, tasks);
     assert.equal(chunk.attempts.get(0)?.attemptNumber, 2, name);
     assert.equal(chunk.attempts.get(0)?.state, 'running', name);
-    assert.deepEqual(b.dueCommandNames(machine), verbs, name);
+    assert.deepEqual(fixture.dueCommandNames(machine), commands, name);
   }
 });
 
-test('a start waits while another attempt of its task runs on a machine of the part', async () => {
-  const b = new CommandBench();
-  const first = b.machine('n-1');
-  const second = b.machine('n-2');
+test('a start waits while another attempt of its task runs on a machine of the shard', async () => {
+  const fixture = new CommandBench();
+  const first = fixture.machine('n-1');
+  const second = fixture.machine('n-2');
   first.isCordoned = true;
-  const chunk = b.bench.chunk();
-  b.place(chunk);
-  // An attempt that nobody knows of: it is ended at once, and until that is seen ours does not start.
-  b.worker(first).command({
+  const chunk = fixture.bench.chunk();
+  fixture.place(chunk);
+  // An unknown attempt is stopped at once, and the shard starts its own attempt only after seeing the end.
+  fixture.worker(first).command({
     Baton: TOKEN,
     Shift: 1,
     Orders: [{ Verb: 'start', Piece: TASK, Try: 7 }],
   });
-  b.hello(first);
-  await b.send(second);
-  assert.equal(b.worker(second).running.length, 0);
-  assert.equal(b.bench.shard.audit.counters['invariant-broken.start-beside-live-attempt'], 1);
-  await b.send(first);
-  await b.send(second);
-  assert.equal(b.worker(second).running.length, 1, 'its end was seen');
-  assert.deepEqual(b.ranTwice, []);
+  fixture.hello(first);
+  await fixture.send(second);
+  assert.equal(fixture.worker(second).running.length, 0);
+  assert.equal(fixture.bench.shard.audit.counters['invariant-broken.start-beside-live-attempt'], 1);
+  await fixture.send(first);
+  await fixture.send(second);
+  assert.equal(
+    fixture.worker(second).running.length,
+    1,
+    'the end of the unknown attempt was reported',
+  );
+  assert.deepEqual(fixture.ranTwice, []);
 });
 
 test('a start waits no longer than the lease of a machine with another attempt', async () => {
-  const b = new CommandBench();
-  const first = b.machine('n-1');
-  const second = b.machine('n-2');
+  const fixture = new CommandBench();
+  const first = fixture.machine('n-1');
+  const second = fixture.machine('n-2');
   first.isCordoned = true;
-  const chunk = b.bench.chunk();
-  b.place(chunk);
-  b.bench.report(first, [{ attemptNumber: 7 }], { heartbeatSequence: 50 });
-  await b.send(second);
-  assert.equal(b.worker(second).running.length, 0);
-  b.bench.now += 30;
-  await b.send(second);
-  assert.equal(b.worker(second).running.length, 1);
+  const chunk = fixture.bench.chunk();
+  fixture.place(chunk);
+  fixture.bench.report(first, [{ attemptNumber: 7 }], { heartbeatSequence: 50 });
+  await fixture.send(second);
+  assert.equal(fixture.worker(second).running.length, 0);
+  fixture.bench.now += 30;
+  await fixture.send(second);
+  assert.equal(fixture.worker(second).running.length, 1);
 });
 
-test('what an adopter has reaped did not vanish for the owner that stood still meanwhile', () => {
-  for (const [token, broken] of [
+test('an attempt acknowledged by a new leader has not vanished for the previous leader that was paused meanwhile', () => {
+  for (const [token, violations] of [
     [TOKEN + TOKENS_PER_LEADERSHIP - 1, 1],
     [TOKEN + TOKENS_PER_LEADERSHIP, undefined],
   ] as const) {
-    const b = new ShardFixture();
-    createOwnedShard(b.shard, { fencingToken: TOKEN, revision: 1 }, b.now);
-    const machine = b.machine();
-    b.createRunningChunk(machine);
-    b.report(machine, [], { highestFencingToken: token });
-    assert.equal(b.shard.audit.counters['invariant-broken.attempt-vanished'], broken);
+    const fixture = new ShardFixture();
+    createOwnedShard(fixture.shard, { fencingToken: TOKEN, revision: 1 }, fixture.now);
+    const machine = fixture.machine();
+    fixture.createRunningChunk(machine);
+    fixture.report(machine, [], { highestFencingToken: token });
+    assert.equal(fixture.shard.audit.counters['invariant-broken.attempt-vanished'], violations);
   }
 });
 
-test('an answer raises no token while a command is on its way', async () => {
-  const b = new CommandBench();
-  const machine = b.machine('n-1');
-  const chunk = b.bench.chunk();
-  b.place(chunk);
-  await b.send(machine);
+test('an answer raises no token while a command is in flight', async () => {
+  const fixture = new CommandBench();
+  const machine = fixture.machine('n-1');
+  const chunk = fixture.bench.chunk();
+  fixture.place(chunk);
+  await fixture.send(machine);
   const commands = [{ verb: 'acknowledge', task: TASK, attemptNumber: 1 }] as const;
-  const { fencingTokens: tokens } = b.host.shard;
+  const { fencingTokens: tokens } = fixture.host.shard;
   const seal = (mayRaise: boolean): unknown =>
     machine.commandTokens.assignToken(commands, tokens, { seenToken: TOKEN, mayRaise });
   assert.deepEqual(seal(false), { token: TOKEN, commands: [], startToken: TOKEN });
   assert.deepEqual(seal(true), { token: TOKEN + 1, commands: [...commands], startToken: TOKEN });
-  // Nothing was started under the new one: the next needs no other.
+  // Nothing was started under the new token: the next message needs no higher one.
   assert.deepEqual(seal(false), { token: TOKEN + 1, commands: [...commands], startToken: TOKEN });
 });
