--- a/test/peers/peerRegistry.test.ts
+++ b/test/peers/peerRegistry.test.ts
@@ -1,4 +1,4 @@
-/** What is believed of peers, and what a node believes of itself after it stood still. */
+/** Which gossip of peers is accepted, the previous leader of a gained shard, and the expiry of a node's own lease after a pause. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -14,10 +14,10 @@
 import { PeerClient } from '../../src/transport/peerLink.js';
 import { MemoryStore } from '../support/store.js';
 
-const REPORT = 4;
-const SKEW = 0.1;
+const GOSSIP_VALIDITY = 4;
+const CLOCK_SKEW = 0.1;
 
-const gossip = (changes: Partial<Gossip>): Gossip => ({
+const createGossip = (changes: Partial<Gossip>): Gossip => ({
   sender: 'q',
   process: 'x1',
   sequence: 10,
@@ -34,60 +34,97 @@
   ...changes,
 });
 
-const messages: { name: string; second: Partial<Gossip>; believed: boolean }[] = [
-  { name: 'the next one', second: { sequence: 11, sentAt: 1000.5 }, believed: true },
-  { name: 'a copy', second: {}, believed: false },
-  { name: 'one that was overtaken', second: { sequence: 9, sentAt: 999.5 }, believed: false },
-  { name: 'one held back by a cut', second: { sequence: 11, sentAt: 990 }, believed: false },
-  { name: 'one of an earlier start', second: { process: 'x0', sentAt: 998 }, believed: false },
+const messages: { name: string; changes: Partial<Gossip>; isAccepted: boolean }[] = [
+  { name: 'the next message', changes: { sequence: 11, sentAt: 1000.5 }, isAccepted: true },
+  { name: 'a copy', changes: {}, isAccepted: false },
+  { name: 'an overtaken message', changes: { sequence: 9, sentAt: 999.5 }, isAccepted: false },
   {
-    name: 'one of a later start',
-    second: { process: 'x2', sequence: 1, sentAt: 1001 },
-    believed: true,
+    name: 'a message delayed by a partition',
+    changes: { sequence: 11, sentAt: 990 },
+    isAccepted: false,
+  },
+  {
+    name: 'a message of an earlier process',
+    changes: { process: 'x0', sentAt: 998 },
+    isAccepted: false,
+  },
+  {
+    name: 'a message of a later process',
+    changes: { process: 'x2', sequence: 1, sentAt: 1001 },
+    isAccepted: true,
+  },
+  {
+    name: 'a message of an unknown peer',
+    changes: { sender: 'z', sequence: 11 },
+    isAccepted: false,
   },
-  { name: 'one of a stranger', second: { sender: 'z', sequence: 11 }, believed: false },
 ];
-for (const { name, second, believed } of messages) {
-  // They name machines to end, so what is long past must not be acted on.
-  test(`a message of a peer: ${name}`, () => {
+for (const { name, changes, isAccepted } of messages) {
+  // Gossip names machines to release, so an outdated message must not be acted on.
+  test(`whether gossip is accepted: ${name}`, () => {
     const clock = { now: () => 50, wall: () => 1001 };
     const client = new PeerClient('127.0.0.1:1', 1, 1);
-    const peers = new PeerRegistry(clock, REPORT, SKEW, [{ label: 'q', zone: 'a', client }]);
-    peers.receiveGossip(gossip({}));
-    peers.receiveGossip(gossip({ ...second, lostMachines: ['n-2'] }));
+    const peers = new PeerRegistry(clock, GOSSIP_VALIDITY, CLOCK_SKEW, [
+      { label: 'q', zone: 'a', client },
+    ]);
+    peers.receiveGossip(createGossip({}));
+    peers.receiveGossip(createGossip({ ...changes, lostMachines: ['n-2'] }));
     assert.deepEqual(
       peers.gossips().flatMap((g) => g.lostMachines),
-      [believed ? 'n-2' : 'n-1'],
+      [isAccepted ? 'n-2' : 'n-1'],
     );
   });
 }
 
-const FRESH: FencingTokenRecord = { lastToken: 4 };
-const histories: { name: string; tokens: FencingTokenRecord; key?: string; lostAt: number }[] = [
-  { name: 'nobody had it', tokens: FRESH, lostAt: 0 },
-  { name: 'we had it, our key has gone', tokens: had('p'), lostAt: 0 },
-  { name: 'we had it, our key is there', tokens: had('p'), key: 'p', lostAt: 0 },
-  { name: 'another had it last', tokens: had('q'), lostAt: 1000 },
-  { name: 'we took it over, then restarted', tokens: had('p', { q: 990 }), key: 'p', lostAt: 990 },
-  { name: 'we took it over, key gone', tokens: had('p', { q: 990 }), lostAt: 990 },
-  { name: 'we had lost it and got it back', tokens: had('p', { p: 990 }), lostAt: 0 },
-  { name: 'two lost it one after the other', tokens: had('r', { q: 990 }), lostAt: 1000 },
-  { name: 'another lost it long ago', tokens: had('p', { q: 100 }), lostAt: 0 },
+const NO_LEADER: FencingTokenRecord = { lastToken: 4 };
+const takeoverCases: {
+  name: string;
+  record: FencingTokenRecord;
+  storedLeader?: string;
+  lostAt: number;
+}[] = [
+  { name: 'no previous leader', record: NO_LEADER, lostAt: 0 },
+  { name: 'this node led it, its leader key is gone', record: ledBy('p'), lostAt: 0 },
+  {
+    name: 'this node led it, its leader key exists',
+    record: ledBy('p'),
+    storedLeader: 'p',
+    lostAt: 0,
+  },
+  { name: 'another node led it last', record: ledBy('q'), lostAt: 1000 },
+  {
+    name: 'this node took it over, then restarted',
+    record: ledBy('p', { q: 990 }),
+    storedLeader: 'p',
+    lostAt: 990,
+  },
+  {
+    name: 'this node took it over, its leader key is gone',
+    record: ledBy('p', { q: 990 }),
+    lostAt: 990,
+  },
+  { name: 'this node lost it and regained it', record: ledBy('p', { p: 990 }), lostAt: 0 },
+  {
+    name: 'two other nodes lost it one after the other',
+    record: ledBy('r', { q: 990 }),
+    lostAt: 1000,
+  },
+  { name: 'another node lost it long ago', record: ledBy('p', { q: 100 }), lostAt: 0 },
 ];
-function had(node: string, lost: Record<string, number> = {}): FencingTokenRecord {
-  return { lastToken: 4, lastLeaders: { p: { node, lostAtByNode: lost } } };
+function ledBy(node: string, lostAtByNode: Record<string, number> = {}): FencingTokenRecord {
+  return { lastToken: 4, lastLeaders: { p: { node, lostAtByNode } } };
 }
-for (const { name, tokens, key, lostAt } of histories) {
-  // An earlier owner that is cut off may answer its workers all that time, whoever restarts meanwhile.
-  test(`who may still answer the workers of a part that is ours: ${name}`, async () => {
+for (const { name, record, storedLeader, lostAt } of takeoverCases) {
+  // A previous leader that is partitioned may answer its workers during that time, whichever node restarts meanwhile.
+  test(`until when a previous leader may answer the workers of a gained shard: ${name}`, async () => {
     const store = new MemoryStore();
     await store.transact({
       conditions: [],
-      puts: [{ key: keys.fencingTokens, value: tokens }],
+      puts: [{ key: keys.fencingTokens, value: record }],
       deletes: [],
     });
-    if (key !== undefined) {
-      const value = { node: key, fencingToken: 4, process: 'before' };
+    if (storedLeader !== undefined) {
+      const value = { node: storedLeader, fencingToken: 4, process: 'before' };
       await store.transact({
         conditions: [],
         puts: [{ key: keys.leader('p'), value }],
@@ -95,28 +132,31 @@
       });
     }
     const gained: Leadership[] = [];
-    const ownership = owner(store, (held) => gained.push(held));
-    void ownership.run();
+    const leadership = createLeadership(store, (gainedLeadership) => gained.push(gainedLeadership));
+    void leadership.run();
     while (gained.length === 0) await new Promise((resolve) => setTimeout(resolve, 1));
     assert.equal(gained[0]?.fencingToken, 5);
     assert.equal(gained[0].previousLeaderLostAt, lostAt);
-    // Told of a higher token, it gives the part up; an old word changes nothing.
-    ownership.stepDownIfFenced('p', 4);
-    assert.ok(ownership.get('p') !== undefined);
-    ownership.stepDownIfFenced('p', 6);
-    assert.equal(ownership.get('p'), undefined);
-    ownership.stop();
+    // A higher token makes the node relinquish the shard; an older one changes nothing.
+    leadership.stepDownIfFenced('p', 4);
+    assert.ok(leadership.get('p') !== undefined);
+    leadership.stepDownIfFenced('p', 6);
+    assert.equal(leadership.get('p'), undefined);
+    leadership.stop();
   });
 }
 
-function owner(store: MemoryStore, gained: (held: Leadership) => void): ShardLeadership {
+function createLeadership(
+  store: MemoryStore,
+  gained: (gainedLeadership: Leadership) => void,
+): ShardLeadership {
   const client = {
     grantLease: () => Promise.resolve(1),
     renewLease: () => Promise.resolve(true),
     get: (key: string) => store.get(key),
     transact: (txn: Transaction) => store.transact(txn),
   };
-  const replica = {
+  const cache = {
     loaded: true,
     get: (key: string) => store.rows.get(key),
     catchUp: () => Promise.resolve(),
@@ -125,13 +165,13 @@
   };
   return new ShardLeadership(
     client as unknown as StateClient,
-    replica as unknown as StateCache,
-    // It stands still: on a busy machine a lease of so short a time lapses between two steps.
+    cache as unknown as StateCache,
+    // The clock stands still: on a busy machine such a short lease would expire between two steps.
     { now: () => 50, wall: () => 1000 },
     { label: 'p', process: 'x', shards: ['p'], leaseTtl: 0.05, leaderGracePeriod: 20 },
     {
-      onGained: (part, held) => {
-        if (part === 'p') gained(held);
+      onGained: (shard, gainedLeadership) => {
+        if (shard === 'p') gained(gainedLeadership);
       },
       onLost: () => undefined,
       awaitWrites: () => Promise.resolve(),
@@ -142,14 +182,14 @@
   );
 }
 
-test('a node that stood still knows at once that its lease is over', async () => {
-  // Its clocks ran on: before anything else is read or sent, what it may do is asked of the clock.
+test('a node that was paused knows at once that its lease has expired', async () => {
+  // The clock has advanced: before anything is read or sent, the validity of the lease is checked against it.
   const clock = { at: 10, now: () => clock.at, wall: () => clock.at };
   const client = {
     grantLease: () => Promise.resolve(1),
     renewLease: () => new Promise<boolean>(() => undefined),
   };
-  const ownership = new ShardLeadership(
+  const leadership = new ShardLeadership(
     client as unknown as StateClient,
     { loaded: false } as StateCache,
     clock,
@@ -163,24 +203,24 @@
       isLeaderCompatible: () => true,
     },
   );
-  void ownership.run();
-  while (!ownership.isLeaseValid) await new Promise((resolve) => setTimeout(resolve, 1));
+  void leadership.run();
+  while (!leadership.isLeaseValid) await new Promise((resolve) => setTimeout(resolve, 1));
   clock.at += 0.04;
-  assert.equal(ownership.isLeaseValid, true);
+  assert.equal(leadership.isLeaseValid, true);
   clock.at += 30;
-  assert.equal(ownership.isLeaseValid, false);
-  ownership.stop();
+  assert.equal(leadership.isLeaseValid, false);
+  leadership.stop();
 });
 
-test('a state service that answers slowly does not end a right that is renewed', async () => {
+test('slow answers of the state service do not end a lease that is renewed', async () => {
   const clock = { at: 10, now: () => clock.at, wall: () => clock.at };
   const ttl = 0.05;
-  const hung: ((yes: boolean) => void)[] = [];
+  const pendingRenewals: ((isRenewed: boolean) => void)[] = [];
   const client = {
     grantLease: () => Promise.resolve(1),
-    renewLease: () => new Promise<boolean>((resolve) => hung.push(resolve)),
+    renewLease: () => new Promise<boolean>((resolve) => pendingRenewals.push(resolve)),
   };
-  const ownership = new ShardLeadership(
+  const leadership = new ShardLeadership(
     client as unknown as StateClient,
     { loaded: false } as StateCache,
     clock,
@@ -194,19 +234,19 @@
       isLeaderCompatible: () => true,
     },
   );
-  void ownership.run();
-  // Each is sent whether or not the one before has been answered, and counts from when it was sent.
-  while (hung.length < 1) await new Promise((resolve) => setTimeout(resolve, 1));
+  void leadership.run();
+  // Each renewal is sent whether or not the previous one has been answered, and counts from when it was sent.
+  while (pendingRenewals.length < 1) await new Promise((resolve) => setTimeout(resolve, 1));
   clock.at += ttl * 0.6;
-  while (hung.length < 4) await new Promise((resolve) => setTimeout(resolve, 1));
+  while (pendingRenewals.length < 4) await new Promise((resolve) => setTimeout(resolve, 1));
   clock.at += ttl * 0.6;
-  assert.equal(ownership.isLeaseValid, false);
-  hung[3]?.(true);
+  assert.equal(leadership.isLeaseValid, false);
+  pendingRenewals[3]?.(true);
   await new Promise((resolve) => setImmediate(resolve));
-  assert.equal(ownership.isLeaseValid, true);
-  // One that was overtaken takes nothing back.
-  hung[0]?.(true);
+  assert.equal(leadership.isLeaseValid, true);
+  // The answer to an overtaken renewal does not shorten the lease.
+  pendingRenewals[0]?.(true);
   await new Promise((resolve) => setImmediate(resolve));
-  assert.equal(ownership.isLeaseValid, true);
-  ownership.stop();
+  assert.equal(leadership.isLeaseValid, true);
+  leadership.stop();
 });
