--- a/src/coordination/autoscaling/scaleIn.ts
+++ b/src/coordination/autoscaling/scaleIn.ts
@@ -26,7 +26,8 @@
   }
 
   /**
-   * Starts the release of all machines that are due; `unusable` ones failed to come up, or are gone according to the cloud's lists.
+   * Starts the release of all machines that are due; `unusable` ones failed to come up, or are gone according to the
+   * cloud's lists.
    */
   releaseDue(now: number, unusable: string[]): void {
     this.forgetOldReleases(now);
--- a/src/coordination/autoscaling/scaleOut.ts
+++ b/src/coordination/autoscaling/scaleOut.ts
@@ -35,9 +35,9 @@
   `${type}/${zone}/${String(spot)}`;
 
 /**
- * Sizes of the launch requests for `count` machines, at most `limit` of which fit a record. For a kind that was out of stock
- * a single request is sent as a probe: each request costs two writes to the state service, and a dozen that failed together
- * delayed starts in the autoscaler's own shard for minutes.
+ * Sizes of the launch requests for `count` machines, at most `limit` of which fit a record. For a kind that was out of
+ * stock a single request is sent as a probe: each request costs two writes to the state service, and a dozen that failed
+ * together once delayed starts in the autoscaler's own shard for minutes.
  */
 export function requestSizes(count: number, limit: number, wasOutOfStock: boolean): number[] {
   const sizes: number[] = [];
--- a/src/coordination/autoscaling/scaleOutPlan.ts
+++ b/src/coordination/autoscaling/scaleOutPlan.ts
@@ -41,7 +41,10 @@
 const MIN_BATCH_HORIZON = 60;
 const BATCH_HORIZON_RUNS = 2;
 
-/** Share of a machine's price that counts as wasted where a task leaves room to others that may never come. */
+/**
+ * Share of a machine's unused room that counts as wasted when a task is priced; other tasks that come later may use the
+ * rest.
+ */
 const WASTED_SHARE = 0.5;
 
 /** Price factor of machines outside the demanding shard's zone. */
