--- a/src/coordination/autoscaling/vanishedMachines.ts
+++ b/src/coordination/autoscaling/vanishedMachines.ts
@@ -1,8 +1,8 @@
 /**
- * Finds recorded machines that are gone according to the cloud's list. A machine stays listed until it is gone, but a list may be up
- * to `LONGEST_LAG` times its usual lag old, and older than the previous list. So a machine is gone only if it is missing
- * from a list that was requested more than that lag after a moment at which the machine certainly existed. This terminates
- * no attempt: the machine is released, and only the confirmed release does (safety, T2).
+ * Finds recorded machines that are gone according to the cloud's list. A machine stays listed until it is gone, but a list
+ * may be up to `LONGEST_LAG` times its usual lag old, and older than the previous list. So a machine is gone only if it is
+ * missing from a list that was requested more than that lag after a moment at which the machine certainly existed. This
+ * terminates no attempt: the machine is released, and only the confirmed release does (safety, T2).
  */
 
 /** The longest lag of a list, as a ratio to the usual lag (PROTOCOL, GET /rentals). */
--- a/test/autoscaling/vanishedMachines.test.ts
+++ b/test/autoscaling/vanishedMachines.test.ts
@@ -1,6 +1,6 @@
 /**
- * Machines that are gone according to the cloud's lists. Guards against records of gone machines that stay, and against the release
- * of healthy machines that a late list does not name.
+ * Machines that are gone according to the cloud's lists. Guards against records of gone machines that stay, and against the
+ * release of healthy machines that a late list does not name.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/commands/cancelledTaskMonitor.test.ts
+++ b/test/commands/cancelledTaskMonitor.test.ts
@@ -1,4 +1,6 @@
-/** Runtime checks for cancelled jobs: a lease renewal without the stop, and a start that is about to be sent, are reported. */
+/**
+ * Runtime checks for cancelled jobs: a lease renewal without the stop, and a start that is about to be sent, are reported.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/test/commands/commandDispatcher.test.ts
+++ b/test/commands/commandDispatcher.test.ts
@@ -1,4 +1,7 @@
-/** Probes: the sockets that silent machines may hold, the order of probes, and failures that are no evidence; commands without a lease. */
+/**
+ * Probes: the sockets that silent machines may hold, the order of probes, and failures that are no evidence; commands
+ * without a lease.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { AuditTrail } from '../../src/coordination/audit/auditTrail.js';
--- a/test/peers/peerRegistry.test.ts
+++ b/test/peers/peerRegistry.test.ts
@@ -1,4 +1,7 @@
-/** Which gossip of peers is accepted, the previous leader of a gained shard, and the expiry of a node's own lease after a pause. */
+/**
+ * Which gossip of peers is accepted, the previous leader of a gained shard, and the expiry of a node's own lease after a
+ * pause.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/test/reconciliation/startCommands.test.ts
+++ b/test/reconciliation/startCommands.test.ts
@@ -1,4 +1,6 @@
-/** Commands with a start: a worker may execute them late, or a second time, whatever the outcome of them and of later ones. */
+/**
+ * Commands with a start: a worker may execute them late, or a second time, whatever the outcome of them and of later ones.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CommandOutcome } from '../../src/coordination/audit/commandOutcome.js';
@@ -79,7 +81,9 @@
   assert.equal(fixture.worker(first).find(TASK, 1), undefined, 'a late start is refused');
 });
 
-/** A machine whose worker was told to forget the first attempt of `TASK`, and has forgotten it; `wk-2/0` runs there as well. */
+/**
+ * A machine whose worker was told to forget the first attempt of `TASK`, and has forgotten it; `wk-2/0` runs there as well.
+ */
 async function acknowledgedAttempt(): Promise<{ fixture: CommandBench; machine: Machine }> {
   const fixture = new CommandBench();
   const machine = fixture.machine('n-1');
@@ -166,7 +170,10 @@
   }
 });
 
-/** Tokens and outcomes of commands with the same start, and whether a copy may still be executed, by the token that the worker has seen. */
+/**
+ * Tokens and outcomes of commands with the same start, and whether a copy may still be executed, by the token that the
+ * worker has seen.
+ */
 const outcomeCases: {
   name: string;
   commands: [number, CommandOutcome][];
