--- a/src/coordination/controller/clusterView.ts
+++ b/src/coordination/controller/clusterView.ts
@@ -1,4 +1,4 @@
-/** A shard's view of the rest of the cluster: quotas, and what the other shards use and lack. */
+/** Gives a shard its view of the rest of the cluster: team quotas, and usage and starved jobs at the other shards. */
 import type { Settings } from '../../protocol/settings.js';
 import type { CancellationPreparations } from '../jobs/cancellationPreparations.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
@@ -6,7 +6,7 @@
 import type { QuotaShares } from '../quota/quotaShares.js';
 import type { ClusterView } from '../quota/teamUsage.js';
 
-/** Where a view takes its answers from. */
+/** Sources of the values that a `ClusterView` returns. */
 export interface ClusterViewSources {
   readonly teams: Settings['teams'];
   readonly quotas: Pick<QuotaShares, 'allowance'>;
@@ -15,7 +15,7 @@
   readonly cancellations: Pick<CancellationPreparations, 'stateOf'>;
 }
 
-/** The view of the shard with this label. */
+/** Creates the cluster view of the shard `label`. */
 export function createClusterView(sources: ClusterViewSources, label: string): ClusterView {
   const { teams, quotas, totals, pipelines, cancellations } = sources;
   return {
--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -1,6 +1,6 @@
 /**
- * One node of the cluster: it owns the collaborators, starts and stops their loops, and leads shards. How collaborators are
- * created is in `wiring.ts`, what happens with a gained or lost shard in `shardTakeover.ts`.
+ * One node of the cluster: creates and holds the node's components, starts and stops their loops, and leads shards.
+ * `wiring.ts` creates the components that depend on several settings; `shardTakeover.ts` handles gained and lost shards.
  */
 import type { Clock } from '../../base/clock.js';
 import { log } from '../../base/log.js';
@@ -54,7 +54,7 @@
   type HttpClients,
 } from './wiring.js';
 
-/** A node of the cluster. */
+/** A controller node of the cluster. */
 export class Controller {
   /** The shards that this node leads, by label. */
   readonly ownedShards = new Map<string, OwnedShard>();
@@ -69,10 +69,10 @@
   readonly authority: Authority;
   readonly persistence: JobPersistence;
   readonly peers: PeerRegistry;
-  /** Labels of all shards, which are those of all nodes. */
+  /** Labels of all shards: each node is the home of one shard, which has the node's label. */
   readonly shards: string[];
   readonly runTimes = new RunTimes();
-  /** What the cloud offers, by name; empty until the cloud or the stored records have told. */
+  /** Machine types that the cloud offers, by name; empty until they are read from the cloud or from the stored records. */
   machineTypes = new Map<string, MachineType>();
   /** The zone of each shard's home node. */
   readonly zoneOf: ReadonlyMap<string, string>;
@@ -80,10 +80,10 @@
   readonly commands: CommandDispatcher;
   readonly cancellationPreparations: CancellationPreparations;
   readonly pipelines: Pipelines;
-  /** Null while staged upgrades are switched off. */
+  /** Null if rollouts are switched off. */
   readonly rollout: RolloutService | null;
   readonly drain: Drain;
-  /** Submissions that were answered 503 since the start. */
+  /** Number of submissions answered with 503 since the process started. */
   refusedRequests = 0;
   readonly clusterTotals: ClusterTotals;
   readonly gossiper: Gossiper;
@@ -95,7 +95,7 @@
   private readonly takeover: ShardTakeover;
   private stopped = false;
 
-  /** `process` names this run of the process; `random` decides wherever chance does. */
+  /** `process` identifies this run of the process; `random` is the source of all random decisions. */
   constructor(
     readonly settings: Settings,
     readonly tuning: Tuning,
@@ -178,12 +178,12 @@
     });
   }
 
-  /** Seconds that the lease at the state service lasts. */
+  /** Duration of the lease at the state service, in seconds. */
   get stateLeaseTtl(): number {
     return stateLeaseTtl(this.settings);
   }
 
-  /** Seconds after its own lease for which a node goes on answering its workers. */
+  /** Seconds for which a node continues to answer its workers after its own lease has expired. */
   get leaderGracePeriod(): number {
     return leaderGracePeriod(this.settings);
   }
@@ -193,7 +193,7 @@
     return this.stopped;
   }
 
-  /** Can take requests: its records are loaded, it knows the machine types and it can reach others. */
+  /** Whether the node can take requests: its cache is loaded, machine types are known, it is not isolated and not draining. */
   get isReady(): boolean {
     return (
       this.stateCache.loaded &&
@@ -204,8 +204,8 @@
   }
 
   /**
-   * Neither the state service nor any peer is in reach: users are better off at another node. In an
-   * outage for all, peers still talk, and everybody stays ready for its end.
+   * Whether neither the state service nor any peer can be reached, so that users are better served by another node. In an
+   * outage of the state service that affects all nodes, peers still reach each other and all nodes stay ready for its end.
    */
   get isIsolated(): boolean {
     return (
@@ -215,7 +215,7 @@
     );
   }
 
-  /** Starts all loops; returns at once. */
+  /** Starts all loops; returns immediately. */
   start(): void {
     void this.leadership.run();
     void this.stateCache.run();
@@ -227,7 +227,7 @@
     });
   }
 
-  /** Ends all loops; what is stored is enough to go on from. */
+  /** Stops all loops. Nothing has to be saved: the stored records suffice to continue from. */
   stop(): void {
     this.stopped = true;
     this.rounds.stop();
@@ -239,17 +239,17 @@
     this.peers.close();
   }
 
-  /** Requests a scheduling round soon, since something has changed. */
+  /** Requests a scheduling round soon, after a change. */
   requestSchedulingRound(): void {
     this.rounds.request();
   }
 
-  /** The job has dependencies that are not done: nothing of it may start. */
+  /** Whether the job has dependencies that are not done, so that none of its tasks may start. */
   isBlockedOnDependencies(job: string): boolean {
     return this.pipelines.isBlockedOnDependencies(job);
   }
 
-  /** Follows the records of staged upgrades; a node without them must not serve beyond a barrier. */
+  /** Applies a change of the rollout records. A node with rollouts switched off must not serve once a barrier is stored. */
   applyRolloutChange(change: KeyValueChange): void {
     if (this.rollout !== null) this.rollout.handleRecordChange(change);
     else if (change.key === BARRIER_KEY && !change.removed) {
@@ -259,14 +259,14 @@
     }
   }
 
-  /** Takes in a peer's gossip. A shard that it leads with a higher fencing token is ours no longer. */
+  /** Processes a peer's gossip. This node relinquishes every shard that the peer leads under a higher fencing token. */
   receiveGossip(gossip: Gossip): void {
     this.peers.receiveGossip(gossip);
     for (const { shard, fencingToken } of gossip.shards)
       this.leadership.stepDownIfFenced(shard, fencingToken);
   }
 
-  /** The label of a shard's leader, by its stored record or a newer gossip; null: none is known. */
+  /** The label of a shard's leader, according to its stored record or newer gossip; null if none is known. */
   leaderOf(shard: string): string | null {
     const stored = this.stateCache.get(keys.leader(shard))?.value as LeaderRecord | undefined;
     const gossiped = this.peers.leaderOf(shard);
@@ -275,7 +275,7 @@
     return stored?.node ?? gossiped?.label ?? null;
   }
 
-  /** What is due from time to time, whatever has changed. */
+  /** Does the periodic work, which no change triggers. */
   private reconcile(): void {
     this.persistence.reconcileJobs();
     this.cancellationPreparations.sweep();
--- a/src/coordination/controller/gateway.ts
+++ b/src/coordination/controller/gateway.ts
@@ -1,4 +1,4 @@
-/** Routes requests, whether they come from users, workers or peers. */
+/** Routes requests of users, operators, workers and peers. */
 import { log } from '../../base/log.js';
 import { decodeRequest, decodeSpec, encodeAnswer } from '../../protocol/peerCodec.js';
 import type { PeerAnswer, PeerRequest, Relay, Relayed } from '../../protocol/peerMessages.js';
@@ -11,7 +11,7 @@
 import type { Controller } from './controller.js';
 import { createOverview } from './overview.js';
 
-/** Requests that keep machines and this node in service: they go before users' requests under any load. */
+/** Whether a request keeps machines or this node in service: such requests precede users' requests under any load. */
 export const isEssential = ({ target }: HttpMessage): boolean =>
   target === heartbeatPath || target === paths.ready;
 
@@ -24,25 +24,25 @@
 
 const allowOnly = (method: string): Reply => ({ status: 405, body: { error: `use ${method}` } });
 
-/** A submission that takes longer is logged. */
+/** Submissions that take longer than this are logged. */
 const SLOW_SUBMISSION_S = 0.5;
 
-/** A request by its path alone, with who sent it to this node. */
+/** A request to be routed, and how it reached this node. */
 interface RoutedRequest {
   readonly method: string;
   readonly path: string;
   readonly body: string;
-  /** A peer has passed it on: it is not passed on again. */
+  /** A peer has relayed it; it is not relayed again. */
   readonly isRelayed: boolean;
-  /** It is not the first on its connection. */
+  /** It is not the first request on its connection. */
   readonly isFollowUp: boolean;
 }
 
-/** Gives each request to the service that answers it. */
+/** Dispatches each request to the service that answers it. */
 export class Gateway {
   private readonly jobs: JobService;
   private readonly heartbeats: HeartbeatEndpoint;
-  /** Null while rollouts are off. */
+  /** Null if rollouts are switched off. */
   private readonly rollout: RolloutRoutes | null;
 
   constructor(private readonly node: Controller) {
@@ -52,7 +52,7 @@
     this.rollout = modules === null ? null : new modules.RolloutRoutes(node);
   }
 
-  /** Answers a user, a worker or an operator; `isFollowUp`: not the first request on its connection. */
+  /** Answers a request of a user, a worker or an operator; `isFollowUp`: it is not the first on its connection. */
   handle({ method, target, body }: HttpMessage, isFollowUp: boolean): Promise<Reply> {
     const path = target.split('?')[0] ?? '';
     return this.route({ method, path, body, isRelayed: false, isFollowUp });
@@ -81,13 +81,13 @@
 
   private async routeSubmission({ method, body, isRelayed }: RoutedRequest): Promise<Reply> {
     if (method !== 'POST') return allowOnly('POST');
-    const began = this.node.clock.now();
+    const startedAt = this.node.clock.now();
     const reply = await this.jobs.submit(body, isRelayed);
-    const took = this.node.clock.now() - began;
+    const elapsed = this.node.clock.now() - startedAt;
     if (reply.status === 503) this.node.refusedRequests++;
-    if (reply.status >= 400 || took > SLOW_SUBMISSION_S) {
+    if (reply.status >= 400 || elapsed > SLOW_SUBMISSION_S) {
       const answer = JSON.stringify(reply.body);
-      log.debug(`submission: ${reply.status} after ${took.toFixed(2)} s ${answer}`);
+      log.debug(`submission: ${reply.status} after ${elapsed.toFixed(2)} s ${answer}`);
     }
     return reply;
   }
--- a/src/coordination/controller/loops.ts
+++ b/src/coordination/controller/loops.ts
@@ -9,10 +9,10 @@
 import type { Settings } from '../../protocol/settings.js';
 import type { HttpClients } from './wiring.js';
 
-/** Seconds that the cloud has for its answer about machine types. */
+/** Timeout of a request for the machine types, in seconds. */
 const MACHINE_TYPES_TIMEOUT_S = 4;
 
-/** Seconds until the next request while no machine types are known. */
+/** Seconds between two requests while no machine types are known. */
 const MACHINE_TYPES_RETRY_S = 0.5;
 
 /** A node whose loops run until it is stopped. */
@@ -20,7 +20,7 @@
   readonly isStopped: boolean;
 }
 
-/** Does some work every so many seconds until the node stops; errors are logged and end nothing. */
+/** Runs `work` every `seconds` until the node stops. Errors are logged and do not end the loop. */
 export async function runPeriodically(
   node: StoppableContext,
   seconds: number,
@@ -36,14 +36,14 @@
   }
 }
 
-/** What the refresh of machine types needs of a node. */
+/** Dependencies of `refreshMachineTypes`. */
 export interface MachineTypesContext extends StoppableContext {
   readonly settings: Pick<Settings, 'cloudEndpoint' | 'cloudListLag'>;
   readonly links: Pick<HttpClients, 'services'>;
   machineTypes: Map<string, MachineType>;
 }
 
-/** Keeps the machine types up to date with what the cloud offers. */
+/** Refreshes the machine types from the cloud until the node stops. */
 export async function refreshMachineTypes(node: MachineTypesContext): Promise<void> {
   while (!node.isStopped) {
     try {
@@ -52,14 +52,14 @@
         node.machineTypes = new Map(machineTypes.map((type) => [type.name, type]));
       }
     } catch (error) {
-      log.debug(`machine types: ${describeError(error)}`);
+      log.debug(`cannot refresh the machine types: ${describeError(error)}`);
     }
     const isKnown = node.machineTypes.size > 0;
     await sleep(isKnown ? node.settings.cloudListLag * 8 : MACHINE_TYPES_RETRY_S);
   }
 }
 
-/** Null where the cloud gives an error or an answer that can't be parsed. */
+/** Returns null if the cloud answers with an error or the answer cannot be parsed. */
 async function requestMachineTypes({
   links,
   settings,
--- a/src/coordination/controller/overview.ts
+++ b/src/coordination/controller/overview.ts
@@ -1,4 +1,4 @@
-/** The shards, queues and machines of a node, for `barrowlb status`. */
+/** Describes the shards, queues and machines of a node for `barrowlb status`. */
 import type { Clock } from '../../base/clock.js';
 import type { Overview } from '../../protocol/overview.js';
 import type { AuditTrail } from '../audit/auditTrail.js';
@@ -6,7 +6,7 @@
 import { availabilityOf } from '../model/availability.js';
 import type { Machine } from '../model/machine.js';
 
-/** What is shown of a node. */
+/** Dependencies of `createOverview`. */
 export interface OverviewContext {
   readonly settings: { readonly label: string };
   readonly clock: Pick<Clock, 'now'>;
@@ -18,7 +18,7 @@
 type ShardOverview = Overview['parts'][number];
 type MachineOverview = ShardOverview['machines'][number];
 
-/** The answer of `/v1/overview`. */
+/** Creates the answer to `/v1/overview`. */
 export function createOverview(context: OverviewContext): Overview {
   const { settings, clock, leadership, audit, ownedShards } = context;
   const now = clock.now();
--- a/src/coordination/controller/shardTakeover.ts
+++ b/src/coordination/controller/shardTakeover.ts
@@ -1,4 +1,4 @@
-/** Gain and loss of leadership: a shard is loaded from its records when this node gains it, and dropped when it loses it. */
+/** Handles changes of leadership: loads a shard from its records when it is gained and drops it when it is lost. */
 import type { Clock } from '../../base/clock.js';
 import type { Random } from '../../base/random.js';
 import type { MachineType } from '../../protocol/cloudProtocol.js';
@@ -13,7 +13,7 @@
 import { Shard } from '../shard/shard.js';
 import { demandOptions, leaderGracePeriod } from './timings.js';
 
-/** What is needed of a node. */
+/** Dependencies of `ShardTakeover`. */
 export interface ShardTakeoverContext {
   readonly settings: Settings;
   readonly tuning: Pick<Tuning, 'sample'>;
@@ -28,27 +28,27 @@
   requestSchedulingRound(): void;
 }
 
-/** Takes over the shards that this node gains, and drops those that it loses. */
+/** Takes over the shards that this node gains and drops those that it loses. */
 export class ShardTakeover {
-  /** `viewOf` gives a shard's view of the rest of the cluster. */
+  /** `viewOf` returns a shard's view of the rest of the cluster. */
   constructor(
     private readonly node: ShardTakeoverContext,
     private readonly loader: Pick<ShardLoader, 'load'>,
     private readonly viewOf: (shard: string) => ClusterView,
   ) {}
 
-  /** This node has become the leader of a shard. */
+  /** Loads a shard that this node has become the leader of. */
   onGained(label: string, leadership: Leadership): void {
     const { node } = this;
     const previousLeaderLeft = this.previousLeaderTimeLeft(leadership);
     const previousLeaderUntil = node.clock.now() + previousLeaderLeft;
     const shard = this.createShard(label);
     node.ownedShards.set(label, this.loader.load(shard, leadership, previousLeaderUntil));
-    this.noteGained(label, leadership, previousLeaderLeft);
+    this.auditGained(label, leadership, previousLeaderLeft);
     node.requestSchedulingRound();
   }
 
-  /** This node leads a shard no longer. */
+  /** Drops a shard that this node no longer leads. */
   onLost(label: string): void {
     const { ownedShards, audit } = this.node;
     const ownedShard = ownedShards.get(label);
@@ -61,7 +61,7 @@
 
   /**
    * Seconds for which another node may still answer the shard's workers: its grace period, counted from when it lost the
-   * shard, which may have been before this node's last restart. This node's own earlier process doesn't count.
+   * shard, which may be before this node's last restart. An earlier process of this node is not counted.
    */
   private previousLeaderTimeLeft({ previousLeaderLostAt }: Leadership): number {
     const { settings, clock } = this.node;
@@ -84,7 +84,7 @@
     );
   }
 
-  private noteGained(shard: string, { fencingToken }: Leadership, otherOwnersLeft: number): void {
+  private auditGained(shard: string, { fencingToken }: Leadership, otherOwnersLeft: number): void {
     const { leadership, stateCache, clock, audit } = this.node;
     const now = clock.now();
     audit.note({
--- a/src/coordination/controller/timings.ts
+++ b/src/coordination/controller/timings.ts
@@ -1,17 +1,17 @@
-/** Durations that follow from a node's settings. All are in seconds. */
+/** Durations derived from a node's settings, all in seconds. */
 import type { Settings } from '../../protocol/settings.js';
 import type { DemandOptions } from '../shard/demandEstimator.js';
 
-/** The lease at the state service is never shorter than this. */
+/** Minimum duration of the lease at the state service. */
 const MIN_STATE_LEASE_TTL_S = 1;
 
-/** The share of the request rate that watches may take. */
+/** Share of the allowed request rate that watches may use. */
 const WATCH_RATE_SHARE = 0.1;
 
-/** The shortest pause between two watches. */
+/** Minimum pause between two watch requests. */
 const MIN_WATCH_PAUSE_S = 0.05;
 
-/** The lease at the state service: long against the delay of a renewal, short against a worker's lease. */
+/** Duration of the lease at the state service: long compared to the delay of a renewal, short compared to a worker's lease. */
 export function stateLeaseTtl(
   settings: Pick<Settings, 'heartbeatInterval' | 'workerLease'>,
 ): number {
@@ -20,14 +20,14 @@
 }
 
 /**
- * How long after its own lease a node goes on answering its workers, so that an outage of the state service doesn't end
- * healthy tasks. A new leader waits this long for machines that it can't reach.
+ * How long a node continues to answer its workers after its own lease has expired, so that an outage of the state service
+ * does not end healthy tasks. A new leader waits this long for machines that it cannot reach.
  */
 export function leaderGracePeriod(settings: Pick<Settings, 'workerLease'>): number {
   return settings.workerLease * 2;
 }
 
-/** When waiting batch work makes a shard scale out, and over which time its arrivals are averaged. */
+/** Determines when waiting batch work makes a shard scale out and over which period its arrivals are averaged. */
 export function demandOptions(
   settings: Pick<Settings, 'objectives' | 'workerLease'>,
 ): DemandOptions {
@@ -44,14 +44,14 @@
   };
 }
 
-/** How long one watch of the state service waits for changes, and the pause before the next. */
+/** How long one watch request waits at the state service for changes (`hold`), and the pause before the next one. */
 export function watchTimings(
   settings: Pick<Settings, 'heartbeatInterval' | 'cancellationTimeout' | 'stateRequestRate'>,
   nodeCount: number,
 ): { hold: number; pause: number } {
   const pause = nodeCount / (settings.stateRequestRate * WATCH_RATE_SHARE);
   return {
-    // While a watch waits, the age of the cache is unknown, and with it what users may be told (safety, P4).
+    // While a watch request waits, the age of the cache is unknown, which limits what users may be told (safety, P4).
     hold: Math.min(settings.heartbeatInterval * 2, settings.cancellationTimeout / 6),
     pause: Math.max(MIN_WATCH_PAUSE_S, pause),
   };
--- a/src/coordination/controller/wiring.ts
+++ b/src/coordination/controller/wiring.ts
@@ -1,4 +1,4 @@
-/** Creates a node's collaborators from its settings and connects them by their events. */
+/** Creates a node's components from its settings and connects them through callbacks. */
 import { sleep, type Clock } from '../../base/clock.js';
 import type { Settings } from '../../protocol/settings.js';
 import type { KeyValueChange } from '../../protocol/stateProtocol.js';
@@ -18,25 +18,25 @@
 import type { RolloutService } from '../rollout/rolloutService.js';
 import { leaderGracePeriod, stateLeaseTtl, watchTimings } from './timings.js';
 
-/** Calls to one peer that may wait for an answer. */
+/** Maximum number of unanswered calls to one peer. */
 const MAX_PEER_CALLS = 256;
 
-/** Seconds between two looks at whether all writes of a shard have been answered. */
+/** Seconds between two checks whether all writes of a shard have been answered. */
 const WRITES_POLL_INTERVAL_S = 0.01;
 
-/** HTTP connections of this node's own making. */
+/** HTTP clients for the requests that this node sends. */
 export interface HttpClients {
   services: Pick<HttpClient, 'call'>;
   machines: Pick<HttpClient, 'call'>;
 }
 
-/** What every collaborator is created from. */
+/** State of the node that several components are created from. */
 interface NodeContext {
   readonly settings: Settings;
   readonly clock: Clock;
-  /** Names this run of the process. */
+  /** Identifies this run of the process. */
   readonly process: string;
-  /** Labels of all shards, which are those of all nodes. */
+  /** Labels of all shards: each node is the home of one shard, which has the node's label. */
   readonly shards: string[];
   readonly ownedShards: ReadonlyMap<string, OwnedShard>;
 }
@@ -54,13 +54,13 @@
     rate: settings.stateRequestRate,
     writeRate: settings.stateWriteRate,
     sharers: node.shards.length,
-    // Long enough for a slow service: a request that times out is repeated, which slows the service further.
+    // Long enough for a slow service: a request that times out is retried, which slows the service down further.
     timeout: stateLeaseTtl(settings) / 2,
   };
   return new StateClient(node.links.services, node.clock, options, node.recordFormat);
 }
 
-/** Creates the cache of the stored records; `onChange` gets each change. */
+/** Creates the cache of the stored records; `onChange` is called with each change. */
 export function createStateCache(
   node: Pick<NodeContext, 'settings' | 'clock' | 'shards'> & { readonly stateClient: StateClient },
   onChange: (change: KeyValueChange) => void,
@@ -82,19 +82,19 @@
   return new PeerRegistry(clock, heartbeatInterval, settings.clockSkew, peers);
 }
 
-/** What the leadership of shards depends on. */
+/** Dependencies of `createLeadership`. */
 export interface LeadershipWiringContext extends NodeContext {
   readonly stateClient: StateClient;
   readonly stateCache: StateCache;
   readonly peers: Pick<PeerRegistry, 'hasBeenServedFor'>;
-  /** Null while staged upgrades are switched off. */
+  /** Null if rollouts are switched off. */
   readonly rollout: Pick<
     RolloutService,
     'isCurrent' | 'mayClaimShards' | 'isLeaderCompatible'
   > | null;
 }
 
-/** Creates the leadership of shards. `node`'s peers and rollout are used from its start on only. */
+/** Creates the component that leads shards. It uses `node`'s peers and rollout only after the node has started. */
 export function createLeadership(
   node: LeadershipWiringContext,
   transitions: Pick<ShardLeadershipEvents, 'onGained' | 'onLost'>,
@@ -122,7 +122,7 @@
   });
 }
 
-/** What the persistence of jobs depends on. */
+/** Dependencies of `createPersistence`. */
 export interface PersistenceWiringContext extends NodeContext {
   readonly stateClient: StateClient;
   readonly stateCache: StateCache;
@@ -134,7 +134,7 @@
   isBlockedOnDependencies(job: string): boolean;
 }
 
-/** Creates the persistence of jobs. `node`'s commands and cancellations are used from its start on only. */
+/** Creates the persistence of jobs. It uses `node`'s commands and cancellations only after the node has started. */
 export function createPersistence(node: PersistenceWiringContext): JobPersistence {
   const { settings, stateClient, stateCache, chunkIndex, clock } = node;
   const owner = {
