--- a/src/coordination/jobs/cancellationAcknowledgements.ts
+++ b/src/coordination/jobs/cancellationAcknowledgements.ts
@@ -1,19 +1,19 @@
-/** Collects what leaders acknowledge of one announced cancellation. */
+/** Collects the leaders' acknowledgements of one announced cancellation. */
 import type { PreparedChunk } from '../../protocol/peerMessages.js';
 import { keys, type JobRecord, type LeaderRecord } from '../../storage/records.js';
 import type { StateCache } from '../../storage/stateCache.js';
 import { CancellationEvidence, openChunkIndices } from '../persistence/cancellationEvidence.js';
 
-/** What is missing of a cancellation's acknowledgements, and what they rest on. */
+/** Tracks which open chunks of a job are acknowledged as prepared for its cancellation, and under which leader records. */
 export class CancellationAcknowledgements {
   private readonly open: ReadonlySet<number>;
-  /** Chunks that count, with the shard that they are at. */
+  /** Acknowledged chunks, with the shard that holds each of them. */
   private readonly shardByChunk = new Map<number, string>();
   private readonly leaders = new Map<string, { fencingToken: number; revision: number }>();
-  /** Acknowledgements under a fencing token that this node's copy does not show yet. */
-  private early: PreparedChunk[] = [];
+  /** Acknowledgements under a fencing token that is newer than the cached leader record of the shard. */
+  private deferred: PreparedChunk[] = [];
 
-  /** `home` leads the home shard: it marks chunks that it creates from now on, while its leader record stays. */
+  /** `home`: the leadership of the home shard; while its leader record is unchanged, it marks every chunk that it creates. */
   constructor(
     record: JobRecord,
     home: { fencingToken: number; revision: number },
@@ -23,36 +23,36 @@
     this.leaders.set(record.homeShard, home);
   }
 
-  /** Takes what a node has acknowledged; true once no open chunk is left. */
+  /** Adds the acknowledgements of one node; returns true once every open chunk is acknowledged. */
   add(prepared: readonly PreparedChunk[]): boolean {
-    for (const chunk of prepared) this.takeOne(chunk);
+    for (const chunk of prepared) this.addOne(chunk);
     return this.isComplete;
   }
 
-  private takeOne(prepared: PreparedChunk): void {
+  private addOne(prepared: PreparedChunk): void {
     const { index, shard, fencingToken } = prepared;
     const cached = this.stateCache.get(keys.leader(shard));
     const known = (cached?.value as LeaderRecord | undefined)?.fencingToken ?? -1;
-    // A leader that has lost the shard and does not know it must not be counted.
+    // The acknowledgement of a leader that has lost the shard without knowing it must not count.
     if (known > fencingToken) return;
     if (cached === undefined || known < fencingToken) {
-      this.early.push(prepared);
+      this.deferred.push(prepared);
       return;
     }
     this.shardByChunk.set(index, shard);
     this.leaders.set(shard, { fencingToken, revision: cached.revision });
   }
 
-  /** Shards whose leader records this node should read, since they have changed. */
+  /** Shards of deferred acknowledgements: their leader records have changed, and this node has to read them. */
   get shardsToRead(): string[] {
-    return [...new Set(this.early.map(({ shard }) => shard))];
+    return [...new Set(this.deferred.map(({ shard }) => shard))];
   }
 
-  /** Looks again at acknowledgements that were ahead of this node's copy; true once no open chunk is left. */
+  /** Adds the deferred acknowledgements again; returns true once every open chunk is acknowledged. */
   retryDeferred(): boolean {
-    const { early } = this;
-    this.early = [];
-    return this.add(early);
+    const { deferred } = this;
+    this.deferred = [];
+    return this.add(deferred);
   }
 
   /** Open chunks that no leader has acknowledged. */
@@ -64,14 +64,14 @@
     return this.missing.length === 0;
   }
 
-  /** The leaderships that count, as `shard=token@revision`, separated by commas. */
+  /** The counted leaderships as `shard=token@revision`, separated by commas. */
   get description(): string {
     return [...this.leaders]
       .map(([shard, { fencingToken, revision }]) => `${shard}=${fencingToken}@${revision}`)
       .join(',');
   }
 
-  /** What the cancellation may be stored on; null while a chunk is missing. */
+  /** The evidence on which the cancellation may be stored; null while an acknowledgement is missing. */
   get evidence(): CancellationEvidence | null {
     if (!this.isComplete) return null;
     return CancellationEvidence.acknowledged(
@@ -80,7 +80,7 @@
     );
   }
 
-  /** The same for a job that waits for others. */
+  /** The evidence for a job that is blocked on dependencies and therefore has no chunks. */
   get evidenceOfBlockedJob(): CancellationEvidence {
     return CancellationEvidence.ofBlockedJob(this.revisionByShard);
   }
--- a/src/coordination/jobs/cancellationPreparations.ts
+++ b/src/coordination/jobs/cancellationPreparations.ts
@@ -1,7 +1,7 @@
 /**
- * Before a cancellation is stored, all nodes are told of it, and each that has chunks of the job ends them and
- * starts nothing more. The record alone would not do: a node that the state service refuses can't read it, goes
- * on answering its workers, and would keep cancelled tasks alive for longer than they may be (safety, C1).
+ * Announces cancellations to all nodes before they are stored. Each node that has chunks of the job stops them and starts
+ * no more of its tasks. The stored record alone does not suffice: a node that the state service refuses cannot read it,
+ * continues to answer its workers, and would keep cancelled tasks alive for longer than allowed (safety, C1).
  */
 import { MAX_CLOCK_DRIFT, type Clock } from '../../base/clock.js';
 import { describeError, log } from '../../base/log.js';
@@ -20,7 +20,7 @@
 import type { JobCancellationState } from '../quota/teamUsage.js';
 import { CancellationAcknowledgements } from './cancellationAcknowledgements.js';
 
-/** What preparing cancellations needs of a node. */
+/** Dependencies of `CancellationPreparations`. */
 export interface CancellationContext {
   readonly settings: Pick<Settings, 'heartbeatInterval' | 'workerLease' | 'cancellationTimeout'>;
   readonly clock: Pick<Clock, 'now'>;
@@ -30,60 +30,59 @@
   readonly leadership: Pick<ShardLeadership, 'advanceFencingToken' | 'isLeaseValid'>;
   readonly peers: Pick<PeerRegistry, 'prepareCancel'>;
   readonly audit: Pick<AuditTrail, 'note'>;
-  /** The job waits for others: nothing of it was started, nor is there any chunk of it. */
+  /** Whether the job is blocked on dependencies, so that it has no chunks and none of its tasks was started. */
   isBlockedOnDependencies(job: string): boolean;
-  /** Asks for a scheduling round soon. */
+  /** Requests a scheduling round soon. */
   requestSchedulingRound(): void;
 }
 
-/** An announced cancellation that is not known to be stored, nor to be impossible. */
+/** An announced cancellation that is neither known to be stored nor known to be impossible to store. */
 interface Announcement {
-  /** Steady time at which it was announced last. */
-  readonly at: number;
-  /** Revisions of the leader records that this node has acknowledged it under, by shard. */
+  /** Monotonic time of the last announcement. */
+  readonly announcedAt: number;
+  /** Revisions of the leader records under which this node has acknowledged the cancellation, by shard. */
   readonly acknowledgedUnder: ReadonlyMap<string, number>;
 }
 
-/** Seconds in which an announced cancellation is stored or given up: its user waits no longer. */
+/** Seconds within which an announced cancellation is stored or abandoned: its user waits no longer. */
 const STORE_TIMEOUT_SECONDS = 5;
 
-/** Peers have this fraction of the time between two heartbeats to prepare a cancellation. */
+/** The timeout for peers to prepare a cancellation is the heartbeat interval divided by this. */
 const PEERS_TIMEOUT_DIVISOR = 12;
 
-/** Cancellations that were announced to this node and are not known to be stored or given up. */
+/** Tracks the cancellations that were announced to this node and are not known to be stored or abandoned. */
 export class CancellationPreparations {
   private readonly announcements = new Map<string, Announcement>();
 
   constructor(private readonly context: CancellationContext) {}
 
-  /** Whether a job is cancelled, or is about to be: the one place that says so. */
+  /** Whether a job's cancellation is stored or announced; all code that has to know asks this method. */
   stateOf(job: string): JobCancellationState {
     if (cachedJob(this.context.stateCache, job)?.state === 'cancelled') return 'stored';
     return this.announcements.has(job) ? 'announced' : 'none';
   }
 
   /**
-   * Ends the chunks of a job at this node's shards. Gives those of which it is sure that no other node can keep
-   * them alive.
+   * Stops the chunks of a job at this node's shards. Returns those whose tasks certainly no other node can keep alive.
    */
   prepare(job: string): PreparedChunk[] {
     return this.announce(job, null);
   }
 
-  /** `homeShard`: the job's, where this node leads it; chunks that it creates later count as acknowledged as well. */
+  /** `homeShard`: the job's home shard if this node leads it; chunks that it creates later count as acknowledged, too. */
   private announce(job: string, homeShard: OwnedShard | null): PreparedChunk[] {
     const now = this.context.clock.now();
-    // An earlier acknowledgement may still be counted.
+    // Earlier acknowledgements are kept, since they may still be counted.
     const acknowledgedUnder = new Map(this.announcements.get(job)?.acknowledgedUnder);
     if (homeShard !== null) acknowledgedUnder.set(homeShard.shard.label, homeShard.revision);
-    this.announcements.set(job, { at: now, acknowledgedUnder });
+    this.announcements.set(job, { announcedAt: now, acknowledgedUnder });
     const prepared: PreparedChunk[] = [];
     const withheld: string[] = [];
     for (const ownedShard of this.context.ownedShards.values()) {
       const { shard, fencingToken } = ownedShard;
       for (const chunk of shard.chunksOf(job)) {
         shard.prepareCancel(chunk, now);
-        const reason = this.whyWithheld(ownedShard, chunk, now);
+        const reason = this.withholdingReason(ownedShard, chunk, now);
         if (reason !== null) {
           withheld.push(`${chunk.index}=${reason}`);
           continue;
@@ -92,23 +91,23 @@
         acknowledgedUnder.set(shard.label, ownedShard.revision);
       }
     }
-    this.noteAnnounced(job, prepared.length, withheld);
+    this.auditAnnounced(job, prepared.length, withheld);
     this.context.requestSchedulingRound();
     return prepared;
   }
 
-  /** Why this node is not sure that nobody else can keep the chunk's tasks alive; null: it is. */
-  private whyWithheld(
+  /** Why another node might be able to keep the chunk's tasks alive; null if none can. */
+  private withholdingReason(
     ownedShard: OwnedShard,
     chunk: Chunk,
     now: number,
   ): AcknowledgementWithheldReason | null {
-    // It may be at the shard that it is on its way to.
+    // The chunk may already be at the shard that it is migrating to.
     if (chunk.isMigrating || chunk.mayHaveMigrated) return 'migrating';
-    return this.isUnderOurControl(ownedShard, chunk, now) ? null : 'previous-leader';
+    return this.isUnderSoleControl(ownedShard, chunk, now) ? null : 'previous-leader';
   }
 
-  private noteAnnounced(job: string, acknowledged: number, withheld: string[]): void {
+  private auditAnnounced(job: string, acknowledged: number, withheld: string[]): void {
     const { audit, clock, stateCache } = this.context;
     audit.note({
       event: 'cancellation-announced',
@@ -121,8 +120,8 @@
     });
   }
 
-  /** No earlier leader of the shard answers the workers of its tasks for longer than a cancellation may take. */
-  private isUnderOurControl(ownedShard: OwnedShard, chunk: Chunk, now: number): boolean {
+  /** Whether no earlier leader of the shard can answer the chunk's workers for longer than a cancellation may take. */
+  private isUnderSoleControl(ownedShard: OwnedShard, chunk: Chunk, now: number): boolean {
     const { cancellationTimeout, workerLease, heartbeatInterval } = this.context.settings;
     const allowance = Math.max(
       0,
@@ -137,8 +136,8 @@
     return true;
   }
 
-  /** Has all nodes prepare; null where some chunk may be at a leader that has not. */
-  async prepareEverywhere(
+  /** Has all nodes prepare the cancellation; returns null if some chunk may be at a leader that has not prepared it. */
+  async prepareOnAllNodes(
     homeShard: OwnedShard,
     job: HomeJob,
   ): Promise<CancellationEvidence | null> {
@@ -150,10 +149,10 @@
       home,
       this.context.stateCache,
     );
-    const own = this.announce(id, homeShard);
+    const ownChunks = this.announce(id, homeShard);
     const evidence = this.context.isBlockedOnDependencies(id)
       ? acknowledgements.evidenceOfBlockedJob
-      : await this.collect(id, acknowledgements, own);
+      : await this.collect(id, acknowledgements, ownChunks);
     this.context.audit.note({
       event: 'cancellation-prepared',
       job: id,
@@ -168,11 +167,11 @@
   private async collect(
     job: string,
     acknowledgements: CancellationAcknowledgements,
-    own: PreparedChunk[],
+    ownChunks: PreparedChunk[],
   ): Promise<CancellationEvidence | null> {
     const { peers, settings } = this.context;
     const timeout = settings.heartbeatInterval / PEERS_TIMEOUT_DIVISOR;
-    if (!acknowledgements.add(own)) {
+    if (!acknowledgements.add(ownChunks)) {
       await peers.prepareCancel(job, timeout, (prepared) => acknowledgements.add(prepared));
     }
     if (acknowledgements.evidence === null && acknowledgements.shardsToRead.length > 0) {
@@ -182,57 +181,57 @@
     return acknowledgements.evidence;
   }
 
-  /** Brings a leader record of this node's copy up to date. */
+  /** Refreshes a cached leader record. */
   private async readLeader(shard: string): Promise<void> {
     try {
       const item = await this.context.stateClient.get(keys.leader(shard));
       if (item !== null) this.context.stateCache.note(item.key, item.value, item.revision);
     } catch (error) {
-      log.debug(`leader of ${shard}: ${describeError(error)}`);
+      log.debug(`cannot read the leader record of shard ${shard}: ${describeError(error)}`);
     }
   }
 
   /**
-   * Resumes jobs that are still open although their cancellations should have been stored by now. A transaction that got no
-   * answer may be applied late, so nothing is resumed before that has become impossible: the leader record under which the
-   * cancellation was acknowledged must have changed, and this node must have read what was stored until then.
+   * Resumes jobs that are still open although their cancellations should have been stored by now. An unanswered transaction
+   * may be applied late, so a job is resumed only once that is impossible: the leader record under which the cancellation
+   * was acknowledged must have changed, and this node's cache must show everything stored before that change.
    */
   sweep(): void {
     const { stateCache } = this.context;
-    this.assertMarked();
+    this.reportUnmarkedChunks();
     for (const [job, announcement] of this.announcements) {
-      if (stateCache.syncedAt <= announcement.at + STORE_TIMEOUT_SECONDS) continue;
+      if (stateCache.syncedAt <= announcement.announcedAt + STORE_TIMEOUT_SECONDS) continue;
       if (cachedJob(stateCache, job)?.state !== 'open') {
         this.announcements.delete(job);
         continue;
       }
-      const pending = this.shardsThatMayStillBeCounted(announcement);
-      for (const ownedShard of pending) this.advance(ownedShard);
-      if (pending.length > 0 || !this.hasReadOwnLeaderRecords(announcement)) continue;
+      const pending = this.shardsWithUnchangedLeaderRecord(announcement);
+      for (const ownedShard of pending) this.replaceLeaderRecord(ownedShard);
+      if (pending.length > 0 || !this.isCacheNewerThanLeaderRecords(announcement)) continue;
       this.resume(job, announcement);
     }
   }
 
-  /** Shards of this node whose leader records are still those that its acknowledgements were given under. */
-  private shardsThatMayStillBeCounted({ acknowledgedUnder }: Announcement): OwnedShard[] {
+  /** Shards of this node whose leader records have not changed since it acknowledged the cancellation. */
+  private shardsWithUnchangedLeaderRecord({ acknowledgedUnder }: Announcement): OwnedShard[] {
     return [...acknowledgedUnder].flatMap(([label, revision]) => {
       const ownedShard = this.context.ownedShards.get(label);
       return ownedShard?.revision === revision ? [ownedShard] : [];
     });
   }
 
-  /** The copy shows all that was stored before the leader records changed. */
-  private hasReadOwnLeaderRecords({ acknowledgedUnder }: Announcement): boolean {
+  /** Whether the cache shows everything that was stored before the leader records changed. */
+  private isCacheNewerThanLeaderRecords({ acknowledgedUnder }: Announcement): boolean {
     const { ownedShards, stateCache } = this.context;
     return [...acknowledgedUnder.keys()].every(
       (label) => (ownedShards.get(label)?.revision ?? 0) <= stateCache.revision,
     );
   }
 
-  private resume(job: string, { at }: Announcement): void {
+  private resume(job: string, { announcedAt }: Announcement): void {
     const { audit, clock, ownedShards, stateCache } = this.context;
     this.announcements.delete(job);
-    const age = clock.now() - at;
+    const age = clock.now() - announcedAt;
     audit.note({ event: 'cancellation-abandoned', job, age, copyRevision: stateCache.revision });
     for (const { shard } of ownedShards.values()) {
       for (const chunk of shard.chunksOf(job)) shard.abandonCancellation(chunk);
@@ -240,22 +239,24 @@
   }
 
   /**
-   * Gets a new leader record for a shard. All its workers report a higher fencing token, at most once in half of their
-   * lease; nobody waits for what is resumed.
+   * Replaces the leader record of a shard, at most once in half a worker lease, since the higher fencing token makes all its
+   * workers report. No user waits for a job to be resumed.
    */
-  private advance(ownedShard: OwnedShard): void {
+  private replaceLeaderRecord(ownedShard: OwnedShard): void {
     const { clock, leadership, settings } = this.context;
     const now = clock.now();
     if (!leadership.isLeaseValid) return;
     if (now - ownedShard.fencingTokenAdvancedAt < settings.workerLease / 2) return;
     ownedShard.fencingTokenAdvancedAt = now;
     advanceFencingToken(leadership, ownedShard).catch((error: unknown) => {
-      log.debug(`advance ${ownedShard.shard.label}: ${describeError(error)}`);
+      log.debug(
+        `cannot advance the fencing token of shard ${ownedShard.shard.label}: ${describeError(error)}`,
+      );
     });
   }
 
-  /** Each chunk is asked about as it comes to a shard; none may be here as if its job were open. */
-  private assertMarked(): void {
+  /** Reports unmarked chunks of jobs being cancelled; none may exist, since a chunk is marked when it is added to a shard. */
+  private reportUnmarkedChunks(): void {
     for (const { shard } of this.context.ownedShards.values()) {
       for (const chunk of shard.chunks.values()) {
         if (chunk.isCancelRequested || this.stateOf(chunk.spec.id) === 'none') continue;
--- a/src/coordination/jobs/initialPlacement.ts
+++ b/src/coordination/jobs/initialPlacement.ts
@@ -1,13 +1,13 @@
-/** Chooses the shards of the chunks that are created with their job. */
+/** Chooses the shards of the chunks that are created together with their job. */
 import type { JobSpec } from '../../protocol/job.js';
 import type { JobRecord } from '../../storage/records.js';
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import { Chunk } from '../model/chunk.js';
 import type { ChunkRange } from '../model/chunking.js';
 
-/** Chooses the shard where tasks would start soonest. */
+/** Chooses the shard at which tasks would start soonest. */
 export interface ShardChooser {
-  /** The shard for so many tasks of a job, in a zone or in any (null). */
+  /** Returns the shard for `taskCount` tasks of a job; `zone`: null allows any zone. */
   chooseShard(
     homeShard: OwnedShard,
     spec: JobSpec,
@@ -16,13 +16,13 @@
   ): Promise<string>;
 }
 
-/** A chunk that is created with its job, and the shard that it goes to. */
+/** A chunk that is created together with its job, and the shard that it is assigned to. */
 export interface PlacedChunk {
   readonly shard: string;
   readonly chunk: Chunk;
 }
 
-/** Creates the first chunks of a job, each for the shard that is chosen for it. */
+/** Creates the first chunks of a job and assigns each to the shard that the chooser returns for it. */
 export function placeInitialChunks(
   chooser: ShardChooser,
   homeShard: OwnedShard,
@@ -32,12 +32,12 @@
   now: number,
 ): Promise<PlacedChunk[]> {
   const { label } = homeShard.shard;
-  // Most chunks of a job are of one size, and the same question has the same answer: it is asked once.
+  // Most chunks of a job have the same size, so the chooser is asked once for each zone and size.
   const choices = new Map<string, Promise<string>>();
   const choose = (zone: string | null, taskCount: number): Promise<string> => {
-    const question = `${zone ?? '*'} ${taskCount}`;
-    const choice = choices.get(question) ?? chooser.chooseShard(homeShard, spec, zone, taskCount);
-    choices.set(question, choice);
+    const choiceKey = `${zone ?? '*'} ${taskCount}`;
+    const choice = choices.get(choiceKey) ?? chooser.chooseShard(homeShard, spec, zone, taskCount);
+    choices.set(choiceKey, choice);
     return choice;
   };
   return Promise.all(
--- a/src/coordination/jobs/jobAnswers.ts
+++ b/src/coordination/jobs/jobAnswers.ts
@@ -1,7 +1,7 @@
 /**
- * What users may be told of a job (safety, U10 to U12): the one place that decides it, asked just before the first byte of a
- * reply leaves. A final state always may. An open one may only on evidence that is not older than the question, and while
- * nothing newer is known here; else the user is told to come back.
+ * Decides what users may be told about a job (safety, U10 to U12). This is the only place that does, and it does so just
+ * before the first byte of a reply is sent. A final state may always be sent. An open state may be sent only on evidence
+ * that is not older than the request, and only if this node knows nothing newer; otherwise the user is asked to retry.
  */
 import type { Clock } from '../../base/clock.js';
 import type { JobStatus } from '../../protocol/job.js';
@@ -27,74 +27,74 @@
   type StateReply,
 } from './replies.js';
 
-/** A request of a user about a job; `receivedAt` is a steady time. */
+/** A user's request about a job; `receivedAt` is monotonic time. */
 export interface UserRequest {
   readonly kind: UserRequestKind;
   readonly job: string;
   readonly receivedAt: number;
 }
 
-/** What deciding on answers needs of a node. */
+/** Dependencies of `JobAnswers`. */
 export interface JobAnswersContext {
   readonly clock: Pick<Clock, 'now'>;
   readonly stateCache: Pick<StateCache, 'get' | 'revision'>;
   readonly authority: Pick<Authority, 'mayAct'>;
   readonly leadership: { readonly leaseExpiresAt: number };
-  readonly pipelines: Pick<Pipelines, 'mayCallOpen'>;
+  readonly pipelines: Pick<Pipelines, 'mayReportOpen'>;
   readonly audit: Pick<AuditTrail, 'note'>;
 }
 
-/** Final states from peers that this node's copy does not show yet: beyond so many, those that it shows are dropped. */
-const PRUNE_SIZE = 256;
+/** Number of remembered final states at which those that the cache shows by now are dropped. */
+const PRUNE_THRESHOLD = 256;
 
 const isFinal = (status: JobStatus): boolean => status === 'done' || status === 'cancelled';
 
-/** Decides whether replies about jobs may leave. */
+/** Decides which replies about jobs may be sent. */
 export class JobAnswers {
-  /** Final states that this node has told of, by a peer's word, before its own copy showed them. */
-  private readonly toldFinal = new Map<string, JobStatus>();
+  /** Final states that this node has reported on a peer's answer, before its own cache showed them. */
+  private readonly reportedFinalStates = new Map<string, JobStatus>();
 
   constructor(private readonly context: JobAnswersContext) {}
 
-  /** The reply with the decision on it, which is taken as it leaves. */
+  /** Attaches the decision to the reply; it is made when the reply is sent. */
   decideOnSending(request: UserRequest, reply: JobReply): Reply {
     return { ...reply, atSending: () => this.decide(request, reply) };
   }
 
-  /** What may leave at this moment in place of the reply. */
+  /** The reply that may be sent now: the given one, a newer one or a refusal. */
   private decide(request: UserRequest, reply: JobReply): Reply {
-    if (reply.stated === undefined) return this.decideOnRefusal(request, reply);
-    const copy = this.finalCopyOf(request.job);
-    if (copy !== null) return this.tellFinal(request, reply, copy);
-    const { status, evidence } = reply.stated;
-    if (isFinal(status)) return this.tellNewFinal(request, reply);
-    const reason = this.whyWithheld(request, evidence);
-    return reason === null ? this.tell(request, reply) : this.withhold(request, reason);
+    if (reply.reported === undefined) return this.decideOnStatelessReply(request, reply);
+    const cached = this.cachedFinalRecord(request.job);
+    if (cached !== null) return this.sendCachedFinal(request, reply, cached);
+    const { status, evidence } = reply.reported;
+    if (isFinal(status)) return this.sendUncachedFinal(request, reply);
+    const reason = this.withholdingReason(request, evidence);
+    return reason === null ? this.send(request, reply) : this.withhold(request, reason);
   }
 
-  private finalCopyOf(job: string): FinalJobRecord | null {
+  private cachedFinalRecord(job: string): FinalJobRecord | null {
     const record = cachedJob(this.context.stateCache, job);
     return record === undefined || record.state === 'open' ? null : record;
   }
 
-  /** A job that is known here was accepted: to say that there is none would be older than what users were told. */
-  private decideOnRefusal(request: UserRequest, reply: Reply): Reply {
+  /** Withholds a reply that denies a cached job: the job was accepted, and users may know that already. */
+  private decideOnStatelessReply(request: UserRequest, reply: Reply): Reply {
     const deniesJob = reply.status === 404 || reply.status === 422;
     if (!deniesJob || cachedJob(this.context.stateCache, request.job) === undefined) return reply;
     return this.withhold(request, 'job-is-known');
   }
 
-  /** This node's copy says how the job ended; the reply may be of before. */
-  private tellFinal(request: UserRequest, reply: StateReply, copy: FinalJobRecord): Reply {
-    this.toldFinal.delete(request.job);
-    const view = finalView(copy);
-    const { status } = reply.stated;
+  /** Sends the final state that the cache shows; the reply may be older than that. */
+  private sendCachedFinal(request: UserRequest, reply: StateReply, cached: FinalJobRecord): Reply {
+    this.reportedFinalStates.delete(request.job);
+    const view = finalView(cached);
+    const { status } = reply.reported;
     if (isFinal(status) && status !== view.status) {
-      return this.withholdSecondEnd(request, `${status}, by the copy ${view.status}`);
+      return this.withholdConflictingFinal(request, `${status}, by the copy ${view.status}`);
     }
-    if (isFinal(status)) return this.tell(request, reply);
+    if (isFinal(status)) return this.send(request, reply);
     const evidence = { kind: 'final' } as const;
-    return this.tell(
+    return this.send(
       request,
       request.kind === 'read'
         ? viewReply(request.job, view, evidence)
@@ -102,51 +102,54 @@
     );
   }
 
-  /** This node's copy does not show the end yet. */
-  private tellNewFinal(request: UserRequest, reply: StateReply): Reply {
-    const { status } = reply.stated;
-    const told = this.toldFinal.get(request.job);
-    if (told !== undefined && told !== status) {
-      return this.withholdSecondEnd(request, `${status}, after ${told}`);
+  /** Sends a final state that the cache does not show yet. */
+  private sendUncachedFinal(request: UserRequest, reply: StateReply): Reply {
+    const { status } = reply.reported;
+    const reported = this.reportedFinalStates.get(request.job);
+    if (reported !== undefined && reported !== status) {
+      return this.withholdConflictingFinal(request, `${status}, after ${reported}`);
     }
-    if (this.toldFinal.size >= PRUNE_SIZE) this.prune();
-    this.toldFinal.set(request.job, status);
-    return this.tell(request, reply);
+    if (this.reportedFinalStates.size >= PRUNE_THRESHOLD) this.prune();
+    this.reportedFinalStates.set(request.job, status);
+    return this.send(request, reply);
   }
 
   private prune(): void {
-    for (const job of this.toldFinal.keys()) {
-      if (this.finalCopyOf(job) !== null) this.toldFinal.delete(job);
+    for (const job of this.reportedFinalStates.keys()) {
+      if (this.cachedFinalRecord(job) !== null) this.reportedFinalStates.delete(job);
     }
   }
 
-  /** Why an open state may not be told now; null: it may. */
-  private whyWithheld(request: UserRequest, evidence: AnswerEvidence): AnswerWithheldReason | null {
-    if (this.toldFinal.has(request.job)) return 'told-final-before';
+  /** Why an open state must not be sent now; null if it may be sent. */
+  private withholdingReason(
+    request: UserRequest,
+    evidence: AnswerEvidence,
+  ): AnswerWithheldReason | null {
+    if (this.reportedFinalStates.has(request.job)) return 'told-final-before';
     if (evidence.kind === 'leader' && !this.isCurrent(evidence)) return 'leadership-ended';
     if ('asOf' in evidence && evidence.asOf < request.receivedAt) {
-      this.noteViolation(request, 'answer-older-than-question', evidence.kind);
+      this.reportViolation(request, 'answer-older-than-question', evidence.kind);
       return 'older-than-question';
     }
-    // A peer has asked itself that. It may have been cancelled with a job that it needs, and this node have missed it.
-    const isJudgedHere = evidence.kind !== 'peer';
-    if (isJudgedHere && !this.context.pipelines.mayCallOpen(request.job)) {
+    // The job may have been cancelled with one of its dependencies without this node knowing. A peer has checked that itself.
+    const isDecidedHere = evidence.kind !== 'peer';
+    if (isDecidedHere && !this.context.pipelines.mayReportOpen(request.job)) {
       return 'dependency-may-be-cancelled';
     }
     return null;
   }
 
-  /** The leader's memory is the latest while its leadership is valid, but for a change of the record without an answer. */
+  /** Whether the leader's state in memory is the latest: its leadership is valid and no change of the record is unanswered. */
   private isCurrent({ homeShard, job }: Extract<AnswerEvidence, { kind: 'leader' }>): boolean {
     return this.context.authority.mayAct(homeShard) && job.isOutcomeUnknown !== true;
   }
 
-  private withholdSecondEnd(request: UserRequest, detail: string): Reply {
-    this.noteViolation(request, 'final-states-differ', detail);
+  private withholdConflictingFinal(request: UserRequest, detail: string): Reply {
+    this.reportViolation(request, 'final-states-differ', detail);
     return this.withhold(request, 'final-states-differ');
   }
 
-  private noteViolation({ kind, job }: UserRequest, invariant: Invariant, detail: string): void {
+  private reportViolation({ kind, job }: UserRequest, invariant: Invariant, detail: string): void {
     const shard = cachedJob(this.context.stateCache, job)?.homeShard ?? '-';
     this.context.audit.note({
       event: 'invariant-violated',
@@ -161,8 +164,8 @@
     return unavailable('the state of the job is being asked for anew');
   }
 
-  private tell({ kind: request }: UserRequest, reply: StateReply): Reply {
-    const { job, status: state, evidence } = reply.stated;
+  private send({ kind: request }: UserRequest, reply: StateReply): Reply {
+    const { job, status: state, evidence } = reply.reported;
     const source = this.sourceOf(evidence);
     this.context.audit.note({ event: 'job-answered', request, job, state, ...source });
     return reply;
--- a/src/coordination/jobs/jobCancellation.ts
+++ b/src/coordination/jobs/jobCancellation.ts
@@ -1,4 +1,4 @@
-/** Users' cancellations: announced to all nodes, stored by the leader of the job's home shard. */
+/** Cancels jobs for users: a cancellation is announced to all nodes, then stored by the leader of the job's home shard. */
 import type { Clock } from '../../base/clock.js';
 import type { FinalJobRecord, JobRecord } from '../../storage/records.js';
 import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
@@ -21,10 +21,10 @@
   type RelayedJobRequest,
 } from './requestRelay.js';
 
-/** Seconds that the job's leader has to answer: a little longer than it may take to store the cancellation. */
+/** Timeout of a request to the home shard's leader, in seconds: slightly longer than it may take to store the cancellation. */
 const LEADER_TIMEOUT_SECONDS = REQUEST_TIMEOUT_SECONDS + 0.2;
 
-/** What cancelling needs of a node. */
+/** Dependencies of `JobCancellation`. */
 export interface JobCancellationContext {
   readonly settings: { readonly label: string };
   readonly clock: Pick<Clock, 'now'>;
@@ -32,10 +32,10 @@
   readonly leadership: { readonly isLeaseValid: boolean };
   readonly peers: Pick<PeerRegistry, 'relay' | 'servedPeers'>;
   readonly persistence: Pick<JobPersistence, 'cancel'>;
-  readonly cancellationPreparations: Pick<CancellationPreparations, 'prepareEverywhere'>;
-  /** Neither the state service nor any peer is in reach. */
+  readonly cancellationPreparations: Pick<CancellationPreparations, 'prepareOnAllNodes'>;
+  /** Whether neither the state service nor any peer can be reached. */
   readonly isIsolated: boolean;
-  /** The node that leads a shard, as far as is known here. */
+  /** The label of the node that leads a shard; null if this node knows of none. */
   leaderOf(shard: string): string | null;
 }
 
@@ -46,12 +46,12 @@
     private readonly lookup: JobLookup,
   ) {}
 
-  /** Answers once the cancellation is stored, or could not be stored in the time that a user waits. */
+  /** Resolves once the cancellation is stored, or could not be stored within the time that a user waits. */
   async cancel(id: string, isRelayed: boolean): Promise<JobReply> {
-    const copy = this.lookup.cachedRecord(id);
-    if (copy !== undefined && copy.state !== 'open') return endedReply(id, copy.state);
+    const cached = this.lookup.cachedRecord(id);
+    if (cached !== undefined && cached.state !== 'open') return endedReply(id, cached.state);
     if (this.context.isIsolated) return isolatedReply();
-    const record = copy ?? (await this.lookup.fetchRecord(id));
+    const record = cached ?? (await this.lookup.fetchRecord(id));
     if (record === null) return NO_SUCH_JOB;
     if (record === undefined) {
       const reply = isRelayed ? null : await relayToAnyPeer(this.context, cancelRelay(id));
@@ -61,7 +61,7 @@
     return this.cancelOpen(id, record, isRelayed);
   }
 
-  /** Cancels a job that is open as far as is known here, or has its leader do so. */
+  /** Cancels a job that is open as far as this node knows, or has the leader of its home shard do so. */
   private async cancelOpen(
     id: string,
     { homeShard: label }: JobRecord,
@@ -83,8 +83,8 @@
     const deadline = clock.now() + REQUEST_TIMEOUT_SECONDS;
     while (clock.now() < deadline) {
       if (job.record.state !== 'open') return endedReply(job.id, job.record.state);
-      // Else a node that can't read the record would keep tasks of the job alive, or start some.
-      const evidence = await cancellationPreparations.prepareEverywhere(homeShard, job);
+      // Without this, a node that cannot read the record would keep tasks of the job alive, or start some.
+      const evidence = await cancellationPreparations.prepareOnAllNodes(homeShard, job);
       if (evidence === null) {
         return unavailable('a node that may run tasks of the job cannot be asked just now', 2);
       }
@@ -95,7 +95,7 @@
     return unavailable('the cancellation could not be stored');
   }
 
-  /** The answer of the peer that leads the job's home shard; null where none does or it gives no answer. */
+  /** The answer of the peer that leads the job's home shard; null if no peer does or it does not answer. */
   private async askLeader(id: string, homeShard: string): Promise<JobReply | null> {
     const leader = this.context.leaderOf(homeShard);
     if (leader === null || leader === this.context.settings.label) return null;
--- a/src/coordination/jobs/jobFeasibility.ts
+++ b/src/coordination/jobs/jobFeasibility.ts
@@ -1,4 +1,4 @@
-/** Whether a job could ever run in this cluster, and in which zones. */
+/** Determines whether a job can ever run in this cluster, and in which zones. */
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { JobSpec } from '../../protocol/job.js';
 import type { Settings } from '../../protocol/settings.js';
@@ -8,7 +8,7 @@
 import { fits } from '../model/resources.js';
 import { satisfiesConstraints } from '../scheduling/placement.js';
 
-/** What the limits and machine types are taken from. */
+/** Dependencies of the feasibility checks. */
 export interface FeasibilityContext {
   readonly settings: Pick<Settings, 'teams' | 'zones'>;
   readonly recordFormat: RecordFormat;
@@ -16,7 +16,7 @@
   readonly clusterTotals: Pick<ClusterTotals, 'serviceHeadroomIn'>;
 }
 
-/** Why a job can never run, or null. */
+/** Why a job can never run; null if it can. */
 export function infeasibilityReason(context: FeasibilityContext, spec: JobSpec): string | null {
   const { settings } = context;
   const quotaReason = quotaInfeasibility(context, spec);
@@ -30,7 +30,7 @@
   return feasibleZones(context, spec).length > 0 ? null : 'a task fits no allowed machine type';
 }
 
-/** Why the team's limit can never hold what the job needs at a time, or null. */
+/** Why the job's concurrent tasks can never fit into its team's limit; null if they can. */
 function quotaInfeasibility({ settings }: FeasibilityContext, spec: JobSpec): string | null {
   const team = settings.teams.find(({ name }) => name === spec.team);
   if (team === undefined) return `unknown team ${spec.team}`;
@@ -46,11 +46,11 @@
   return null;
 }
 
-/** A gang is one chunk, whose record holds an entry for each task that runs. */
+/** Whether a gang fits into one record: it is a single chunk, whose record holds an entry for each running task. */
 const isGangRecordable = (recordFormat: RecordFormat, spec: JobSpec): boolean =>
   spec.taskCount * recordFormat.sizes.taskBytes * 2 <= recordFormat.maxRecordBytes(1);
 
-/** Zones in which a machine type exists that can hold a task; those with most room first. */
+/** Zones that have a machine type which can hold a task; those with the most headroom come first. */
 export function feasibleZones(context: FeasibilityContext, spec: JobSpec): string[] {
   const headroom = new Map<string, number>();
   for (const machineType of context.machineTypes.values()) {
@@ -64,7 +64,7 @@
     headroom.set(zone, context.clusterTotals.serviceHeadroomIn(zone));
   }
   const zones = [...headroom.keys()].sort();
-  // Where there is nothing to choose between zones, jobs take turns by their ids.
+  // Among zones with equal headroom, the job's id determines the first one.
   const first = zones[idHash(spec.id) % Math.max(1, zones.length)];
   return zones.sort(
     (a, b) =>
@@ -72,6 +72,6 @@
   );
 }
 
-/** A number by which job ids are spread evenly. */
+/** A hash that spreads job ids evenly. */
 const idHash = (id: string): number =>
   Array.from(id).reduce((hash, character) => (hash * 31 + character.charCodeAt(0)) % 65521, 7);
--- a/src/coordination/jobs/jobLookup.ts
+++ b/src/coordination/jobs/jobLookup.ts
@@ -1,4 +1,4 @@
-/** Finds out how a job stands: from this node's copy, its leader, the store or any peer that can tell. */
+/** Looks up the state of a job: in this node's cache, at the leader of its home shard, the state service or any peer. */
 import type { JobView } from '../../protocol/job.js';
 import { keys, type FinalJobRecord, type JobRecord } from '../../storage/records.js';
 import { cachedJob, type StateCache } from '../../storage/stateCache.js';
@@ -14,32 +14,32 @@
   type RequestRelayContext,
 } from './requestRelay.js';
 
-/** Seconds that the leader of a job's home shard has to answer, before the store is asked. */
+/** Seconds that the leader of a job's home shard has to answer before the state service is asked. */
 const LEADER_TIMEOUT_SECONDS = 0.6;
 
-/** Seconds in which any other peer must have answered, where the store can't be asked. */
+/** Seconds within which any other peer must answer if the state service cannot be asked. */
 const PEERS_TIMEOUT_SECONDS = REQUEST_TIMEOUT_SECONDS / 5;
 
-/** What looking jobs up needs of a node. */
+/** Dependencies of `JobLookup`. */
 export interface JobLookupContext extends JobViewContext, RequestRelayContext {
   readonly settings: { readonly label: string };
   readonly clock: JobViewContext['clock'];
   readonly stateClient: Pick<StateClient, 'get'>;
   readonly stateCache: Pick<StateCache, 'get' | 'note'>;
-  readonly pipelines: Pick<Pipelines, 'reason'>;
-  /** Neither the state service nor any peer is in reach. */
+  readonly pipelines: Pick<Pipelines, 'waitReason'>;
+  /** Whether neither the state service nor any peer can be reached. */
   readonly isIsolated: boolean;
-  /** The node that leads a shard, as far as is known here. */
+  /** The label of the node that leads a shard; null if this node knows of none. */
   leaderOf(shard: string): string | null;
 }
 
-/** What could be found out about a job. */
+/** Result of looking up a job. */
 export type LookupResult =
   | { readonly kind: 'found'; readonly view: JobView; readonly evidence: AnswerEvidence }
-  /** A peer has answered in this node's stead. */
+  /** A peer has answered on behalf of this node. */
   | { readonly kind: 'relayed'; readonly reply: JobReply }
   | { readonly kind: 'missing' }
-  /** Nobody who can tell was in reach. */
+  /** Nothing that knows the state of the job could be reached. */
   | { readonly kind: 'unavailable' };
 
 const relayed = (reply: JobReply): LookupResult => ({ kind: 'relayed', reply });
@@ -49,18 +49,18 @@
   evidence: { kind: 'final' },
 });
 
-/** Looks jobs up for users. */
+/** Looks up jobs for users. */
 export class JobLookup {
   constructor(private readonly context: JobLookupContext) {}
 
-  /** This node's copy of a job's record. */
+  /** The cached record of a job. */
   cachedRecord(id: string): JobRecord | undefined {
     return cachedJob(this.context.stateCache, id);
   }
 
   /**
-   * The stored record; null when there is none, undefined when that can't be told. The watch may overtake an answer:
-   * by then this node may have told users of what is newer, so its copy comes first.
+   * Reads a job's stored record; null if there is none, undefined if the state service cannot be read. The watch may deliver
+   * a newer record before the answer arrives, which users may have been told of by then, so the cached record takes precedence.
    */
   async fetchRecord(id: string): Promise<JobRecord | null | undefined> {
     const { stateClient, stateCache } = this.context;
@@ -74,28 +74,28 @@
   }
 
   /**
-   * A final state never changes, so any copy of it will do. All else comes from the leader of the job's home shard,
-   * whose state is the latest while its lease is valid, or from the store.
+   * A final state never changes, so any cached record of it suffices. An open state comes from the leader of the job's home
+   * shard, whose state is the latest while its lease is valid, or from the state service.
    */
   async lookUp(id: string, mayRelay: boolean): Promise<LookupResult> {
-    const copy = this.cachedRecord(id);
-    if (copy !== undefined) {
-      if (copy.state !== 'open') return ended(copy);
-      const known = this.knownAsLeader(id, copy);
+    const cached = this.cachedRecord(id);
+    if (cached !== undefined) {
+      if (cached.state !== 'open') return ended(cached);
+      const known = this.lookUpAsLeader(id, cached);
       if (known !== null) return known;
-      const reply = mayRelay ? await this.askLeader(id, copy) : null;
+      const reply = mayRelay ? await this.askLeader(id, cached) : null;
       if (reply !== null) return relayed(reply);
     }
-    // Nobody could be asked, and a user waits two seconds only.
+    // An isolated node has nobody to ask, and a user waits for two seconds only.
     if (this.context.isIsolated) return { kind: 'unavailable' };
     return (await this.readStored(id)) ?? this.askAnyPeer(id, mayRelay);
   }
 
-  /** A job whose home shard this node leads, unless a change of its record got no answer. */
-  private knownAsLeader(id: string, copy: JobRecord): LookupResult | null {
+  /** A job whose home shard this node leads; null if it does not, or a change of the job's record is unanswered. */
+  private lookUpAsLeader(id: string, cached: JobRecord): LookupResult | null {
     const { leadership, ownedShards } = this.context;
     if (!leadership.isLeaseValid) return null;
-    const homeShard = ownedShards.get(copy.homeShard);
+    const homeShard = ownedShards.get(cached.homeShard);
     const job = homeShard?.jobs.get(id);
     if (homeShard === undefined || job === undefined || job.isOutcomeUnknown === true) return null;
     const { record } = job;
@@ -104,7 +104,7 @@
     return { kind: 'found', view: openView(this.context, record), evidence };
   }
 
-  /** How the job stands by its stored record; null where the store can't be read. */
+  /** The state of the job according to its stored record; null if the state service cannot be read. */
   private async readStored(id: string): Promise<LookupResult | null> {
     const asOf = this.context.clock.now();
     const record = await this.fetchRecord(id);
@@ -115,15 +115,15 @@
     return { kind: 'found', view: openView(this.context, record), evidence };
   }
 
-  /** The answer of the peer that leads the job's home shard; null where that gives none. */
-  private async askLeader(id: string, copy: JobRecord): Promise<StateReply | null> {
-    const leader = this.context.leaderOf(copy.homeShard);
+  /** The answer of the peer that leads the job's home shard; null if it gives none. */
+  private async askLeader(id: string, cached: JobRecord): Promise<StateReply | null> {
+    const leader = this.context.leaderOf(cached.homeShard);
     if (leader === null || leader === this.context.settings.label) return null;
     const reply = await relayToPeer(this.context, leader, readRelay(id), LEADER_TIMEOUT_SECONDS);
-    return reply?.stated === undefined ? null : reply;
+    return reply?.reported === undefined ? null : reply;
   }
 
-  /** The answer of the first peer that knows whether there is such a job. */
+  /** The answer of the first peer that knows whether the job exists. */
   private async askAnyPeer(id: string, mayRelay: boolean): Promise<LookupResult> {
     const reply = mayRelay
       ? await relayToAnyPeer(this.context, readRelay(id), PEERS_TIMEOUT_SECONDS)
--- a/src/coordination/jobs/jobService.ts
+++ b/src/coordination/jobs/jobService.ts
@@ -1,4 +1,4 @@
-/** What users ask of jobs: submissions, states, cancellations. Any node answers for any job. */
+/** Answers users' requests about jobs: submissions, queries and cancellations. Any node answers for any job. */
 import { jobIdPattern, parseJob } from '../../protocol/job.js';
 import type { Reply } from '../../transport/httpServer.js';
 import type { UserRequestKind } from '../audit/auditEvent.js';
@@ -8,7 +8,7 @@
 import { JobSubmission, type JobSubmissionContext } from './jobSubmission.js';
 import { NO_SUCH_JOB, unavailable, viewReply, type JobReply } from './replies.js';
 
-/** What users' requests need of a node. */
+/** Dependencies of `JobService`. */
 export interface JobServiceContext
   extends JobLookupContext, JobSubmissionContext, JobCancellationContext, JobAnswersContext {
   readonly settings: JobSubmissionContext['settings'];
@@ -21,7 +21,7 @@
   readonly persistence: JobSubmissionContext['persistence'] & JobCancellationContext['persistence'];
 }
 
-/** Answers users' requests, and those that peers pass on (`isRelayed`), which go no further. */
+/** Answers users' requests and those relayed by peers (`isRelayed`), which are not relayed again. */
 export class JobService {
   private readonly lookup: JobLookup;
   private readonly submission: JobSubmission;
@@ -43,12 +43,12 @@
     return this.answer('submit', job.id, () => this.submission.submit(job, body, isRelayed));
   }
 
-  /** How a job stands. */
+  /** Answers a query for a job's state. */
   read(id: string, isRelayed: boolean): Promise<Reply> {
     return this.answer('read', id, () => this.lookUp(id, isRelayed));
   }
 
-  /** Cancels a job; one that is over already is answered with its state. */
+  /** Cancels a job; a request for a job that has already ended is answered with its state. */
   cancel(id: string, isRelayed: boolean): Promise<Reply> {
     return this.answer('cancel', id, () => this.cancellation.cancel(id, isRelayed));
   }
--- a/src/coordination/jobs/jobSubmission.ts
+++ b/src/coordination/jobs/jobSubmission.ts
@@ -1,4 +1,4 @@
-/** Users' submissions: what is checked before a job is stored, and the record that it is stored with. */
+/** Accepts users' submissions: checks a job before it is stored and creates its record. */
 import type { Clock } from '../../base/clock.js';
 import type { JobSpec } from '../../protocol/job.js';
 import type { Settings } from '../../protocol/settings.js';
@@ -17,19 +17,19 @@
 } from './requestRelay.js';
 import { SubmissionWriter, type SubmissionWriterContext } from './submissionWriter.js';
 
-/** Chunks that are created with their job at the most. */
+/** Maximum number of chunks that are created together with their job. */
 const MAX_INITIAL_CHUNKS = 4;
 
-/** Chunks that are created with their job at the least, where it has as many. */
+/** Minimum number of chunks that are created together with their job, if it has that many. */
 const MIN_INITIAL_CHUNKS = 2;
 
-/** Of the state service's changes in a second, what the first chunks of one job may take. */
+/** Share of the state service's writes per second that the first chunks of one job may use. */
 const INITIAL_CHUNKS_WRITE_SHARE = 1 / 4;
 
-/** Seconds until a new job would be stored, beyond which the user is turned away instead. */
+/** Expected seconds until a new job is stored, above which its submission is refused. */
 const MAX_WRITE_DELAY_SECONDS = REQUEST_TIMEOUT_SECONDS / 2;
 
-/** What accepting jobs needs of a node. */
+/** Dependencies of `JobSubmission`. */
 export interface JobSubmissionContext
   extends SubmissionWriterContext, FeasibilityContext, RequestRelayContext {
   readonly settings: Pick<Settings, 'label' | 'teams' | 'zones' | 'txnOps' | 'stateWriteRate'>;
@@ -39,20 +39,20 @@
   readonly nodeCapabilities: { readonly isUpgraded: boolean };
   readonly drain: { readonly isActive: boolean };
   readonly migration: ShardChooser;
-  /** Neither the state service nor any peer is in reach. */
+  /** Whether neither the state service nor any peer can be reached. */
   readonly isIsolated: boolean;
 }
 
-/** Whether this node can take a submission, and the home shard that its job would have. */
+/** Either the home shard for the submitted job, or the answer if this node does not accept the submission itself. */
 type Admission =
   | { readonly kind: 'admitted'; readonly homeShard: OwnedShard }
   | { readonly kind: 'answered'; readonly reply: JobReply | Promise<JobReply> };
 
 const answered = (reply: JobReply | Promise<JobReply>): Admission => ({ kind: 'answered', reply });
 
-/** Accepts jobs of users. */
+/** Accepts users' jobs. */
 export class JobSubmission {
-  /** Submissions that have no answer yet, by the ids of their jobs. */
+  /** Unanswered submissions, by job id. */
   private readonly pending = new Map<string, Promise<JobReply>>();
   private readonly writer: SubmissionWriter;
 
@@ -60,14 +60,14 @@
     private readonly context: JobSubmissionContext,
     private readonly lookup: JobLookup,
   ) {
-    this.writer = new SubmissionWriter(context, (id) => this.answerKnown(id));
+    this.writer = new SubmissionWriter(context, (id) => this.answerExisting(id));
   }
 
-  /** Answers once the job is stored, or could not be stored in the time that a user waits. */
+  /** Resolves once the job is stored, or could not be stored within the time that a user waits. */
   async submit(job: JobSpec, body: string, isRelayed: boolean): Promise<JobReply> {
     const pending = this.pending.get(job.id);
-    if (pending !== undefined) return this.submitAfter(pending, job, body, isRelayed);
-    // Nothing is awaited before the job is pending: of two requests for it, only one may go on.
+    if (pending !== undefined) return this.submitAfterPending(pending, job, body, isRelayed);
+    // Nothing is awaited before the job is pending, so that only one of two requests for it proceeds.
     const admission = this.admit(job, body, isRelayed);
     if (admission.kind === 'answered') return admission.reply;
     const reply = this.accept(admission.homeShard, job);
@@ -80,10 +80,10 @@
   }
 
   /**
-   * A repetition of a submission that is being worked on waits for its outcome, but is not given its reply: what that says
-   * of the job may be older than the repetition, and a user has been told of the job's end by then.
+   * A repetition of a pending submission waits for the outcome but does not get the same reply: the job state in it may be
+   * older than the repetition, and a user may have been told in the meantime that the job has ended.
    */
-  private async submitAfter(
+  private async submitAfterPending(
     pending: Promise<JobReply>,
     job: JobSpec,
     body: string,
@@ -101,7 +101,7 @@
       return answered(isRelayed ? reply : this.relay(job.id, body, reply));
     }
     if (this.lookup.cachedRecord(job.id) !== undefined) {
-      return answered(this.answerKnown(job.id));
+      return answered(this.answerExisting(job.id));
     }
     if (context.machineTypes.size === 0) {
       return answered(unavailable('machine types are not known yet'));
@@ -114,7 +114,7 @@
         context.drain.isActive && !isRelayed ? this.relay(job.id, body, reply) : reply,
       );
     }
-    // More waits for the state service than it can take in the time that a user waits.
+    // More writes wait for the state service than it can take within the time that a user waits.
     const { expectedDelay: delay } = this.writer;
     if (delay > MAX_WRITE_DELAY_SECONDS) {
       const retryAfter = Math.max(1, Math.ceil(delay - REQUEST_TIMEOUT_SECONDS / 4));
@@ -123,14 +123,14 @@
     return { kind: 'admitted', homeShard };
   }
 
-  /** Has a peer accept the job; `fallback` where none can. */
+  /** Has a peer accept the job; resolves with `fallback` if none can. */
   private async relay(job: string, body: string, fallback: JobReply): Promise<JobReply> {
     const request = { method: 'POST', target: '/v1/jobs', body };
     return (await relayToAnyPeer(this.context, { job, request })) ?? fallback;
   }
 
-  /** The answer for a job that was accepted before. */
-  private async answerKnown(id: string): Promise<JobReply> {
+  /** The answer for a job that was accepted earlier. */
+  private async answerExisting(id: string): Promise<JobReply> {
     const result = await this.lookup.lookUp(id, false);
     if (result.kind === 'found') return statusReply(id, result.view.status, result.evidence);
     const isUnavailable = result.kind === 'unavailable';
@@ -141,11 +141,11 @@
     const { context } = this;
     const reason = infeasibilityReason(context, spec);
     if (reason !== null) return this.refuse(spec.id, reason);
-    // The transaction that stores a job fails if the job is known already, so the store is asked beforehand
-    // only where there may be no transaction.
+    // The transaction that stores a job fails if the job exists already, so the state service is asked beforehand only
+    // if there may be no transaction.
     if (!context.stateClient.isHealthy) {
-      const earlier = await this.answerIfStored(spec.id);
-      if (earlier !== null) return earlier;
+      const existing = await this.answerIfStored(spec.id);
+      if (existing !== null) return existing;
     }
     if (spec.dependencies.length === 0) return this.store(homeShard, spec);
     if (!context.nodeCapabilities.isUpgraded) {
@@ -155,19 +155,19 @@
     return this.acceptDependent(homeShard, spec, dependencies);
   }
 
-  /** A job may have been accepted before its retry reached this node: that one is never refused. */
+  /** Refuses a job unless it is stored already: the retry of an accepted submission is never refused. */
   private async refuse(id: string, reason: string): Promise<JobReply> {
     return (await this.answerIfStored(id)) ?? { status: 422, body: { error: reason } };
   }
 
-  /** The answer for a job that is stored or may be; null where it is not. */
+  /** The answer for a job that is or may be stored already; null if it is not stored. */
   private async answerIfStored(id: string): Promise<JobReply | null> {
     const record = await this.lookup.fetchRecord(id);
     if (record === undefined) return unavailable('the state service is out of reach');
-    return record === null ? null : this.answerKnown(id);
+    return record === null ? null : this.answerExisting(id);
   }
 
-  /** A job that depends on others, by the state of these. */
+  /** Accepts or refuses a job with dependencies, according to their states. */
   private async acceptDependent(
     homeShard: OwnedShard,
     spec: JobSpec,
@@ -181,12 +181,12 @@
       case 'cancelled':
         return this.storeCancelled(homeShard, spec);
       case 'open':
-        // What is done already is done for good.
+        // A dependency that is done stays done, so it need not be stored.
         return this.store(homeShard, { ...spec, dependencies: dependencies.pending });
     }
   }
 
-  /** Accepts a job as cancelled with one that it depends on. */
+  /** Stores a job as cancelled, since one of its dependencies is. */
   private storeCancelled(homeShard: OwnedShard, spec: JobSpec): Promise<JobReply> {
     const record: JobRecord = {
       ...this.newRecord(homeShard, spec),
@@ -214,7 +214,7 @@
     };
   }
 
-  /** Stores a job with its first chunks; one that waits for others has none yet. */
+  /** Stores a job with its first chunks; a job with pending dependencies has none yet. */
   private async store(homeShard: OwnedShard, spec: JobSpec): Promise<JobReply> {
     const { recordFormat, migration, clock } = this.context;
     const record = this.newRecord(homeShard, spec);
@@ -229,7 +229,7 @@
     ) {
       return { status: 400, body: { error: 'the description is too large to be stored' } };
     }
-    // A record in fragments leaves no room in its transaction for chunks of peers.
+    // A fragmented record leaves no room in its transaction for chunks at peers' shards.
     const isFragmented = recordFormat.operations(key, record) > 1;
     const initialChunks =
       spec.dependencies.length > 0 || isFragmented
--- a/src/coordination/jobs/jobViews.ts
+++ b/src/coordination/jobs/jobViews.ts
@@ -1,4 +1,4 @@
-/** What users are told of a job whose record is known. */
+/** Builds the view of a job that users get, from its record and chunks. */
 import type { JobView } from '../../protocol/job.js';
 import type { ChunkIndex } from '../../storage/chunkIndex.js';
 import type { ChunkRecord, FinalJobRecord, OpenJobRecord } from '../../storage/records.js';
@@ -6,17 +6,17 @@
 import { chunkRanges } from '../model/chunking.js';
 import { waitReason, type WaitReasonContext } from './waitReasons.js';
 
-/** The state of this node that the progress of an open job is gathered from. */
+/** Dependencies of `openView`. */
 export interface JobViewContext extends WaitReasonContext {
   readonly chunkIndex: Pick<ChunkIndex, 'find'>;
 }
 
-/** A job that is done or cancelled. */
+/** The view of a job that is done or cancelled. */
 export function finalView({ state: status, taskCount }: FinalJobRecord): JobView {
   return { status, done: status === 'done' ? taskCount : 0, running: 0, reason: null };
 }
 
-/** An open job, its counts gathered from wherever its chunks are. */
+/** The view of an open job; counts come from the chunks at this node and from stored records of the others. */
 export function openView(context: JobViewContext, record: OpenJobRecord): JobView {
   const { spec } = record;
   const ranges = chunkRanges(spec.taskCount, record.chunkSize, record.zones);
@@ -40,13 +40,13 @@
       running += stored.attempts.length;
     }
   }
-  // Done is said only once it is stored: the last tasks may be over already.
+  // A job counts as done only once that is stored, even if its last tasks have terminated already.
   const isComplete = done + running >= spec.taskCount;
   const reason = isComplete ? null : waitReason(context, record, localChunks);
   return { status: running > 0 ? 'running' : 'queued', done, running, reason };
 }
 
-/** A chunk that is at one of this node's shards. */
+/** Finds a chunk at the shards of this node. */
 function localChunk(context: JobViewContext, id: string): Chunk | undefined {
   for (const { shard } of context.ownedShards.values()) {
     const chunk = shard.chunks.get(id);
@@ -55,7 +55,7 @@
   return undefined;
 }
 
-/** Tasks that a stored chunk has done; its record has them as pairs of first and end. */
+/** Number of done tasks of a stored chunk, whose record holds them as ranges: pairs of first and end index. */
 function storedDoneTasks({ doneTasks }: ChunkRecord): number {
   let count = 0;
   for (let i = 0; i + 1 < doneTasks.length; i += 2) {
--- a/src/coordination/jobs/replies.ts
+++ b/src/coordination/jobs/replies.ts
@@ -1,4 +1,4 @@
-/** Replies to users' requests about jobs: those that tell a job's state, and those that tell nothing of it. */
+/** Replies to users' requests about jobs: those that report a job's state, and those that do not. */
 import {
   jobStatusAnswer,
   jobViewAnswer,
@@ -8,44 +8,44 @@
 import type { Reply } from '../../transport/httpServer.js';
 import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
 
-/** On what a job's state is told. `asOf`: steady time from which on, at the earliest, the evidence tells of the job. */
+/** What a reported job state is based on. `asOf`: monotonic time that the state is at least as recent as. */
 export type AnswerEvidence =
-  /** A record that says how the job ended, from whatever copy: it never changes. */
+  /** A record with a final state, from any source: a final state never changes. */
   | { readonly kind: 'final' }
-  /** The memory of the leader of the job's home shard. */
+  /** The state in memory of the leader of the job's home shard. */
   | { readonly kind: 'leader'; readonly homeShard: OwnedShard; readonly job: HomeJob }
-  /** The stored record, asked for at `asOf`. */
+  /** The stored record, requested at `asOf`. */
   | { readonly kind: 'store'; readonly asOf: number }
-  /** What a peer has answered when it was asked at `asOf`. */
+  /** The answer of a peer that was asked at `asOf`. */
   | { readonly kind: 'peer'; readonly peer: string; readonly asOf: number };
 
-/** A job's state, and on what it is told. */
+/** A job's state as reported to a user, and its evidence. */
 export interface ReportedJob {
   readonly job: string;
   readonly status: JobStatus;
   readonly evidence: AnswerEvidence;
 }
 
-/** A reply that tells a job's state. */
+/** A reply that reports a job's state. */
 export interface StateReply extends Reply {
   readonly status: 200 | 201;
-  readonly stated: ReportedJob;
+  readonly reported: ReportedJob;
 }
 
-/** A reply that says nothing of how a job stands. */
+/** A reply that does not report a job's state. */
 export interface StatelessReply extends Reply {
   readonly status: 400 | 404 | 422 | 503;
-  readonly stated?: undefined;
+  readonly reported?: undefined;
 }
 
-/** A reply to a user's request about a job; `JobAnswers` decides whether it may leave. */
+/** A reply to a user's request about a job; `JobAnswers` decides whether it may be sent. */
 export type JobReply = StateReply | StatelessReply;
 
-/** The reply to a question about a job. */
+/** The reply to a query for a job's state. */
 export const viewReply = (job: string, view: JobView, evidence: AnswerEvidence): StateReply => ({
   status: 200,
   body: jobViewAnswer(job, view),
-  stated: { job, status: view.status, evidence },
+  reported: { job, status: view.status, evidence },
 });
 
 /** The reply to a submission or a cancellation; 201: the job was accepted just now. */
@@ -57,19 +57,19 @@
 ): StateReply => ({
   status: httpStatus,
   body: jobStatusAnswer(job, status),
-  stated: { job, status, evidence },
+  reported: { job, status, evidence },
 });
 
-/** Not now: the user should come back after `retryAfter` seconds. */
+/** A reply that asks the user to retry after `retryAfter` seconds. */
 export const unavailable = (reason: string, retryAfter = 1): StatelessReply => ({
   status: 503,
   body: { error: reason },
   retryAfter,
 });
 
-/** Neither the state service nor any peer is in reach of this node. */
+/** The reply of a node that can reach neither the state service nor any peer. */
 export const isolatedReply = (): StatelessReply =>
   unavailable('this node is cut off from the others and the state service', 2);
 
-/** No job of this id was ever accepted. */
+/** The reply if no job with this id was ever accepted. */
 export const NO_SUCH_JOB: StatelessReply = { status: 404, body: { error: 'no such job' } };
--- a/src/coordination/jobs/requestRelay.ts
+++ b/src/coordination/jobs/requestRelay.ts
@@ -1,14 +1,14 @@
-/** Passes users' requests on to peers that can answer them. */
+/** Relays users' requests to peers that can answer them. */
 import type { Clock } from '../../base/clock.js';
 import type { Relay } from '../../protocol/peerMessages.js';
 import { parseJobAnswer } from '../../protocol/job.js';
 import type { PeerRegistry } from '../peers/peerRegistry.js';
 import { unavailable, type JobReply, type StatelessReply } from './replies.js';
 
-/** Seconds in which a user is answered; PROTOCOL has them give up after five. */
+/** Seconds within which a user is answered; by PROTOCOL, users give up after five seconds. */
 export const REQUEST_TIMEOUT_SECONDS = 4;
 
-/** What relaying needs of a node. */
+/** Dependencies of the relaying functions. */
 export interface RequestRelayContext {
   readonly clock: Pick<Clock, 'now'>;
   readonly peers: Pick<PeerRegistry, 'relay' | 'servedPeers'>;
@@ -21,15 +21,15 @@
   readonly retryAfter: number | null;
 }
 
-/** A request about a job, to be passed on. */
+/** A request about a job that is to be relayed. */
 export interface RelayedJobRequest {
   readonly job: string;
   readonly request: Relay;
 }
 
 /**
- * Asks nodes that the state service serves, one after the other, while the user still waits. Null when none of
- * them has answered.
+ * Relays a request to the peers that the state service serves, one after another, while the user still waits. Returns null
+ * if none of them has answered.
  */
 export async function relayToAnyPeer(
   context: RequestRelayContext,
@@ -40,16 +40,16 @@
   const deadline = clock.now() + timeoutSeconds;
   const labels = peers.servedPeers();
   for (const [i, label] of labels.entries()) {
-    // A silent peer must leave time for the next.
-    const left = (deadline - clock.now()) / Math.min(2, labels.length - i);
-    if (left <= 0) break;
-    const reply = await relayToPeer(context, label, relay, left);
+    // A peer that does not answer must leave time for the next one.
+    const remaining = (deadline - clock.now()) / Math.min(2, labels.length - i);
+    if (remaining <= 0) break;
+    const reply = await relayToPeer(context, label, relay, remaining);
     if (reply !== null && reply.status !== 503) return reply;
   }
   return null;
 }
 
-/** A peer's answer as the reply to the user; null where it gives none in time, or none to this question. */
+/** A peer's answer as the reply to the user; null if it does not answer in time, or its answer is about another job. */
 export async function relayToPeer(
   { clock, peers }: RequestRelayContext,
   peer: string,
@@ -71,22 +71,22 @@
   switch (status) {
     case 200:
     case 201: {
-      const told = parseJobAnswer(parsed);
-      if (told?.id !== job) return null;
+      const answered = parseJobAnswer(parsed);
+      if (answered?.id !== job) return null;
       const evidence = { kind: 'peer', peer, asOf } as const;
-      return { status, body: parsed, stated: { job, status: told.status, evidence } };
+      return { status, body: parsed, reported: { job, status: answered.status, evidence } };
     }
     case 400:
     case 404:
     case 422:
       return { status, body: parsed };
     default:
-      return refusalOf(parsed, retryAfter);
+      return unavailableAtPeer(parsed, retryAfter);
   }
 }
 
-/** A peer's word that the user should come back. */
-function refusalOf(body: unknown, retryAfter: number | null): StatelessReply {
+/** The reply for a peer's answer that asks the user to retry. */
+function unavailableAtPeer(body: unknown, retryAfter: number | null): StatelessReply {
   const refusal = unavailable('a peer could not answer', retryAfter ?? undefined);
   return { ...refusal, body };
 }
--- a/src/coordination/jobs/submissionBatch.ts
+++ b/src/coordination/jobs/submissionBatch.ts
@@ -1,6 +1,6 @@
 /**
- * Batches of submitted jobs that are stored in one transaction. The chunks that a batch sends to one peer share a
- * bucket there, so that a burst of jobs does not use up the changes that the state service allows.
+ * Batches of submitted jobs, each stored in one transaction. The chunks that a batch assigns to a peer's shard share one
+ * bucket there, so that a burst of jobs does not use up the writes that the state service allows.
  */
 import { MAX_TRANSACTION_CHANGE_BYTES, type Transaction } from '../../protocol/stateProtocol.js';
 import type { RecordFormat } from '../../storage/recordFormat.js';
@@ -11,11 +11,11 @@
 import type { JobReply } from './replies.js';
 import type { PlacedChunk } from './initialPlacement.js';
 
-/** Of the limits of a transaction and of a value, what a batch may use: sizes are worked out, not measured. */
+/** Shares of the size limits of a transaction and of a value that a batch may use, since sizes are estimated, not measured. */
 const TRANSACTION_SHARE = 0.8;
 const VALUE_SHARE = 0.9;
 
-/** A job to be stored, with the chunks that are created with it. */
+/** A job to be stored, and the chunks that are created together with it. */
 export interface Submission {
   readonly id: string;
   readonly record: JobRecord;
@@ -25,7 +25,7 @@
 /** A submission whose user waits for the answer. */
 export interface QueuedSubmission extends Submission {
   readonly homeShard: OwnedShard;
-  /** Steady time at which its user is answered at the latest. */
+  /** Monotonic time by which its user is answered. */
   readonly deadline: number;
   /** Answers its user. */
   readonly settle: (reply: JobReply) => void;
@@ -41,28 +41,28 @@
 export interface SubmissionBatch {
   readonly homeShard: OwnedShard;
   jobs: QueuedSubmission[];
-  /** By the keys of their buckets. */
+  /** Transfers by the keys of their buckets. */
   readonly transfers: Map<string, Transfer>;
-  /** A copy of its transaction got no answer: it may have been applied, or may still be. */
+  /** Its transaction was sent and not answered: it may have been applied, or may still be. */
   mayBeStored: boolean;
 }
 
-/** What making batches needs of a node. */
+/** Dependencies of `SubmissionBatcher`. */
 export interface SubmissionBatchContext {
-  /** Tells the names of this process's buckets from all others. */
+  /** Identifies this run of the process; makes the names of its buckets unique. */
   readonly process: string;
   readonly shards: readonly string[];
   readonly settings: { readonly txnOps: number };
   readonly recordFormat: RecordFormat;
 }
 
-/** Makes batches of what is queued. */
+/** Forms batches of queued submissions. */
 export class SubmissionBatcher {
   private transferCount = 0;
 
   constructor(private readonly context: SubmissionBatchContext) {}
 
-  /** Takes the first of the queue, and the others that fit into its transaction. Null when nothing is queued. */
+  /** Removes the first submission and those that fit into its transaction from the queue; null if the queue is empty. */
   takeBatch(queue: QueuedSubmission[]): SubmissionBatch | null {
     const homeShard = queue[0]?.homeShard;
     if (homeShard === undefined) return null;
@@ -80,7 +80,7 @@
     return batch;
   }
 
-  /** Puts the chunks that go to each peer into one bucket, under a name that is used once. */
+  /** Puts the chunks for each peer's shard into one bucket, under a name that is used only once. */
   assignTransfers(batch: SubmissionBatch): void {
     batch.transfers.clear();
     const bucketsByShard = new Map<string, BucketRecord>();
@@ -100,8 +100,8 @@
 }
 
 /**
- * What a batch takes of the limits of a transaction and of each transfer's record. Beyond them the state
- * service calls it malformed, and all of its users would be turned away together, again and again.
+ * Checks a batch against the limits of a transaction and of each transfer's record. The state service rejects a transaction
+ * beyond them as malformed, and every retry as well, which would refuse all users of the batch together.
  */
 class BatchSize {
   private totalBytes = 0;
@@ -114,11 +114,11 @@
     private readonly homeShard: string,
   ) {
     const { settings, shards } = context;
-    // One operation is kept for the transfer to each peer.
+    // One operation is reserved for the transfer to each peer.
     this.maxOperations = Math.max(1, settings.txnOps - (shards.length - 1));
   }
 
-  /** Counts one more submission; false when the batch is beyond a limit with it. */
+  /** Adds a submission; returns false if the batch exceeds a limit with it. */
   add({ id, record, initialChunks }: Submission): boolean {
     const { recordFormat } = this.context;
     this.totalBytes += recordFormat.encodedBytes(keys.job(id), record);
@@ -137,8 +137,8 @@
 }
 
 /**
- * The transaction that stores a batch: on condition that none of its jobs is known, and that the shards which get
- * chunks are led by the nodes known here.
+ * Creates the transaction that stores a batch, on the conditions that none of its jobs is stored yet and that the cached
+ * leader records of all shards that receive chunks are current.
  */
 export function batchTransaction(
   { jobs, transfers }: SubmissionBatch,
--- a/src/coordination/jobs/submissionWriter.ts
+++ b/src/coordination/jobs/submissionWriter.ts
@@ -1,5 +1,5 @@
 /**
- * Stores submitted jobs and answers their users. Jobs that come while others wait for their turn go into one
+ * Stores submitted jobs and answers their users. Jobs that arrive while others wait to be written are stored in one
  * transaction (`submissionBatch.ts`).
  */
 import { sleep, type Clock } from '../../base/clock.js';
@@ -20,13 +20,13 @@
   type SubmissionBatchContext,
 } from './submissionBatch.js';
 
-/** Batches that may be on their way at a time. */
+/** Maximum number of batches that are being written at a time. */
 const MAX_CONCURRENT_BATCHES = 3;
 
-/** Seconds until a batch that could not be stored is tried again. */
+/** Seconds until the write of a batch that could not be stored is retried. */
 const RETRY_DELAY_SECONDS = 0.15;
 
-/** What storing submissions needs of a node. */
+/** Dependencies of `SubmissionWriter`. */
 export interface SubmissionWriterContext extends SubmissionBatchContext {
   readonly clock: Clock;
   readonly stateClient: Pick<
@@ -45,11 +45,11 @@
       priority: 'granted',
     ): Promise<TransactionResult>;
   };
-  /** Asks for a scheduling round soon. */
+  /** Requests a scheduling round soon. */
   requestSchedulingRound(): void;
 }
 
-/** Stores jobs in batches; each job is stored once, whatever becomes of the answers. */
+/** Stores jobs in batches; each job is stored exactly once, even if answers of the state service are lost. */
 export class SubmissionWriter {
   private readonly queue: QueuedSubmission[] = [];
   private readonly batcher: SubmissionBatcher;
@@ -57,13 +57,13 @@
 
   constructor(
     private readonly context: SubmissionWriterContext,
-    /** The answer for a job that somebody else has stored. */
-    private readonly answerKnown: (id: string) => Promise<JobReply>,
+    /** Returns the answer for a job that is stored already. */
+    private readonly answerExisting: (id: string) => Promise<JobReply>,
   ) {
     this.batcher = new SubmissionBatcher(context);
   }
 
-  /** Seconds until a job that came now would be stored. */
+  /** Expected seconds until a job that is submitted now is stored. */
   get expectedDelay(): number {
     const { stateClient } = this.context;
     return stateClient.writeDelay('submission') + this.queue.length / stateClient.writeRate;
@@ -74,7 +74,7 @@
     const { clock } = this.context;
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
-        resolve(this.giveUp(queued));
+        resolve(this.abandon(queued));
       }, timeoutSeconds * 1000);
       const settle = (reply: JobReply): void => {
         clearTimeout(timer);
@@ -87,8 +87,8 @@
     });
   }
 
-  /** Takes a submission whose user waits no longer off the queue; the answer for its user. */
-  private giveUp(queued: QueuedSubmission): JobReply {
+  /** Removes a submission whose user no longer waits from the queue; returns the answer for its user. */
+  private abandon(queued: QueuedSubmission): JobReply {
     const index = this.queue.indexOf(queued);
     if (index < 0) return unavailable('the state service has not confirmed the job yet', 2);
     this.queue.splice(index, 1);
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Tries until it is known whether the batch is stored; users may have been told to ask again by then. */
+  /** Retries until it is known whether the batch is stored; its users may have been asked to retry by then. */
   private async store(batch: SubmissionBatch): Promise<void> {
     const { leadership, stateClient, clock } = this.context;
     while (batch.jobs.length > 0) {
@@ -121,12 +121,12 @@
         return;
       }
       try {
-        if (await this.tryOnce(batch)) return;
+        if (await this.writeOnce(batch)) return;
       } catch (error) {
-        log.debug(`accept: ${describeError(error)}`);
+        log.debug(`cannot store a batch of submissions: ${describeError(error)}`);
       }
       if (!batch.mayBeStored && !stateClient.isHealthy) {
-        // Trying on until the users' deadlines would only keep them from a node that is served.
+        // Retrying until the users' deadlines would only keep them from a node that the state service serves.
         answerAll(batch, () => unavailable('the state service is out of reach', 1));
         return;
       }
@@ -134,15 +134,15 @@
       if (!batch.mayBeStored) {
         const now = clock.now();
         batch.jobs = batch.jobs.filter((job) => job.deadline > now);
-        // Anew: a transfer that still held chunks of a job which was given up would have them run, and once
-        // more when its user has come back.
+        // A transfer that still held chunks of an abandoned job would have them run, and again when its user retries the
+        // submission.
         this.batcher.assignTransfers(batch);
       }
     }
   }
 
-  /** Sends a batch once. True when nothing of it is left to be stored. */
-  private async tryOnce(batch: SubmissionBatch): Promise<boolean> {
+  /** Writes a batch once; returns true if nothing of it is left to be stored. */
+  private async writeOnce(batch: SubmissionBatch): Promise<boolean> {
     const { persistence, stateCache } = this.context;
     const transaction = batchTransaction(batch, stateCache);
     const result = await persistence.write(batch.homeShard, transaction, 'granted');
@@ -162,31 +162,31 @@
     }
   }
 
-  /** Some of the jobs are stored already, or a shard has another leader. True when nothing is left to be stored. */
+  /** Handles that some jobs are stored already, or a shard has another leader; returns true if nothing is left to be stored. */
   private async resolveConflict(batch: SubmissionBatch): Promise<boolean> {
     const { stateClient, leadership } = this.context;
     const { homeShard, jobs } = batch;
     const found = await Promise.all(jobs.map((job) => stateClient.get(keys.job(job.id))));
-    if (batch.mayBeStored && jobs.some((job, i) => isStoredCopy(job.record, found[i]))) {
+    if (batch.mayBeStored && jobs.some((job, i) => isSameSubmission(job.record, found[i]))) {
       this.adoptStoredBatch(batch, found);
       return true;
     }
-    const known = jobs.filter((_, i) => found[i] !== null);
-    if (known.length === 0) {
+    const existing = jobs.filter((_, i) => found[i] !== null);
+    if (existing.length === 0) {
       await leadership.verifyLeadership(homeShard.shard.label);
       if (batch.mayBeStored && homeShard.isOwned) return false;
       answerAll(batch, () => unavailable('a peer has changed; try again', 1));
       return true;
     }
-    // Jobs' records are kept for good, so no earlier copy of this batch can be applied any more.
-    for (const job of known) void this.answerKnown(job.id).then(job.settle);
-    batch.jobs = jobs.filter((job) => !known.includes(job));
+    // Job records are never removed, so no earlier transaction of this batch can be applied any more.
+    for (const job of existing) void this.answerExisting(job.id).then(job.settle);
+    batch.jobs = jobs.filter((job) => !existing.includes(job));
     batch.mayBeStored = false;
     this.batcher.assignTransfers(batch);
     return batch.jobs.length === 0;
   }
 
-  /** The batch was stored just now. */
+  /** Adds the jobs of a batch that has just been stored to the node's state, and answers their users. */
   private adoptBatch(batch: SubmissionBatch, revision: number): void {
     for (const job of batch.jobs) this.adoptJob(batch.homeShard, job, job.record, revision);
     for (const [key, { value }] of batch.transfers) {
@@ -196,9 +196,9 @@
   }
 
   /**
-   * A copy without an answer was applied, and that holds for all of the batch. Its jobs may have changed since
-   * then, at an adopter of the shard: each is taken as it is stored, under its own revision. With the record that was
-   * sent, a job that has been cancelled would be open again here, and for good.
+   * Adds the jobs of a batch to the node's state after an unanswered transaction turned out to be applied, which holds for
+   * the whole batch. A later leader of the shard may have changed the jobs since, so each is added with its stored record and
+   * revision: with the record that was sent, a job that has been cancelled would be open again at this node, permanently.
    */
   private adoptStoredBatch(batch: SubmissionBatch, found: readonly (KeyValue | null)[]): void {
     batch.jobs.forEach((job, i) => {
@@ -208,7 +208,7 @@
     this.answerStored(batch);
   }
 
-  /** Takes up a stored job, and its chunks that are at the home shard. */
+  /** Adds a stored job, and those of its chunks that are at the home shard, to the node's state. */
   private adoptJob(
     homeShard: OwnedShard,
     { id, initialChunks }: Submission,
@@ -225,11 +225,11 @@
       }
     }
     stateCache.note(keys.job(id), record, revision);
-    // What it waits for may have been done while it was being stored.
+    // Its dependencies may have been done while it was being stored.
     if (isOpenHere) persistence.acceptMissing(homeShard, job);
   }
 
-  /** Answers users by the newest record known here: the job may be over before its answer comes. */
+  /** Answers users according to the newest cached record: a job may have ended before the answer of its transaction arrives. */
   private answerStored(batch: SubmissionBatch): void {
     this.context.requestSchedulingRound();
     const { homeShard } = batch;
@@ -237,11 +237,11 @@
   }
 
   private replyToStored(homeShard: OwnedShard, { id, record }: Submission): JobReply {
-    // It depends on a cancelled job, and was stored as cancelled with it.
+    // The job was stored as cancelled, since one of its dependencies is.
     if (record.state === 'cancelled') return statusReply(id, record.state, { kind: 'final' }, 201);
-    const known = cachedJob(this.context.stateCache, id);
-    if (known !== undefined && known.state !== 'open') {
-      return statusReply(id, known.state, { kind: 'final' });
+    const cached = cachedJob(this.context.stateCache, id);
+    if (cached !== undefined && cached.state !== 'open') {
+      return statusReply(id, cached.state, { kind: 'final' });
     }
     const job = homeShard.jobs.get(id);
     if (job === undefined) return unavailable('this node lost its part');
@@ -249,14 +249,14 @@
   }
 }
 
-/** Answers all users of a batch, which is empty then. */
+/** Answers all users of a batch and empties it. */
 function answerAll(batch: SubmissionBatch, reply: (job: QueuedSubmission) => JobReply): void {
   for (const job of batch.jobs) job.settle(reply(job));
   batch.jobs = [];
 }
 
-/** Whether a stored job is the one that was sent, whatever its state is by now. */
-function isStoredCopy(sent: JobRecord, item: KeyValue | null | undefined): boolean {
+/** Whether a stored job is the one that was sent, regardless of its current state. */
+function isSameSubmission(sent: JobRecord, item: KeyValue | null | undefined): boolean {
   const stored = item?.value as JobRecord | undefined;
   return stored?.submittedAt === sent.submittedAt && stored.homeShard === sent.homeShard;
 }
--- a/src/coordination/jobs/waitReasons.ts
+++ b/src/coordination/jobs/waitReasons.ts
@@ -1,4 +1,4 @@
-/** Why a job waits, in sentences that an operator can read out on the phone. */
+/** Explains why a job waits, in sentences that an operator can read out on the phone. */
 import type { Clock } from '../../base/clock.js';
 import type { JobSpec } from '../../protocol/job.js';
 import type { OpenJobRecord } from '../../storage/records.js';
@@ -10,15 +10,15 @@
 import { satisfiesConstraints } from '../scheduling/placement.js';
 import type { Shard } from '../shard/shard.js';
 
-/** The state of this node that a reason is worked out from. */
+/** Dependencies of `waitReason`. */
 export interface WaitReasonContext {
   readonly clock: Clock;
   readonly leadership: { readonly isLeaseValid: boolean };
-  readonly pipelines: Pick<Pipelines, 'reason'>;
+  readonly pipelines: Pick<Pipelines, 'waitReason'>;
   readonly ownedShards: ReadonlyMap<string, OwnedShard>;
 }
 
-/** Why a job waits; `localChunks` are those of its open chunks that are at shards of this node. */
+/** Why a job waits; `localChunks` are its open chunks at the shards of this node. */
 export function waitReason(
   context: WaitReasonContext,
   record: OpenJobRecord,
@@ -37,7 +37,7 @@
   if (!context.leadership.isLeaseValid) {
     return 'This node cannot reach the state service, so it starts nothing new for now.';
   }
-  const dependencyReason = context.pipelines.reason(spec.id);
+  const dependencyReason = context.pipelines.waitReason(spec.id);
   if (dependencyReason !== null) return dependencyReason;
   const chunk = localChunks.find((c) => c.pendingCount > 0 || c.attempts.size > c.runningCount);
   if (chunk === undefined) {
@@ -51,7 +51,7 @@
   return chunkReason(shard, chunk, spec, context.clock.now());
 }
 
-/** Why a chunk at a shard of this node waits. */
+/** Why a chunk at one of this node's shards waits. */
 function chunkReason(shard: Shard, chunk: Chunk, spec: JobSpec, now: number): string {
   if (chunk.pendingCount === 0) {
     const attempts = [...chunk.attempts.values()];
@@ -68,7 +68,7 @@
   return capacityReason(shard, chunk, spec, now);
 }
 
-/** Which machines a chunk could use, and what goes before it. */
+/** Describes which machines a chunk could use, and what is ahead of it in the queue. */
 function capacityReason(shard: Shard, chunk: Chunk, spec: JobSpec, now: number): string {
   const zone = chunk.zone === null ? '' : ` in zone ${chunk.zone}`;
   const suitable = [...shard.machines.values()].filter(
@@ -91,8 +91,8 @@
   return `${demand} wait for room${zone} on ${usable} machine(s), all taken. ${queue}`;
 }
 
-/** What is wrong with machines of which none can be used, for the phone. */
-const UNUSABLE: Partial<Record<AvailabilityState, string>> = {
+/** Wording for the states in which a machine cannot be used. */
+const UNUSABLE_WORDING: Partial<Record<AvailabilityState, string>> = {
   overdue: 'should have come up long ago and have not',
   unresponsive: 'do not answer',
   lost: 'do not answer',
@@ -105,13 +105,13 @@
 function unusableReason(states: readonly AvailabilityState[]): string {
   const counts = new Map<string, number>();
   for (const state of states) {
-    const wording = UNUSABLE[state];
+    const wording = UNUSABLE_WORDING[state];
     if (wording !== undefined) counts.set(wording, (counts.get(wording) ?? 0) + 1);
   }
   return [...counts].map(([wording, count]) => `${count} ${wording}`).join(', ');
 }
 
-/** How much of the shard's queue is ahead of a chunk. */
+/** Describes how much of the shard's queue is ahead of a chunk. */
 function queueReason(shard: Shard, chunk: Chunk): string {
   const ahead = [...shard.chunks.values()].filter(
     (other) =>
--- a/src/coordination/pipelines/dependencyAdmission.ts
+++ b/src/coordination/pipelines/dependencyAdmission.ts
@@ -1,40 +1,40 @@
-/** Whether a job that names others may be accepted, and how these stand (safety, P5). */
+/** Checks the dependencies of a submitted job: whether they allow it to be accepted, and which are pending (safety, P5). */
 import type { JobSpec } from '../../protocol/job.js';
 import type { JobRecord } from '../../storage/records.js';
 
-/** What is needed to look jobs up. */
+/** Looks up the records of jobs. */
 export interface DependencyLookup {
-  /** This node's copy of a job's record. */
+  /** The cached record of a job. */
   cachedRecord(job: string): JobRecord | undefined;
-  /** The stored record; null when there is none, undefined when that can't be told. */
+  /** Reads a job's stored record; null if there is none, undefined if the state service cannot be read. */
   fetchRecord(job: string): Promise<JobRecord | null | undefined>;
 }
 
-/** How the jobs that a job names stand. */
+/** Result of checking a job's dependencies. */
 export type DependencyCheck =
-  /** All are known and none is cancelled; `pending` are not done. */
+  /** All exist and none is cancelled; `pending` are not done. */
   | { kind: 'open'; pending: string[] }
   | { kind: 'cancelled' }
   | { kind: 'refused'; reason: string }
-  /** The store can't be asked. */
+  /** The state service cannot be read. */
   | { kind: 'unavailable' };
 
-/** How the jobs that a job names stand. Only the store can tell that one was never accepted. */
+/** Checks a job's dependencies. Only the state service can tell that a job was never accepted. */
 export async function checkDependencies(
   spec: JobSpec,
   lookup: DependencyLookup,
 ): Promise<DependencyCheck> {
   const pending: string[] = [];
   let isCancelled = false;
-  for (const need of spec.dependencies) {
-    if (need === spec.id) return { kind: 'refused', reason: 'it waits for itself' };
-    const record = lookup.cachedRecord(need) ?? (await lookup.fetchRecord(need));
+  for (const dependency of spec.dependencies) {
+    if (dependency === spec.id) return { kind: 'refused', reason: 'it waits for itself' };
+    const record = lookup.cachedRecord(dependency) ?? (await lookup.fetchRecord(dependency));
     if (record === undefined) return { kind: 'unavailable' };
-    if (record === null) return { kind: 'refused', reason: `no job ${need} to wait for` };
+    if (record === null) return { kind: 'refused', reason: `no job ${dependency} to wait for` };
     if (record.spec?.isService === true) {
-      return { kind: 'refused', reason: `${need} is a service and is never done` };
+      return { kind: 'refused', reason: `${dependency} is a service and is never done` };
     }
-    if (record.state === 'open') pending.push(need);
+    if (record.state === 'open') pending.push(dependency);
     isCancelled ||= record.state === 'cancelled';
   }
   return isCancelled ? { kind: 'cancelled' } : { kind: 'open', pending };
--- a/src/coordination/pipelines/dependencyGraph.ts
+++ b/src/coordination/pipelines/dependencyGraph.ts
@@ -1,39 +1,39 @@
 /**
- * Which jobs wait for others, worked out from the stored states of jobs alone. A final state never changes, so every
- * node that has read a record comes to the same result, without a message. Pure: it is told of records as they change,
- * in any order, and each change costs work in proportion to what it changes.
+ * Determines which jobs wait for others from the stored states of jobs alone. A final state never changes, so all nodes
+ * that have read the same records reach the same result without exchanging messages. The graph does no I/O: changed records
+ * are applied to it in any order, and the cost of a change is proportional to what it changes.
  */
 
-/** What the store says of a job; a job that is not known here yet is open. */
+/** The stored state of a job; a job that is not known yet counts as open. */
 export type StoredJobState = 'open' | 'done' | 'cancelled';
 
-/** An open job that names others. */
+/** An open job with dependencies. */
 interface Dependent {
-  /** Those of the jobs it names that are not known to be done. */
+  /** Its dependencies that are not known to be done. */
   readonly pending: Set<string>;
-  /** Its own rank; larger goes first. */
+  /** Its own rank; a higher rank goes first. */
   readonly rank: number;
-  /** Steady time at which it was found to need a cancelled job; null: it does not. */
+  /** Monotonic time at which a direct or transitive dependency was found to be cancelled; null if none was. */
   dependencyCancelledAt: number | null;
 }
 
-/** What follows for jobs from a change of the graph. */
+/** Callbacks for the effects of a change on jobs. */
 export interface DependencyEvents {
-  /** All jobs that it needs are done. */
+  /** All dependencies of the job are done. */
   onReleased(job: string): void;
-  /** It needs a cancelled job, directly or through others. */
+  /** A direct or transitive dependency of the job is cancelled. */
   onDependencyCancelled(job: string): void;
-  /** The highest rank of those that need it has changed. */
+  /** The highest rank of the jobs that depend on the job has changed. */
   onRankChanged(job: string): void;
 }
 
-/** The open jobs that depend on others, kept up to date from the stored states of jobs. */
+/** The open jobs that depend on others, updated from the stored states of jobs. */
 export class DependencyGraph {
   private readonly dependents = new Map<string, Dependent>();
-  /** By a job that is not done: those that name it. */
-  private readonly waiters = new Map<string, Set<string>>();
-  /** By a job that is not done: the highest rank of those that need it, directly or through others. */
-  private readonly inherited = new Map<string, number>();
+  /** The direct dependents of each job that is not done. */
+  private readonly directDependents = new Map<string, Set<string>>();
+  /** For each job that is not done, the highest rank of its direct and transitive dependents. */
+  private readonly inheritedRanks = new Map<string, number>();
   private readonly jobsWithCancelledDependency = new Set<string>();
 
   constructor(
@@ -41,124 +41,126 @@
     private readonly events: DependencyEvents,
   ) {}
 
-  /** It may not start: it waits for others, or is cancelled with one of them. */
+  /** Whether a job must not start: it has pending dependencies, or is to be cancelled with one of them. */
   isBlockedOnDependencies(job: string): boolean {
     return this.dependents.has(job);
   }
 
-  /** Steady time at which it was found to need a cancelled job; null: it does not. */
+  /** Monotonic time at which a direct or transitive dependency was found to be cancelled; null if none was. */
   dependencyCancelledAt(job: string): number | null {
     return this.dependents.get(job)?.dependencyCancelledAt ?? null;
   }
 
-  /** Open jobs that need a cancelled one. */
+  /** Open jobs with a cancelled direct or transitive dependency. */
   get withCancelledDependency(): ReadonlySet<string> {
     return this.jobsWithCancelledDependency;
   }
 
-  /** The jobs that it waits for. */
+  /** The pending dependencies of a job. */
   blockersOf(job: string): string[] {
     return [...(this.dependents.get(job)?.pending ?? [])];
   }
 
-  /** The highest rank of the jobs that need it; below every rank when none does. */
+  /** The highest rank of the jobs that depend on a job; lower than every rank if there are none. */
   inheritedRank(job: string): number {
-    return this.inherited.get(job) ?? -Infinity;
+    return this.inheritedRanks.get(job) ?? -Infinity;
   }
 
-  /** A job as the store has it. `now` is when this node learned of it; -Infinity: it may be long ago. */
+  /** Applies the stored state of a job. `now`: when this node learned of it; -Infinity if the change may be long ago. */
   applyJobState(
     job: string,
     state: StoredJobState,
-    needs: readonly string[],
+    dependencies: readonly string[],
     rank: number,
     now: number,
   ): void {
-    if (state === 'open') this.add(job, needs, rank, now);
+    if (state === 'open') this.add(job, dependencies, rank, now);
     else this.finish(job, state, now);
   }
 
-  private add(job: string, needs: readonly string[], rank: number, now: number): void {
-    if (needs.length === 0 || this.dependents.has(job)) return;
+  private add(job: string, dependencies: readonly string[], rank: number, now: number): void {
+    if (dependencies.length === 0 || this.dependents.has(job)) return;
     const pending = new Set<string>();
-    let needsCancelledJob = false;
-    for (const need of needs) {
-      const state = this.stateOf(need);
+    let hasCancelledDependency = false;
+    for (const dependency of dependencies) {
+      const state = this.stateOf(dependency);
       if (state === 'done') continue;
-      pending.add(need);
-      needsCancelledJob ||= state === 'cancelled' || this.jobsWithCancelledDependency.has(need);
+      pending.add(dependency);
+      hasCancelledDependency ||=
+        state === 'cancelled' || this.jobsWithCancelledDependency.has(dependency);
     }
     if (pending.size === 0) return;
     this.dependents.set(job, { pending, rank, dependencyCancelledAt: null });
-    for (const need of pending) {
-      const waiters = this.waiters.get(need) ?? new Set<string>();
-      this.waiters.set(need, waiters.add(job));
+    for (const dependency of pending) {
+      const directDependents = this.directDependents.get(dependency) ?? new Set<string>();
+      this.directDependents.set(dependency, directDependents.add(job));
     }
-    if (needsCancelledJob) this.noteDependencyCancelled([job], now);
+    if (hasCancelledDependency) this.markDependencyCancelled([job], now);
     else this.rerank(pending);
   }
 
   private finish(job: string, state: 'done' | 'cancelled', now: number): void {
-    const waiters = this.waiters.get(job) ?? new Set<string>();
-    if (state === 'cancelled') this.noteDependencyCancelled(waiters, now);
-    this.waiters.delete(job);
-    this.inherited.delete(job);
+    const directDependents = this.directDependents.get(job) ?? new Set<string>();
+    if (state === 'cancelled') this.markDependencyCancelled(directDependents, now);
+    this.directDependents.delete(job);
+    this.inheritedRanks.delete(job);
     this.remove(job);
     if (state === 'cancelled') return;
-    for (const waiter of waiters) this.satisfy(waiter, job);
+    for (const directDependent of directDependents) this.satisfyDependency(directDependent, job);
   }
 
-  /** One of the jobs that it needs is done. */
-  private satisfy(job: string, need: string): void {
+  /** Applies that a dependency of a job is done. */
+  private satisfyDependency(job: string, dependency: string): void {
     const dependent = this.dependents.get(job);
     if (dependent === undefined) return;
-    dependent.pending.delete(need);
+    dependent.pending.delete(dependency);
     if (dependent.pending.size > 0 || dependent.dependencyCancelledAt !== null) return;
     this.dependents.delete(job);
     this.events.onReleased(job);
   }
 
-  /** It is over itself, and needs nothing any more. */
+  /** Removes a job that has ended itself, together with its dependencies. */
   private remove(job: string): void {
     const dependent = this.dependents.get(job);
     if (dependent === undefined) return;
     this.dependents.delete(job);
     this.jobsWithCancelledDependency.delete(job);
-    for (const need of dependent.pending) {
-      const waiters = this.waiters.get(need);
-      if (waiters?.delete(job) === true && waiters.size === 0) this.waiters.delete(need);
+    for (const dependency of dependent.pending) {
+      const directDependents = this.directDependents.get(dependency);
+      if (directDependents?.delete(job) === true && directDependents.size === 0)
+        this.directDependents.delete(dependency);
     }
     this.rerank(dependent.pending);
   }
 
-  /** They, and all that need them, are cancelled with a job that they need. */
-  private noteDependencyCancelled(jobs: Iterable<string>, now: number): void {
-    const open = [...jobs];
-    for (let job = open.pop(); job !== undefined; job = open.pop()) {
+  /** Marks jobs, and all that depend on them, as having a cancelled dependency. */
+  private markDependencyCancelled(jobs: Iterable<string>, now: number): void {
+    const remaining = [...jobs];
+    for (let job = remaining.pop(); job !== undefined; job = remaining.pop()) {
       const dependent = this.dependents.get(job);
       if (dependent?.dependencyCancelledAt !== null) continue;
       dependent.dependencyCancelledAt = now;
       this.jobsWithCancelledDependency.add(job);
       this.events.onDependencyCancelled(job);
-      open.push(...(this.waiters.get(job) ?? []));
+      remaining.push(...(this.directDependents.get(job) ?? []));
       this.rerank(dependent.pending);
     }
   }
 
-  /** Works out anew what some jobs inherit, and, where that changes, what those that they need do. */
+  /** Recomputes the inherited ranks of jobs and, where one changes, those of the job's dependencies. */
   private rerank(jobs: Iterable<string>): void {
-    const open = [...jobs];
-    for (let job = open.pop(); job !== undefined; job = open.pop()) {
+    const remaining = [...jobs];
+    for (let job = remaining.pop(); job !== undefined; job = remaining.pop()) {
       const before = this.inheritedRank(job);
       let highest = -Infinity;
-      for (const waiter of this.waiters.get(job) ?? []) {
-        highest = Math.max(highest, this.effectiveRank(waiter));
+      for (const directDependent of this.directDependents.get(job) ?? []) {
+        highest = Math.max(highest, this.effectiveRank(directDependent));
       }
       if (highest === before) continue;
-      if (highest === -Infinity) this.inherited.delete(job);
-      else this.inherited.set(job, highest);
+      if (highest === -Infinity) this.inheritedRanks.delete(job);
+      else this.inheritedRanks.set(job, highest);
       this.events.onRankChanged(job);
-      open.push(...(this.dependents.get(job)?.pending ?? []));
+      remaining.push(...(this.dependents.get(job)?.pending ?? []));
     }
   }
 
--- a/src/coordination/pipelines/pipelines.ts
+++ b/src/coordination/pipelines/pipelines.ts
@@ -1,4 +1,4 @@
-/** Jobs that wait for others, at one node: what follows there from the graph of dependencies (safety, P1 to P4). */
+/** Applies the dependency graph at one node: blocks, releases, re-ranks and cancels dependent jobs (safety, P1 to P4). */
 import type { Clock } from '../../base/clock.js';
 import { rankOrder, type JobSpec } from '../../protocol/job.js';
 import type { JobRecord } from '../../storage/records.js';
@@ -8,16 +8,16 @@
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import { DependencyGraph } from './dependencyGraph.js';
 
-/** Of the time that a cancellation has, how old the copy of the records may be, and how long a job may stay open. */
-const CANCEL_SHARE = 1 / 3;
+/** Share of the cancellation timeout up to which a stale cache or a cancelled dependency lets a job be reported as open. */
+const OPEN_REPORT_SHARE = 1 / 3;
 
-/** Cancellations of jobs that need a cancelled one that are stored at a time: starts wait for changes too. */
+/** Maximum number of dependent cancellations stored at a time, since starts wait for writes, too. */
 const MAX_CONCURRENT_WRITES = 4;
 
-/** Names in the reason of a job that waits. */
-const MAX_NAMES = 4;
+/** Maximum number of job ids in a wait reason. */
+const MAX_LISTED_BLOCKERS = 4;
 
-/** What following dependencies needs of a node. */
+/** Dependencies of the `Pipelines` class. */
 export interface PipelineContext {
   settings: { cancellationTimeout: number };
   clock: Pick<Clock, 'now'>;
@@ -27,10 +27,10 @@
   requestSchedulingRound(): void;
 }
 
-/** The dependencies between jobs as this node knows them, and what they mean for its shards. */
+/** Tracks the dependencies between jobs and applies them to the shards of this node. */
 export class Pipelines {
   private readonly graph: DependencyGraph;
-  /** Jobs whose cancellation is being stored. */
+  /** Jobs whose cancellations are being stored. */
   private readonly jobsBeingCancelled = new Set<string>();
 
   constructor(private readonly context: PipelineContext) {
@@ -47,55 +47,58 @@
     });
   }
 
-  /** Follows the copy of the records. */
+  /** Applies a change of a cached job record. */
   applyJobRecord(job: string, record: JobRecord): void {
     const { stateCache, clock } = this.context;
     const { spec, state } = record;
     const rank = spec === null ? -Infinity : inheritableRank(spec);
-    // What the first reading finds may have been cancelled long ago.
+    // Jobs that the initial read finds cancelled may have been cancelled long ago.
     const learnedAt = stateCache.loaded ? clock.now() : -Infinity;
     this.graph.applyJobState(job, state, spec?.dependencies ?? [], rank, learnedAt);
   }
 
-  /** Nothing of it may start: it waits for others, or needs one that is cancelled. */
+  /** Whether a job must not start: it has pending dependencies, or a cancelled one. */
   isBlockedOnDependencies(job: string): boolean {
     return this.graph.isBlockedOnDependencies(job);
   }
 
-  /** The highest rank of those that need it; batch work never ranks as a live service. */
+  /** The highest rank of the jobs that depend on a job; batch work never inherits the rank of a live service. */
   inheritedRank(job: string): number {
     return this.graph.inheritedRank(job);
   }
 
   /**
-   * Whether users may be told that a job is still open. Of one that waits for others this node might not have heard
-   * that it has been cancelled with one of them.
+   * Whether users may be told that a job is open. A job with pending dependencies may have been cancelled with one of them
+   * without this node knowing yet.
    */
-  mayCallOpen(job: string): boolean {
+  mayReportOpen(job: string): boolean {
     if (!this.isBlockedOnDependencies(job)) return true;
-    const maxAge = this.context.settings.cancellationTimeout * CANCEL_SHARE;
+    const maxAge = this.context.settings.cancellationTimeout * OPEN_REPORT_SHARE;
     const now = this.context.clock.now();
     const dependencyCancelledAt = this.graph.dependencyCancelledAt(job);
     if (dependencyCancelledAt !== null && now - dependencyCancelledAt > maxAge) return false;
     return now - this.context.stateCache.syncedAt <= maxAge;
   }
 
-  /** Why it waits, in words for the phone. */
-  reason(job: string): string | null {
+  /** Why a job is blocked on dependencies, as a sentence for users; null if it is not. */
+  waitReason(job: string): string | null {
     if (!this.isBlockedOnDependencies(job)) return null;
     if (this.graph.dependencyCancelledAt(job) !== null) {
       return 'A job that it needs was cancelled, so it is being cancelled too.';
     }
     const blockers = this.graph.blockersOf(job);
-    const names = blockers.slice(0, MAX_NAMES).join(', ');
-    const more = blockers.length > MAX_NAMES ? ` and ${blockers.length - MAX_NAMES} more` : '';
+    const names = blockers.slice(0, MAX_LISTED_BLOCKERS).join(', ');
+    const more =
+      blockers.length > MAX_LISTED_BLOCKERS
+        ? ` and ${blockers.length - MAX_LISTED_BLOCKERS} more`
+        : '';
     return `It waits for ${blockers.length} job(s) to be done first: ${names}${more}.`;
   }
 
   private release(job: string): void {
     for (const ownedShard of this.context.ownedShards.values()) {
-      const known = ownedShard.jobs.get(job);
-      if (known !== undefined) this.context.persistence.acceptMissing(ownedShard, known);
+      const homeJob = ownedShard.jobs.get(job);
+      if (homeJob !== undefined) this.context.persistence.acceptMissing(ownedShard, homeJob);
     }
     this.context.requestSchedulingRound();
   }
@@ -104,7 +107,7 @@
     for (const { shard } of this.context.ownedShards.values()) shard.updateRank(job);
   }
 
-  /** Stores jobs that need a cancelled one as cancelled, where this node leads their home shard. */
+  /** Stores jobs with a cancelled dependency as cancelled if this node leads their home shard. */
   cancelDependents(timeoutSeconds: number): void {
     const deadline = this.context.clock.now() + timeoutSeconds;
     for (const id of this.graph.withCancelledDependency) {
@@ -122,5 +125,5 @@
   }
 }
 
-/** Batch work that a live service waits for is urgent, but no live service itself. */
+/** The rank that dependencies inherit: batch work that a live service waits for is urgent, but does not rank as a service. */
 const inheritableRank = (spec: JobSpec): number => Math.min(rankOrder[spec.rank], rankOrder.high);
--- a/test/jobs/cancellationPreparations.test.ts
+++ b/test/jobs/cancellationPreparations.test.ts
@@ -1,4 +1,4 @@
-/** Cancellations that meet other troubles: what was confirmed holds, and what can't hold is not confirmed. */
+/** Cancellations during failures: a confirmed cancellation holds, and one that might not hold is not confirmed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Chunk } from '../../src/coordination/model/chunk.js';
@@ -21,31 +21,31 @@
 async function cancel(
   cluster: Cluster,
   label: string,
-): Promise<{ status: number; said: string | undefined }> {
+): Promise<{ status: number; state: string | undefined }> {
   const answer = await cluster.call(label, 'POST', `/v1/jobs/${ID}/withdraw`);
   if (answer.status === 503) assert.notEqual(answer.retryAfter, null);
-  return { status: answer.status, said: (answer.body as Partial<Answer>).Status };
+  return { status: answer.status, state: (answer.body as Partial<Answer>).Status };
 }
 
-const gone = (cluster: Cluster): Promise<void> =>
-  until('no task of it is left', () => running(cluster).length === 0, 12);
+const awaitNoTasks = (cluster: Cluster): Promise<void> =>
+  until('no task of the job is left', () => running(cluster).length === 0, 12);
 
-const meetings: {
+const failureCases: {
   name: string;
-  /** Before the state service is out for all, and the leader is refused by it alone. */
+  /** Runs before the state service refuses the leader; `after` runs once it refuses all nodes. */
   before?: (cluster: Cluster) => void;
   after?: (cluster: Cluster) => Promise<void>;
 }[] = [
-  { name: 'nothing else' },
+  { name: 'no other failure' },
   {
-    name: 'the confirming node dies at once',
+    name: 'the confirming node crashes immediately',
     after: (c) => {
       c.crash('drone-1');
       return Promise.resolve();
     },
   },
   {
-    name: 'a machine reports but gets no answers and no commands for a while',
+    name: 'its machines report but receive neither answers nor commands for a while',
     before: (c) => {
       for (const worker of c.cloud.workers.values()) worker.deaf = true;
     },
@@ -55,7 +55,7 @@
     },
   },
   {
-    name: 'its machines hang across the cancellation and go on',
+    name: 'its machines hang during the cancellation and resume',
     before: (c) => {
       for (const worker of c.cloud.workers.values()) worker.hanging = true;
     },
@@ -65,53 +65,56 @@
     },
   },
 ];
-for (const { name, before, after } of meetings) {
-  // The owner of its machines can't read what is stored, and would answer their workers all through the outage.
-  test(`cancelled elsewhere while the state service refuses the leader, then all: ${name}`, () =>
+for (const { name, before, after } of failureCases) {
+  // The leader of the machines' shard cannot read the stored cancellation, and would answer its workers during the outage.
+  test(`a job is cancelled at another node while the state service refuses the leader, then all nodes: ${name}`, () =>
     withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
       await awayFromHome(cluster);
       before?.(cluster);
       cluster.state.refused.add('drone-0');
-      assert.deepEqual(await cancel(cluster, 'drone-1'), { status: 200, said: 'cancelled' });
+      assert.deepEqual(await cancel(cluster, 'drone-1'), { status: 200, state: 'cancelled' });
       cluster.state.refused.add('*');
       await after?.(cluster);
-      await gone(cluster);
+      await awaitNoTasks(cluster);
     }));
 }
 
-test('while a leader of its tasks can be neither asked nor replaced, a cancellation is not confirmed', () =>
+test('a cancellation is not confirmed while a leader of tasks of the job can be neither reached nor replaced', () =>
   withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
     await awayFromHome(cluster);
     cluster.apart.add('drone-0');
     assert.equal((await cancel(cluster, 'drone-1')).status, 503);
     assert.notEqual((await status(cluster, 'drone-1', ID)).Status, 'cancelled');
     cluster.apart.clear();
-    await until('it is cancelled', async () => (await cancel(cluster, 'drone-1')).status === 200);
-    await gone(cluster);
+    await until(
+      'the job is cancelled',
+      async () => (await cancel(cluster, 'drone-1')).status === 200,
+    );
+    await awaitNoTasks(cluster);
   }));
 
-test('a cancellation that could not be stored leaves its job to go on', () =>
+test('a job resumes after its announced cancellation could not be stored', () =>
   withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
     await awayFromHome(cluster);
     cluster.state.refused.add('drone-1');
     const node = cluster.nodes.get('drone-0')?.controller;
-    // As announced by a home that dies before it has stored anything.
+    // As announced by the home shard's leader, which crashes before it has stored anything.
     assert.equal(node?.cancellationPreparations.prepare(ID).length, 1);
     cluster.crash('drone-1');
-    await gone(cluster);
-    await until('it runs again', () => running(cluster).length === 2, 20);
+    await awaitNoTasks(cluster);
+    await until('the job runs again', () => running(cluster).length === 2, 20);
   }));
 
-// ---- Who may say that a chunk is prepared for its cancellation ----
+// ---- Which node may acknowledge that a chunk is prepared for its cancellation ----
 
 const NOW = 1000;
-const standIns = {
+const stubs = {
   stateClient: { get: () => Promise.resolve(null) },
   leadership: { isLeaseValid: true, advanceFencingToken: () => Promise.resolve(null) },
 };
 const settings = { heartbeatInterval: 4, workerLease: 18, cancellationTimeout: 43 };
 
-function node(previousLeaderUntil: number, seenToken: number) {
+function createNode(previousLeaderUntil: number, seenToken: number) {
   const shard = emptyShard(4);
   const ownedShard: OwnedShard = createOwnedShard(
     shard,
@@ -139,7 +142,7 @@
     clock: { now: () => NOW },
     ownedShards: new Map([['p', ownedShard]]),
     stateCache: { get: () => undefined, note: () => undefined, syncedAt: NOW, revision: 1 },
-    ...standIns,
+    ...stubs,
     audit: { note: () => undefined },
     peers: { prepareCancel: () => Promise.resolve(false) },
     isBlockedOnDependencies: () => false,
@@ -148,44 +151,96 @@
   return { preparations, chunk };
 }
 
-const claims: {
+const acknowledgementCases: {
   name: string;
   previousLeaderUntil: number;
-  seen: number;
-  moving?: boolean;
-  yes: boolean;
+  seenToken: number;
+  isMigrating?: boolean;
+  isAcknowledged: boolean;
 }[] = [
-  { name: 'a shard that was always ours', previousLeaderUntil: NOW, seen: 3, yes: true },
   {
-    name: 'an adopted one, its last leader may answer',
+    name: 'a shard that this node has always led',
+    previousLeaderUntil: NOW,
+    seenToken: 3,
+    isAcknowledged: true,
+  },
+  {
+    name: 'an adopted shard whose previous leader may still answer workers',
+    previousLeaderUntil: NOW + 36,
+    seenToken: 3,
+    isAcknowledged: false,
+  },
+  {
+    name: "the worker has received this node's token",
     previousLeaderUntil: NOW + 36,
-    seen: 3,
-    yes: false,
+    seenToken: 7,
+    isAcknowledged: true,
+  },
+  {
+    name: 'the previous leader stops answering workers soon enough',
+    previousLeaderUntil: NOW + 20,
+    seenToken: 3,
+    isAcknowledged: true,
+  },
+  {
+    name: 'a migrating chunk',
+    previousLeaderUntil: NOW,
+    seenToken: 7,
+    isMigrating: true,
+    isAcknowledged: false,
   },
-  { name: 'the worker has seen our token', previousLeaderUntil: NOW + 36, seen: 7, yes: true },
-  { name: 'the last leader ends soon enough', previousLeaderUntil: NOW + 20, seen: 3, yes: true },
-  { name: 'on its way elsewhere', previousLeaderUntil: NOW, seen: 7, moving: true, yes: false },
 ];
-for (const { name, previousLeaderUntil, seen, moving, yes } of claims) {
-  test(`a chunk is known to be prepared for its cancellation: ${name}`, () => {
-    const { preparations, chunk } = node(previousLeaderUntil, seen);
-    chunk.isMigrating = moving ?? false;
-    assert.equal(preparations.prepare(ID).length, yes ? 1 : 0);
+for (const {
+  name,
+  previousLeaderUntil,
+  seenToken,
+  isMigrating,
+  isAcknowledged,
+} of acknowledgementCases) {
+  test(`a chunk is acknowledged as prepared if no other node can keep it alive: ${name}`, () => {
+    const { preparations, chunk } = createNode(previousLeaderUntil, seenToken);
+    chunk.isMigrating = isMigrating ?? false;
+    assert.equal(preparations.prepare(ID).length, isAcknowledged ? 1 : 0);
     assert.equal(chunk.pendingCount, 0);
   });
 }
 
-const answers: { name: string; cut: number; found: PreparedChunk[][]; enough: boolean }[] = [
-  { name: 'all chunks', cut: 2, found: [[at(0, 'q', 5)], [at(1, 'r', 6)]], enough: true },
-  { name: 'one is missing', cut: 3, found: [[at(0, 'q', 5)], [at(1, 'r', 6)]], enough: false },
-  { name: 'a leader that has lost its shard', cut: 1, found: [[at(0, 'q', 4)]], enough: false },
-  { name: 'nobody answers', cut: 1, found: [], enough: false },
-  { name: 'the missing one is done', cut: 1, found: [], enough: true },
+const confirmationCases: {
+  name: string;
+  createdChunks: number;
+  acknowledged: PreparedChunk[][];
+  isConfirmed: boolean;
+}[] = [
+  {
+    name: 'all chunks are acknowledged',
+    createdChunks: 2,
+    acknowledged: [[prepared(0, 'q', 5)], [prepared(1, 'r', 6)]],
+    isConfirmed: true,
+  },
+  {
+    name: 'a chunk is not acknowledged',
+    createdChunks: 3,
+    acknowledged: [[prepared(0, 'q', 5)], [prepared(1, 'r', 6)]],
+    isConfirmed: false,
+  },
+  {
+    name: 'a leader that has lost its shard does not count',
+    createdChunks: 1,
+    acknowledged: [[prepared(0, 'q', 4)]],
+    isConfirmed: false,
+  },
+  { name: 'no node answers', createdChunks: 1, acknowledged: [], isConfirmed: false },
+  {
+    name: 'the unacknowledged chunk is done',
+    createdChunks: 1,
+    acknowledged: [],
+    isConfirmed: true,
+  },
 ];
-function at(index: number, part: string, token: number): PreparedChunk {
-  return { index, shard: part, fencingToken: token };
+function prepared(index: number, shard: string, fencingToken: number): PreparedChunk {
+  return { index, shard, fencingToken };
 }
-for (const { name, cut, found, enough } of answers) {
+for (const { name, createdChunks, acknowledged, isConfirmed } of confirmationCases) {
   test(`a cancellation may be confirmed: ${name}`, async () => {
     const tokens: Record<string, number> = { [keys.leader('q')]: 5, [keys.leader('r')]: 6 };
     const preparations = new CancellationPreparations({
@@ -201,29 +256,29 @@
         syncedAt: NOW,
         revision: 1,
       },
-      ...standIns,
+      ...stubs,
       audit: { note: () => undefined },
       peers: {
         prepareCancel: (_job, _timeout, note) =>
-          Promise.resolve(found.map(note).some((done) => done)),
+          Promise.resolve(acknowledged.map(note).some((done) => done)),
       },
       isBlockedOnDependencies: () => false,
       requestSchedulingRound: () => undefined,
     });
     const doneChunks = name.endsWith('is done') ? [0] : [];
-    const record = { createdChunks: cut, doneChunks } as unknown as JobRecord;
+    const record = { createdChunks, doneChunks } as unknown as JobRecord;
     const job = { id: ID, record, revision: 1, isWriteInFlight: false };
     const home = createOwnedShard(emptyShard(4), { fencingToken: 4, revision: 1 }, NOW);
-    const evidence = await preparations.prepareEverywhere(home, job);
-    assert.equal(evidence !== null, enough);
+    const evidence = await preparations.prepareOnAllNodes(home, job);
+    assert.equal(evidence !== null, isConfirmed);
   });
 }
 
-test('a chunk of a cancelled job that is in a shard without a mark violates an invariant', () => {
+test('an unmarked chunk of a cancelled job in a shard violates an invariant', () => {
   const shard = emptyShard(4);
   const ownedShard = createOwnedShard(shard, { fencingToken: 7, revision: 1 }, NOW);
   const spec = jobSpec({ id: ID, taskCount: 1 });
-  // Its shard does not ask whether its job is cancelled.
+  // This shard's cluster view does not report cancellations, so the chunk is not marked.
   shard.acceptNewChunk(new Chunk(spec, 0, 'p', 1, 0, 1, null, NOW), NOW);
   const preparations = new CancellationPreparations({
     settings: { ...settings },
@@ -235,7 +290,7 @@
       syncedAt: NOW,
       revision: 1,
     },
-    ...standIns,
+    ...stubs,
     audit: { note: () => undefined },
     peers: { prepareCancel: () => Promise.resolve(false) },
     isBlockedOnDependencies: () => false,
--- a/test/jobs/jobAnswers.test.ts
+++ b/test/jobs/jobAnswers.test.ts
@@ -1,4 +1,4 @@
-/** What users may be told of a job, by the evidence and by what is known as the reply leaves. */
+/** What users may be reported about a job, depending on the evidence and on what the node knows when the reply is sent. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { AuditEvent, UserRequestKind } from '../../src/coordination/audit/auditEvent.js';
@@ -25,11 +25,11 @@
 
 const record = (state: JobRecord['state']): JobRecord => jobRecord(JOB, 'p', state);
 
-/** A node at the moment at which a reply leaves it. */
+/** A node at the moment of sending a reply. */
 class Node {
-  copy: JobRecord | undefined = record('open');
+  cached: JobRecord | undefined = record('open');
   isLeaseValid = true;
-  mayCallOpen = true;
+  mayReportOpen = true;
   readonly events: AuditEvent[] = [];
   readonly homeShard: OwnedShard = createOwnedShard(
     emptyShard(1),
@@ -45,13 +45,13 @@
       stateCache: {
         revision: 7,
         get: (key) =>
-          key === keys.job(JOB) && this.copy !== undefined
-            ? { value: this.copy, revision: 7 }
+          key === keys.job(JOB) && this.cached !== undefined
+            ? { value: this.cached, revision: 7 }
             : undefined,
       },
       authority: { mayAct: ({ isOwned }) => isOwned && this.isLeaseValid },
       leadership: { leaseExpiresAt: 15 },
-      pipelines: { mayCallOpen: () => this.mayCallOpen },
+      pipelines: { mayReportOpen: () => this.mayReportOpen },
       audit: {
         note: (event) => {
           this.events.push(event);
@@ -79,7 +79,7 @@
   }
 }
 
-const saidBy = ({ status, body }: Reply): string | number =>
+const outcomeOf = ({ status, body }: Reply): string | number =>
   (body as { Status?: string }).Status ?? status;
 
 const fromStore = (asOf: number): AnswerEvidence => ({ kind: 'store', asOf });
@@ -87,140 +87,140 @@
 
 const cases: {
   name: string;
-  /** What has happened by the time that the reply leaves. */
-  given?: (node: Node) => void;
+  /** What has changed by the time that the reply is sent. */
+  before?: (node: Node) => void;
   reply: (node: Node) => JobReply;
-  said: string | number;
+  expected: string | number;
   violations?: string[];
 }[] = [
   {
-    name: 'open by the leader',
+    name: 'an open state from the leader is sent',
     reply: (node) => statusReply(JOB, 'queued', node.asLeader),
-    said: 'queued',
+    expected: 'queued',
   },
   {
-    name: 'open by a leader whose lease has lapsed',
-    given: (node) => (node.isLeaseValid = false),
+    name: 'an open state from a leader whose lease has expired is withheld',
+    before: (node) => (node.isLeaseValid = false),
     reply: (node) => statusReply(JOB, 'queued', node.asLeader),
-    said: 503,
+    expected: 503,
   },
   {
-    name: 'open by a leader that has lost the shard',
-    given: (node) => (node.homeShard.isOwned = false),
+    name: 'an open state from a leader that has lost the shard is withheld',
+    before: (node) => (node.homeShard.isOwned = false),
     reply: (node) => statusReply(JOB, 'queued', node.asLeader),
-    said: 503,
+    expected: 503,
   },
   {
-    name: 'open by a leader while a change of the record has no answer',
-    given: (node) => (node.job.isOutcomeUnknown = true),
+    name: 'an open state from a leader is withheld while a change of the record is unanswered',
+    before: (node) => (node.job.isOutcomeUnknown = true),
     reply: (node) => statusReply(JOB, 'queued', node.asLeader),
-    said: 503,
+    expected: 503,
   },
   {
-    name: 'open by the store, asked as the question came',
+    name: 'an open state that was read from the state service at the time of the request is sent',
     reply: () => statusReply(JOB, 'running', fromStore(RECEIVED_AT)),
-    said: 'running',
+    expected: 'running',
   },
   {
-    name: 'open by the store, asked before the question came',
+    name: 'an open state that was read from the state service before the request is withheld',
     reply: () => statusReply(JOB, 'running', fromStore(RECEIVED_AT - 0.001)),
-    said: 503,
+    expected: 503,
     violations: ['answer-older-than-question'],
   },
   {
-    name: 'open by a peer, asked before the question came',
+    name: 'an open state that was requested from a peer before the request is withheld',
     reply: () => statusReply(JOB, 'running', fromPeer(RECEIVED_AT - 0.001)),
-    said: 503,
+    expected: 503,
     violations: ['answer-older-than-question'],
   },
   {
-    name: 'open by a peer, while this node can not tell whether a dependency was cancelled',
-    given: (node) => (node.mayCallOpen = false),
+    name: 'an open state from a peer is sent although this node cannot tell whether a dependency was cancelled',
+    before: (node) => (node.mayReportOpen = false),
     reply: () => statusReply(JOB, 'queued', fromPeer(RECEIVED_AT)),
-    said: 'queued',
+    expected: 'queued',
   },
   {
-    name: 'open by the store, while this node can not tell whether a dependency was cancelled',
-    given: (node) => (node.mayCallOpen = false),
+    name: 'an open state from the state service is withheld if this node cannot tell whether a dependency was cancelled',
+    before: (node) => (node.mayReportOpen = false),
     reply: () => statusReply(JOB, 'queued', fromStore(RECEIVED_AT)),
-    said: 503,
+    expected: 503,
   },
   {
-    name: 'open, while the copy has learned of the end',
-    given: (node) => (node.copy = record('cancelled')),
+    name: 'an open state is replaced by the final state in the cache',
+    before: (node) => (node.cached = record('cancelled')),
     reply: () => statusReply(JOB, 'running', fromStore(RECEIVED_AT)),
-    said: 'cancelled',
+    expected: 'cancelled',
   },
   {
-    name: 'a final state by a peer, whatever the copy says',
+    name: 'a final state from a peer is sent although the cached record is open',
     reply: () => statusReply(JOB, 'done', fromPeer(RECEIVED_AT - 5)),
-    said: 'done',
+    expected: 'done',
   },
   {
-    name: 'a final state other than that of the copy',
-    given: (node) => (node.copy = record('cancelled')),
+    name: 'a final state that differs from the cached one is withheld',
+    before: (node) => (node.cached = record('cancelled')),
     reply: () => statusReply(JOB, 'done', fromPeer(RECEIVED_AT)),
-    said: 503,
+    expected: 503,
     violations: ['final-states-differ'],
   },
   {
-    name: 'no such job, while the copy has it',
+    name: '"no such job" is withheld if the job is cached',
     reply: () => NO_SUCH_JOB,
-    said: 503,
+    expected: 503,
   },
   {
-    name: 'no such job, and the copy has none',
-    given: (node) => (node.copy = undefined),
+    name: '"no such job" is sent if the job is not cached',
+    before: (node) => (node.cached = undefined),
     reply: () => NO_SUCH_JOB,
-    said: 404,
+    expected: 404,
   },
   {
-    name: 'a refusal as impossible, while the copy has the job',
+    name: 'a refusal of an infeasible job is withheld if the job is cached',
     reply: () => ({ status: 422, body: { error: 'too large' } }),
-    said: 503,
+    expected: 503,
   },
-  { name: 'come back later', reply: () => unavailable('busy'), said: 503 },
+  { name: 'a reply that asks to retry is sent', reply: () => unavailable('busy'), expected: 503 },
 ];
 
-for (const { name, given, reply, said, violations = [] } of cases) {
+for (const { name, before, reply, expected, violations = [] } of cases) {
   test(`answers: ${name}`, () => {
     const node = new Node();
-    given?.(node);
-    assert.equal(saidBy(node.send(reply(node))), said);
+    before?.(node);
+    assert.equal(outcomeOf(node.send(reply(node))), expected);
     assert.deepEqual(node.violations, violations);
   });
 }
 
-test('answers: after a final state by a peer an open one is withheld, though the copy is behind', () => {
+test('answers: after a final state from a peer an open one is withheld, even if the cache shows no final state', () => {
   const node = new Node();
   assert.equal(
-    saidBy(node.send(statusReply(JOB, 'cancelled', fromPeer(RECEIVED_AT)))),
+    outcomeOf(node.send(statusReply(JOB, 'cancelled', fromPeer(RECEIVED_AT)))),
     'cancelled',
   );
-  assert.equal(saidBy(node.send(statusReply(JOB, 'running', fromStore(RECEIVED_AT)))), 503);
+  assert.equal(outcomeOf(node.send(statusReply(JOB, 'running', fromStore(RECEIVED_AT)))), 503);
   assert.deepEqual(node.violations, []);
 });
 
-test('answers: after a final state by a peer another one is withheld, and violates an invariant', () => {
+test('answers: after a final state from a peer a different one is withheld and violates an invariant', () => {
   const node = new Node();
   node.send(statusReply(JOB, 'cancelled', fromPeer(RECEIVED_AT)));
-  assert.equal(saidBy(node.send(statusReply(JOB, 'done', fromPeer(RECEIVED_AT)))), 503);
+  assert.equal(outcomeOf(node.send(statusReply(JOB, 'done', fromPeer(RECEIVED_AT)))), 503);
   assert.deepEqual(node.violations, ['final-states-differ']);
 });
 
-test('answers: what was told and on what evidence is in the audit trail', () => {
+test('answers: the audit trail records each reported state and its evidence', () => {
   const node = new Node();
   node.send(statusReply(JOB, 'queued', node.asLeader, 201), 'submit');
   node.send(statusReply(JOB, 'running', fromStore(11)));
   node.homeShard.isOwned = false;
   node.send(statusReply(JOB, 'queued', node.asLeader));
-  const told = { event: 'job-answered', job: JOB };
+  const reported = { event: 'job-answered', job: JOB };
   assert.deepEqual(node.events, [
     {
-      ...{ ...told, request: 'submit', state: 'queued', source: 'leader' },
+      ...{ ...reported, request: 'submit', state: 'queued', source: 'leader' },
       ...{ shard: 'p', fencingToken: 5, leaseLeft: 3 },
     },
-    { ...told, request: 'read', state: 'running', source: 'store', age: 1 },
+    { ...reported, request: 'read', state: 'running', source: 'store', age: 1 },
     { event: 'answer-withheld', request: 'read', job: JOB, reason: 'leadership-ended' },
   ]);
 });
--- a/test/jobs/jobService.test.ts
+++ b/test/jobs/jobService.test.ts
@@ -1,4 +1,4 @@
-/** Answers to users: never older than what the node that answers knows by then. */
+/** Answers to jobs are never older than what the answering node knows when it sends them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../src/base/random.js';
@@ -22,10 +22,10 @@
 
 const record = (state: JobRecord['state']): JobRecord => jobRecord(ID, 'q', state);
 
-/** A node whose reads of the state service are answered when the test says so, and which hears a peer. */
-class Asked {
+/** A node whose reads of the state service and relays to a peer are answered when the test decides. */
+class NodeWithDelayedReads {
   readonly node: Controller;
-  readonly users: JobService;
+  readonly jobs: JobService;
   readonly reads: ((response: Response) => void)[] = [];
   relays: ((answer: { status: number; body: string; retryAfter: null }) => void)[] = [];
 
@@ -40,13 +40,13 @@
     Object.defineProperty(this.node, 'isIsolated', { value: false });
     Object.defineProperty(this.node.leadership, 'isLeaseValid', { value: true });
     this.node.peers.relay = () => new Promise((resolve) => this.relays.push(resolve));
-    this.users = new JobService(this.node);
+    this.jobs = new JobService(this.node);
     if (state !== null) this.node.stateCache.note(keys.job(ID), record(state), 5);
     this.node.stateCache.note(keys.leader('q'), { node: 'q', fencingToken: 1, process: 'y' }, 1);
   }
 
-  /** Meanwhile the record of the job's end reaches this node. */
-  hearEnd(state: JobRecord['state']): void {
+  /** Delivers a newer record of the job to this node's cache. */
+  deliverRecord(state: JobRecord['state']): void {
     this.node.stateCache.note(keys.job(ID), record(state), 9);
   }
 }
@@ -61,65 +61,65 @@
 
 const cases: {
   name: string;
-  ask: (users: JobService) => Promise<Reply>;
+  ask: (jobs: JobService) => Promise<Reply>;
   by: 'store' | 'peer';
 }[] = [
-  { name: 'a question', by: 'peer', ask: (users) => users.read(ID, false) },
-  { name: 'a question that a peer passed on', by: 'store', ask: (users) => users.read(ID, true) },
+  { name: 'a query', by: 'peer', ask: (jobs) => jobs.read(ID, false) },
+  { name: 'a query relayed by a peer', by: 'store', ask: (jobs) => jobs.read(ID, true) },
   {
     name: 'a repeated submission',
     by: 'store',
-    ask: (users) => users.submit(JSON.stringify(submission(ID)), false),
+    ask: (jobs) => jobs.submit(JSON.stringify(submission(ID)), false),
   },
 ];
 
 for (const { name, ask, by } of cases) {
   for (const end of ['done', 'cancelled'] as const) {
-    test(`${name}, answered by the ${by} before the job was ${end}, tells what this node has heard since`, async () => {
-      const asked = new Asked('open');
-      const reply = ask(asked.users);
-      await until(() => asked.reads.length + asked.relays.length > 0);
-      asked.hearEnd(end);
+    test(`${name}, answered by the ${by} before the job was ${end}, reports the newer cached state`, async () => {
+      const fixture = new NodeWithDelayedReads('open');
+      const reply = ask(fixture.jobs);
+      await until(() => fixture.reads.length + fixture.relays.length > 0);
+      fixture.deliverRecord(end);
       const item = { K: keys.job(ID), Value: toPlainJob(record('open')), Stamp: 5 };
       const body = JSON.stringify({ Uid: ID, Status: 'running', done: 0, running: 3 });
-      asked.reads[0]?.({ status: 200, body: item, retryAfter: null });
-      asked.relays[0]?.({ status: 200, body, retryAfter: null });
+      fixture.reads[0]?.({ status: 200, body: item, retryAfter: null });
+      fixture.relays[0]?.({ status: 200, body, retryAfter: null });
       assert.equal(statusOf(await reply), end);
     });
   }
 }
 
-test('a question about a job that is unknown here, and accepted while the store is asked, is no 404', async () => {
-  const asked = new Asked(null);
-  const reply = asked.users.read(ID, true);
-  await until(() => asked.reads.length > 0);
-  asked.hearEnd('open');
-  asked.reads[0]?.({ status: 404, body: { Epoch: 4 }, retryAfter: null });
+test('a query for an unknown job that is accepted while the state service is read is not answered with 404', async () => {
+  const fixture = new NodeWithDelayedReads(null);
+  const reply = fixture.jobs.read(ID, true);
+  await until(() => fixture.reads.length > 0);
+  fixture.deliverRecord('open');
+  fixture.reads[0]?.({ status: 404, body: { Epoch: 4 }, retryAfter: null });
   const { status } = replyAtSending(await reply);
   assert.equal(status, 200);
 });
 
-test('a cancellation of a job that has ended while the store was read says how it ended', async () => {
-  const asked = new Asked(null);
-  const reply = asked.users.cancel(ID, true);
-  await until(() => asked.reads.length > 0);
-  asked.hearEnd('done');
+test('a cancellation of a job that ends while the state service is read reports the final state', async () => {
+  const fixture = new NodeWithDelayedReads(null);
+  const reply = fixture.jobs.cancel(ID, true);
+  await until(() => fixture.reads.length > 0);
+  fixture.deliverRecord('done');
   const item = { K: keys.job(ID), Value: toPlainJob(record('open')), Stamp: 5 };
-  asked.reads[0]?.({ status: 200, body: item, retryAfter: null });
+  fixture.reads[0]?.({ status: 200, body: item, retryAfter: null });
   assert.equal(statusOf(await reply), 'done');
 });
 
-// A job's final state never changes, so "done" must rest on a record that says so. An open record whose description was lost
-// was called done: only records of jobs that are over have none.
+// A final state never changes, so "done" must be based on a record with that state. Only records of jobs that have ended lack
+// a description; an open record without one was once reported as done.
 for (const layout of ['plain', 'compact'] as const) {
-  test(`an open record without a description (${layout}) is not called done`, async () => {
-    const asked = new Asked(null);
-    const reply = asked.users.read(ID, true);
-    await until(() => asked.reads.length > 0);
-    // No type allows it; what is stored may be anything.
+  test(`an open record without a description (${layout}) is not reported as done`, async () => {
+    const fixture = new NodeWithDelayedReads(null);
+    const reply = fixture.jobs.read(ID, true);
+    await until(() => fixture.reads.length > 0);
+    // The types do not allow this, but stored records may contain anything.
     const stored = { ...record('open'), spec: null } as unknown as JobRecord;
     const value = layout === 'plain' ? toPlainJob(stored) : compactJob(stored);
-    asked.reads[0]?.({
+    fixture.reads[0]?.({
       status: 200,
       body: { K: keys.job(ID), Value: value, Stamp: 5 },
       retryAfter: null,
--- a/test/pipelines/dependencyGraph.test.ts
+++ b/test/pipelines/dependencyGraph.test.ts
@@ -1,4 +1,4 @@
-/** Which jobs wait for others, from stored states that arrive in any order. */
+/** Determines which jobs wait for others from stored states that arrive in any order. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../src/base/random.js';
@@ -9,175 +9,269 @@
 
 interface Job {
   state: StoredJobState;
-  needs: string[];
+  dependencies: string[];
   rank: number;
 }
 
-/** Records that are told to a graph one by one, and what it says of them. */
-class Records {
+/** Applies records to a graph one by one and collects its callbacks. */
+class GraphFixture {
   readonly jobs = new Map<string, Job>();
   readonly released: string[] = [];
-  readonly doomed: string[] = [];
-  rankings = 0;
+  readonly dependencyCancelled: string[] = [];
+  rankChanges = 0;
   readonly graph = new DependencyGraph((id) => this.jobs.get(id)?.state, {
     onReleased: (id) => this.released.push(id),
-    onDependencyCancelled: (id) => this.doomed.push(id),
-    onRankChanged: () => this.rankings++,
+    onDependencyCancelled: (id) => this.dependencyCancelled.push(id),
+    onRankChanged: () => this.rankChanges++,
   });
 
-  note(id: string, state: StoredJobState, needs: string[] = [], rank = 0, now = 0): void {
-    this.jobs.set(id, { state, needs, rank });
-    this.graph.applyJobState(id, state, needs, rank, now);
+  applyState(
+    id: string,
+    state: StoredJobState,
+    dependencies: string[] = [],
+    rank = 0,
+    now = 0,
+  ): void {
+    this.jobs.set(id, { state, dependencies, rank });
+    this.graph.applyJobState(id, state, dependencies, rank, now);
   }
 
-  /** Told step by step: `a` is open, `b<a,c` is open and needs them, `a+` is done, `a-` is cancelled. */
-  tell(steps: string): void {
+  /** Applies steps in order: `a` is open, `b<a,c` is open and depends on both, `a+` is done, `a-` is cancelled. */
+  applySteps(steps: string): void {
     for (const step of steps.split(' ')) {
       const [, id = '', names, end] = /^(\w+)(?:<([\w,]+))?([+-])?$/.exec(step) ?? [];
       const state = end === '+' ? 'done' : end === '-' ? 'cancelled' : 'open';
-      this.note(id, state, state === 'open' && names !== undefined ? names.split(',') : []);
+      this.applyState(id, state, state === 'open' && names !== undefined ? names.split(',') : []);
     }
   }
 }
 
-const cases: { name: string; steps: string; released: string; doomed: string; held: string }[] = [
-  { name: 'it waits', steps: 'a b<a', released: '', doomed: '', held: 'b' },
-  { name: 'it is released', steps: 'a b<a a+', released: 'b', doomed: '', held: '' },
-  { name: 'one of two is done', steps: 'a c b<a,c a+', released: '', doomed: '', held: 'b' },
-  { name: 'all are done before', steps: 'a+ c+ b<a,c', released: '', doomed: '', held: '' },
+const cases: {
+  name: string;
+  steps: string;
+  released: string;
+  dependencyCancelled: string;
+  blocked: string;
+}[] = [
   {
-    name: 'read after the one that needs it',
+    name: 'a pending dependency',
+    steps: 'a b<a',
+    released: '',
+    dependencyCancelled: '',
+    blocked: 'b',
+  },
+  {
+    name: 'the dependency is done',
+    steps: 'a b<a a+',
+    released: 'b',
+    dependencyCancelled: '',
+    blocked: '',
+  },
+  {
+    name: 'one of two dependencies is done',
+    steps: 'a c b<a,c a+',
+    released: '',
+    dependencyCancelled: '',
+    blocked: 'b',
+  },
+  {
+    name: 'all dependencies are done already',
+    steps: 'a+ c+ b<a,c',
+    released: '',
+    dependencyCancelled: '',
+    blocked: '',
+  },
+  {
+    name: 'a dependency is read after its dependent',
     steps: 'b<a a+',
     released: 'b',
-    doomed: '',
-    held: '',
+    dependencyCancelled: '',
+    blocked: '',
+  },
+  {
+    name: 'the dependency is cancelled',
+    steps: 'a b<a a-',
+    released: '',
+    dependencyCancelled: 'b',
+    blocked: 'b',
   },
-  { name: 'cancelled', steps: 'a b<a a-', released: '', doomed: 'b', held: 'b' },
-  { name: 'cancelled before', steps: 'a- b<a', released: '', doomed: 'b', held: 'b' },
-  { name: 'through others', steps: 'a b<a c<b a-', released: '', doomed: 'b c', held: 'b c' },
-  { name: 'read backwards', steps: 'c<b b<a a-', released: '', doomed: 'b c', held: 'b c' },
-  { name: 'needs a doomed one', steps: 'a b<a a- c<b', released: '', doomed: 'b c', held: 'b c' },
-  { name: 'its end is stored', steps: 'a b<a c<b a- b-', released: '', doomed: 'b c', held: 'c' },
   {
-    name: 'both ends are stored',
+    name: 'the dependency is cancelled already',
+    steps: 'a- b<a',
+    released: '',
+    dependencyCancelled: 'b',
+    blocked: 'b',
+  },
+  {
+    name: 'a transitive dependency is cancelled',
+    steps: 'a b<a c<b a-',
+    released: '',
+    dependencyCancelled: 'b c',
+    blocked: 'b c',
+  },
+  {
+    name: 'dependents are read before their dependencies',
+    steps: 'c<b b<a a-',
+    released: '',
+    dependencyCancelled: 'b c',
+    blocked: 'b c',
+  },
+  {
+    name: 'a dependency that has a cancelled dependency',
+    steps: 'a b<a a- c<b',
+    released: '',
+    dependencyCancelled: 'b c',
+    blocked: 'b c',
+  },
+  {
+    name: 'the end of a dependent is stored',
+    steps: 'a b<a c<b a- b-',
+    released: '',
+    dependencyCancelled: 'b c',
+    blocked: 'c',
+  },
+  {
+    name: 'the ends of both dependents are stored',
     steps: 'a b<a c<b a- b- c-',
     released: '',
-    doomed: 'b c',
-    held: '',
+    dependencyCancelled: 'b c',
+    blocked: '',
   },
   {
-    name: 'cancelled and then another done',
+    name: 'one dependency is cancelled, then another is done',
     steps: 'a c b<a,c a- c+',
     released: '',
-    doomed: 'b',
-    held: 'b',
+    dependencyCancelled: 'b',
+    blocked: 'b',
+  },
+  {
+    name: 'a diamond',
+    steps: 'a b<a c<a d<b,c a+ b+ c+',
+    released: 'b c d',
+    dependencyCancelled: '',
+    blocked: '',
   },
-  { name: 'a diamond', steps: 'a b<a c<a d<b,c a+ b+ c+', released: 'b c d', doomed: '', held: '' },
   {
     name: 'a diamond, one side cancelled',
     steps: 'a b<a c<a d<b,c a+ b- c+',
     released: 'b c',
-    doomed: 'd',
-    held: 'd',
+    dependencyCancelled: 'd',
+    blocked: 'd',
   },
-  { name: 'told twice', steps: 'a b<a b<a a+ a+', released: 'b', doomed: '', held: '' },
   {
-    name: 'cancelled itself while it waits',
+    name: 'fixture are applied twice',
+    steps: 'a b<a b<a a+ a+',
+    released: 'b',
+    dependencyCancelled: '',
+    blocked: '',
+  },
+  {
+    name: 'the dependent itself is cancelled while it waits',
     steps: 'a b<a b- a+',
     released: '',
-    doomed: '',
-    held: '',
+    dependencyCancelled: '',
+    blocked: '',
   },
 ];
 
-for (const { name, steps, released, doomed, held } of cases) {
+for (const { name, steps, released, dependencyCancelled, blocked } of cases) {
   test(`dependencies: ${name}`, () => {
-    const records = new Records();
-    records.tell(steps);
-    assert.equal(records.released.join(' '), released, 'released');
-    assert.equal([...records.doomed].sort().join(' '), doomed, 'doomed');
-    const stillHeld = [...records.jobs.keys()].filter((id) =>
-      records.graph.isBlockedOnDependencies(id),
+    const fixture = new GraphFixture();
+    fixture.applySteps(steps);
+    assert.equal(fixture.released.join(' '), released, 'released');
+    assert.equal(
+      [...fixture.dependencyCancelled].sort().join(' '),
+      dependencyCancelled,
+      'dependencyCancelled',
     );
-    assert.equal(stillHeld.sort().join(' '), held, 'held');
+    const stillBlocked = [...fixture.jobs.keys()].filter((id) =>
+      fixture.graph.isBlockedOnDependencies(id),
+    );
+    assert.equal(stillBlocked.sort().join(' '), blocked, 'blocked');
   });
 }
 
-test('what a job inherits follows those that need it, and falls when they are over', () => {
-  const records = new Records();
-  const { graph } = records;
-  records.note('a', 'open');
-  records.note('b', 'open', ['a']);
+test('an inherited rank follows the dependents of a job and falls when they end', () => {
+  const fixture = new GraphFixture();
+  const { graph } = fixture;
+  fixture.applyState('a', 'open');
+  fixture.applyState('b', 'open', ['a']);
   assert.equal(graph.inheritedRank('a'), 0);
-  records.note('c', 'open', ['b'], 2);
+  fixture.applyState('c', 'open', ['b'], 2);
   assert.deepEqual([graph.inheritedRank('a'), graph.inheritedRank('b')], [2, 2]);
-  records.note('d', 'open', ['a'], 1);
-  records.note('c', 'cancelled');
+  fixture.applyState('d', 'open', ['a'], 1);
+  fixture.applyState('c', 'cancelled');
   assert.deepEqual([graph.inheritedRank('a'), graph.inheritedRank('b')], [1, -Infinity]);
-  records.note('a', 'done');
+  fixture.applyState('a', 'done');
   assert.equal(graph.inheritedRank('a'), -Infinity);
 });
 
-test('long chains and wide jobs cost work in proportion to the change', () => {
+test('the cost of a change in long chains and wide fan-ins is proportional to the change', () => {
   const LENGTH = 3000;
-  const chain = new Records();
-  for (let i = 0; i < LENGTH; i++) chain.note(`j${i}`, 'open', i === 0 ? [] : [`j${i - 1}`]);
-  chain.rankings = 0;
-  chain.note('last', 'open', [`j${LENGTH - 1}`], 2);
-  assert.equal(chain.rankings, LENGTH, 'each is ranked once');
-  chain.note('j0', 'cancelled');
-  assert.equal(chain.doomed.length, LENGTH);
-  const wide = new Records();
+  const chain = new GraphFixture();
+  for (let i = 0; i < LENGTH; i++) chain.applyState(`j${i}`, 'open', i === 0 ? [] : [`j${i - 1}`]);
+  chain.rankChanges = 0;
+  chain.applyState('last', 'open', [`j${LENGTH - 1}`], 2);
+  assert.equal(chain.rankChanges, LENGTH, 'each job is re-ranked once');
+  chain.applyState('j0', 'cancelled');
+  assert.equal(chain.dependencyCancelled.length, LENGTH);
+  const wide = new GraphFixture();
   const first = Array.from({ length: LENGTH }, (_, i) => `f${i}`);
-  for (const id of first) wide.note(id, 'open');
-  wide.note('join', 'open', first);
-  for (let i = 0; i < LENGTH; i++) wide.note(`g${i}`, 'open', ['join']);
-  for (const id of first) wide.note(id, 'done');
-  wide.note('join', 'done');
+  for (const id of first) wide.applyState(id, 'open');
+  wide.applyState('join', 'open', first);
+  for (let i = 0; i < LENGTH; i++) wide.applyState(`g${i}`, 'open', ['join']);
+  for (const id of first) wide.applyState(id, 'done');
+  wide.applyState('join', 'done');
   assert.equal(wide.released.length, LENGTH + 1);
 });
 
-/** What the stored states say by definition, without any bookkeeping. */
-function expected(jobs: ReadonlyMap<string, Job>, id: string): { held: boolean; doomed: boolean } {
+/** The expected result according to the definition, computed from the stored states without any bookkeeping. */
+function expected(
+  jobs: ReadonlyMap<string, Job>,
+  id: string,
+): { blocked: boolean; dependencyCancelled: boolean } {
   const job = jobs.get(id);
-  if (job === undefined || job.state !== 'open') return { held: false, doomed: false };
-  const isDoomed = job.needs.some((need) => {
-    return jobs.get(need)?.state === 'cancelled' || expected(jobs, need).doomed;
+  if (job === undefined || job.state !== 'open')
+    return { blocked: false, dependencyCancelled: false };
+  const hasCancelledDependency = job.dependencies.some((dependency) => {
+    return (
+      jobs.get(dependency)?.state === 'cancelled' || expected(jobs, dependency).dependencyCancelled
+    );
   });
-  const isHeld = job.needs.some((need) => jobs.get(need)?.state !== 'done');
-  return { held: isHeld, doomed: isDoomed };
+  const isBlocked = job.dependencies.some((dependency) => jobs.get(dependency)?.state !== 'done');
+  return { blocked: isBlocked, dependencyCancelled: hasCancelledDependency };
 }
 
-test('random histories in any order come to what the stored states say', () => {
+test('random histories in any order produce the expected result', () => {
   const random = seededRandom(11);
   for (let round = 0; round < 200; round++) {
-    const records = new Records();
+    const fixture = new GraphFixture();
     const ids = Array.from({ length: 12 }, (_, i) => `j${i}`);
-    const needs = new Map(
+    const dependencies = new Map(
       ids.map((id, i) => [id, ids.slice(0, i).filter(() => random() < 0.25)] as const),
     );
     const unread = [...ids].sort(() => random() - 0.5);
     for (let step = 0; step < 40; step++) {
-      const open = [...records.jobs].filter(([, job]) => job.state === 'open');
+      const open = [...fixture.jobs].filter(([, job]) => job.state === 'open');
       const id = unread.pop();
-      if (id !== undefined && random() < 0.6) records.note(id, 'open', needs.get(id));
+      if (id !== undefined && random() < 0.6) fixture.applyState(id, 'open', dependencies.get(id));
       else {
         if (id !== undefined) unread.push(id);
         const [over] = open[Math.floor(random() * open.length)] ?? [];
         if (over === undefined) continue;
-        const mayBeDone = !expected(records.jobs, over).held;
-        records.note(over, mayBeDone && random() < 0.7 ? 'done' : 'cancelled');
+        const mayBeDone = !expected(fixture.jobs, over).blocked;
+        fixture.applyState(over, mayBeDone && random() < 0.7 ? 'done' : 'cancelled');
       }
-      for (const known of records.jobs.keys()) {
-        const { held, doomed } = expected(records.jobs, known);
+      for (const known of fixture.jobs.keys()) {
+        const { blocked, dependencyCancelled } = expected(fixture.jobs, known);
         assert.equal(
-          records.graph.isBlockedOnDependencies(known),
-          held,
+          fixture.graph.isBlockedOnDependencies(known),
+          blocked,
           `${known} in round ${round}`,
         );
         assert.equal(
-          records.graph.dependencyCancelledAt(known) !== null,
-          doomed,
+          fixture.graph.dependencyCancelledAt(known) !== null,
+          dependencyCancelled,
           `${known} in round ${round}`,
         );
       }
--- a/test/pipelines/pipelines.test.ts
+++ b/test/pipelines/pipelines.test.ts
@@ -1,4 +1,4 @@
-/** Jobs that wait for others, on whole controllers: nothing starts too early, and what is cancelled takes along what needs it. */
+/** Dependent jobs on complete controllers: none starts too early, and a cancelled job cancels all that depend on it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
@@ -9,8 +9,8 @@
 const startsOf = (cluster: Cluster, id: string): number =>
   cluster.cloud.starts.filter((task) => task.startsWith(`${id}/`)).length;
 
-/** What a node says of a job: its state, or the status of an answer without one. */
-async function told(cluster: Cluster, label: string, id: string): Promise<string | number> {
+/** A node's answer about a job: its state, or the HTTP status of an answer without a state. */
+async function answerOf(cluster: Cluster, label: string, id: string): Promise<string | number> {
   const answer = await cluster.call(label, 'GET', `/v1/jobs/${id}`);
   return answer.status === 200 ? (answer.body as { Status: string }).Status : answer.status;
 }
@@ -21,8 +21,8 @@
     return (answer.body as { Status?: string }).Status === 'cancelled';
   });
 
-/** Three stages, each at another node: the first runs until it is cancelled, or for a while. */
-async function chain(cluster: Cluster): Promise<void> {
+/** Submits three stages, each at another node; the run time of the first is up to the cluster. */
+async function submitChain(cluster: Cluster): Promise<void> {
   await accept(cluster, 'drone-0', submission(FIRST, { Pieces: 2 }));
   await accept(cluster, 'drone-1', submission(SECOND, { WaitsOn: [FIRST] }));
   await accept(cluster, 'drone-2', submission(THIRD, { WaitsOn: [SECOND, FIRST, SECOND] }));
@@ -30,20 +30,20 @@
 
 const endless = (task: string): number => (task.startsWith(FIRST) ? Infinity : 0.2);
 
-test('stages run one after the other, wherever they were submitted', () =>
+test('stages run one after another, regardless of the nodes they were submitted at', () =>
   withCluster({ nodes: 3, runs: () => 0.5 }, async (cluster) => {
     const order: string[] = [];
     cluster.cloud.watch = {
       started: (task) => order.push(`${task} starts`),
       left: (task) => order.push(`${task} ends`),
     };
-    await chain(cluster);
+    await submitChain(cluster);
     const waiting = await status(cluster, 'drone-2', THIRD);
     assert.equal(waiting.Status, 'queued');
     assert.match(waiting.Reason ?? '', /waits for \d job\(s\) to be done first: .*wk-00090/);
     for (const label of cluster.nodes.keys()) {
       await until(`all are done at ${label}`, async () => {
-        return (await told(cluster, label, THIRD)) === 'done';
+        return (await answerOf(cluster, label, THIRD)) === 'done';
       });
     }
     for (const [before, after] of [
@@ -54,38 +54,38 @@
       const firstStart = order.findIndex((e) => e.startsWith(after) && e.endsWith('starts'));
       assert.ok(lastEnd < firstStart, `${after} after ${before}: ${order.join(', ')}`);
     }
-    // Jobs that are over are named like any other.
+    // Jobs that have ended may be named as dependencies, too.
     await accept(cluster, 'drone-1', submission('wk-000904', { WaitsOn: [FIRST, THIRD] }));
     await until(
-      'it runs at once',
-      async () => (await told(cluster, 'drone-0', 'wk-000904')) === 'done',
+      'the job runs immediately',
+      async () => (await answerOf(cluster, 'drone-0', 'wk-000904')) === 'done',
     );
   }));
 
-test('a cancelled job takes along all that need it, also what is submitted later', () =>
+test('a cancelled job cancels all that depend on it, including jobs submitted later', () =>
   withCluster({ nodes: 3, runs: endless }, async (cluster) => {
-    await chain(cluster);
+    await submitChain(cluster);
     await cancel(cluster, 'drone-1', FIRST);
     for (const id of [SECOND, THIRD]) {
       for (const label of cluster.nodes.keys()) {
         await until(`${id} is cancelled at ${label}`, async () => {
-          return (await told(cluster, label, id)) === 'cancelled';
+          return (await answerOf(cluster, label, id)) === 'cancelled';
         });
       }
     }
     const late = submission('wk-000904', { WaitsOn: [SECOND] });
     const answer = await settled(cluster, 'drone-0', 'POST', '/v1/jobs', late);
     assert.ok(answer.status === 201 || answer.status === 200);
-    await until('it is cancelled too', async () => {
-      return (await told(cluster, 'drone-2', 'wk-000904')) === 'cancelled';
+    await until('the late job is cancelled, too', async () => {
+      return (await answerOf(cluster, 'drone-2', 'wk-000904')) === 'cancelled';
     });
     for (const id of [SECOND, THIRD, 'wk-000904']) assert.equal(startsOf(cluster, id), 0, id);
   }));
 
-test('a job that names what can never be done is refused, and an accepted one never', () =>
+test('a job with a dependency that can never be done is refused, but an accepted job never is', () =>
   withCluster({ nodes: 3, runs: endless }, async (cluster) => {
     await accept(cluster, 'drone-0', submission('wk-000911', service));
-    await chain(cluster);
+    await submitChain(cluster);
     const cases: [string, unknown, number][] = [
       ['an unknown job', ['wk-999999'], 422],
       ['a known and an unknown one', [FIRST, 'wk-999999'], 422],
@@ -101,12 +101,12 @@
         name,
       );
     }
-    // A repetition is answered as such, whatever it names now.
+    // A repetition of an accepted submission is answered as such, whichever dependencies it names.
     for (const label of cluster.nodes.keys()) {
       const again = submission(SECOND, { WaitsOn: ['wk-999999'] });
       assert.equal((await settled(cluster, label, 'POST', '/v1/jobs', again)).status, 200);
     }
-    // A node that has not heard of the others yet asks the store.
+    // A node that does not know the dependency yet asks the state service.
     cluster.state.unwatched.add('drone-2');
     await accept(cluster, 'drone-0', submission('wk-000913'));
     const next = submission('wk-000914', { WaitsOn: ['wk-000913'] });
@@ -116,7 +116,7 @@
     const known = await settled(cluster, 'drone-2', 'POST', '/v1/jobs', repeated);
     assert.equal(known.status, 200);
     cluster.state.unwatched.clear();
-    // That a job was never accepted can't be told without the store.
+    // Without the state service, a node cannot tell that a job was never accepted.
     cluster.state.refused.add('*');
     const answer = await cluster.call(
       'drone-1',
@@ -128,55 +128,55 @@
     cluster.state.refused.clear();
   }));
 
-test('the owner of a waiting job ends when the job before it is done', () =>
+test("the leader of a waiting job's home shard crashes when the dependency is done", () =>
   withCluster({ nodes: 3, runs: () => 0.8 }, async (cluster) => {
-    await chain(cluster);
+    await submitChain(cluster);
     await until(
       'the first is done',
-      async () => (await told(cluster, 'drone-0', FIRST)) === 'done',
+      async () => (await answerOf(cluster, 'drone-0', FIRST)) === 'done',
     );
     cluster.crash('drone-1');
     await takenOver(cluster, 'drone-1');
     await until(
       'the last is done',
-      async () => (await told(cluster, 'drone-0', THIRD)) === 'done',
+      async () => (await answerOf(cluster, 'drone-0', THIRD)) === 'done',
       30,
     );
     assert.ok(startsOf(cluster, SECOND) >= 3);
   }));
 
-/** What keeps nodes from hearing that the first job was cancelled, or from storing that the others are. */
-const deafness: {
+/** Failures that keep nodes from learning that the first job is cancelled, or from storing that the others are. */
+const failures: {
   name: string;
   before?: (cluster: Cluster) => void;
   after?: (cluster: Cluster) => void;
 }[] = [
-  { name: 'the store is out for all', after: (c) => void c.state.refused.add('*') },
+  { name: 'the state service refuses all nodes', after: (c) => void c.state.refused.add('*') },
   {
-    name: 'the store refuses the owner of the next job',
+    name: "the state service refuses the leader of the next job's home shard",
     before: (c) => void c.state.refused.add('drone-1'),
   },
   {
-    name: 'the owner of the next job is told of no change',
+    name: "the watch of the leader of the next job's home shard is stalled",
     before: (c) => void c.state.unwatched.add('drone-1'),
   },
 ];
 
-for (const { name, before, after } of deafness) {
-  test(`a job is cancelled, and ${name}: nobody calls the next one open for long`, () =>
+for (const { name, before, after } of failures) {
+  test(`a job is cancelled, and ${name}: no node reports the next one as open for long`, () =>
     withCluster({ nodes: 3, runs: endless }, async (cluster) => {
-      await chain(cluster);
+      await submitChain(cluster);
       await until('the first runs', () => startsOf(cluster, FIRST) === 2);
       before?.(cluster);
       await cancel(cluster, 'drone-0', FIRST);
       after?.(cluster);
-      // The users of these clusters are promised five seconds.
+      // Cancellations take effect within five seconds in these clusters.
       await pause(5);
       for (let i = 0; i < 5; i++) {
         for (const label of cluster.nodes.keys()) {
           for (const id of [SECOND, THIRD]) {
-            const said = await told(cluster, label, id).catch(() => 503);
-            assert.ok(said === 'cancelled' || said === 503, `${label} says ${said} of ${id}`);
+            const answer = await answerOf(cluster, label, id).catch(() => 503);
+            assert.ok(answer === 'cancelled' || answer === 503, `${label} says ${answer} of ${id}`);
           }
         }
         await pause(0.2);
@@ -186,14 +186,14 @@
       for (const id of [SECOND, THIRD]) {
         await until(
           `${id} is cancelled`,
-          async () => (await told(cluster, 'drone-1', id)) === 'cancelled',
+          async () => (await answerOf(cluster, 'drone-1', id)) === 'cancelled',
         );
         assert.equal(startsOf(cluster, id), 0);
       }
     }));
 }
 
-test('a job that is submitted while the one it needs is being cancelled is cancelled too', () =>
+test('a job that is submitted while its dependency is being cancelled is cancelled, too', () =>
   withCluster({ nodes: 3, runs: endless }, async (cluster) => {
     await accept(cluster, 'drone-0', submission(FIRST, { Pieces: 2 }));
     const ids = Array.from({ length: 6 }, (_, i) => `wk-00092${i}`);
@@ -203,29 +203,32 @@
     await Promise.all([cancel(cluster, 'drone-1', FIRST), ...submitted]);
     for (const id of ids) {
       await until(`${id} is cancelled`, async () => {
-        return (await told(cluster, 'drone-2', id)) === 'cancelled';
+        return (await answerOf(cluster, 'drone-2', id)) === 'cancelled';
       });
       assert.equal(startsOf(cluster, id), 0, id);
     }
   }));
 
-test('a cancellation that meets the end of a job: done, and the next goes on, or both are cancelled', () =>
+test('a cancellation at the end of a job: the job is done and the next one runs, or both are cancelled', () =>
   withCluster({ nodes: 3, runs: () => 0.4 }, async (cluster) => {
     const pairs = Array.from({ length: 5 }, (_, i) => [`wk-00093${i}`, `wk-00094${i}`]);
     for (const [i, [first, next]] of pairs.entries()) {
       await accept(cluster, 'drone-0', submission(first, { Pieces: 1 }));
       await accept(cluster, 'drone-1', submission(next, { Pieces: 1, WaitsOn: [first] }));
-      // Before, about and after the time that its end takes to be stored.
+      // Cancels before, around and after the time at which the end of the job is stored.
       await pause(0.3 * i);
       const path = `/v1/jobs/${first}/withdraw`;
       const answer = await settled(cluster, 'drone-2', 'POST', path);
       const end = (answer.body as { Status: string }).Status;
-      await until(`${next} is ${end}`, async () => (await told(cluster, 'drone-0', next)) === end);
+      await until(
+        `${next} is ${end}`,
+        async () => (await answerOf(cluster, 'drone-0', next)) === end,
+      );
       assert.equal(startsOf(cluster, next), end === 'done' ? 1 : 0, `${next} is ${end}`);
     }
   }));
 
-test('stages on both sides of a cut: the next starts once the end of the one before is stored', () =>
+test('stages on both sides of a partition: the next one starts once the end of the previous one is stored', () =>
   withCluster({ nodes: 2, zones: ['a', 'b'], runs: () => 0.6 }, async (cluster) => {
     await accept(cluster, 'drone-1', submission(FIRST, { Pieces: 2, Yard: 'b' }));
     await accept(
@@ -241,14 +244,17 @@
       return record.state === 'done';
     };
     for (let i = 0; i < 40; i++) {
-      assert.ok(isStored() || startsOf(cluster, SECOND) === 0, 'too early');
+      assert.ok(
+        isStored() || startsOf(cluster, SECOND) === 0,
+        'the next stage started before the end of the previous one was stored',
+      );
       await pause(0.05);
     }
     cluster.apart.clear();
     cluster.state.refused.clear();
     await until(
       'both are done',
-      async () => (await told(cluster, 'drone-0', SECOND)) === 'done',
+      async () => (await answerOf(cluster, 'drone-0', SECOND)) === 'done',
       40,
     );
     assert.equal(startsOf(cluster, SECOND), 2);
--- a/test/pipelines/staleCopy.test.ts
+++ b/test/pipelines/staleCopy.test.ts
@@ -1,4 +1,4 @@
-/** What a node whose copy stood still may say of jobs that wait for others. */
+/** What a node with a stale cache may report about jobs that wait for others. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Pipelines } from '../../src/coordination/pipelines/pipelines.js';
@@ -7,7 +7,7 @@
 
 const CANCELLATION_TIMEOUT_S = 60;
 
-class StaleCopy {
+class StaleCacheNode {
   now = 100;
   readonly stateCache = {
     get: (key: string) => this.rows.get(key),
@@ -27,8 +27,8 @@
   });
   private readonly rows = new Map<string, { value: JobRecord; revision: number }>();
 
-  /** A change reaches the copy, which shows all that was stored until now. */
-  hear(id: string, state: 'open' | 'cancelled', dependencies: string[] = []): void {
+  /** Delivers a record to the cache, which then shows everything stored until now. */
+  deliverRecord(id: string, state: 'open' | 'cancelled', dependencies: string[] = []): void {
     const open = {
       ...{ spec: spec({ id, dependencies }), homeShard: 'p', state: 'open', taskCount: 1 },
       ...{ submittedAt: 1, chunkSize: 8, zones: [], createdChunks: 1 },
@@ -44,13 +44,13 @@
 }
 
 test('a job is not called open by a node that hears late, after an outage, that a job before it was cancelled', () => {
-  const copy = new StaleCopy();
-  copy.hear('wk-1', 'open');
-  copy.hear('wk-2', 'open', ['wk-1']);
-  assert.equal(copy.pipelines.mayCallOpen('wk-2'), true);
-  copy.now += CANCELLATION_TIMEOUT_S + 1;
-  assert.equal(copy.pipelines.mayCallOpen('wk-2'), false, 'its copy is too old');
-  // It may have been cancelled, and its user been told, when the copy had just stopped.
-  copy.hear('wk-1', 'cancelled');
-  assert.equal(copy.pipelines.mayCallOpen('wk-2'), false);
+  const node = new StaleCacheNode();
+  node.deliverRecord('wk-1', 'open');
+  node.deliverRecord('wk-2', 'open', ['wk-1']);
+  assert.equal(node.pipelines.mayReportOpen('wk-2'), true);
+  node.now += CANCELLATION_TIMEOUT_S + 1;
+  assert.equal(node.pipelines.mayReportOpen('wk-2'), false, 'its cache is too old');
+  // The job may have been cancelled, and its user told, just after the cache was last updated.
+  node.deliverRecord('wk-1', 'cancelled');
+  assert.equal(node.pipelines.mayReportOpen('wk-2'), false);
 });
