--- a/src/protocol/cloudProtocol.ts
+++ b/src/protocol/cloudProtocol.ts
@@ -1,14 +1,14 @@
-/** The cloud's interface. */
+/** Messages and paths of the cloud's HTTP API. */
 import * as v from 'valibot';
 
-/** A kind of machine that the cloud offers, with what it holds and costs an hour. */
+/** A machine type that the cloud offers, with its capacity and its price per hour. */
 export interface MachineType {
   name: string;
   cpus: number;
   gpus: number;
   memoryGb: number;
   fetchGbPerSecond: number;
-  /** Room for cached images, in GB. */
+  /** Disk space for cached images, in GB. */
   cacheGb: number;
   price: number;
   spotPrice: number;
@@ -16,7 +16,7 @@
   zones: string[];
 }
 
-/** A machine of the cloud's list; the list may be some seconds old. */
+/** A machine in the cloud's list, which may be some seconds out of date. */
 export interface ListedMachine {
   name: string;
   address: string;
@@ -27,7 +27,7 @@
   age: number;
 }
 
-const typesSchema = v.object({
+const machineTypesSchema = v.object({
   Flavours: v.array(
     v.object({
       Label: v.string(),
@@ -44,25 +44,25 @@
   ),
 });
 
-/** The machine types that an answer tells of; null where it is malformed. */
+/** Parses the list of machine types; null if it is malformed. */
 export function parseMachineTypes(raw: unknown): MachineType[] | null {
-  const result = v.safeParse(typesSchema, raw);
+  const result = v.safeParse(machineTypesSchema, raw);
   if (!result.success) return null;
-  return result.output.Flavours.map((t) => ({
-    name: t.Label,
-    cpus: t.Cores,
-    gpus: t.Accelerators,
-    memoryGb: t.MemoryGb,
-    fetchGbPerSecond: t.PullGbPerS,
-    cacheGb: t.LocalGb,
-    price: t.Hourly,
-    spotPrice: t.SpotPrice ?? t.Hourly,
-    bootSeconds: t.BootS,
-    zones: t.Yards,
+  return result.output.Flavours.map((type) => ({
+    name: type.Label,
+    cpus: type.Cores,
+    gpus: type.Accelerators,
+    memoryGb: type.MemoryGb,
+    fetchGbPerSecond: type.PullGbPerS,
+    cacheGb: type.LocalGb,
+    price: type.Hourly,
+    spotPrice: type.SpotPrice ?? type.Hourly,
+    bootSeconds: type.BootS,
+    zones: type.Yards,
   }));
 }
 
-const listSchema = v.object({
+const machineListSchema = v.object({
   Drones: v.array(
     v.object({
       Uid: v.string(),
@@ -77,35 +77,35 @@
   More: v.boolean(),
 });
 
-/** One page of the list of machines; null where it is malformed. */
+/** Parses one page of the list of machines; null if it is malformed. */
 export function parseMachineList(
   raw: unknown,
 ): { machines: ListedMachine[]; more: boolean } | null {
-  const result = v.safeParse(listSchema, raw);
+  const result = v.safeParse(machineListSchema, raw);
   if (!result.success) return null;
   return {
     more: result.output.More,
-    machines: result.output.Drones.map((m) => ({
-      name: m.Uid,
-      address: m.Address ?? '',
-      type: m.Flavour,
-      zone: m.Yard,
-      spot: m.Loaners,
-      status: m.Status,
-      age: m.AgeS,
+    machines: result.output.Drones.map((machine) => ({
+      name: machine.Uid,
+      address: machine.Address ?? '',
+      type: machine.Flavour,
+      zone: machine.Yard,
+      spot: machine.Loaners,
+      status: machine.Status,
+      age: machine.AgeS,
     })),
   };
 }
 
-const rentedSchema = v.object({ Drones: v.array(v.string()) });
+const rentedMachinesSchema = v.object({ Drones: v.array(v.string()) });
 
-/** The names of the machines that a request brought; null where the answer is malformed. */
+/** Parses the names of the machines that a request has rented; null if the answer is malformed. */
 export function parseRentedMachines(raw: unknown): string[] | null {
-  const result = v.safeParse(rentedSchema, raw);
+  const result = v.safeParse(rentedMachinesSchema, raw);
   return result.success ? result.output.Drones : null;
 }
 
-/** A request for machines of one kind; the cloud answers a repeat of `ask` with the same machines. */
+/** A request for machines of one type; the cloud answers a repeated `idempotencyKey` with the same machines. */
 export interface RentalRequest {
   idempotencyKey: string;
   type: string;
@@ -115,12 +115,12 @@
 }
 
 /** The body of a request for machines. */
-export const rentalRequest = (ask: RentalRequest): Record<string, unknown> => ({
-  Ask: ask.idempotencyKey,
-  Flavour: ask.type,
-  Yard: ask.zone,
-  Loaners: ask.spot,
-  Number: ask.count,
+export const rentalRequest = (request: RentalRequest): Record<string, unknown> => ({
+  Ask: request.idempotencyKey,
+  Flavour: request.type,
+  Yard: request.zone,
+  Loaners: request.spot,
+  Number: request.count,
 });
 
 /** The body of a release of machines. */
@@ -135,9 +135,9 @@
     `/rentals?${from === '' ? '' : `From=${encodeURIComponent(from)}&`}Page=${page}`,
 };
 
-/** Machines on one page of the list. */
+/** Number of machines on one page of the list. */
 export const LIST_PAGE_SIZE = 500;
-/** Machines that one request may ask for. */
+/** Maximum number of machines in one rental request. */
 export const MAX_RENTAL_COUNT = 50;
-/** Machines that one release may name. */
+/** Maximum number of machines in one release request. */
 export const MAX_RELEASE_COUNT = 100;
--- a/src/protocol/job.ts
+++ b/src/protocol/job.ts
@@ -1,12 +1,12 @@
-/** Jobs as users submit them, and as the rest of the program knows them. */
+/** Jobs in the form that users submit, and in the form that the rest of the program uses. */
 import * as v from 'valibot';
 
 /** The priority class of a job. */
 export type Rank = 'prod' | 'high' | 'normal' | 'idle';
-/** Larger goes first. */
+/** Numeric ranks; a larger one goes first. */
 export const rankOrder: Record<Rank, number> = { prod: 3, high: 2, normal: 1, idle: 0 };
 
-/** The rank's name. */
+/** The name of a numeric rank. */
 export function rankName(order: number): Rank {
   const names = Object.keys(rankOrder) as Rank[];
   return names.find((name) => rankOrder[name] === order) ?? 'idle';
@@ -36,7 +36,7 @@
   checkpointInterval: number;
   checkpointDuration: number;
   deadline: number | null;
-  /** Jobs that have to be done before any task of this one starts. */
+  /** Jobs that must be done before any task of this one starts. */
   dependencies: string[];
 }
 
@@ -45,12 +45,12 @@
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0), v.maxValue(LIMIT));
 const name = v.pipe(v.string(), v.nonEmpty(), v.maxLength(256));
 
-/** The form of an id, which also makes it safe inside a key of the state service. */
+/** The format of a job id, which also makes it safe inside a key of the state service. */
 export const jobIdPattern = /^wk-[0-9A-Za-z_.-]{1,100}$/;
 
 const jobId = v.pipe(v.string(), v.regex(jobIdPattern));
 
-const schema = v.object({
+const submissionSchema = v.object({
   Uid: jobId,
   Jobclass: name,
   Owner: name,
@@ -74,10 +74,10 @@
   WaitsOn: v.nullish(v.array(jobId)),
 });
 
-/** A description, or what is wrong with it. */
+/** A parsed job, or the error in its description. */
 export type ParsedJob = { job: JobSpec } | { error: string };
 
-/** Checks the body of a submission; the error names the first field that is wrong. */
+/** Parses the body of a submission; the error names the first invalid field. */
 export function parseJob(body: string): ParsedJob {
   let raw: unknown;
   try {
@@ -85,41 +85,41 @@
   } catch {
     return { error: 'not JSON' };
   }
-  const result = v.safeParse(schema, raw);
+  const result = v.safeParse(submissionSchema, raw);
   if (!result.success) {
     const issue = result.issues[0];
     return { error: `${v.getDotPath(issue) ?? 'body'}: ${issue.message}` };
   }
-  const w = result.output;
+  const fields = result.output;
   return {
     job: {
-      id: w.Uid,
-      jobClass: w.Jobclass,
-      team: w.Owner,
-      isService: w.Shape === 'daemon',
-      isGang: w.Shape === 'ensemble',
-      rank: w.Rank,
-      taskCount: w.Pieces,
-      cpus: w.Cores,
-      gpus: w.Accelerators,
-      memoryGb: w.MemoryGb,
-      machineTypes: w.Flavours ?? null,
-      zone: w.Yard ?? null,
-      sameZone: w.SamePlace,
-      spreadZones: w.Apart,
-      allowsSpot: w.Loaners,
-      image: w.Bundle,
-      imageGb: w.PullGb,
-      expectedRunSeconds: w.ExpectS,
-      checkpointInterval: w.SnapshotS,
-      checkpointDuration: w.FlushS,
-      deadline: w.DueS ?? null,
-      dependencies: [...new Set(w.WaitsOn)],
+      id: fields.Uid,
+      jobClass: fields.Jobclass,
+      team: fields.Owner,
+      isService: fields.Shape === 'daemon',
+      isGang: fields.Shape === 'ensemble',
+      rank: fields.Rank,
+      taskCount: fields.Pieces,
+      cpus: fields.Cores,
+      gpus: fields.Accelerators,
+      memoryGb: fields.MemoryGb,
+      machineTypes: fields.Flavours ?? null,
+      zone: fields.Yard ?? null,
+      sameZone: fields.SamePlace,
+      spreadZones: fields.Apart,
+      allowsSpot: fields.Loaners,
+      image: fields.Bundle,
+      imageGb: fields.PullGb,
+      expectedRunSeconds: fields.ExpectS,
+      checkpointInterval: fields.SnapshotS,
+      checkpointDuration: fields.FlushS,
+      deadline: fields.DueS ?? null,
+      dependencies: [...new Set(fields.WaitsOn)],
     },
   };
 }
 
-/** What users are told of a job. */
+/** A job's status as users see it. */
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
 /** A job's state as one node sees it. */
@@ -127,11 +127,11 @@
   status: JobStatus;
   done: number;
   running: number;
-  /** In plain words, what the job waits for. */
+  /** What the job waits for, as sentences for users. */
   reason: string | null;
 }
 
-/** The answer to a question about a job. */
+/** The answer to a query for a job's state. */
 export const jobViewAnswer = (id: string, view: JobView): Record<string, unknown> => ({
   Uid: id,
   Status: view.status,
@@ -140,14 +140,14 @@
   ...(view.reason === null ? {} : { Reason: view.reason }),
 });
 
-const toldJob = v.object({
+const jobAnswerSchema = v.object({
   Uid: jobId,
   Status: v.picklist(['queued', 'running', 'done', 'cancelled']),
 });
 
-/** Which job an answer tells of and what it says, for an answer that a peer has passed on; null: it is none. */
+/** Parses a peer's answer about a job into its id and status; null if it is malformed. */
 export function parseJobAnswer(body: unknown): { id: string; status: JobStatus } | null {
-  const result = v.safeParse(toldJob, body);
+  const result = v.safeParse(jobAnswerSchema, body);
   return result.success ? { id: result.output.Uid, status: result.output.Status } : null;
 }
 
--- a/src/protocol/overview.ts
+++ b/src/protocol/overview.ts
@@ -1,11 +1,11 @@
-/** The answer of `/v1/overview`, which `barrowlb status` prints. Its names are part of the interface and do not change. */
+/** The answer to `/v1/overview`, printed by `barrowlb status`. Its field names are part of the interface and do not change. */
 
 /** A controller's shards, queues and machines. */
 export interface Overview {
   node: string;
-  /** Whether the state service serves this node. */
+  /** Whether the node's lease at the state service is valid. */
   served: boolean;
-  /** What the audit trail has counted since the start. */
+  /** Counters of the audit trail since the process started. */
   counters?: Record<string, number>;
   parts: {
     part: string;
@@ -20,9 +20,9 @@
       zone: string;
       state: string;
       tasks: number;
-      /** Whether work may count on it, in one word; a node of an earlier version does not tell. */
+      /** Whether work can be placed on it, as a single word; absent from nodes of an earlier version. */
       availability?: string;
-      /** Seconds since the evidence for that; null where it has none. */
+      /** Age of the evidence for that, in seconds; null if there is none. */
       evidenceAge?: number | null;
     }[];
   }[];
--- a/src/protocol/peerCodec.ts
+++ b/src/protocol/peerCodec.ts
@@ -1,4 +1,4 @@
-/** Maps messages between controllers to their wire form and back: the one place where both sets of names meet. */
+/** Converts messages between controllers to their wire form and back; only this file uses both sets of names. */
 import type { JobSpec } from './job.js';
 import type {
   EstimateRequest,
@@ -34,7 +34,7 @@
   return encodeWireRequest({ Relay: { method, target, body } });
 }
 
-/** Decodes a request of a peer; throws what Avro throws for bytes that are none. */
+/** Decodes a peer's request; throws Avro's error if the bytes are not a request. */
 export function decodeRequest(bytes: Buffer): PeerRequest {
   const request = decodeWireRequest(bytes);
   if ('Gossip' in request) return { Gossip: fromWireGossip(request.Gossip) };
@@ -58,7 +58,7 @@
   return encodeWireAnswer(answer);
 }
 
-/** Decodes a peer's answer; throws what Avro throws for bytes that are none. */
+/** Decodes a peer's answer; throws Avro's error if the bytes are not an answer. */
 export function decodeAnswer(bytes: Buffer): PeerAnswer {
   const answer = decodeWireAnswer(bytes);
   if ('Estimates' in answer) {
@@ -70,11 +70,11 @@
   return answer;
 }
 
-/** A job's description as questions to peers hold it; what it depends on is done by the time that anybody is asked. */
+/** Encodes a job's description for an estimate request, without dependencies: these are done before peers are asked. */
 export const encodeSpec = (spec: JobSpec): string =>
   JSON.stringify(toStoredSpec({ ...spec, dependencies: [] }));
 
-/** The description that a peer's question holds. */
+/** Decodes the job description of a peer's estimate request. */
 export const decodeSpec = (text: string): JobSpec =>
   fromStoredSpec({ ...(JSON.parse(text) as StoredJobSpec), waitsOn: [] });
 
--- a/src/protocol/peerMessages.ts
+++ b/src/protocol/peerMessages.ts
@@ -1,6 +1,6 @@
-/** What controllers tell and ask each other, as the rest of the program knows it. `peerCodec.ts` maps it to the wire. */
+/** Messages between controllers in the form that the program uses. `peerCodec.ts` converts them to the wire form. */
 
-/** Work of one shape that a shard cannot place now. */
+/** Tasks with equal requirements that a shard cannot place now. */
 export interface Demand {
   shard: string;
   cpus: number;
@@ -14,56 +14,56 @@
   image: string;
   imageGb: number;
   count: number;
-  /** Replicas wait for it: what boots soon is worth its price. */
+  /** Service replicas wait: machines that boot sooner are worth a higher price. */
   isUrgent: boolean;
-  /** Tasks of batch work that could not be through in time otherwise: dear machines may be rented. */
+  /** Number of batch tasks that would miss their objective otherwise: on-demand machines may be rented for them. */
   onDemandCount: number;
-  /** Expected run time of one task, corrected. */
+  /** Expected run time of one task, corrected by the measured run times of its class. */
   expectedRunSeconds: number;
 }
 
-/** What a controller tells its peers several times a heartbeat interval. */
+/** State that a controller sends to its peers several times per heartbeat interval. */
 export interface Gossip {
   sender: string;
-  /** Tells one start of the sender from the next. */
+  /** Identifies one run of the sending process. */
   process: string;
-  /** Rises with each message of a process. */
+  /** Increases with each message of a process. */
   sequence: number;
-  /** Time of day at which it was sent: a cut may hold it back for minutes. */
+  /** Wall-clock time of sending: a network partition may delay a message for minutes. */
   sentAt: number;
-  /** What the sender asks of the state service, a second. */
+  /** Requests and writes per second that the sender needs from the state service. */
   stateDemand: { requests: number; writes: number };
-  /** True while the sender's lease at the state service is valid by its own clock. */
+  /** True while the sender's lease at the state service is valid by its own clock and it is not draining. */
   isServed: boolean;
   shards: {
     shard: string;
     fencingToken: number;
     utilisation: number;
     waiting: number;
-    /** Processors on ordinary machines that live services have not taken. */
+    /** CPUs of on-demand machines that are not used by live services. */
     serviceHeadroom: number;
   }[];
   demands: Demand[];
-  /** Machines that may be returned. */
+  /** Idle machines that may be released. */
   idleMachines: string[];
-  /** Machines that are silent and should be ended, so that their tasks are known to be over. */
+  /** Machines that are presumed lost and should be ended, so that their tasks are known to have terminated. */
   lostMachines: string[];
-  /** What teams' tasks take at the sender's shards. */
+  /** Resources that teams' tasks use at the sender's shards. */
   teamUsage: { team: string; cpus: number; gpus: number }[];
-  /** Teams whose share of the limit is too small for what waits here. */
+  /** Teams whose share of the team's limit is too small for the tasks waiting at the sender. */
   throttledTeams: string[];
-  /** The first job of each team that its limit has kept waiting for long. */
+  /** The first job of each team that has been waiting for a long time because of the team's limit. */
   starvedJobs: { team: string; submittedAt: number; rank: number }[];
 }
 
-/** A question for the turnaround of so many tasks of a job; `spec` is `encodeSpec` of its description. */
+/** A request to estimate the turnaround of `tasks` tasks of a job; `spec` is its description, encoded by `encodeSpec`. */
 export interface EstimateRequest {
   spec: string;
   zone: string | null;
   tasks: number;
 }
 
-/** What one shard expects of a job, in seconds (PAPER III.A); `utilisation` is the share of its processors that are in use. */
+/** Expected wait and turnaround at a shard, in seconds (PAPER III.A); `utilisation` is the share of its CPUs in use. */
 export interface TurnaroundEstimate {
   shard: string;
   wait: number;
@@ -71,21 +71,21 @@
   utilisation: number;
 }
 
-/** A job is about to be cancelled: its tasks are ended and none is started. */
+/** Announces that a job is about to be cancelled: its tasks are to be stopped and none may be started. */
 export interface CancellationNotice {
   job: string;
-  /** Time of day at which it was sent: a cut may hold it back for minutes. */
+  /** Wall-clock time of sending: a network partition may delay a message for minutes. */
   sentAt: number;
 }
 
-/** A chunk that runs no more, at the owner of its shard. */
+/** A chunk whose tasks the leader of its shard has stopped for a cancellation. */
 export interface PreparedChunk {
   index: number;
   shard: string;
   fencingToken: number;
 }
 
-/** A request of a user or a worker, passed on to the node that can answer it. */
+/** A request of a user or a worker, relayed to the node that can answer it. */
 export interface Relay {
   method: string;
   target: string;
@@ -99,13 +99,13 @@
   retryAfter: number | null;
 }
 
-/** A request on the link between controllers. */
+/** A request on the connection between controllers. */
 export type PeerRequest =
   | { Gossip: Gossip }
   | { Ask: EstimateRequest }
   | { Relay: Relay }
   | { PrepareCancel: CancellationNotice };
-/** The answer to a request on the link between controllers. */
+/** The answer to a request on the connection between controllers. */
 export type PeerAnswer =
   | { Noted: Record<string, never> }
   | { Estimates: { of: TurnaroundEstimate[] } }
--- a/src/protocol/peerWire.ts
+++ b/src/protocol/peerWire.ts
@@ -1,10 +1,10 @@
 /**
- * The wire form of the messages between controllers: Avro records whose names are those of the version in production and
- * never change.
+ * The wire form of the messages between controllers: Avro records whose names are those that the version in production
+ * uses. They never change.
  */
 import avro from 'avsc';
 
-/** Work of one shape that a shard cannot place now. */
+/** Wire form of `Demand`. */
 export interface WireDemand {
   part: string;
   cpus: number;
@@ -61,20 +61,20 @@
   utilisation: number;
 }
 
-/** A job is about to be cancelled: its tasks are ended and none is started. */
+/** Wire form of `CancellationNotice`. */
 export interface WirePrepareCancel {
   job: string;
   at: number;
 }
 
-/** A chunk that runs no more, at the owner of its shard. */
+/** Wire form of `PreparedChunk`. */
 export interface WirePreparedChunk {
   index: number;
   part: string;
   token: number;
 }
 
-/** A request of a user or a worker, passed on to the node that can answer it. */
+/** Wire form of `Relay`. */
 export interface WireRelay {
   method: string;
   target: string;
@@ -88,14 +88,14 @@
   retryAfter: number | null;
 }
 
-/** A request on the peer link: one branch of the Avro union, by its name. */
+/** A request on the connection between peers: one branch of the Avro union, under its name. */
 export type WireRequest =
   | { Gossip: WireGossip }
   | { Ask: WireAsk }
   | { Relay: WireRelay }
   | { PrepareCancel: WirePrepareCancel };
 
-/** An answer on the peer link. */
+/** An answer on the connection between peers. */
 export type WireAnswer =
   | { Noted: Record<string, never> }
   | { Estimates: { of: WireEstimate[] } }
@@ -107,7 +107,7 @@
 const record = (name: string, fields: unknown[]): unknown => ({ type: 'record', name, fields });
 const list = (items: unknown): unknown => ({ type: 'array', items });
 
-const gossip = record('Gossip', [
+const gossipSchema = record('Gossip', [
   field('from', 'string'),
   field('process', 'string'),
   field('sequence', 'long'),
@@ -164,12 +164,12 @@
     ),
   ),
 ]);
-const ask = record('Ask', [
+const askSchema = record('Ask', [
   field('spec', 'string'),
   field('zone', nullable('string')),
   field('tasks', 'int'),
 ]);
-const estimates = record('Estimates', [
+const estimatesSchema = record('Estimates', [
   field(
     'of',
     list(
@@ -182,19 +182,22 @@
     ),
   ),
 ]);
-const relay = record('Relay', [
+const relaySchema = record('Relay', [
   field('method', 'string'),
   field('target', 'string'),
   field('body', 'string'),
 ]);
-const relayed = record('Relayed', [
+const relayedSchema = record('Relayed', [
   field('status', 'int'),
   field('body', 'string'),
   field('retryAfter', nullable('double')),
 ]);
-const noted = record('Noted', []);
-const prepareCancel = record('PrepareCancel', [field('job', 'string'), field('at', 'double')]);
-const preparedChunks = record('PreparedChunks', [
+const notedSchema = record('Noted', []);
+const prepareCancelSchema = record('PrepareCancel', [
+  field('job', 'string'),
+  field('at', 'double'),
+]);
+const preparedChunksSchema = record('PreparedChunks', [
   field(
     'of',
     list(
@@ -208,69 +211,70 @@
 ]);
 
 const requestType = avro.Type.forSchema(
-  [gossip, ask, relay, prepareCancel] as unknown as avro.Schema,
+  [gossipSchema, askSchema, relaySchema, prepareCancelSchema] as unknown as avro.Schema,
   {
     wrapUnions: true,
   },
 );
 const answerType = avro.Type.forSchema(
-  [noted, estimates, relayed, preparedChunks] as unknown as avro.Schema,
+  [notedSchema, estimatesSchema, relayedSchema, preparedChunksSchema] as unknown as avro.Schema,
   { wrapUnions: true },
 );
 
 /** Encodes a request in Avro. */
 export const encodeWireRequest = (request: WireRequest): Buffer =>
-  requestType.toBuffer(wrap(request));
+  requestType.toBuffer(wrapNullableFields(request));
 /** Encodes an answer in Avro. */
-export const encodeWireAnswer = (answer: WireAnswer): Buffer => answerType.toBuffer(wrap(answer));
+export const encodeWireAnswer = (answer: WireAnswer): Buffer =>
+  answerType.toBuffer(wrapNullableFields(answer));
 
-// Nullable fields are unions too, which `wrapUnions` wants wrapped by their branch's name.
-function wrap(value: WireRequest | WireAnswer): unknown {
-  if ('Ask' in value) return { Ask: { ...value.Ask, zone: some(value.Ask.zone, 'string') } };
+// Nullable fields are unions, too: `wrapUnions` requires their values to be wrapped in an object with the branch's name.
+function wrapNullableFields(value: WireRequest | WireAnswer): unknown {
+  if ('Ask' in value) return { Ask: { ...value.Ask, zone: wrapValue(value.Ask.zone, 'string') } };
   if ('Relayed' in value) {
-    const retryAfter = some(value.Relayed.retryAfter, 'double');
+    const retryAfter = wrapValue(value.Relayed.retryAfter, 'double');
     return { Relayed: { ...value.Relayed, retryAfter } };
   }
   if ('Gossip' in value) {
     const demands = value.Gossip.demands.map((d) => ({
       ...d,
-      types: some(d.types, 'array'),
-      zone: some(d.zone, 'string'),
+      types: wrapValue(d.types, 'array'),
+      zone: wrapValue(d.zone, 'string'),
     }));
     return { Gossip: { ...value.Gossip, demands } };
   }
   return value;
 }
 
-const some = (value: unknown, branch: string): unknown =>
+const wrapValue = (value: unknown, branch: string): unknown =>
   value === null ? null : { [branch]: value };
 
-const plain = (value: unknown): unknown =>
+const unwrapValue = (value: unknown): unknown =>
   value === null ? null : Object.values(value as Record<string, unknown>)[0];
 
-/** Decodes a request; throws what Avro throws for bytes that are none. */
+/** Decodes a request; throws Avro's error if the bytes are not a request. */
 export function decodeWireRequest(body: Buffer): WireRequest {
   const value = requestType.fromBuffer(body) as WireRequest;
   if ('Ask' in value) {
     const { spec, tasks, zone } = value.Ask;
-    return { Ask: { spec, tasks, zone: plain(zone) as string | null } };
+    return { Ask: { spec, tasks, zone: unwrapValue(zone) as string | null } };
   }
   if ('Gossip' in value) {
     const demands = value.Gossip.demands.map((d) => ({
       ...d,
-      types: plain(d.types) as string[] | null,
-      zone: plain(d.zone) as string | null,
+      types: unwrapValue(d.types) as string[] | null,
+      zone: unwrapValue(d.zone) as string | null,
     }));
     return { Gossip: { ...value.Gossip, demands } };
   }
   return value;
 }
 
-/** Decodes an answer; throws what Avro throws for bytes that are none. */
+/** Decodes an answer; throws Avro's error if the bytes are not an answer. */
 export function decodeWireAnswer(body: Buffer): WireAnswer {
   const value = answerType.fromBuffer(body) as WireAnswer;
   if ('Relayed' in value) {
-    const retryAfter = plain(value.Relayed.retryAfter) as number | null;
+    const retryAfter = unwrapValue(value.Relayed.retryAfter) as number | null;
     return { Relayed: { ...value.Relayed, retryAfter } };
   }
   return value;
--- a/src/protocol/routes.ts
+++ b/src/protocol/routes.ts
@@ -1,17 +1,19 @@
-/** Requests of nodes, users and operators that are this service's own. */
+/** Paths of the controllers' HTTP API for workers, users and operators. */
+
+/** The path of workers' heartbeats. */
 export const heartbeatPath = '/hello';
 
-/** This service's own HTTP paths. */
+/** Paths for users, operators and health checks. */
 export const paths = {
   ready: '/ready',
   jobs: '/v1/jobs',
-  /** A job, or its cancellation. */
+  /** Matches the path of a job or of its cancellation. */
   job: /^\/v1\/jobs\/([^/]+)(?:\/(withdraw))?$/,
-  /** Ours: shards, queues and machines, for `barrowlb status`. */
+  /** Shards, queues and machines, for `barrowlb status`. */
   overview: '/v1/overview',
 };
 
-/** Ours: staged upgrades, for `barrowlb rollout` and `barrowlb drain`. */
+/** Prefix of the paths for rollouts, used by `barrowlb rollout` and `barrowlb drain`. */
 export const rolloutPath = '/v1/rollout';
 
 /** The path of one job. */
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,11 +1,11 @@
-/** The platform's settings file (TOML) and the operators' own (properties). */
+/** Reads the platform's settings file (TOML) and the operators' tuning file (properties). */
 import { readFileSync } from 'node:fs';
 import { parse as parseProperties } from 'dot-properties';
 import { parse as parseToml } from 'smol-toml';
 import * as v from 'valibot';
 import { parseAddress } from '../transport/address.js';
 
-/** A file of settings that cannot be used; the message is shown to the operator. */
+/** A settings file that cannot be used; the message is shown to the operator. */
 export class SettingsError extends Error {}
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -16,7 +16,7 @@
 );
 const name = v.pipe(v.string(), v.nonEmpty());
 
-// A chunk that moves changes two buckets and its job's record at once.
+// At least 3: migrating a chunk changes two buckets and its job's record in one transaction.
 const txnOps = v.pipe(v.number(), v.integer(), v.minValue(3));
 
 const schema = v.object({
@@ -55,7 +55,7 @@
       write_rps: positive,
       value_kb: positive,
       txn_ops: txnOps,
-      // Limits that come into force at some later moment, without notice.
+      // Limits that come into force later, without notice.
       next: v.optional(
         v.object({
           rps: v.optional(positive),
@@ -81,7 +81,7 @@
   gpusMax: number;
 }
 
-/** A service-level objective of a class of jobs: `share` of them within so many seconds. */
+/** A service-level objective of a class of jobs: a `share` of them within `within` seconds. */
 export interface Objective {
   kind: string;
   jobClass: string;
@@ -89,7 +89,7 @@
   share: number;
 }
 
-/** The platform's settings. Times in seconds, rates a second, sizes in bytes. */
+/** The platform's settings. Times are in seconds, rates per second, sizes in bytes. */
 export interface Settings {
   label: string;
   zone: string;
@@ -105,7 +105,7 @@
   heartbeatInterval: number;
   workerLease: number;
   cancellationTimeout: number;
-  /** Limits of the state service: of those in force and those to come, the smaller. */
+  /** Limits of the state service: the smaller of the current and the announced one, also for the following three fields. */
   stateRequestRate: number;
   stateWriteRate: number;
   valueBytes: number;
@@ -116,8 +116,8 @@
   cores: number;
 }
 
-/** The limit that holds now and later. */
-const smaller = (present: number, next: number | undefined): number =>
+/** The limit that is safe now and after the announced one comes into force. */
+const smallerLimit = (present: number, next: number | undefined): number =>
   Math.min(present, next ?? present);
 
 /** Reads the platform's settings from TOML; throws `SettingsError`. */
@@ -134,67 +134,71 @@
     const issue = result.issues[0];
     throw new SettingsError(`settings: ${v.getDotPath(issue) ?? 'file'}: ${issue.message}`);
   }
-  const { settings: s, ...top } = result.output;
+  const { settings, ...top } = result.output;
   return {
     label: top.label,
     zone: top.site,
     clientListen: top.client_listen,
     peerListen: top.back,
-    peers: top.peers.map((p) => ({ label: p.label, zone: p.site, endpoint: p.endpoint })),
+    peers: top.peers.map((peer) => ({
+      label: peer.label,
+      zone: peer.site,
+      endpoint: peer.endpoint,
+    })),
     cloudEndpoint: top.services.cloud,
     stateEndpoint: top.services.state,
-    zones: s.zones,
-    clockSkew: s.skew_ms / 1000,
-    teams: s.teams.map((t) => ({
-      name: t.name,
-      cpus: t.cpus,
-      cpusMax: t.cpus_max,
-      gpus: t.gpus,
-      gpusMax: t.gpus_max,
+    zones: settings.zones,
+    clockSkew: settings.skew_ms / 1000,
+    teams: settings.teams.map((team) => ({
+      name: team.name,
+      cpus: team.cpus,
+      cpusMax: team.cpus_max,
+      gpus: team.gpus,
+      gpusMax: team.gpus_max,
     })),
-    objectives: s.objectives.map((o) => ({
-      kind: o.kind,
-      jobClass: o.class,
-      within: o.within_s,
-      share: o.share,
+    objectives: settings.objectives.map((objective) => ({
+      kind: objective.kind,
+      jobClass: objective.class,
+      within: objective.within_s,
+      share: objective.share,
     })),
-    heartbeatInterval: s.workers.report_s,
-    workerLease: s.workers.lease_s,
-    cancellationTimeout: s.workers.cancel_s,
-    stateRequestRate: smaller(s.state.rps, s.state.next.rps),
-    stateWriteRate: smaller(s.state.write_rps, s.state.next.write_rps),
-    valueBytes: smaller(s.state.value_kb, s.state.next.value_kb) * 1024,
-    txnOps: smaller(s.state.txn_ops, s.state.next.txn_ops),
-    cloudRequestRate: s.cloud.rps,
-    cloudListLag: s.cloud.list_lag_s,
-    maxSockets: s.limits.fd_limit,
-    cores: s.limits.cores,
+    heartbeatInterval: settings.workers.report_s,
+    workerLease: settings.workers.lease_s,
+    cancellationTimeout: settings.workers.cancel_s,
+    stateRequestRate: smallerLimit(settings.state.rps, settings.state.next.rps),
+    stateWriteRate: smallerLimit(settings.state.write_rps, settings.state.next.write_rps),
+    valueBytes: smallerLimit(settings.state.value_kb, settings.state.next.value_kb) * 1024,
+    txnOps: smallerLimit(settings.state.txn_ops, settings.state.next.txn_ops),
+    cloudRequestRate: settings.cloud.rps,
+    cloudListLag: settings.cloud.list_lag_s,
+    maxSockets: settings.limits.fd_limit,
+    cores: settings.limits.cores,
   };
 }
 
-/** What operators may change; every value has a default, so the file is optional. */
+/** Parameters that operators may change; each has a default, so the file is optional. */
 export interface Tuning {
-  /** Wait, in seconds, under which a job stays home (DESIGN: 10 s). */
+  /** Expected wait, in seconds, below which a job stays at its home shard (DESIGN: 10 s). */
   threshold: number;
-  /** How much worse than the best answer home may be (DESIGN: 1.4). */
+  /** Factor by which the home shard's turnaround may exceed the shortest one (DESIGN: 1.4). */
   factor: number;
-  /** Answers this close count as equal (DESIGN: 1 %). */
+  /** Relative difference below which estimates count as equal (DESIGN: 1 %). */
   tolerance: number;
-  /** Seconds after which a silent peer is ignored (DESIGN: 2 s). */
+  /** Seconds after which a peer that does not answer is ignored (DESIGN: 2 s). */
   peerTimeout: number;
-  /** Machines compared at each placement. */
+  /** Number of machines compared for each placement. */
   sample: number;
-  /** Seconds that one round of decisions may take. */
+  /** Seconds that one scheduling round may take. */
   roundBudget: number;
   /** False: no job leaves its home shard. */
   migrate: boolean;
-  /** Seconds a machine stays idle before it is returned, as a ratio to its boot time. */
+  /** Time that a machine stays idle before it is released, as a ratio to its boot time. */
   idleRatio: number;
-  /** Seconds for which SIGTERM lets the node give up what it owns before it ends; 0: it ends at once. */
+  /** Seconds that a node may take after SIGTERM to relinquish its shards before it exits; 0: it exits immediately. */
   drainSeconds: number;
 }
 
-/** The tuning of a controller whose operators have set nothing. */
+/** Default values of the tuning parameters. */
 export const defaultTuning: Tuning = {
   threshold: 10,
   factor: 1.4,
@@ -207,7 +211,7 @@
   drainSeconds: 0,
 };
 
-const tuningKeys: Record<string, keyof Tuning> = {
+const tuningFields: Record<string, keyof Tuning> = {
   'migration.threshold': 'threshold',
   'migration.factor': 'factor',
   'migration.tolerance': 'tolerance',
@@ -219,11 +223,11 @@
   'drain.on.sigterm': 'drainSeconds',
 };
 
-/** Reads the operators' properties; throws `SettingsError`. */
+/** Reads the tuning parameters from properties; throws `SettingsError`. */
 export function parseTuning(text: string): Tuning {
   const properties = parseProperties(text) as Record<string, unknown>;
   const tuning: Tuning = { ...defaultTuning };
-  for (const [key, field] of Object.entries(tuningKeys)) {
+  for (const [key, field] of Object.entries(tuningFields)) {
     const value = properties[key];
     if (value === undefined) continue;
     if (field === 'migrate') {
@@ -245,7 +249,7 @@
   return tuning;
 }
 
-/** The text of a file; throws `SettingsError` where it cannot be read. */
+/** Reads a text file; throws `SettingsError` if it cannot be read. */
 export function readTextFile(path: string): string {
   try {
     return readFileSync(path, 'utf8');
--- a/src/protocol/stateProtocol.ts
+++ b/src/protocol/stateProtocol.ts
@@ -1,4 +1,4 @@
-/** The state service's wire form. */
+/** Messages and paths of the state service's HTTP API. */
 import * as v from 'valibot';
 
 /** A key of the state service with its value and the revision of its last change. */
@@ -8,20 +8,20 @@
   revision: number;
 }
 
-/** A change that a watch tells of; `value` is null where the key was removed. */
+/** A change that a watch delivers; `value` is null if the key was removed. */
 export interface KeyValueChange extends KeyValue {
   removed: boolean;
 }
 
-/** A compare-and-swap: all puts and deletes are applied if every condition holds, or none. */
+/** A compare-and-swap: all puts and deletes are applied if every condition holds, otherwise none. */
 export interface Transaction {
-  /** Keys and the revisions they must have; 0: must not exist. */
+  /** Keys and the revisions that they must have; 0: the key must not exist. */
   conditions: { key: string; revision: number }[];
   puts: { key: string; value: unknown; leaseId?: number }[];
   deletes: string[];
 }
 
-/** The body of a transaction. */
+/** The body of a request to apply a transaction. */
 export const transactionRequest = (transaction: Transaction): Record<string, unknown> => ({
   When: transaction.conditions.map((c) => ({ K: c.key, Stamp: c.revision })),
   Then: [
@@ -35,12 +35,12 @@
 });
 
 const stamp = v.pipe(v.number(), v.integer(), v.minValue(0));
-const itemSchema = v.object({ K: v.string(), Value: v.unknown(), Stamp: stamp });
-const rangeSchema = v.object({ Rows: v.array(itemSchema), More: v.boolean(), Epoch: stamp });
-const epochSchema = v.object({ Epoch: stamp });
-const failedSchema = v.object({ failed: v.array(v.string()), Epoch: stamp });
-const grantSchema = v.object({ Hold: stamp });
-const logSchema = v.object({
+const keyValueSchema = v.object({ K: v.string(), Value: v.unknown(), Stamp: stamp });
+const rangeSchema = v.object({ Rows: v.array(keyValueSchema), More: v.boolean(), Epoch: stamp });
+const revisionSchema = v.object({ Epoch: stamp });
+const failedConditionsSchema = v.object({ failed: v.array(v.string()), Epoch: stamp });
+const leaseSchema = v.object({ Hold: stamp });
+const changesSchema = v.object({
   Epoch: stamp,
   Log: v.array(
     v.object({
@@ -52,14 +52,14 @@
   ),
 });
 
-/** One key with its value; null where the answer is malformed. */
+/** Parses one key with its value; null if the answer is malformed. */
 export function parseKeyValue(raw: unknown): KeyValue | null {
-  const result = v.safeParse(itemSchema, raw);
+  const result = v.safeParse(keyValueSchema, raw);
   if (!result.success) return null;
   return { key: result.output.K, value: result.output.Value, revision: result.output.Stamp };
 }
 
-/** One page of the keys below a prefix; null where the answer is malformed. */
+/** Parses one page of the keys below a prefix; null if the answer is malformed. */
 export function parseRange(
   raw: unknown,
 ): { items: KeyValue[]; more: boolean; revision: number } | null {
@@ -73,35 +73,35 @@
   };
 }
 
-/** The state service's revision; null where the answer is malformed. */
+/** Parses the state service's revision; null if the answer is malformed. */
 export function parseRevision(raw: unknown): number | null {
-  const result = v.safeParse(epochSchema, raw);
+  const result = v.safeParse(revisionSchema, raw);
   return result.success ? result.output.Epoch : null;
 }
 
-/** The keys whose conditions did not hold; empty where the answer does not tell. */
+/** Parses the keys whose conditions did not hold; empty if the answer does not list them. */
 export function parseFailedConditions(raw: unknown): string[] {
-  const result = v.safeParse(failedSchema, raw);
+  const result = v.safeParse(failedConditionsSchema, raw);
   return result.success ? result.output.failed : [];
 }
 
 const errorSchema = v.object({ error: v.string() });
 
-/** What an answer says of its refusal; empty when it says nothing. */
+/** Parses the error message of a refused request; empty if there is none. */
 export function parseError(raw: unknown): string {
   const result = v.safeParse(errorSchema, raw);
   return result.success ? result.output.error : '';
 }
 
-/** The id of a lease that was granted; null where the answer is malformed. */
+/** Parses the id of a granted lease; null if the answer is malformed. */
 export function parseLease(raw: unknown): number | null {
-  const result = v.safeParse(grantSchema, raw);
+  const result = v.safeParse(leaseSchema, raw);
   return result.success ? result.output.Hold : null;
 }
 
-/** Changes after a revision; null where the answer is malformed. */
+/** Parses the changes after a revision; null if the answer is malformed. */
 export function parseChanges(raw: unknown): { revision: number; changes: KeyValueChange[] } | null {
-  const result = v.safeParse(logSchema, raw);
+  const result = v.safeParse(changesSchema, raw);
   if (!result.success) return null;
   return {
     revision: result.output.Epoch,
@@ -114,7 +114,7 @@
   };
 }
 
-/** The body of a request for a lease of so many seconds. */
+/** The body of a request for a lease; `ttl` is in seconds. */
 export const leaseRequest = (ttl: number): Record<string, unknown> => ({
   TtlMs: Math.round(ttl * 1000),
 });
@@ -127,14 +127,14 @@
     `${after === '' ? '' : `&From=${encodeURIComponent(after)}`}&Page=${page}`,
   transaction: '/multi',
   leases: '/grants',
-  renewLease: (hold: number): string => `/grants/${hold}/extend`,
+  renewLease: (leaseId: number): string => `/grants/${leaseId}/extend`,
   changes: (prefix: string, from: number, hold: number): string =>
     `/changes?Under=${encodeURIComponent(prefix)}&From=${from}&HoldMs=${Math.round(hold * 1000)}`,
 };
 
-/** Keys on one page of a range. */
+/** Number of keys on one page of a range. */
 export const RANGE_PAGE_SIZE = 1000;
-/** What a request may hold as a whole. */
+/** Maximum size of a request's body. */
 export const MAX_REQUEST_BYTES = 64 * 1024;
-/** Of a transaction, what its changes may take; the rest is left for its conditions. */
+/** Maximum size of a transaction's changes; the rest of the request is left for its conditions. */
 export const MAX_TRANSACTION_CHANGE_BYTES = MAX_REQUEST_BYTES - 4 * 1024;
--- a/src/protocol/storedJobSpec.ts
+++ b/src/protocol/storedJobSpec.ts
@@ -1,6 +1,6 @@
 /**
- * The description of a job as it is stored and as controllers send it to each other. Its field names are those of
- * version 0.2 and never change; the rest of the program knows a job by `JobSpec`.
+ * The description of a job in the form that is stored and sent between controllers. Its field names are those of version
+ * 0.2 and never change; the rest of the program uses `JobSpec`.
  */
 import type { JobSpec, Rank } from './job.js';
 
@@ -27,17 +27,17 @@
   checkpoint: number;
   save: number;
   due: number | null;
-  /** Absent where the job depends on no other: version 0.2 knows no such field. */
+  /** Absent if the job has no dependencies: version 0.2 does not know this field. */
   waitsOn?: string[];
 }
 
-/** The fields that may be left out of a stored description, since they mostly have one value. */
+/** The fields that a stored description may omit, since they usually have the same value. */
 export type SpecDefaults = Omit<
   Required<StoredJobSpec>,
   'id' | 'jobClass' | 'team' | 'rank' | 'tasks' | 'cpus' | 'memory' | 'image' | 'imageGb'
 >;
 
-/** What a field of a description is where it was left out. */
+/** The values of omitted fields. */
 export const specDefaults = (): SpecDefaults => ({
   service: false,
   gang: false,
@@ -54,7 +54,7 @@
   waitsOn: [],
 });
 
-/** Fields that this version does not know are kept, since a later version may have written them. */
+/** Converts a description to its stored form. Unknown fields are kept, since a later version may have written them. */
 export function toStoredSpec(spec: JobSpec): StoredJobSpec {
   const {
     id,
@@ -114,7 +114,7 @@
   };
 }
 
-/** The description that was stored, or sent by a peer, with the names that the program uses. */
+/** Converts a description that was stored, or sent by a peer, to the form that the program uses. */
 export function fromStoredSpec(
   stored: Omit<StoredJobSpec, keyof SpecDefaults> & Partial<SpecDefaults>,
 ): JobSpec {
--- a/src/protocol/workerProtocol.ts
+++ b/src/protocol/workerProtocol.ts
@@ -1,7 +1,7 @@
-/** Reports of the workers and commands to them. */
+/** Heartbeats of workers and commands to them. */
 import * as v from 'valibot';
 
-/** What an attempt does on its worker. */
+/** The state of an attempt on its worker. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'ended' | 'waiting';
 
 /** One attempt in a worker's heartbeat. */
@@ -13,7 +13,7 @@
   hasCheckpoint: boolean;
 }
 
-/** What a worker tells of itself and of the attempts on it. */
+/** A worker's report on itself and on its attempts. */
 export interface Heartbeat {
   machine: string;
   address: string;
@@ -22,16 +22,16 @@
   spot: boolean;
   agentEpoch: number;
   heartbeatSequence: number;
-  /** Highest token that the worker has seen. */
+  /** Highest fencing token that the worker has received. */
   highestFencingToken: number;
-  /** Seconds until the cloud takes the machine away, or null. */
+  /** Seconds until the cloud preempts the machine; null if no preemption is announced. */
   preemptionWarning: number | null;
   attempts: ReportedAttempt[];
 }
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 
-const schema = v.object({
+const heartbeatSchema = v.object({
   Drone: v.string(),
   Address: v.string(),
   Flavour: v.string(),
@@ -54,7 +54,7 @@
   ),
 });
 
-const states: Record<string, TaskState> = {
+const taskStates: Record<string, TaskState> = {
   fetching: 'fetching',
   waiting: 'waiting',
   running: 'running',
@@ -62,39 +62,39 @@
   ended: 'ended',
 };
 
-/** Gives null for anything that is no report. */
+/** Parses a heartbeat; null if it is malformed. */
 export function parseHeartbeat(raw: unknown): Heartbeat | null {
-  const result = v.safeParse(schema, raw);
+  const result = v.safeParse(heartbeatSchema, raw);
   if (!result.success) return null;
-  const w = result.output;
+  const fields = result.output;
   return {
-    machine: w.Drone,
-    address: w.Address,
-    type: w.Flavour,
-    zone: w.Yard,
-    spot: w.Loaners,
-    agentEpoch: w.Shift,
-    heartbeatSequence: w.Tick,
-    highestFencingToken: w.Baton,
-    preemptionWarning: w.WarningS ?? null,
-    attempts: (w.Pieces ?? []).map((p) => ({
-      task: p.Piece,
-      attemptNumber: p.Try,
-      // A state we don't know still holds its room.
-      state: states[p.Status] ?? 'running',
-      cause: p.Cause ?? null,
-      hasCheckpoint: p.Kept ?? false,
+    machine: fields.Drone,
+    address: fields.Address,
+    type: fields.Flavour,
+    zone: fields.Yard,
+    spot: fields.Loaners,
+    agentEpoch: fields.Shift,
+    heartbeatSequence: fields.Tick,
+    highestFencingToken: fields.Baton,
+    preemptionWarning: fields.WarningS ?? null,
+    attempts: (fields.Pieces ?? []).map((attempt) => ({
+      task: attempt.Piece,
+      attemptNumber: attempt.Try,
+      // An attempt in an unknown state still occupies its resources.
+      state: taskStates[attempt.Status] ?? 'running',
+      cause: attempt.Cause ?? null,
+      hasCheckpoint: attempt.Kept ?? false,
     })),
   };
 }
 
-/** What a worker is told to do. `gracePeriod`: seconds to save a checkpoint in. */
+/** A command to a worker. `gracePeriod`: seconds that the task has to save a checkpoint. */
 export type Command =
   | { verb: 'start'; task: string; attemptNumber: number }
   | { verb: 'stop'; task: string; attemptNumber: number; gracePeriod: number }
   | { verb: 'acknowledge'; task: string; attemptNumber: number };
 
-/** What PROTOCOL calls each kind of command. */
+/** The verb of each command on the wire, as defined by PROTOCOL. */
 const wireVerbs: Record<Command['verb'], string> = {
   start: 'start',
   stop: 'halt',
@@ -110,26 +110,30 @@
 
 declare const commandToken: unique symbol;
 
-/** The fencing token of one message to a worker: one of its leadership's, which are compared by the first alone. */
+/** The fencing token of one message to a worker: one of the leader's block; leaderships compare by their first token. */
 export type CommandToken = number & { readonly [commandToken]: true };
 
-/** The answer that renews the lease of a worker. */
+/** The answer to a heartbeat, which renews the worker's lease. */
 export const heartbeatAnswer = (
   token: CommandToken,
-  orders: Command[],
+  commands: Command[],
 ): Record<string, unknown> => ({
   Baton: token,
-  Orders: orders.map(toWireCommand),
+  Orders: commands.map(toWireCommand),
 });
 
-/** The body of commands that are sent straight to a worker. */
+/** The body of a request that sends commands directly to a worker. */
 export const commandsRequest = (
   token: CommandToken,
-  session: number,
-  orders: Command[],
-): Record<string, unknown> => ({ Baton: token, Shift: session, Orders: orders.map(toWireCommand) });
+  agentEpoch: number,
+  commands: Command[],
+): Record<string, unknown> => ({
+  Baton: token,
+  Shift: agentEpoch,
+  Orders: commands.map(toWireCommand),
+});
 
-/** The body of a 421: the controller that leads the shard, if one is known. */
+/** The body of a 421 answer: the controller that leads the shard, if one is known. */
 export const redirectAnswer = (owner: string | null): Record<string, unknown> =>
   owner === null ? {} : { Foreman: owner };
 
--- a/test/protocol/protocol.test.ts
+++ b/test/protocol/protocol.test.ts
@@ -1,3 +1,4 @@
+/** Parsing of submissions, settings and heartbeats, and encoding of the messages between peers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseJob } from '../../src/protocol/job.js';
@@ -25,17 +26,17 @@
     text({ Flavours: undefined, Yard: undefined, DueS: undefined }),
     null,
   ],
-  ['a duplicate field: the last one counts', text({}).replace('{', '{"Pieces":"x",'), null],
+  ['a duplicate field: the last one applies', text({}).replace('{', '{"Pieces":"x",'), null],
   ['not JSON', '{"Uid":', /not JSON/],
   ['empty', '', /not JSON/],
   ['not an object', '[]', /body|Uid/],
   ['null', 'null', /body|Invalid/],
   ['no id', text({ Uid: undefined }), /Uid/],
-  ['an id that would leave its key', text({ Uid: 'wk-1/../token' }), /Uid/],
-  ['another id form', text({ Uid: 'job-1' }), /Uid/],
+  ['an id that would escape its key', text({ Uid: 'wk-1/../token' }), /Uid/],
+  ['an id of another format', text({ Uid: 'job-1' }), /Uid/],
   ['no tasks', text({ Pieces: 0 }), /Pieces/],
   ['too many tasks', text({ Pieces: 100_001 }), /Pieces/],
-  ['a broken count', text({ Pieces: 1.5 }), /Pieces/],
+  ['a fractional count', text({ Pieces: 1.5 }), /Pieces/],
   ['a count as text', text({ Pieces: '3' }), /Pieces/],
   ['no processors', text({ Cores: 0 }), /Cores/],
   ['negative memory', text({ MemoryGb: -1 }), /MemoryGb/],
@@ -47,7 +48,7 @@
   ['a missing flag', text({ Loaners: undefined }), /Loaners/],
 ];
 
-test('submissions are checked field by field', () => {
+test('submissions are validated field by field', () => {
   for (const [name, body, error] of jobs) {
     const parsed = parseJob(body);
     if (error === null) assert.ok('job' in parsed, `${name}: ${JSON.stringify(parsed)}`);
@@ -55,7 +56,7 @@
   }
 });
 
-test('jobs to wait for: names once each; null, absent and empty mean none', () => {
+test('dependencies: duplicates are removed; null, absent and empty mean none', () => {
   const cases: [unknown, string[] | null][] = [
     [undefined, []],
     [null, []],
@@ -95,7 +96,7 @@
 
 const settings = settingsText();
 
-test('settings: unknown ones are ignored, bad ones are named', () => {
+test('settings: unknown keys are ignored, errors name the invalid key', () => {
   const parsed = parseSettings(settings);
   assert.equal(parsed.workerLease, 18);
   assert.deepEqual(parsed.teams[0], { name: 'crew', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 });
@@ -105,7 +106,7 @@
     ['label = "drone-0"', 'label = ""', /label/],
     ['back = "127.0.0.1:2"', 'back = "nowhere"', /back: not an address/],
     ['zones = ["a"]', 'zones = []', /settings\.zones/],
-    // A chunk could never be sent on.
+    // With two operations, a chunk could never be migrated.
     ['txn_ops = 16', 'txn_ops = 2', /settings\.state\.txn_ops/],
     ['label = "drone-0"', 'label = ', /not TOML/],
   ];
@@ -114,7 +115,7 @@
   }
 });
 
-test('limits to come: the smaller ones count, bad ones are named, absent ones change nothing', () => {
+test('announced limits: the smaller ones apply, errors name the invalid key, absent ones change nothing', () => {
   const limitsWith = (next: string): number[] => {
     const text = settings.replace('[settings.cloud]', `${next}\n[settings.cloud]`);
     const { stateRequestRate: stateRate, stateWriteRate, valueBytes, txnOps } = parseSettings(text);
@@ -149,10 +150,10 @@
   }
 });
 
-test('reports: what is no report gives null, unknown states still hold room', () => {
+test('heartbeats: a malformed one is rejected, an attempt in an unknown state still occupies resources', () => {
   assert.equal(parseHeartbeat({ Drone: 'n-1' }), null);
   assert.equal(parseHeartbeat(null), null);
-  const report = parseHeartbeat({
+  const heartbeat = parseHeartbeat({
     Drone: 'n-1',
     Address: '127.0.0.1:9',
     Flavour: 'm8',
@@ -163,11 +164,11 @@
     Baton: 3,
     Pieces: [{ Piece: 'wk-1/0', Try: 1, Status: 'odd' }],
   });
-  assert.equal(report?.attempts[0]?.state, 'running');
-  assert.equal(report?.preemptionWarning, null);
+  assert.equal(heartbeat?.attempts[0]?.state, 'running');
+  assert.equal(heartbeat?.preemptionWarning, null);
 });
 
-test('what peers tell each other survives the way', () => {
+test('messages between peers are unchanged after encoding and decoding', () => {
   for (const request of productionRequests) {
     assert.deepEqual(JSON.parse(JSON.stringify(decodeRequest(encodeRequest(request)))), request);
   }
