--- a/src/coordination/controller/controller.ts
+++ b/src/coordination/controller/controller.ts
@@ -275,7 +275,7 @@
     return stored?.node ?? gossiped?.label ?? null;
   }
 
-  /** Does the periodic work, which no change triggers. */
+  /** Does the work that is due periodically, independently of changes. */
   private reconcile(): void {
     this.persistence.reconcileJobs();
     this.cancellationPreparations.sweep();
--- a/src/coordination/jobs/cancellationAcknowledgements.ts
+++ b/src/coordination/jobs/cancellationAcknowledgements.ts
@@ -13,7 +13,7 @@
   /** Acknowledgements under a fencing token that is newer than the cached leader record of the shard. */
   private deferred: PreparedChunk[] = [];
 
-  /** `home`: the leadership of the home shard; while its leader record is unchanged, it marks every chunk that it creates. */
+  /** `home`: the leadership of the home shard; its leader marks every chunk created while its leader record is unchanged. */
   constructor(
     record: JobRecord,
     home: { fencingToken: number; revision: number },
--- a/src/coordination/jobs/cancellationPreparations.ts
+++ b/src/coordination/jobs/cancellationPreparations.ts
@@ -239,8 +239,8 @@
   }
 
   /**
-   * Replaces the leader record of a shard, at most once in half a worker lease, since the higher fencing token makes all its
-   * workers report. No user waits for a job to be resumed.
+   * Replaces the leader record of a shard. All workers of the shard then have to report the higher fencing token, so this
+   * happens at most once in half a worker lease; no user waits for a job to be resumed.
    */
   private replaceLeaderRecord(ownedShard: OwnedShard): void {
     const { clock, leadership, settings } = this.context;
--- a/src/coordination/jobs/jobAnswers.ts
+++ b/src/coordination/jobs/jobAnswers.ts
@@ -65,11 +65,11 @@
   private decide(request: UserRequest, reply: JobReply): Reply {
     if (reply.reported === undefined) return this.decideOnStatelessReply(request, reply);
     const cached = this.cachedFinalRecord(request.job);
-    if (cached !== null) return this.sendCachedFinal(request, reply, cached);
+    if (cached !== null) return this.decideOnCachedFinal(request, reply, cached);
     const { status, evidence } = reply.reported;
-    if (isFinal(status)) return this.sendUncachedFinal(request, reply);
+    if (isFinal(status)) return this.decideOnUncachedFinal(request, reply);
     const reason = this.withholdingReason(request, evidence);
-    return reason === null ? this.send(request, reply) : this.withhold(request, reason);
+    return reason === null ? this.approve(request, reply) : this.withhold(request, reason);
   }
 
   private cachedFinalRecord(job: string): FinalJobRecord | null {
@@ -84,17 +84,21 @@
     return this.withhold(request, 'job-is-known');
   }
 
-  /** Sends the final state that the cache shows; the reply may be older than that. */
-  private sendCachedFinal(request: UserRequest, reply: StateReply, cached: FinalJobRecord): Reply {
+  /** The cache shows a final state, which is sent; the given reply may be older than that. */
+  private decideOnCachedFinal(
+    request: UserRequest,
+    reply: StateReply,
+    cached: FinalJobRecord,
+  ): Reply {
     this.reportedFinalStates.delete(request.job);
     const view = finalView(cached);
     const { status } = reply.reported;
     if (isFinal(status) && status !== view.status) {
-      return this.withholdConflictingFinal(request, `${status}, by the copy ${view.status}`);
+      return this.withholdConflictingFinal(request, `${status}, cached: ${view.status}`);
     }
-    if (isFinal(status)) return this.send(request, reply);
+    if (isFinal(status)) return this.approve(request, reply);
     const evidence = { kind: 'final' } as const;
-    return this.send(
+    return this.approve(
       request,
       request.kind === 'read'
         ? viewReply(request.job, view, evidence)
@@ -102,8 +106,8 @@
     );
   }
 
-  /** Sends a final state that the cache does not show yet. */
-  private sendUncachedFinal(request: UserRequest, reply: StateReply): Reply {
+  /** The reply has a final state that the cache does not show yet; it is sent unless another one was sent before. */
+  private decideOnUncachedFinal(request: UserRequest, reply: StateReply): Reply {
     const { status } = reply.reported;
     const reported = this.reportedFinalStates.get(request.job);
     if (reported !== undefined && reported !== status) {
@@ -111,7 +115,7 @@
     }
     if (this.reportedFinalStates.size >= PRUNE_THRESHOLD) this.prune();
     this.reportedFinalStates.set(request.job, status);
-    return this.send(request, reply);
+    return this.approve(request, reply);
   }
 
   private prune(): void {
@@ -132,8 +136,8 @@
       return 'older-than-question';
     }
     // The job may have been cancelled with one of its dependencies without this node knowing. A peer has checked that itself.
-    const isDecidedHere = evidence.kind !== 'peer';
-    if (isDecidedHere && !this.context.pipelines.mayReportOpen(request.job)) {
+    const needsLocalCheck = evidence.kind !== 'peer';
+    if (needsLocalCheck && !this.context.pipelines.mayReportOpen(request.job)) {
       return 'dependency-may-be-cancelled';
     }
     return null;
@@ -164,7 +168,7 @@
     return unavailable('the state of the job is being asked for anew');
   }
 
-  private send({ kind: request }: UserRequest, reply: StateReply): Reply {
+  private approve({ kind: request }: UserRequest, reply: StateReply): Reply {
     const { job, status: state, evidence } = reply.reported;
     const source = this.sourceOf(evidence);
     this.context.audit.note({ event: 'job-answered', request, job, state, ...source });
--- a/src/coordination/jobs/replies.ts
+++ b/src/coordination/jobs/replies.ts
@@ -8,7 +8,7 @@
 import type { Reply } from '../../transport/httpServer.js';
 import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
 
-/** What a reported job state is based on. `asOf`: monotonic time that the state is at least as recent as. */
+/** What a reported job state is based on. `asOf`: the state is not older than this monotonic time. */
 export type AnswerEvidence =
   /** A record with a final state, from any source: a final state never changes. */
   | { readonly kind: 'final' }
--- a/src/coordination/jobs/submissionWriter.ts
+++ b/src/coordination/jobs/submissionWriter.ts
@@ -162,7 +162,7 @@
     }
   }
 
-  /** Handles that some jobs are stored already, or a shard has another leader; returns true if nothing is left to be stored. */
+  /** Handles a conflict: jobs are stored already or a shard has another leader. Returns true if nothing is left to store. */
   private async resolveConflict(batch: SubmissionBatch): Promise<boolean> {
     const { stateClient, leadership } = this.context;
     const { homeShard, jobs } = batch;
--- a/src/coordination/pipelines/dependencyGraph.ts
+++ b/src/coordination/pipelines/dependencyGraph.ts
@@ -109,7 +109,7 @@
     for (const directDependent of directDependents) this.satisfyDependency(directDependent, job);
   }
 
-  /** Applies that a dependency of a job is done. */
+  /** Removes a dependency that is done from a job, and releases the job if it was the last one. */
   private satisfyDependency(job: string, dependency: string): void {
     const dependent = this.dependents.get(job);
     if (dependent === undefined) return;
--- a/test/jobs/jobAnswers.test.ts
+++ b/test/jobs/jobAnswers.test.ts
@@ -1,4 +1,4 @@
-/** What users may be reported about a job, depending on the evidence and on what the node knows when the reply is sent. */
+/** What users may be told about a job, depending on the evidence and on what the node knows when the reply is sent. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { AuditEvent, UserRequestKind } from '../../src/coordination/audit/auditEvent.js';
--- a/test/jobs/jobService.test.ts
+++ b/test/jobs/jobService.test.ts
@@ -1,4 +1,4 @@
-/** Answers to jobs are never older than what the answering node knows when it sends them. */
+/** Answers to users are never older than what the answering node knows when it sends them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../src/base/random.js';
--- a/test/jobs/submissionWriter.test.ts
+++ b/test/jobs/submissionWriter.test.ts
@@ -1,4 +1,4 @@
-/** Stores submitted jobs: many in one transaction, each exactly once, even if answers are lost. */
+/** Submitted jobs are stored: many in one transaction, each exactly once, even if answers are lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/test/pipelines/dependencyGraph.test.ts
+++ b/test/pipelines/dependencyGraph.test.ts
@@ -1,4 +1,4 @@
-/** Determines which jobs wait for others from stored states that arrive in any order. */
+/** The dependency graph: which jobs wait for others, given stored states that arrive in any order. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../src/base/random.js';
--- a/test/pipelines/pipelines.test.ts
+++ b/test/pipelines/pipelines.test.ts
@@ -21,7 +21,7 @@
     return (answer.body as { Status?: string }).Status === 'cancelled';
   });
 
-/** Submits three stages, each at another node; the run time of the first is up to the cluster. */
+/** Submits three stages, each at another node and dependent on the one before. */
 async function submitChain(cluster: Cluster): Promise<void> {
   await accept(cluster, 'drone-0', submission(FIRST, { Pieces: 2 }));
   await accept(cluster, 'drone-1', submission(SECOND, { WaitsOn: [FIRST] }));
@@ -128,7 +128,7 @@
     cluster.state.refused.clear();
   }));
 
-test("the leader of a waiting job's home shard crashes when the dependency is done", () =>
+test('a waiting job runs although the leader of its home shard crashes when its dependency is done', () =>
   withCluster({ nodes: 3, runs: () => 0.8 }, async (cluster) => {
     await submitChain(cluster);
     await until(
