--- a/src/coordination/leadership/authority.ts
+++ b/src/coordination/leadership/authority.ts
@@ -1,24 +1,25 @@
 /**
- * What this node may do for a shard at this moment: the one place that weighs leadership, fencing token, lease and grace
- * period (safety, O5, O6, O8). It is asked at the last moment before a command or an answer is sent.
+ * Decides what this node may do for a shard at this moment: the only place that combines leadership, fencing token, lease
+ * and grace period (safety, O5, O6, O8). Callers check immediately before they send a command or an answer.
  */
 import type { Clock } from '../../base/clock.js';
 import type { PeerRegistry } from '../peers/peerRegistry.js';
 import type { OwnedShard } from './ownedShard.js';
 import type { ShardLeadership } from './shardLeadership.js';
 
-/** What is needed of a node. */
+/** The parts of a node that its authority depends on. */
 export interface AuthorityContext {
   leadership: Pick<ShardLeadership, 'isLeaseValid' | 'leaseExpiresAt'>;
   peers: Pick<PeerRegistry, 'leaderOf'>;
   clock: Pick<Clock, 'now'>;
-  /** Seconds after its own lease for which a node goes on answering its workers. */
+  /** Seconds after the expiry of its own lease for which a node still answers its workers. */
   readonly leaderGracePeriod: number;
 }
 
 /**
- * Whether a worker's heartbeat gets a 200, which renews the worker's lease. `deposed`: the worker has seen a fencing token
- * above ours; `adopted`: a peer says that it leads the shard; `silent`: a new leader may rely on our silence by now.
+ * Whether a worker's heartbeat is answered with a 200, which renews the worker's lease. `deposed`: the worker has seen a
+ * fencing token of a later leadership; `adopted`: a peer reports that it leads the shard; `silent`: the grace period is
+ * over or the shard is lost, and a new leader may rely on this node not answering.
  */
 export type HeartbeatDecision =
   | { kind: 'answer' }
@@ -30,12 +31,12 @@
 export class Authority {
   constructor(private readonly node: AuthorityContext) {}
 
-  /** Whether work may be started, and anything else done that only the leader may do. */
+  /** Whether this node may start work and do anything else that is reserved to the leader. */
   mayAct(ownedShard: Pick<OwnedShard, 'isOwned'>): boolean {
     return ownedShard.isOwned && this.node.leadership.isLeaseValid;
   }
 
-  /** Whether cancelled tasks may be stopped. That needs no valid lease: it can't be wrong. */
+  /** Whether this node may stop cancelled tasks. Stopping them is safe for any leader, so it needs no valid lease. */
   mayEnd(ownedShard: Pick<OwnedShard, 'isOwned'>): boolean {
     return ownedShard.isOwned;
   }
@@ -43,10 +44,10 @@
   /** Decides on a heartbeat; `seenToken` is the highest fencing token that the worker has seen. */
   decideHeartbeat(ownedShard: OwnedShard, seenToken: number): HeartbeatDecision {
     const { leadership, peers, clock, leaderGracePeriod } = this.node;
-    // There is another leader; the worker would ignore our commands for as long as it stayed with us.
+    // There is a newer leader; as long as the worker stayed with this node it would ignore this node's commands.
     if (ownedShard.shard.fencingTokens.isSurpassedBy(seenToken)) return { kind: 'deposed' };
-    // Our own lease has expired and a peer says that it leads the shard: send the worker there, or it would stay
-    // with us, and the peer would take a healthy machine for a lost one.
+    // Our lease has expired and a peer reports that it leads the shard: redirect the worker to it. If the worker kept
+    // sending its heartbeats here, the peer would presume a healthy machine lost.
     const leader = leadership.isLeaseValid ? null : peers.leaderOf(ownedShard.shard.label);
     if (leader !== null && leader.fencingToken > ownedShard.fencingToken)
       return { kind: 'adopted', owner: leader.label };
--- a/src/coordination/leadership/lastLeaders.ts
+++ b/src/coordination/leadership/lastLeaders.ts
@@ -1,13 +1,13 @@
 /**
- * Which nodes led a shard before and may still answer its workers. A new leader waits for their grace periods; the
- * records are kept beside the fencing token counter and change with it.
+ * Tracks which nodes led a shard before and may still answer its workers. A new leader waits for their grace periods to
+ * end. The last leaders are stored in the record of the fencing token counter and change in the same transaction.
  */
 import type { LastLeader } from '../../storage/records.js';
 
 /**
- * The last leaders once this node has handed a shard over: it answers the shard's workers no more, so nobody has to wait
- * for it. A shard that goes to its home node is noted as that node's; where any peer may take it, nobody is noted, unless
- * an earlier leader has to be waited for.
+ * Returns the last leaders after this node has handed a shard over. This node no longer answers the shard's workers, so
+ * nobody has to wait for it. A shard that returns to its home node is recorded with that node as its last leader. If any
+ * peer may claim it, no last leader is recorded, unless an earlier one may still answer workers.
  */
 export function lastLeadersAfterHandOver(
   lastLeaders: Record<string, LastLeader> | undefined,
@@ -25,9 +25,9 @@
 }
 
 /**
- * The nodes that may still answer the shard's workers once `node` leads it, with the time of day at which each lost the
- * shard. Not among them are `node` itself, whose earlier process has ended, and nodes that lost it long ago. `wallTime` and
- * `gracePeriod` are in seconds.
+ * Returns the nodes that may still answer the shard's workers once `node` leads it, with the wall-clock time at which
+ * each lost the shard. It leaves out `node` itself, whose earlier process has ended, and nodes that lost the shard more
+ * than two grace periods ago. `wallTime` and `gracePeriod` are in seconds.
  */
 export function previousLeaders(
   lastLeader: LastLeader | undefined,
--- a/src/coordination/leadership/leaderRecords.ts
+++ b/src/coordination/leadership/leaderRecords.ts
@@ -1,6 +1,7 @@
 /**
- * The stored leader records. A leader's record stands under the leader's lease; fencing tokens come from one counter, so
- * that any new leadership has fencing tokens above every earlier one. It gets a block of them, and its record names the first.
+ * Stored leader records. A leader record is attached to the leader's lease. All fencing tokens come from one counter, so
+ * a new leadership always has higher tokens than every earlier one. Each leadership is assigned a block of tokens; its
+ * record names the first of them.
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import type { KeyValue } from '../../protocol/stateProtocol.js';
@@ -11,29 +12,29 @@
 import { lastLeadersAfterHandOver, previousLeaders } from './lastLeaders.js';
 import type { StateLease } from './stateLease.js';
 
-/** How often a record that is handed over is tried to be removed. */
+/** Attempts to remove the leader record of a shard that is handed over. */
 const MAX_REMOVAL_ATTEMPTS = 5;
 
 /** This node's leadership of one shard. */
 export interface Leadership {
-  /** The first of its fencing tokens. */
+  /** First fencing token of the block that the leadership was assigned. */
   fencingToken: number;
-  /** The revision of the leader record. */
+  /** Revision of the leader record. */
   revision: number;
   /**
-   * Time of day at which the last node but this lost the shard without handing it over: it may still answer
-   * the shard's workers for a while. 0: there is none. A restart of this node changes nothing of it.
+   * Wall-clock time at which another node most recently lost the shard without handing it over; that node may still
+   * answer the shard's workers until its grace period ends. 0 if there is none. The value survives a restart of this node.
    */
   previousLeaderLostAt: number;
 }
 
-/** Who writes the records. */
+/** Identity and lease settings of the node that writes leader records. */
 export interface LeaderRecordsOptions {
   label: string;
   process: string;
-  /** The lease at the state service, in seconds. */
+  /** Duration of the lease at the state service, in seconds. */
   leaseTtl: number;
-  /** Seconds for which a node may answer workers after its lease. */
+  /** Seconds after the expiry of its lease for which a node may still answer workers. */
   leaderGracePeriod: number;
 }
 
@@ -48,8 +49,8 @@
   ) {}
 
   /**
-   * Makes this node the leader with the next fencing token if `mayWrite` accepts the stored record and its revision (0:
-   * there is none). Null where that was not possible just now.
+   * Makes this node the leader with the next fencing token, if `mayWrite` accepts the stored record and its revision (0
+   * if there is no record). Returns null if the record could not be written now.
    */
   async write(
     shard: string,
@@ -88,7 +89,10 @@
     return { fencingToken, revision, previousLeaderLostAt };
   }
 
-  /** Removes this node's record, for the shard's home node or, with `isForAnyPeer`, for whoever claims it first. */
+  /**
+   * Removes this node's record, so that the shard's home node can claim the shard or, with `isForAnyPeer`, whichever peer
+   * claims it first.
+   */
   async remove(
     shard: string,
     { fencingToken, revision }: Leadership,
@@ -118,7 +122,7 @@
     }
   }
 
-  /** The fencing token counter after this node has become the shard's leader. */
+  /** Returns the record of the fencing token counter as it is after this node has become the shard's leader. */
   private advance(
     counter: KeyValue | null,
     shard: string,
@@ -140,7 +144,7 @@
     };
   }
 
-  /** The revision at which the record was written; null: it was not. */
+  /** Returns the revision at which the record was written, or null if it was not written. */
   private async writtenRevision(
     key: string,
     { fencingToken, process }: LeaderRecord,
@@ -148,7 +152,7 @@
   ): Promise<number | null> {
     if (result.kind === 'applied') return result.revision === 0 ? null : result.revision;
     if (result.kind !== 'unknown' && result.kind !== 'conflict') return null;
-    // It may have been applied all the same.
+    // The transaction may have been applied although it was answered with a conflict or not at all.
     const stored = await this.client.get(key);
     const leader = stored?.value as LeaderRecord | undefined;
     const isOurs = leader?.fencingToken === fencingToken && leader.process === process;
--- a/src/coordination/leadership/ownedShard.ts
+++ b/src/coordination/leadership/ownedShard.ts
@@ -10,40 +10,40 @@
   id: string;
   record: JobRecord;
   revision: number;
-  /** A write of its record is in flight. */
+  /** Whether a write of the job's record is in flight. */
   isWriteInFlight: boolean;
   /**
-   * A change of its record got no answer: others may have read it already, and told users that the job is over.
-   * Until it is known, the store is asked.
+   * Whether a write of the job's record got no answer. Other nodes may already have read its result and told users that
+   * the job is over, so this node answers from the state service until the outcome is known.
    */
   isOutcomeUnknown?: boolean;
 }
 
-/** A shard that this node leads: its own, or one taken over from a peer. */
+/** A shard that this node leads: its home shard, or one taken over from a peer. */
 export interface OwnedShard {
   shard: Shard;
-  /** The first of the leadership's fencing tokens: leaderships are compared by it. */
+  /** First fencing token of the leadership; leaderships are compared by it. */
   fencingToken: number;
   revision: number;
-  /** False once the leadership is lost: nothing is written or started for the shard any more. */
+  /** False once the leadership is lost; from then on nothing is written or started for the shard. */
   isOwned: boolean;
   jobs: Map<string, HomeJob>;
-  /** The shard's stored chunks, by their buckets' names. */
+  /** The shard's buckets of stored chunks, by name. */
   buckets: Map<string, Bucket>;
-  /** Until when starts of batch work are gathered, so that they do not use up the changes of users. */
+  /** Until when starts of batch work are deferred and batched, to leave write capacity for users' requests. */
   batchStartsDeferredUntil: number;
-  /** Transactions in flight. */
+  /** Number of transactions in flight. */
   writesInFlight: number;
   fencingTokenAdvancedAt: number;
-  /** Steady time until which a previous leader may still answer the shard's workers. */
+  /** Monotonic time until which a previous leader may still answer the shard's workers. */
   previousLeaderMayAnswerUntil: number;
-  /** The fencing token of the takeover: a worker that has seen it executes no command of earlier leaders. */
+  /** Fencing token at the takeover; a worker that has seen it executes no commands of earlier leaders. */
   readonly fencingTokenAtTakeover: number;
 }
 
 /**
- * A shard that was just gained, without jobs and chunks. Times are steady; `previousLeaderUntil`: until when a previous
- * leader may answer its workers.
+ * Creates the state of a shard whose leadership was just gained, without jobs and chunks. Times are monotonic; a previous
+ * leader may answer the shard's workers until `previousLeaderUntil`.
  */
 export function createOwnedShard(
   shard: Shard,
@@ -68,8 +68,8 @@
 }
 
 /**
- * Gives the shard a block of higher fencing tokens and a new revision: commands and transactions of ours that are still in flight
- * are refused from then on. False where that was not possible just now.
+ * Assigns the shard a block of higher fencing tokens and a new revision. From then on workers and the state service refuse
+ * this node's commands and transactions that are still in flight. Returns false if that is not possible now.
  */
 export async function advanceFencingToken(
   shardLeadership: Pick<ShardLeadership, 'advanceFencingToken'>,
--- a/src/coordination/leadership/recordFollower.ts
+++ b/src/coordination/leadership/recordFollower.ts
@@ -16,13 +16,13 @@
 import type { OwnedShard } from './ownedShard.js';
 import type { ShardLoader } from './shardLoader.js';
 
-/** Follows the records of jobs. */
+/** Receives changes of job records. */
 export interface JobFollower {
-  /** A job's record has changed. */
+  /** Called when a job's record has changed. */
   applyJobRecord(id: string, record: JobRecord): void;
 }
 
-/** What is needed of a node. */
+/** The parts of a node that changed records are applied to. */
 export interface RecordFollowerContext {
   clock: Clock;
   machineTypes: Map<string, MachineType>;
@@ -30,20 +30,20 @@
   chunkIndex: ChunkIndex;
   nodeCapabilities: NodeCapabilities;
   pipelines: JobFollower;
-  /** Follows the records of staged upgrades. */
+  /** Called when a record of a rollout has changed. */
   applyRolloutChange(change: KeyValueChange): void;
   ownedShards: ReadonlyMap<string, OwnedShard>;
   requestSchedulingRound(): void;
 }
 
-/** Follows the changes of the state cache. */
+/** Applies the changes that the state cache delivers. */
 export class RecordFollower {
   constructor(
     private readonly node: RecordFollowerContext,
     private readonly loader: Pick<ShardLoader, 'noteBucket'>,
   ) {}
 
-  /** One record has changed in this node's state cache. */
+  /** Applies one changed record. */
   follow(change: KeyValueChange): void {
     const { node } = this;
     const [, kind, name = '', bucket = ''] = change.key.split('/');
@@ -62,7 +62,7 @@
   }
 
   private onTypes(machineTypes: MachineType[]): void {
-    // Restarted while the cloud is down: what it told before will do.
+    // If this node restarted while the cloud API is unavailable, the stored machine types are used.
     if (this.node.machineTypes.size === 0)
       this.node.machineTypes = new Map(machineTypes.map((t) => [t.name, t]));
   }
@@ -83,7 +83,7 @@
     for (const ownedShard of this.node.ownedShards.values()) {
       for (const chunk of ownedShard.shard.chunksOf(id)) {
         if (record.state === 'cancelled') ownedShard.shard.cancel(chunk, now);
-        // Its home shard has counted it as done.
+        // The home shard has recorded the chunk as done.
         else if (record.state === 'done' || record.doneChunks.includes(chunk.index)) {
           ownedShard.shard.discardFinishedChunk(chunk, now);
         }
@@ -100,11 +100,11 @@
       change.value as MachineGroupRecord | null,
     );
     for (const ownedShard of this.node.ownedShards.values()) {
-      // The last record that names it goes only after the cloud has said that the machine is gone.
+      // The last record that names a machine is removed only after the cloud has confirmed that the machine is gone.
       for (const name of gone) ownedShard.shard.removeMachine(name, now);
       for (const [name, record] of present) {
         const { shard } = ownedShard;
-        // One that was in the shard stays until its attempts there are over.
+        // A machine that was reassigned to another shard stays in this one until its attempts here have terminated.
         if (record.shard !== shard.label && !shard.machines.has(name)) continue;
         shard.addMachine(name, record, now, now, Math.max(0, wall - record.launchedAt));
       }
--- a/src/coordination/leadership/shardLeadership.ts
+++ b/src/coordination/leadership/shardLeadership.ts
@@ -1,6 +1,6 @@
 /**
- * Which shards this node leads: it claims shards without a leader, hands back those of other nodes once these are ready,
- * and gives up what another node leads with a higher fencing token.
+ * Manages the shards that this node leads: it claims shards without a leader, hands other nodes' shards back once those
+ * nodes are ready, and gives up a shard that another node leads with a higher fencing token.
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import { describeError, log } from '../../base/log.js';
@@ -12,38 +12,38 @@
 
 export type { Leadership } from './leaderRecords.js';
 
-/** Not a shard: the key by which the one node that launches and releases machines is elected. */
+/** Pseudo-shard whose leader record elects the one node that launches and releases machines. */
 export const AUTOSCALER_ROLE = '~provisioner';
 
-/** This node, and the labels of all shards. */
+/** Identity and lease settings of this node, and the labels of all shards. */
 export interface ShardLeadershipOptions extends LeaderRecordsOptions {
   shards: string[];
 }
 
-/** What the leadership tells, and what it has to know of the rest of the node. */
+/** Leadership events, and the queries to the rest of the node that leadership depends on. */
 export interface ShardLeadershipEvents {
-  /** This node has become the leader of a shard, or got the autoscaler's duty. */
+  /** Called when this node has become the leader of a shard, or of the autoscaler role. */
   onGained(shard: string, leadership: Leadership): void;
-  /** This node has lost a shard or the autoscaler's duty, or is about to hand it over. */
+  /** Called when this node has lost a shard or the autoscaler role, or is about to hand it over. */
   onLost(shard: string): void;
-  /** Resolves once no write of the shard is in flight to the state service any more. */
+  /** Resolves once no write of the shard to the state service is in flight. */
   awaitWrites(shard: string): Promise<void>;
-  /** True when a node has been up and served long enough to get its shard back. */
+  /** Whether a node has been up and serving long enough to get its shard back. */
   isReadyToLead(node: string): boolean;
-  /** Whether this node may claim anything just now. */
+  /** Whether this node may claim shards now. */
   mayClaim(): boolean;
-  /** Whether a leader record counts: its process may be one that can't read what is stored (safety, R4). */
+  /** Whether a leader record is valid: its process may be of a build that cannot read the stored records (safety, R4). */
   isLeaderCompatible(leader: LeaderRecord): boolean;
 }
 
-/** This node's leaderships, by shard. */
+/** Claims, verifies and hands over this node's leaderships. */
 export class ShardLeadership {
   private readonly lease: StateLease;
   private readonly records: LeaderRecords;
   private readonly leaderships = new Map<string, Leadership>();
-  /** Steady time since which a shard's leader record has been absent. */
+  /** Monotonic time since which a shard's leader record has been absent. */
   private readonly keyAbsentSince = new Map<string, number>();
-  /** Shards that are being claimed or handed over, or get a higher fencing token. */
+  /** Shards that are being claimed, handed over or assigned a higher fencing token. */
   private readonly shardsInTransition = new Set<string>();
   private isRelinquishing = false;
   private stopped = false;
@@ -64,32 +64,32 @@
     this.records = new LeaderRecords(client, stateCache, clock, this.lease, options);
   }
 
-  /** Whether this node may start work and speak for its shards: by its own clock, drift included. */
+  /** Whether the lease is valid by this node's own clock, with a margin for drift; only then may it start work. */
   get isLeaseValid(): boolean {
     return this.lease.isValid;
   }
 
-  /** The lease at the state service; null while there is none. */
+  /** Id of the lease at the state service; null while there is none. */
   get leaseId(): number | null {
     return this.lease.id;
   }
 
-  /** Steady time at which the right to start work ends, or ended. */
+  /** Monotonic time at which the lease expires or has expired. */
   get leaseExpiresAt(): number {
     return this.lease.expiresAt;
   }
 
-  /** Shards that this node leads, the autoscaler's duty included. */
+  /** Labels of the shards that this node leads, including the autoscaler role. */
   get ledShards(): string[] {
     return [...this.leaderships.keys()];
   }
 
-  /** It leads nothing, and nothing is being claimed or handed over. */
+  /** Whether this node leads nothing, and nothing is being claimed or handed over. */
   get isIdle(): boolean {
     return this.leaderships.size === 0 && this.shardsInTransition.size === 0;
   }
 
-  /** This node's leadership of a shard, if it leads it. */
+  /** Returns this node's leadership of a shard, or undefined if it does not lead it. */
   get(shard: string): Leadership | undefined {
     return this.leaderships.get(shard);
   }
@@ -99,8 +99,8 @@
     const pause = this.options.leaseTtl / 5;
     void this.watchLeaderKeys();
     while (!this.stopped) {
-      // One renewal does not wait for the answer to the last: where the state service is slow, the right to
-      // act would end between an answer and the next.
+      // A renewal does not wait for the answer to the previous one: with a slow state service the lease would otherwise
+      // expire between two answers.
       const renewal = this.lease.renew().catch((error: unknown) => {
         log.debug(`lease: ${describeError(error)}`);
       });
@@ -109,22 +109,22 @@
     }
   }
 
-  /** Ends the loops of `run`. */
+  /** Stops the loops that `run` started. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Hands over all that this node leads, and claims nothing until `resumeClaiming`; peers take it over. */
+  /** Hands all led shards over to peers, and claims nothing until `resumeClaiming` is called. */
   relinquishAll(): void {
     this.isRelinquishing = true;
   }
 
-  /** Ends `relinquishAll`. */
+  /** Undoes `relinquishAll`: shards may be claimed again. */
   resumeClaiming(): void {
     this.isRelinquishing = false;
   }
 
-  /** Gives a shard up if its stored leader record is not this node's; for when a transaction has failed on it. */
+  /** Gives a shard up if its stored leader record is not this node's. Called after a transaction failed on that record. */
   async verifyLeadership(shard: string): Promise<void> {
     const leadership = this.leaderships.get(shard);
     if (leadership === undefined) return;
@@ -133,10 +133,10 @@
       this.lose(shard);
   }
 
-  /** Another node may lead the shard with this fencing token: if it is above ours, the shard is ours no longer. */
+  /** Gives a shard up if `fencingToken`, with which another node may lead it, is higher than this node's. */
   stepDownIfFenced(shard: string, fencingToken: number): void {
     const leadership = this.leaderships.get(shard);
-    // While a claim or a higher fencing token of ours is under way its record may be known before its answer.
+    // During our own claim or token advance the watch may deliver the new record before the transaction is answered.
     if (
       leadership !== undefined &&
       fencingToken > leadership.fencingToken &&
@@ -146,8 +146,8 @@
   }
 
   /**
-   * Gets a higher fencing token for a shard that this node leads already; it settles unacknowledged starts. Null where
-   * that was not possible just now.
+   * Obtains a higher fencing token for a shard that this node already leads. Workers then refuse starts of the earlier
+   * token, so the outcome of unacknowledged starts becomes definite. Returns null if that is not possible now.
    */
   async advanceFencingToken(shard: string): Promise<Leadership | null> {
     const before = this.leaderships.get(shard);
@@ -189,14 +189,14 @@
     else if (this.isRelinquishing || !this.events.mayClaim()) this.keyAbsentSince.delete(shard);
     else if (stored !== undefined && this.events.isLeaderCompatible(stored)) {
       this.keyAbsentSince.delete(shard);
-      // Our own record from before a restart: the process that wrote it is dead, so claim it at once.
+      // The record is this node's from before a restart: the process that wrote it is dead, so claim the shard at once.
       if (stored.node === this.options.label) this.startClaim(shard);
     } else this.claimWhenDue(shard);
   }
 
   private reviewLedShard(shard: string, stored: LeaderRecord | undefined): void {
     if (stored !== undefined) this.stepDownIfFenced(shard, stored.fencingToken);
-    // Its record will be absent anew after a hand-over, and its home node goes first then.
+    // After a hand-over the record is absent again, and the claim delays count from that moment: the home node goes first.
     this.keyAbsentSince.delete(shard);
     const isForeign = shard !== this.options.label && shard !== AUTOSCALER_ROLE;
     if (this.isRelinquishing || (isForeign && this.events.isReadyToLead(shard))) {
@@ -215,7 +215,7 @@
     this.runExclusively(shard, () => this.claim(shard));
   }
 
-  /** The shard's home node goes first; the others one after the other, in an order of the shard's. */
+  /** Returns how long to wait before a claim: the home node claims at once, the others in a fixed order per shard. */
   private claimDelay(shard: string): number {
     const { label, shards, leaseTtl } = this.options;
     if (shard === label) return 0;
@@ -242,17 +242,17 @@
         leader === null || leader.node === label || !this.events.isLeaderCompatible(leader),
     );
     if (leadership === null) return;
-    // Asked for after the record was written: no earlier leader's transaction can be applied any more.
+    // Read the records only after the leader record is written: no transaction of an earlier leader can be applied then.
     await this.stateCache.catchUp(leadership.revision);
-    // The record goes with the lease that it was written under. After a stretch in which this process did not get to
-    // run, another lease may be valid by now, and a peer the leader.
+    // The record is removed with the lease that it was written under. If this process was paused meanwhile, a newer
+    // lease may be valid by now while a peer leads the shard.
     if (!this.isLeaseValid || this.lease.id !== leaseId || this.leaderships.has(shard)) return;
     this.leaderships.set(shard, leadership);
     log.info(`shard ${shard}: leadership gained with fencing token ${leadership.fencingToken}`);
     this.events.onGained(shard, leadership);
   }
 
-  /** Gives up a shard, to its home node or, where this node is leaving, to whichever peer takes it first. */
+  /** Hands a shard over to its home node or, if this node is relinquishing all shards, to the first peer that claims it. */
   private async handOver(shard: string): Promise<void> {
     const leadership = this.leaderships.get(shard);
     if (leadership === undefined) return;
--- a/src/coordination/leadership/shardLoader.ts
+++ b/src/coordination/leadership/shardLoader.ts
@@ -1,4 +1,4 @@
-/** Loads a shard from its stored records, and takes up records that come to it later. */
+/** Loads a shard from its stored records, and adds buckets that are stored for it later. */
 import type { Clock } from '../../base/clock.js';
 import { describeError, log } from '../../base/log.js';
 import { keys, type JobRecord, type BucketRecord } from '../../storage/records.js';
@@ -13,11 +13,11 @@
 
 /** Creates the chunks of jobs. */
 export interface ChunkCreation {
-  /** Creates those chunks of a home job that are not stored yet. */
+  /** Creates the chunks of a home job that are not stored yet. */
   acceptMissing(ownedShard: OwnedShard, job: HomeJob): void;
 }
 
-/** What is needed of a node. */
+/** The parts of a node that loading a shard depends on. */
 export interface ShardLoaderContext {
   clock: Clock;
   inventory: Pick<MachineInventory, 'of' | 'get'>;
@@ -28,14 +28,14 @@
   requestSchedulingRound(): void;
 }
 
-/** Loads the shards that this node gains. */
+/** Loads shards whose leadership this node gains. */
 export class ShardLoader {
-  /** Stored buckets without a counterpart in memory, seen once. */
+  /** Keys of stored buckets that the previous check did not find in memory. */
   private readonly unmatched = new Set<string>();
 
   constructor(private readonly node: ShardLoaderContext) {}
 
-  /** `renewed`: steady time until which another node may answer the shard's workers. */
+  /** Loads a shard. A previous leader may answer its workers until `previousLeaderMayAnswerUntil`, in monotonic time. */
   load(shard: Shard, leadership: Leadership, renewed: number): OwnedShard {
     const { node } = this;
     const now = node.clock.now();
@@ -45,7 +45,7 @@
     for (const [name, record] of node.inventory.of(label))
       shard.addMachine(name, record, now, renewed, Math.max(0, wall - record.launchedAt));
     const prefix = keys.bucketsOf(label);
-    // Of two records that hold a chunk the newer one counts: the other is about to be removed (safety, V5).
+    // If two records hold the same chunk, the newer one counts: the older one is about to be removed (safety, V5).
     const stored = [...node.stateCache.entriesWithPrefix(prefix)].sort(
       ([, a], [, b]) => b.revision - a.revision,
     );
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Takes up one bucket of a shard, but for chunks that are over and run nowhere; those go with its next change. */
+  /** Loads one bucket of a shard, except chunks that are over and run nowhere; its next write drops those. */
   loadBucket(ownedShard: OwnedShard, name: string, value: BucketRecord, revision: number): void {
     const { node } = this;
     const now = node.clock.now();
@@ -80,7 +80,7 @@
       const index = Number(id.slice(id.lastIndexOf('/') + 1));
       const job = cachedJob(node.stateCache, record.spec.id);
       const isOver = job?.state === 'done' || job?.doneChunks.includes(index) === true;
-      // What was started of it, perhaps once more, is on a machine until that is known to be over.
+      // Attempts of a chunk that is over count as running until they are known to have terminated.
       if ((isOver && record.attempts.length === 0) || ownedShard.shard.chunks.has(id)) {
         bucket.isDirty = true;
         continue;
@@ -92,7 +92,7 @@
     if (bucket.chunks.size === 0) bucket.isDirty = true;
   }
 
-  /** Machines that run attempts of the shard, though the records have put them into another: the attempts are not over for that. */
+  /** Adds machines that run attempts of the shard but are recorded in another shard: their attempts are still running. */
   private keepReassigned({ shard }: OwnedShard, { chunks }: BucketRecord, now: number): void {
     for (const { machine } of Object.values(chunks).flatMap(({ attempts }) => attempts)) {
       if (shard.machines.has(machine)) continue;
@@ -102,8 +102,8 @@
   }
 
   /**
-   * A stored bucket has changed. Only what was just sent here is taken up: nothing of it can have been started
-   * by this shard's leaders.
+   * Called when a stored bucket has changed. It loads only buckets of chunks that were just migrated here: no leader of
+   * this shard can have started any task of those.
    */
   noteBucket(ownedShard: OwnedShard, name: string, value: BucketRecord, revision: number): void {
     if (ownedShard.buckets.has(name)) return;
@@ -113,7 +113,7 @@
     this.node.requestSchedulingRound();
   }
 
-  /** Takes up stored buckets of an owned shard that are not in memory: changes that the watch has missed. */
+  /** Loads stored buckets of an owned shard that two successive checks did not find in memory: the watch missed them. */
   loadUnmatchedBuckets(ownedShard: OwnedShard): void {
     const prefix = keys.bucketsOf(ownedShard.shard.label);
     for (const [key] of this.node.stateCache.entriesWithPrefix(prefix)) {
--- a/src/coordination/leadership/stateLease.ts
+++ b/src/coordination/leadership/stateLease.ts
@@ -1,17 +1,17 @@
-/** This node's lease at the state service, which all its leader records are written under. */
+/** This node's lease at the state service; all its leader records are attached to it. */
 import { MAX_CLOCK_DRIFT, type Clock } from '../../base/clock.js';
 import { log } from '../../base/log.js';
 import type { StateClient } from '../../storage/stateClient.js';
 
-/** How long a renewal waits for its answer, as a ratio to the lease. */
+/** Timeout of a renewal, as a ratio to the duration of the lease. */
 const RENEWAL_TIMEOUT_RATIO = 0.8;
 
-/** Grants and renews the lease, and tells for how long it is valid by this node's own clock. */
+/** Obtains and renews the lease, and tracks until when it is valid by this node's own clock. */
 export class StateLease {
   private activeId: number | null = null;
   private validUntil = -Infinity;
 
-  /** `ttl`: seconds that the lease lasts. `onEnded`: the service says that the lease has ended. */
+  /** `ttl` is the duration of the lease in seconds; `onEnded` is called when the state service reports its expiry. */
   constructor(
     private readonly client: Pick<StateClient, 'grantLease' | 'renewLease'>,
     private readonly clock: Pick<Clock, 'now'>,
@@ -19,24 +19,24 @@
     private readonly onEnded: () => void,
   ) {}
 
-  /** The lease's number at the state service; null while there is none. */
+  /** Id of the lease at the state service; null while there is none. */
   get id(): number | null {
     return this.activeId;
   }
 
-  /** Whether the lease is valid by this node's own clock, drift included. */
+  /** Whether the lease is valid by this node's own clock, with a margin for drift. */
   get isValid(): boolean {
     return this.activeId !== null && this.clock.now() < this.validUntil;
   }
 
-  /** Steady time at which the lease ends, or ended, unless it is renewed. */
+  /** Monotonic time at which the lease expires, or has expired, unless it is renewed. */
   get expiresAt(): number {
     return this.validUntil;
   }
 
-  /** Renews the lease, or asks for one where there is none. Rejects where the service gives no answer. */
+  /** Renews the lease, or requests one if there is none. Rejects if the service does not answer. */
   async renew(): Promise<void> {
-    // Counted from when the renewal was sent: it can't have reached the service earlier.
+    // The lease counts from when the request was sent: the service cannot have received it earlier.
     const sentAt = this.clock.now();
     const renewedId = this.activeId;
     if (renewedId === null) {
@@ -51,7 +51,7 @@
         return;
       }
     }
-    // Answers may overtake each other.
+    // Answers to overlapping renewals may arrive out of order.
     this.validUntil = Math.max(this.validUntil, sentAt + this.ttl * (1 - MAX_CLOCK_DRIFT));
   }
 
--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the stored chunks in line with what the shards know. Each transaction is conditional on the
- * shard's leader key and on the bucket it changes; a bucket's record is made from memory when its turn
- * comes, so that it holds all that has changed meanwhile.
+ * Writes the chunks of owned shards to the state service, in buckets. Each transaction is conditional on the shard's
+ * leader record and on the revision of each bucket that it changes. A bucket is encoded only when its write is due, so
+ * that the record includes all changes up to then.
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import { describeError, log } from '../../base/log.js';
@@ -15,51 +15,51 @@
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import { maxStoredBytes, Bucket, bucketOf } from '../model/bucket.js';
 
-/** What the writer asks and tells its owner. */
+/** Queries and events of the bucket writer. */
 export interface BucketWriterEvents {
   isLeaseValid(): boolean;
-  /** A leader key was not as we thought. */
+  /** Verifies that this node still leads the shard; called after a condition of a transaction has failed. */
   verifyLeadership(shard: string): Promise<void>;
-  /** Chunks were stored: their starts may go out. */
+  /** Called when chunks were stored; the starts of their attempts may be sent. */
   stored(ownedShard: OwnedShard, chunks: Chunk[]): void;
 }
 
-/** What is needed of the state service and of our copy of the records. */
+/** The calls to the state service that the writers of records use. */
 export type StateServiceAccess = Pick<
   StateClient,
   'transact' | 'get' | 'awaitWriteTurn' | 'writeRate' | 'writeDelay' | 'writeLoad' | 'operations'
 >;
-/** What is needed of the state cache. */
+/** The calls to the state cache that the writers of records use. */
 export type StateCacheAccess = Pick<StateCache, 'get' | 'note' | 'noteRemoved'>;
 
-/** Limits of a transaction, and pauses in seconds. */
+/** Limits of a transaction, and delays in seconds. */
 export interface BucketWriterOptions {
   txnOps: number;
   recordFormat: RecordFormat;
-  /** Seconds that changes which nobody waits for are gathered. */
+  /** Seconds for which changes that nobody waits for are batched. */
   flushDelay: number;
   retryDelay: number;
-  /** Tells the names of this process's buckets from all others. */
+  /** Prefix that makes the names of this process's buckets unique. */
   process: string;
 }
 
-/** Transactions of a shard that may be on their way. */
+/** Maximum number of transactions of a shard in flight. */
 const TRANSACTIONS = 3;
 
-/** Of a transaction's and of a record's limit, what is used: sizes are worked out, not measured. */
+/** Shares of a transaction's and of a record's size limit that are used: sizes are estimated, not measured. */
 const TXN_SHARE = 0.8;
 const VALUE_SHARE = 0.9;
 
-/** How much longer changes that nobody waits for are gathered while others queue for the state service. */
+/** Factor on the flush delay while other requests queue for the state service. */
 const BUSY_PATIENCE = 4;
 
-/** Of the changes that are ours, what is asked for when they are counted as scarce. */
+/** Demand, as a share of this node's write rate, above which writes count as scarce. */
 const BUSY_LOAD = 1 / 2;
 
-/** Of the changes that are ours, what starts of batch work may use. */
+/** Share of this node's write rate that starts of batch work may use. */
 const GATHER_SHARE = 0.4;
 
-/** Writes the buckets of owned shards, under the conditions of safety O3. */
+/** Writes the buckets of owned shards under the conditions of safety O3. */
 export class BucketWriter {
   private named = 0;
 
@@ -71,7 +71,7 @@
     private readonly options: BucketWriterOptions,
   ) {}
 
-  /** Every write of a shard goes through here: under its ownership, and only while that is valid. */
+  /** Applies a transaction of a shard, under the condition of its leader record and only while the lease is valid. */
   async write(
     ownedShard: OwnedShard,
     transaction: Transaction,
@@ -85,7 +85,7 @@
     return this.client.transact({ ...transaction, conditions: [owner, ...others] }, urgency);
   }
 
-  /** Starts the storing of what is due. */
+  /** Starts the writes of all buckets that are due. */
   writeDueBuckets(ownedShard: OwnedShard): void {
     if (this.options.recordFormat.isCompact) this.retireLargeBuckets(ownedShard);
     for (const chunk of ownedShard.shard.unsavedChunks) {
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Buckets from before the present limits, whose records may not be written any more: their chunks go to others, as
-   * the state service allows (safety, V5). A single chunk that is too large is stored in fragments.
+   * Empties buckets that were stored under larger limits and whose records can no longer be written: their chunks move
+   * to other buckets as the state service permits (safety, V5). A single chunk that is too large is stored in fragments.
    */
   private retireLargeBuckets(ownedShard: OwnedShard): void {
     for (const bucket of ownedShard.buckets.values()) {
@@ -110,7 +110,7 @@
     }
   }
 
-  /** What chunks may take of one record. */
+  /** Bytes that chunks may take of one record. */
   private get room(): number {
     return (
       Math.min(this.options.recordFormat.valueBytes, MAX_TRANSACTION_CHANGE_BYTES * TXN_SHARE) *
@@ -118,11 +118,11 @@
     );
   }
 
-  /** Buckets that should be stored now. */
+  /** Returns the buckets to be written now, with the priority of each. */
   private dueBuckets(ownedShard: OwnedShard): Map<Bucket, RequestPriority> {
     const now = this.clock.now();
-    // Ends can wait while users and starts need the state service's changes: a crash meanwhile loses nothing
-    // that the workers do not still report. A chunk whose tasks end one by one would be written for each few.
+    // Terminated attempts can wait while users and starts need the write rate: after a crash the workers still report
+    // them. Waiting also avoids repeated writes of a chunk whose tasks end one by one.
     const { flushDelay: linger } = this.options;
     const isBusy =
       this.client.writeDelay('later') > linger / 2 || this.client.writeLoad > BUSY_LOAD;
@@ -144,7 +144,7 @@
     return due;
   }
 
-  /** Stores buckets, as many in one transaction as fit it. */
+  /** Writes buckets, as many in one transaction as fit its limits. */
   private flushAll(ownedShard: OwnedShard, due: Map<Bucket, RequestPriority>): void {
     const most = Math.max(1, this.options.txnOps - 1);
     let batch: Bucket[] = [];
@@ -171,18 +171,18 @@
     if (ownedShard.writesInFlight < TRANSACTIONS) send();
   }
 
-  /** Puts that a bucket of this size takes: a large one is stored in fragments. */
+  /** Returns the operations that a write of a bucket of this size takes: a large one is stored in fragments. */
   private operationsFor(ownedShard: OwnedShard, bucket: Bucket, bytes: number): number {
     const { recordFormat } = this.options;
     if (!recordFormat.isCompact) return 1;
-    // The record is made when its turn comes, and may be a little larger by then.
+    // The record is encoded only when its write is due, and may be slightly larger by then.
     const most = Math.ceil(bytes / (recordFormat.valueBytes * VALUE_SHARE));
     return Math.max(most, this.client.operations(this.key(ownedShard, bucket), null));
   }
 
   /**
-   * Onto the fullest bucket of its kind that is sure to hold it, or a new one. An empty bucket whose record is still
-   * stored serves as well: it takes one change, where removing it and creating another takes two.
+   * Adds a chunk to the fullest bucket of its kind that is certain to have room for it, or to a new one. An empty bucket
+   * whose record is still stored is reused: that takes one write, and removing it and creating another takes two.
    */
   private assignBucket(ownedShard: OwnedShard, chunk: Chunk): void {
     const { recordFormat, process } = this.options;
@@ -192,7 +192,7 @@
     let most = -1;
     for (const bucket of ownedShard.buckets.values()) {
       if (bucket.isWriteInFlight) continue;
-      // Replicas seldom change, tasks often: apart, so that the ones are not written for the others.
+      // Services change seldom and batch tasks often: separate buckets avoid rewriting one for changes of the other.
       const [first] = bucket.chunks;
       if (first !== undefined && first.spec.isService !== chunk.spec.isService) continue;
       if (bucket === chunk.retiredFrom || bucket.hasUnstoredRetiredChunks) continue;
@@ -217,7 +217,8 @@
   ): Promise<void> {
     ownedShard.writesInFlight++;
     for (const bucket of buckets) bucket.isWriteInFlight = true;
-    // A round of starts every so often, each with all that has come up; users have the rest.
+    // Starts of batch work are written in spaced rounds, each with all starts since the last one; the rest of the write
+    // rate is left for users' requests.
     const pause = buckets.length / (this.client.writeRate * GATHER_SHARE);
     ownedShard.batchStartsDeferredUntil =
       Math.max(ownedShard.batchStartsDeferredUntil, this.clock.now()) + pause;
@@ -251,7 +252,7 @@
         bucket.isDirty = true;
       }
       if (result.kind === 'conflict') await this.resolveConflict(ownedShard, buckets);
-      // Sent again at once it would be refused again, and keep others from their turn.
+      // Repeated at once it would be rejected again and delay other writes.
       else if (result.kind === 'malformed') await sleep(this.options.flushDelay);
       else await sleep(this.options.retryDelay);
     } catch (error) {
@@ -272,7 +273,7 @@
   ): void {
     for (const { chunk, at } of stored) {
       chunk.storedVersion = Math.max(chunk.storedVersion, at);
-      // Written under the revision that a move of it would have needed: that can't be applied any more.
+      // The bucket's revision has changed, so a transaction that migrates the chunk away can no longer be applied.
       chunk.mayHaveMigrated = false;
       if (chunk.version === chunk.storedVersion) ownedShard.shard.unsavedChunks.delete(chunk);
       else chunk.dirtySince ??= this.clock.now();
@@ -294,7 +295,7 @@
     );
   }
 
-  /** Copies of ours that got no answer may have been applied: take what they left. */
+  /** Rereads buckets after a conflict: transactions of this node that got no answer may have been applied. */
   async resolveConflict(ownedShard: OwnedShard, buckets: Bucket[]): Promise<void> {
     await this.host.verifyLeadership(ownedShard.shard.label);
     for (const bucket of buckets) {
@@ -305,7 +306,7 @@
       const record = item?.value as BucketRecord | undefined;
       for (const chunk of [...bucket.chunks]) {
         if (!chunk.mayHaveMigrated) continue;
-        // Its move was applied after all, or never will be, since the revision has changed.
+        // The revision has changed, so the transaction that migrates the chunk was applied or never will be.
         if (record?.chunks[chunk.id] === undefined)
           ownedShard.shard.migrateAway(chunk, this.clock.now());
         else chunk.mayHaveMigrated = false;
@@ -317,8 +318,8 @@
   }
 
   /**
-   * Hands a chunk, of which nothing is on any machine, to another shard, in one transaction. `extra` are
-   * changes that belong to it: its home notes that it has left.
+   * Migrates a chunk without attempts to another shard in one transaction. `extra` holds further changes of that
+   * transaction: the home shard records that the chunk has left.
    */
   async move(
     ownedShard: OwnedShard,
@@ -362,7 +363,7 @@
         this.applied(ownedShard, [bucket], others, puts, result.revision);
         this.stateCache.note(key, value, result.revision);
       } else if (result.kind === 'conflict') await this.resolveConflict(ownedShard, [bucket]);
-      // Until its bucket is written again it may have gone, and nothing of it can be started.
+      // Until its bucket is written again the chunk may have migrated, and none of its tasks can be started.
       else if (result.kind === 'unknown') {
         chunk.mayHaveMigrated = true;
         bucket.isDirty = true;
@@ -375,7 +376,10 @@
     }
   }
 
-  /** The change of a bucket that loses a chunk; one that is empty then goes, unless it may be created late. */
+  /**
+   * Returns the change of a bucket that a chunk leaves. A bucket that becomes empty is deleted, unless a late copy of the
+   * transaction that creates it could then be applied.
+   */
   private withoutChunk(
     ownedShard: OwnedShard,
     bucket: Bucket,
@@ -389,11 +393,11 @@
   }
 }
 
-/** Starts or the end of its job wait for it to be stored. */
+/** Whether starts, or the completion of the chunk in its job, wait until the chunk is stored. */
 const isAwaited = (chunk: Chunk): boolean =>
   hasStarts(chunk) || (chunk.isComplete && !chunk.isCancelled);
 
-/** Placements of it are not stored yet, and their starts wait for that. */
+/** Whether the chunk has placements that are not stored yet; their starts wait for that. */
 function hasStarts(chunk: Chunk): boolean {
   for (const attempt of chunk.attempts.values()) {
     if (attempt.chunkVersion > chunk.storedVersion && attempt.stop === null) return true;
--- a/src/coordination/persistence/cancellationEvidence.ts
+++ b/src/coordination/persistence/cancellationEvidence.ts
@@ -1,13 +1,13 @@
 /**
- * What a cancellation may be stored on: each chunk of the job has been stopped by the leader of its shard, under a leader record
- * that has not changed since (safety, C1). Only the state service can tell whether it has, so the revisions of these records
- * are conditions of the transaction.
+ * Evidence that permits a cancellation to be stored: the leader of each chunk's shard has stopped the chunk, under a leader
+ * record that has not changed since (safety, C1). Only the state service knows whether a record has changed, so the
+ * revisions of these records are conditions of the transaction.
  */
 import type { Transaction } from '../../protocol/stateProtocol.js';
 import { keys, type JobRecord } from '../../storage/records.js';
 import type { StateCache } from '../../storage/stateCache.js';
 
-/** Indices of a job's chunks that are created and not done. */
+/** Returns the indices of a job's chunks that are created and not done. */
 export function openChunkIndices({ createdChunks, doneChunks }: JobRecord): Set<number> {
   const open = new Set<number>();
   for (let index = 0; index < createdChunks; index++) {
@@ -16,16 +16,16 @@
   return open;
 }
 
-/** The proof that a job's tasks are being ended wherever they may be. */
+/** Proof that all tasks of a job are being stopped, on whichever shards they are. */
 export class CancellationEvidence {
   private constructor(
-    /** Indices of the chunks that were acknowledged; null: the job has none, nor gets any but at its home. */
+    /** Indices of the acknowledged chunks; null if the job has no chunks and can get some only at its home shard. */
     private readonly chunks: ReadonlySet<number> | null,
-    /** Revisions of the leader records that counted, by shard. */
+    /** Revisions of the leader records that the evidence relies on, by shard. */
     private readonly revisionByShard: ReadonlyMap<string, number>,
   ) {}
 
-  /** Chunks that leaders have acknowledged, and the revisions of these leaders' records, by shard. */
+  /** Evidence from the chunks that leaders have acknowledged and the revisions of those leaders' records, by shard. */
   static acknowledged(
     chunks: ReadonlySet<number>,
     revisionByShard: ReadonlyMap<string, number>,
@@ -34,32 +34,32 @@
   }
 
   /**
-   * The job waits for others, and so has no chunk. Should it be released, its home creates its chunks as cancelled ones for as long
-   * as its leader record is that of `revisionByShard`.
+   * Evidence for a job that waits for its dependencies and so has no chunks. If the job is released, its home shard
+   * creates the chunks as cancelled ones, as long as that shard's leader record has the revision in `revisionByShard`.
    */
   static ofBlockedJob(revisionByShard: ReadonlyMap<string, number>): CancellationEvidence {
     return new CancellationEvidence(null, revisionByShard);
   }
 
-  /** The job needs one that is cancelled: it is never released. */
+  /** Evidence for a job that depends on a cancelled one: it is never released. */
   static ofUnreleasableJob(): CancellationEvidence {
     return new CancellationEvidence(null, new Map());
   }
 
-  /** Whether each open chunk of the record was acknowledged: others may have been created since. */
+  /** Whether every open chunk of the record was acknowledged; chunks may have been created since the evidence was collected. */
   covers(record: JobRecord): boolean {
     const { chunks } = this;
     return chunks === null || [...openChunkIndices(record)].every((index) => chunks.has(index));
   }
 
-  /** Whether the leader records are still those that counted, as far as this copy shows. */
+  /** Whether the leader records still have the revisions of the evidence, as far as the cache shows. */
   isCurrent(stateCache: Pick<StateCache, 'get'>): boolean {
     return [...this.revisionByShard].every(
       ([shard, revision]) => stateCache.get(keys.leader(shard))?.revision === revision,
     );
   }
 
-  /** The conditions under which the cancellation may be stored. */
+  /** Conditions of the transaction that stores the cancellation. */
   get conditions(): Transaction['conditions'] {
     return [...this.revisionByShard].map(([shard, revision]) => ({
       key: keys.leader(shard),
--- a/src/coordination/persistence/jobPersistence.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -1,7 +1,6 @@
 /**
- * Brings the records of jobs in line with what the shards know: chunks that are over, jobs that are
- * done, chunks that are cut or move. A transaction that got no answer is repeated under the same
- * conditions, so that at most one of the copies is ever applied.
+ * Writes changes of the shards to the records of jobs: finished chunks, finished jobs, created chunks and migrated chunks.
+ * A transaction that got no answer is repeated under the same conditions, so that at most one of the copies is ever applied.
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import { describeError, log } from '../../base/log.js';
@@ -21,25 +20,25 @@
   type StateServiceAccess,
 } from './bucketWriter.js';
 
-/** What is needed of the controller. */
+/** The parts of the controller that writing job records depends on. */
 export interface JobPersistenceContext extends BucketWriterEvents {
   ownedShards: ReadonlyMap<string, OwnedShard>;
-  /** The job is about to be cancelled. */
+  /** Whether a cancellation of the job is in progress. */
   isBeingCancelled(job: string): boolean;
-  /** The job waits for others: it has no chunks before these are done. */
+  /** Whether the job waits for its dependencies; it has no chunks before these are done. */
   isBlockedOnDependencies(job: string): boolean;
-  /** A stored record of chunks cannot be read: what it holds may run, though nobody knows of it. */
+  /** Whether a stored bucket cannot be read; tasks of its chunks may be running unknown to any node. */
   readonly hasUnreadableChunks: boolean;
 }
 
 /**
- * What became of a cancellation. `ended`: the job is over, perhaps otherwise than asked for; `outdated`: a leader has changed or
- * a chunk was created since the evidence was collected; `not-stored`: not in time.
+ * Result of a cancellation. `ended`: the job is in a final state, which may be `done`; `outdated`: a leader has changed or
+ * a chunk was created since the evidence was collected; `not-stored`: it could not be stored before the deadline.
  */
 export type CancellationResult =
   { kind: 'ended'; state: FinalJobRecord['state'] } | { kind: 'outdated' } | { kind: 'not-stored' };
 
-/** Writes jobs' records and, by the bucket writer, their chunks. */
+/** Writes the records of jobs and, through the bucket writer, their chunks. */
 export class JobPersistence {
   private readonly bucketWriter: BucketWriter;
   private readonly jobRecords: JobRecordWriter;
@@ -62,12 +61,12 @@
     });
   }
 
-  /** Applies a transaction for a shard, under the condition that this node leads it. */
+  /** Applies a transaction of a shard, under the condition that this node leads the shard. */
   get write(): BucketWriter['write'] {
     return this.bucketWriter.write.bind(this.bucketWriter);
   }
 
-  /** One pass over all owned shards; starts what is due and returns. */
+  /** Starts the writes that are due in all owned shards, without waiting for them. */
   writeDueBuckets(): void {
     if (!this.host.isLeaseValid()) return;
     for (const ownedShard of this.host.ownedShards.values()) {
@@ -76,7 +75,7 @@
     }
   }
 
-  /** Looks at all jobs of the owned shards, in case a change was missed. */
+  /** Checks all jobs of the owned shards for finished chunks and for chunks to create, in case a change was missed. */
   reconcileJobs(): void {
     if (!this.host.isLeaseValid()) return;
     for (const [id, { shard, record }] of this.chunkIndex.entries()) {
@@ -94,7 +93,7 @@
 
   private settle(ownedShard: OwnedShard, chunk: Chunk): void {
     if (chunk.isCancelled) {
-      // Its job's record says that it is cancelled, so nobody will ever start anything of it again.
+      // The job's record says that it is cancelled, so no node will ever start a task of the chunk again.
       if (chunk.attempts.size === 0) ownedShard.shard.dropChunk(chunk);
       else ownedShard.shard.finishedChunks.delete(chunk);
       return;
@@ -107,12 +106,12 @@
         if (gone) ownedShard.shard.dropChunk(chunk);
       });
     } else if (chunk.storedVersion < chunk.version) {
-      // Its home is elsewhere and learns from the record that it is complete.
+      // The home shard has another leader, which learns from the chunk's record that it is complete.
       ownedShard.shard.unsavedChunks.add(chunk);
     }
   }
 
-  /** Hands a chunk, of which nothing is on any machine, to another shard. */
+  /** Migrates a chunk without attempts to another shard. */
   async move(ownedShard: OwnedShard, chunk: Chunk, to: string): Promise<void> {
     if (chunk.homeShard !== ownedShard.shard.label) {
       await this.bucketWriter.move(ownedShard, chunk, to, { conditions: [], puts: [] });
@@ -139,9 +138,7 @@
     }
   }
 
-  // ---- Jobs ----
-
-  /** Notes a complete chunk in its job, and the job as done with the last one. True when stored. */
+  /** Records a complete chunk in its job, and the job as done with its last chunk. Returns true once that is stored. */
   private async finish(homeShard: OwnedShard, job: HomeJob, index: number): Promise<boolean> {
     if (job.isWriteInFlight) return false;
     const { record } = job;
@@ -158,7 +155,7 @@
               migratedChunks: record.migratedChunks.filter((k) => !finished.includes(k)),
             };
       await this.jobRecords.write(homeShard, job, next);
-      // By the record: the change that a conflict was with may have been another one.
+      // Judge by the record: the write may have conflicted with an unrelated change.
       return job.record.state !== 'open' || job.record.doneChunks.includes(index);
     } catch (error) {
       log.debug(`finish: ${describeError(error)}`);
@@ -168,7 +165,7 @@
     }
   }
 
-  /** Stores a job's record as it is, so that it takes the form that is written now. True when stored. */
+  /** Rewrites an unchanged job record in the form that is written now. Returns true once it is stored. */
   async rewrite(homeShard: OwnedShard, job: HomeJob): Promise<boolean> {
     if (job.isWriteInFlight || job.record.state !== 'open') return false;
     job.isWriteInFlight = true;
@@ -180,8 +177,8 @@
   }
 
   /**
-   * Takes up the chunks of a home job that are neither here nor stored: nothing of them was started. So it is where a
-   * shard is loaded, where a change that cut a chunk got no answer, and where a job no longer waits for others.
+   * Creates the chunks of a home job that are neither in memory nor stored; no task of them was started. There are such
+   * chunks after a shard is loaded, after the write that created a chunk got no answer, and after a job is released.
    */
   acceptMissing(homeShard: OwnedShard, job: HomeJob): void {
     if (
@@ -198,7 +195,7 @@
     }
   }
 
-  /** Stores a cancellation on the evidence that its tasks are being ended, while nothing has changed of that. */
+  /** Stores a cancellation, provided that the evidence that the job's tasks are being stopped is still current. */
   async cancel(
     homeShard: OwnedShard,
     job: HomeJob,
@@ -250,7 +247,7 @@
     }
   }
 
-  /** Large jobs are cut step by step, so that no shard holds more of them than it can run. */
+  /** Creates the next chunk of a job. Chunks of large jobs are created gradually, so no shard holds more than it can run. */
   private createMoreChunks(homeShard: OwnedShard, job: HomeJob): void {
     const { record } = job;
     if (job.isWriteInFlight || record.state !== 'open') return;
@@ -298,7 +295,7 @@
   }
 }
 
-/** The record of a job once it is cancelled: nothing of its description or its chunks is kept. */
+/** Returns the record of a cancelled job, without its description and its chunks. */
 function cancelledRecord(record: JobRecord): JobRecord {
   return { ...record, spec: null, state: 'cancelled', doneChunks: [], migratedChunks: [] };
 }
--- a/src/coordination/persistence/jobRecordWriter.ts
+++ b/src/coordination/persistence/jobRecordWriter.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the record of a job, under the condition that it is as this node thinks and that this node leads the job's home
- * shard. In memory a job changes only after the state service has stored it.
+ * Writes the record of a job, under the conditions that its revision is the one this node knows and that this node leads
+ * the job's home shard. The job in memory changes only after the state service has stored the record.
  */
 import { sleep } from '../../base/clock.js';
 import type { Transaction } from '../../protocol/stateProtocol.js';
@@ -9,23 +9,23 @@
 import type { HomeJob, OwnedShard } from '../leadership/ownedShard.js';
 import type { BucketWriter, StateCacheAccess, StateServiceAccess } from './bucketWriter.js';
 
-/** Further conditions of a job's change, and who is told of its outcome. */
+/** Further conditions of a write, and a callback for its outcome. */
 export interface JobWriteOptions {
   conditions?: Transaction['conditions'];
   onOutcome?: (outcome: TransactionResult['kind']) => void;
 }
 
-/** What the writer asks and tells its owner. */
+/** Events and delays of the writer. */
 export interface JobRecordWriterOptions {
-  /** A leader key was not as we thought. */
+  /** Verifies that this node still leads the shard; called after a condition of a transaction has failed. */
   verifyLeadership(shard: string): Promise<void>;
-  /** A job's record was read anew, and was not as we thought. */
+  /** Called when a job's record was read again and had changed. */
   onReread(homeShard: OwnedShard, job: HomeJob): void;
-  /** Seconds after which a change that was not stored may be tried again. */
+  /** Seconds after which a write that was not applied may be retried. */
   readonly retryDelay: number;
 }
 
-/** Writes jobs' records; whoever calls it has marked the job as being written. */
+/** Writes job records. The caller sets the job's `isWriteInFlight` first. */
 export class JobRecordWriter {
   constructor(
     private readonly client: Pick<StateServiceAccess, 'get' | 'awaitWriteTurn'>,
@@ -34,7 +34,7 @@
     private readonly options: JobRecordWriterOptions,
   ) {}
 
-  /** Stores a job's new record; in memory it changes only after that. */
+  /** Stores a job's new record and then applies it in memory. Returns true if the record in memory changed. */
   async write(
     homeShard: OwnedShard,
     job: HomeJob,
@@ -49,7 +49,7 @@
     };
     await this.client.awaitWriteTurn(1, 'urgent');
     const wasUnsettled = job.isOutcomeUnknown === true;
-    // From now on others may read a final state and tell users of it, before its answer gets here.
+    // From now on other nodes may read a final state and tell users of it, before the answer arrives here.
     if (next.state !== 'open') job.isOutcomeUnknown = true;
     const result = await this.bucketWriter.write(homeShard, transaction, 'granted');
     onOutcome?.(result.kind);
@@ -58,7 +58,7 @@
       return true;
     }
     if (result.kind === 'conflict') {
-      // Somebody has changed the record, or an earlier copy of ours did: others may know more than this node.
+      // Another writer, or an earlier copy of this write, has changed the record: other nodes may know a newer state.
       job.isOutcomeUnknown = true;
       await this.options.verifyLeadership(homeShard.shard.label);
       await this.readAgain(conditions.filter((condition) => result.failed.includes(condition.key)));
@@ -69,7 +69,7 @@
     return false;
   }
 
-  /** Brings records of which a condition has failed up to date in this node's copy. */
+  /** Rereads records whose condition has failed into the state cache. */
   private async readAgain(failed: Transaction['conditions']): Promise<void> {
     for (const { key } of failed) {
       const item = await this.client.get(key);
@@ -78,7 +78,7 @@
     }
   }
 
-  /** True when the stored record was not as we thought, and is now. */
+  /** Rereads a job's record. Returns true if the stored record had changed and was applied in memory. */
   async reread(homeShard: OwnedShard, job: HomeJob, wasUnsettled: boolean): Promise<boolean> {
     const item = await this.client.get(keys.job(job.id));
     if (!homeShard.isOwned || item === null) return false;
@@ -91,7 +91,7 @@
     return true;
   }
 
-  /** Takes a record in that is known to be stored under this revision. */
+  /** Applies a record in memory that is known to be stored at this revision. */
   apply(homeShard: OwnedShard, job: HomeJob, record: JobRecord, revision: number): void {
     job.record = record;
     job.revision = revision;
--- a/src/coordination/persistence/missingChunks.ts
+++ b/src/coordination/persistence/missingChunks.ts
@@ -1,9 +1,12 @@
-/** Chunks of a home job that nobody has stored: its record says that they were cut, and nothing of them was started. */
+/** Chunks of a home job that its record counts as created but that are not stored: no task of them was started. */
 import type { JobRecord } from '../../storage/records.js';
 import { Chunk } from '../model/chunk.js';
 import { chunkRanges } from '../model/chunking.js';
 
-/** Made anew where the home shard does not have them; `record` is as stored, with all that it says of moves. */
+/**
+ * Creates the chunks that the home shard does not have. `record` is the stored record, which lists all chunks that have
+ * ever migrated away.
+ */
 export function missingChunks(
   id: string,
   record: JobRecord,
--- a/src/storage/compactRecords.ts
+++ b/src/storage/compactRecords.ts
@@ -1,4 +1,4 @@
-/** Format 2 of stored records: what has its usual value is left out, and tasks are gathered by machine. */
+/** Format 2 of stored records: fields with their default value are omitted, and attempts are grouped by machine. */
 import type { JobSpec } from '../protocol/job.js';
 import {
   fromStoredSpec,
@@ -31,12 +31,12 @@
   size: number;
   zones?: string[];
   cut: number;
-  /** Chunk numbers as ranges. */
+  /** Chunk indices as ranges. */
   finished?: number[];
   away?: number[];
 }
 
-/** A machine, its agent epoch, and a task and its attempt for each task on it. */
+/** A machine and its agent epoch, followed by the task number and attempt number of each attempt on it. */
 type CompactEntries = [string, number, ...number[]];
 
 interface CompactChunk {
@@ -57,7 +57,7 @@
   chunks: Record<string, CompactChunk>;
 }
 
-/** A job's description in format 2: fields that have their default are left out. */
+/** Returns a job's description in format 2, without the fields that have their default value. */
 export function compactSpec(spec: JobSpec): CompactSpec {
   const usual: Record<string, unknown> = { ...specDefaults() };
   const told = Object.entries(toStoredSpec(spec)).filter(([name, value]) => {
@@ -67,7 +67,7 @@
   return Object.fromEntries(told) as unknown as CompactSpec;
 }
 
-/** A job's record in format 2. */
+/** Returns a job's record in format 2. */
 export function compactJob(record: JobRecord): CompactJob {
   const {
     spec,
@@ -96,7 +96,7 @@
   };
 }
 
-/** A job's record of either format, stored under `key`. Throws `CorruptRecordError` where it tells no state. */
+/** Decodes a job's record of either format, stored under `key`. Throws `CorruptRecordError` for an unknown state. */
 export function decodeJob(key: string, stored: unknown): JobRecord {
   if ((stored as Partial<CompactJob>).v !== 2) {
     return fromPlainJob(key, stored as StoredJobRecord);
@@ -114,7 +114,7 @@
   });
 }
 
-/** A bucket of chunks in format 2. */
+/** Returns a bucket of chunks in format 2. */
 export const compactBucket = ({ chunks }: BucketRecord): CompactBucket => ({
   v: 2,
   chunks: mapValues(chunks, compactChunk),
@@ -134,7 +134,7 @@
     migrationCount: moves,
   } = record;
   return {
-    // Only the job's own record tells what it waits for: what is stored of a chunk has been released.
+    // Dependencies are stored only in the job's record: a stored chunk belongs to a job that has been released.
     spec: compactSpec({ ...spec, dependencies: [] }),
     home,
     at,
@@ -169,7 +169,7 @@
   });
 }
 
-/** A bucket of chunks of either format. */
+/** Decodes a bucket of chunks of either format. */
 export function decodeBucket(stored: unknown): BucketRecord {
   if ((stored as Partial<CompactBucket>).v !== 2) {
     return fromPlainBucket(stored as StoredBucketRecord);
--- a/src/storage/compression.ts
+++ b/src/storage/compression.ts
@@ -1,16 +1,16 @@
 /**
- * Compressed records. The library is loaded only where the feature table may need it (docs/rollout.md), so nothing else
- * imports this module but by `import()`.
+ * Compression of records. The library is loaded only if the feature table may need it (docs/rollout.md), so other modules
+ * load this one only with a dynamic `import()`.
  */
 import { deflateSync, inflateSync, strFromU8, strToU8 } from 'fflate';
 import { crc32 } from 'node:zlib';
 import { MAX_REQUEST_BYTES } from '../protocol/stateProtocol.js';
 import { CorruptRecordError, type CompressedValue, type RecordCodec } from './recordCodec.js';
 
-/** Records are some kilobytes: a higher level takes longer and saves nothing. */
+/** Compression level. Records are a few kilobytes long: a higher level takes longer and saves nothing. */
 const LEVEL = 6;
 
-/** No record was ever written whose text was longer than a request to the state service may be. */
+/** Maximum length of a record's text. No longer text was ever stored: requests to the state service have this limit. */
 const MOST_BYTES = MAX_REQUEST_BYTES;
 
 function compress(text: string): CompressedValue | null {
@@ -29,8 +29,8 @@
   if (!Number.isInteger(bytes) || bytes < 0 || bytes > MOST_BYTES) {
     throw new CorruptRecordError(key, `it claims to expand to ${String(bytes)} bytes`);
   }
-  // The output is of a fixed size, so that a record cannot expand without limit; what does not fit is left out, and the
-  // checksum tells.
+  // The output buffer has a fixed size, so that a record cannot expand without limit. Excess output is dropped, and the
+  // checksum then fails.
   const output = new Uint8Array(bytes);
   let expanded: Uint8Array;
   try {
@@ -45,5 +45,5 @@
   return strFromU8(expanded);
 }
 
-/** Compresses with deflate, and checks what it expands by a CRC-32. */
+/** Compresses with deflate, and verifies the expanded text with a CRC-32. */
 export const deflateCodec: RecordCodec = { compress, expand };
--- a/src/storage/fragments.ts
+++ b/src/storage/fragments.ts
@@ -1,12 +1,15 @@
-/** Records beyond the state service's limit are stored in fragments: a head under their own key, and the rest apart. */
+/**
+ * Splitting of records beyond the state service's size limit into fragments: a head under the record's own key, and the
+ * rest under keys of their own.
+ */
 import { keys, FRAGMENT_PREFIX } from './records.js';
 
-/** The first piece of a record that is stored in several. */
+/** The first fragment of a record that is stored in several. */
 interface FragmentHead {
   v: 2;
   pieces: number;
   text: string;
-  /** It was tried to compress it, which made it no smaller. */
+  /** Set if compression was tried and did not make the record smaller. */
   kept?: true;
 }
 
@@ -20,27 +23,27 @@
   value: unknown;
 }
 
-/** Room in a piece for what stands around its text. */
+/** Bytes reserved in a fragment for the JSON around its text. */
 export const FRAGMENT_OVERHEAD_BYTES = 40;
 
-/** And in a head that tells that its record is kept as it is. */
+/** Further bytes reserved in a head that marks its record as incompressible. */
 const KEPT_BYTES = ',"kept":true'.length;
 
-/** Bytes that a value takes as JSON. */
+/** Returns the length of a value as JSON, in bytes. */
 export const jsonBytes = (value: unknown): number =>
   value === undefined ? 0 : Buffer.byteLength(JSON.stringify(value));
 
-/** How many fragments belong to a value besides its head. */
+/** Returns the number of fragments that belong to a stored value besides its head. */
 export const fragmentCount = (value: unknown): number => {
   const { pieces, text } = (value ?? {}) as Partial<FragmentHead>;
   return typeof pieces === 'number' && typeof text === 'string' ? pieces : 0;
 };
 
-/** Whether a head tells that its record cannot be made smaller. */
+/** Whether a head marks its record as incompressible. */
 export const isMarkedIncompressible = (value: unknown): boolean =>
   fragmentCount(value) > 0 && (value as FragmentHead).kept === true;
 
-/** The value of a head and its fragments; a record without fragments is its head. */
+/** Joins a head and its fragments to the stored value; a head without fragments is the value itself. */
 export function joinFragments(head: unknown, pieces: unknown[]): unknown {
   if (pieces.length === 0) return head;
   const texts = [head, ...pieces].map((piece) => (piece as Fragment).text);
@@ -50,7 +53,7 @@
 /** Whether a key holds a fragment of another record. */
 export const isFragmentKey = (key: string): boolean => key.startsWith(FRAGMENT_PREFIX);
 
-/** What is put for a value that takes several fragments; the first is under its own key. */
+/** Returns the puts for a value that takes several fragments; the first is under the record's own key. */
 export function splitIntoFragments(
   key: string,
   value: unknown,
@@ -65,7 +68,7 @@
   return [{ key, value: head }, ...pieces];
 }
 
-/** Cuts a text so that each piece, quoted as a JSON string, takes no more than so many bytes. */
+/** Splits a text so that each piece, encoded as a JSON string, takes at most `maxBytes` without its quotes. */
 function splitText(text: string, most: number): string[] {
   const pieces: string[] = [];
   let piece = '';
--- a/src/storage/machineInventory.ts
+++ b/src/storage/machineInventory.ts
@@ -1,69 +1,69 @@
 /**
- * The machines, by name. They are stored in groups, one for each rental: with a record a machine, the
- * state service's changes would be used up by bookkeeping while a thousand of them come up.
+ * Inventory of the machines. They are stored in groups, one record per rental: with one record per machine, bookkeeping
+ * would use up the write rate of the state service while a thousand machines boot.
  *
- * A machine should be in one group. Where the records of several name it, all nodes have to agree on its shard, whatever
- * order they heard of the records in: every claim is kept, and a rule on the records alone chooses the one that counts.
+ * A machine should be in one group. If the records of several groups name it, all nodes must agree on its shard, in
+ * whatever order they received the records. So every claim is kept, and the effective one is chosen by the records alone.
  */
 import type { MachineGroupRecord, MachineRecord } from './records.js';
 
-/** A group's record names a machine. */
+/** A machine as one group's record names it. */
 interface Claim {
   readonly group: string;
   readonly record: MachineRecord;
 }
 
-/** What a change of one group's record did to the inventory. */
+/** The effect of a changed group record on the inventory. */
 export interface InventoryChange {
-  /** Machines with a record that is new, or may have changed. */
+  /** Machines whose effective record is new or may have changed. */
   present: [string, MachineRecord][];
-  /** Machines that no record names any more. */
+  /** Machines that no group names any more. */
   gone: string[];
 }
 
-/** The claim that counts is the one of the earliest launch; group names decide between equal ones. */
+/** Whether a claim takes precedence over another: the earliest launch does, and then the lower group name. */
 function comesFirst(claim: Claim, other: Claim): boolean {
   const difference = claim.record.launchedAt - other.record.launchedAt;
   return difference === 0 ? claim.group < other.group : difference < 0;
 }
 
-/** The machines by name, as far as the state cache has followed. */
+/** The machines by name, as recent as the state cache. */
 export class MachineInventory {
-  /** The claims that count. */
+  /** The effective claim to each machine. */
   private readonly machines = new Map<string, Claim>();
-  /** The other claims, for the few machines that have any. */
+  /** Further claims, for the few machines that have any. */
   private readonly otherClaims = new Map<string, Claim[]>();
   private readonly groups = new Map<string, MachineGroupRecord>();
-  /** Machines of each type, by shard. */
+  /** Number of machines by shard and type. */
   private readonly counts = new Map<string, Map<string, number>>();
 
-  /** How many machines there are. */
+  /** Number of machines. */
   get size(): number {
     return this.machines.size;
   }
 
-  /** One machine, by its name. */
+  /** Returns a machine by name. */
   get(name: string): MachineRecord | undefined {
     return this.machines.get(name)?.record;
   }
 
-  /** The groups that name a machine, that of its shard first. */
+  /** Returns the groups that name a machine, the one of its effective claim first. */
   groupsOf(name: string): string[] {
     return this.claimsOf(name).map(({ group }) => group);
   }
 
-  /** The names of all machines. */
+  /** Returns the names of all machines. */
   names(): IterableIterator<string> {
     return this.machines.keys();
   }
 
-  /** The machines of a shard. */
+  /** Returns the machines of a shard. */
   *of(shard: string): IterableIterator<[string, MachineRecord]> {
     for (const [name, { record }] of this.machines)
       if (record.shard === shard) yield [name, record];
   }
 
-  /** Machines that groups of different shards name. */
+  /** Returns the machines that groups of different shards name. */
   contested(): string[] {
     return [...this.otherClaims.keys()].filter((name) => {
       const shard = this.get(name)?.shard;
@@ -71,27 +71,27 @@
     });
   }
 
-  /** The group is a rental that has not been answered yet. */
+  /** Whether a group is a rental that the cloud has not answered yet. */
   isIntention(group: string): boolean {
     return this.groups.get(group)?.requestedCount !== undefined;
   }
 
-  /** One group's record, as it is now. */
+  /** Returns the current record of a group. */
   group(name: string): MachineGroupRecord | undefined {
     return this.groups.get(name);
   }
 
-  /** All groups by their names. */
+  /** Returns all groups by name. */
   entries(): IterableIterator<[string, MachineGroupRecord]> {
     return this.groups.entries();
   }
 
-  /** How many machines of each type a shard has. */
+  /** Returns the number of machines of each type that a shard has. */
   countsOf(shard: string): ReadonlyMap<string, number> {
     return this.counts.get(shard) ?? new Map<string, number>();
   }
 
-  /** Follows one group's record; null: it has been removed. */
+  /** Applies a changed group record; `value` is null if the record was removed. */
   update(group: string, value: MachineGroupRecord | null): InventoryChange {
     const before = this.groups.get(group);
     const change: InventoryChange = { present: [], gone: [] };
@@ -109,7 +109,7 @@
     return change;
   }
 
-  /** Replaces a group's claim to a machine; null: it has none any more. */
+  /** Replaces a group's claim to a machine, or removes it if `claim` is null. */
   private setClaim(
     name: string,
     group: string,
@@ -134,7 +134,7 @@
     if (first !== before) change.present.push([name, first.record]);
   }
 
-  /** All claims to a machine, the one that counts first. */
+  /** Returns all claims to a machine, the effective one first. */
   private claimsOf(name: string): Claim[] {
     const claim = this.machines.get(name);
     return claim === undefined ? [] : [claim, ...(this.otherClaims.get(name) ?? [])];
--- a/src/storage/mapValues.ts
+++ b/src/storage/mapValues.ts
@@ -1,4 +1,4 @@
-/** The same names with other values. */
+/** Returns a record with the same keys and each value mapped by `change`. */
 export const mapValues = <From, To>(
   values: Record<string, From>,
   change: (value: From) => To,
--- a/src/storage/nodeCapabilities.ts
+++ b/src/storage/nodeCapabilities.ts
@@ -1,6 +1,6 @@
 /**
- * Which nodes can read the present record format. Each marks itself in the store, once; when all have, records are
- * written in that record format (safety, V2).
+ * Tracks which nodes can read the current record format. Each node publishes its capability record once; when all nodes
+ * have, records are written in that format (safety, V2).
  */
 import { describeError, log } from '../base/log.js';
 import { keys, type NodeCapabilityRecord } from './records.js';
@@ -8,7 +8,7 @@
 import type { StateCache } from './stateCache.js';
 import type { StateClient } from './stateClient.js';
 
-/** Which nodes can read the present record format; all of them must before it is written (safety, V2). */
+/** The nodes that can read the current record format; it is written only once all of them can (safety, V2). */
 export class NodeCapabilities {
   private readonly unmarked: Set<string>;
   private isWriting = false;
@@ -18,18 +18,18 @@
     private readonly stateCache: Pick<StateCache, 'get' | 'note' | 'loaded'>,
     private readonly recordFormat: RecordFormat,
     private readonly label: string,
-    /** All nodes of the settings. */
+    /** Labels of all nodes in the settings. */
     labels: string[],
   ) {
     this.unmarked = new Set(labels);
   }
 
-  /** Every node has the present version, or a later one. */
+  /** Whether every node can read the current record format. */
   get isUpgraded(): boolean {
     return this.unmarked.size === 0;
   }
 
-  /** Follows the marks in the copy of the records. */
+  /** Applies a node's capability record. */
   update(label: string, record: NodeCapabilityRecord): void {
     if (record.recordFormat < RECORD_FORMAT_VERSION || !this.unmarked.delete(label)) return;
     if (!this.isUpgraded) return;
@@ -37,7 +37,7 @@
     log.info('every node can read the present record format; it is used from now on');
   }
 
-  /** Marks this node, unless the copy of the records shows that it is marked. */
+  /** Publishes this node's capability record, unless the state cache shows that it is stored. */
   async publish(): Promise<void> {
     const key = keys.node(this.label);
     const stored = this.stateCache.get(key);
--- a/src/storage/plainRecords.ts
+++ b/src/storage/plainRecords.ts
@@ -1,6 +1,6 @@
 /**
- * Records in format 1, that of version 0.2, and those whose form is the same in every format: each field by its stored
- * name and nothing left out.
+ * Mapping of records in format 1, that of version 0.2, and of records that are stored alike in every format: each field is
+ * stored under its stored name, and none is omitted.
  */
 import { fromStoredSpec, toStoredSpec } from '../protocol/storedJobSpec.js';
 import type { MachineType } from '../protocol/cloudProtocol.js';
@@ -34,7 +34,7 @@
   StoredTokenRecord,
 } from './storedRecords.js';
 
-/** A job's record as format 1 stores it. */
+/** Returns a job's record in format 1. */
 export function toPlainJob(record: JobRecord): StoredJobRecord {
   return {
     spec: record.spec === null ? null : toStoredSpec(record.spec),
@@ -50,7 +50,7 @@
   };
 }
 
-/** A job's record that was stored in format 1 under `key`. Throws `CorruptRecordError` where it tells no state. */
+/** Decodes a job's record that is stored in format 1 under `key`. Throws `CorruptRecordError` for an unknown state. */
 export function fromPlainJob(key: string, stored: StoredJobRecord): JobRecord {
   const spec = stored.spec === null ? null : fromStoredSpec(stored.spec);
   return jobRecordOf(key, stored.state, spec, {
@@ -66,8 +66,8 @@
 }
 
 /**
- * A job's record from its stored parts. Throws `CorruptRecordError` for an open job without a description and for a state
- * that this build does not know: either was told as done, which can't be taken back.
+ * Builds a job's record from its stored parts. Throws `CorruptRecordError` for an open job without a description and for a
+ * state that this build does not know: earlier builds reported either as done, and a final state cannot be revoked.
  */
 export function jobRecordOf(
   key: string,
@@ -87,12 +87,12 @@
   }
 }
 
-/** A bucket of chunks as format 1 stores it. */
+/** Returns a bucket of chunks in format 1. */
 export const toPlainBucket = ({ chunks }: BucketRecord): StoredBucketRecord => ({
   chunks: mapValues(chunks, toPlainChunk),
 });
 
-/** A bucket of chunks that was stored in format 1. */
+/** Decodes a bucket of chunks that is stored in format 1. */
 export const fromPlainBucket = ({ chunks }: StoredBucketRecord): BucketRecord => ({
   chunks: mapValues(chunks, fromPlainChunk),
 });
@@ -141,7 +141,7 @@
   agentEpoch: stored.session,
 });
 
-/** The counter of fencing tokens as it is stored. */
+/** Returns the fencing token counter as it is stored. */
 export const toStoredTokens = (record: FencingTokenRecord): StoredTokenRecord => ({
   last: record.lastToken,
   ...(record.lastLeaders === undefined
@@ -149,7 +149,7 @@
     : { owners: mapValues(record.lastLeaders, toStoredLastOwner) }),
 });
 
-/** The counter of fencing tokens that was stored. */
+/** Decodes the stored fencing token counter. */
 export const fromStoredTokens = (stored: StoredTokenRecord): FencingTokenRecord => ({
   lastToken: stored.last,
   ...(stored.owners === undefined
@@ -167,31 +167,31 @@
   lostAtByNode: stored.lost,
 });
 
-/** A leader's key as it is stored. */
+/** Returns a leader record as it is stored. */
 export const toStoredLeader = (record: LeaderRecord): StoredLeaderRecord => ({
   node: record.node,
   token: record.fencingToken,
   process: record.process,
 });
 
-/** A leader's key that was stored. */
+/** Decodes a stored leader record. */
 export const fromStoredLeader = (stored: StoredLeaderRecord): LeaderRecord => ({
   node: stored.node,
   fencingToken: stored.token,
   process: stored.process,
 });
 
-/** What a node can read, as it is stored. */
+/** Returns a node's capability record as it is stored. */
 export const toStoredNode = (record: NodeCapabilityRecord): StoredNodeRecord => ({
   layout: record.recordFormat,
 });
 
-/** What a node can read, as it was stored. */
+/** Decodes a stored node capability record. */
 export const fromStoredNode = (stored: StoredNodeRecord): NodeCapabilityRecord => ({
   recordFormat: stored.layout,
 });
 
-/** The machines of one rental as they are stored. */
+/** Returns a machine group as it is stored. */
 export const toStoredGroup = (record: MachineGroupRecord): StoredGroupRecord => ({
   part: record.shard,
   type: record.type,
@@ -201,7 +201,7 @@
   ...(record.requestedCount === undefined ? {} : { asked: record.requestedCount }),
 });
 
-/** The machines of one rental that were stored. */
+/** Decodes a stored machine group. */
 export const fromStoredGroup = (stored: StoredGroupRecord): MachineGroupRecord => ({
   shard: stored.part,
   type: stored.type,
@@ -221,7 +221,7 @@
   ...(stored.address === undefined ? {} : { address: stored.address }),
 });
 
-/** A machine type as it is stored. */
+/** Returns a machine type as it is stored. */
 export const toStoredMachineType = (type: MachineType): StoredMachineType => ({
   name: type.name,
   cpus: type.cpus,
@@ -235,7 +235,7 @@
   zones: type.zones,
 });
 
-/** A machine type that was stored. */
+/** Decodes a stored machine type. */
 export const fromStoredMachineType = (stored: StoredMachineType): MachineType => ({
   name: stored.name,
   cpus: stored.cpus,
--- a/src/storage/rateLimiter.ts
+++ b/src/storage/rateLimiter.ts
@@ -1,12 +1,13 @@
-/** What a node may ask of a service that limits its rate, and how nodes share that. */
+/** Limits a node's calls to a service to its rate, and divides that rate among the nodes. */
 import type { Clock } from '../base/clock.js';
 
-/** Seconds over which need is averaged. */
+/** Time constant of the demand average, in seconds. */
 const MEMORY = 3;
 
 /**
- * Who goes first. `ownership`: without it nothing else counts; `submission`: a user waits for the answer;
- * `rental`: machines that are paid for; `urgent`: starts and ends that somebody waits for; `later`: bookkeeping.
+ * Priority of a request, highest first. `ownership`: leases and leader records, which all else depends on; `submission`: a
+ * user waits for the answer; `rental`: machines that are paid for; `urgent`: starts and completions that users wait for;
+ * `later`: bookkeeping.
  */
 export type RequestPriority = 'ownership' | 'submission' | 'rental' | 'urgent' | 'later';
 
@@ -19,22 +20,22 @@
 };
 
 /**
- * Of the rate, what these may take ahead of starts; beyond it they queue with them. A flood of submissions, or of
- * rentals that find nothing, must not keep starts waiting.
+ * Shares of the rate that these priorities may use ahead of starts; beyond its share, a priority queues like `urgent`. Many
+ * submissions, or many rentals without available machines, must not delay starts.
  */
 const SHARES: ReadonlyMap<RequestPriority, number> = new Map([
   ['submission', 1 / 2],
   ['rental', 1 / 4],
 ]);
 
-/** A bucket of tokens, refilled at a rate; callers wait their turn. */
+/** A token bucket with a priority queue of waiting callers. */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: number;
-  /** Cost asked for lately, a second; forgets over a few seconds. */
+  /** Recently requested cost per second, decaying exponentially. */
   private demandRate = 0;
   private demandRateAt: number;
-  /** What is left of each share; below zero, they queue like other urgent work. */
+  /** Tokens left of each share; while they are below zero, that priority queues like `urgent`. */
   private readonly shareLevels = new Map<RequestPriority, number>();
   private readonly queue: { cost: number; order: number; go: () => void }[] = [];
   private timer: NodeJS.Timeout | null = null;
@@ -50,7 +51,7 @@
     this.demandRateAt = this.refilledAt;
   }
 
-  /** Cost a second that is being asked for, what waits included. */
+  /** Requested cost per second, including queued requests. */
   get demand(): number {
     this.forget();
     let waiting = 0;
@@ -58,7 +59,7 @@
     return this.demandRate + waiting / MEMORY;
   }
 
-  /** Bursts of a second's worth are allowed, so the burst follows the rate. */
+  /** Changes the rate. The burst is one second's worth of tokens, so it follows the rate. */
   setRate(rate: number): void {
     this.refill();
     this.refillRate = rate;
@@ -72,17 +73,17 @@
     this.demandRateAt = now;
   }
 
-  /** Cost a second that is granted. */
+  /** Permitted cost per second. */
   get rate(): number {
     return this.refillRate;
   }
 
-  /** Callers that wait for their turn. */
+  /** Number of queued callers. */
   get queueLength(): number {
     return this.queue.length;
   }
 
-  /** Seconds until something of this urgency would get its turn. */
+  /** Returns the seconds that a request of this priority would wait. */
   delay(priority: RequestPriority): number {
     this.refill();
     let ahead = 0;
@@ -91,7 +92,7 @@
     return Math.max(0, (ahead - this.tokens) / this.refillRate);
   }
 
-  /** Resolves when it is the turn of a request of this cost. */
+  /** Resolves once a request of this cost may be sent. */
   acquire(cost: number, priority: RequestPriority): Promise<void> {
     this.forget();
     this.refill();
@@ -117,7 +118,7 @@
     if (level !== undefined) this.shareLevels.set(priority, level - cost);
   }
 
-  /** What goes along with somebody whose turn it is; the next wait for it. */
+  /** Charges the cost of a request that is sent without waiting; later requests wait longer for it. */
   charge(cost: number, priority: RequestPriority): void {
     this.refill();
     this.tokens -= cost;
@@ -126,7 +127,7 @@
     this.demandRate += cost / MEMORY;
   }
 
-  /** The other side says that the rate was passed: the others use more than we thought. */
+  /** Empties the bucket after the service reported that the rate was exceeded: other nodes use more than was assumed. */
   backOff(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
@@ -148,7 +149,7 @@
     for (;;) {
       const head = this.queue[0];
       if (head === undefined) return;
-      // A request larger than the burst goes when the bucket is full, and leaves a debt.
+      // A request larger than the burst is sent when the bucket is full, and the token count becomes negative.
       const need = Math.min(head.cost, this.burst);
       if (this.tokens + 1e-9 < need) {
         this.timer ??= setTimeout(
@@ -168,9 +169,9 @@
 }
 
 /**
- * This node's part of a rate that all share. What the others leave is ours; one that needs more than
- * its even share counts with no more than that, and so does one that has not been heard. Never less
- * than half of the even share: what the others said may be old.
+ * Returns this node's share of a rate that all nodes share: what the demands of the others leave. A node that demands more
+ * than the even share counts with the even share, and so does a node whose demand is unknown. The result is at least half
+ * of the even share, since the reported demands may be outdated.
  */
 export function rateShareOf(total: number, sharers: number, needs: number[]): number {
   const even = total / sharers;
--- a/src/storage/recordCodec.ts
+++ b/src/storage/recordCodec.ts
@@ -1,30 +1,30 @@
-/** How a record's text is compressed and expanded, without the library that does it. */
+/** Interface of the compression of records, independent of the library that implements it. */
 
 /** A record that is stored compressed. */
 export interface CompressedValue {
   v: 3;
-  /** Bytes of its text. */
+  /** Length of the uncompressed text in bytes. */
   bytes: number;
-  /** CRC-32 of its text. */
+  /** CRC-32 of the uncompressed text. */
   sum: number;
   /** The compressed text, in base64. */
   data: string;
   /**
-   * Of a job, its state: a build that cannot expand the record takes one without a state for a job that is over, and
-   * would tell users so.
+   * State of a job, for job records only. A build that cannot expand the record would take one without a state for a
+   * finished job and report that to users.
    */
   state?: string;
 }
 
 /** Compresses and expands the text of a record. */
 export interface RecordCodec {
-  /** Null: it is too large to be stored at all. */
+  /** Compresses a text. Returns null if it is too large to be stored at all. */
   compress(text: string): CompressedValue | null;
-  /** Throws `CorruptRecordError` for what was not made by `compress`. */
+  /** Expands a compressed record. Throws `CorruptRecordError` for a value that `compress` did not produce. */
   expand(key: string, value: CompressedValue): string;
 }
 
-/** A stored record that cannot be read; it is never taken for an empty one. */
+/** A stored record cannot be read. Such a record is never treated as an empty one. */
 export class CorruptRecordError extends Error {
   constructor(
     readonly key: string,
--- a/src/storage/recordFormat.ts
+++ b/src/storage/recordFormat.ts
@@ -1,9 +1,9 @@
 /**
- * How records are laid out in the state service. Format 1 is that of version 0.2, whose nodes read it by its field
- * names and pass over fields they don't know. Format 2 leaves out what has its usual value and gathers tasks by machine,
- * so that a chunk of the usual size fits in a record of 2 KiB. Both are read at all times; format 2 is written once
- * every node can read it (safety, V2). Beyond the limit of a value records are stored in fragments, or compressed where
- * the cluster's version allows that (safety, R5).
+ * Encoding of records in the state service. Format 1 is that of version 0.2, whose nodes read it by field name and ignore
+ * unknown fields. Format 2 omits fields with their default value and groups attempts by machine, so that a chunk of
+ * typical size fits in a record of 2 KiB. Both formats can always be read; format 2 is written once every node can read
+ * it (safety, V2). Records beyond the size limit of a value are stored in fragments, or compressed if the cluster's
+ * version allows that (safety, R5).
  */
 import type { MachineType } from '../protocol/cloudProtocol.js';
 import type { JobSpec } from '../protocol/job.js';
@@ -64,14 +64,14 @@
   StoredTokenRecord,
 } from './storedRecords.js';
 
-/** The record format that this version can write; a node's capability record in the store names it. */
+/** The newest record format that this build can read and write; a node's capability record names it. */
 export const RECORD_FORMAT_VERSION = 2;
 
-/** What a chunk's record takes at the most, beside its description. */
+/** Maximum bytes of a chunk's record, besides the job description. */
 export interface RecordSizes {
-  /** Everything but the description and the tasks. */
+  /** Everything except the description and the tasks. */
   overheadBytes: number;
-  /** One task, as an entry or between two gaps of what is done. */
+  /** One task, either as an attempt or as a range of done tasks. */
   taskBytes: number;
 }
 
@@ -80,43 +80,43 @@
   2: { overheadBytes: 190, taskBytes: 30 },
 };
 
-/** Of a record, what one chunk may grow to. */
+/** Share of a record's size limit that one chunk may grow to. */
 const CHUNK_SHARE = 0.9;
 
-/** How a record of more than one value's size is stored; `plain` is any other. */
+/** How a record beyond the size limit of a value is stored; `plain` is any other record. */
 export type StoredForm = 'plain' | 'pieces' | 'compressed';
 
-/** Only records whose every change is made under a leader key are compressed, so that it can be taken back. */
+/** Only records whose every write is conditional on a leader record are compressed, so that it can be reverted. */
 const isCompressible = (key: string): boolean =>
   key.startsWith(JOB_PREFIX) ||
   key.startsWith(BUCKET_PREFIX) ||
   key.startsWith(MACHINE_GROUP_PREFIX);
 
-/** The form of a record by its head and its value, joined but not expanded. */
+/** Returns the form of a record, given its head and its joined but not expanded value. */
 export function formOf(key: string, head: unknown, joined: unknown): StoredForm {
   if (isCompressed(joined)) return 'compressed';
   const isInPieces = fragmentCount(head) > 0 && !isMarkedIncompressible(head);
   return isInPieces && isCompressible(key) ? 'pieces' : 'plain';
 }
 
-/** A value as it is put. */
+/** The puts that store a value, and the form in which it is stored. */
 export interface EncodedValue {
   puts: [KeyedValue, ...KeyedValue[]];
   form: StoredForm;
 }
 
-/** How records are encoded for the state service, and decoded. */
+/** Encodes records for the state service, and decodes them. */
 export class RecordFormat {
   private version: 1 | 2 = 1;
-  /** Sizes of descriptions: each pass asks for them again. */
+  /** Cached sizes of job descriptions, which each write pass needs again. */
   private descriptions = new WeakMap<JobSpec, number>();
 
   constructor(
-    /** What the state service takes, now and later. */
+    /** Limits of the state service: the smaller of those in force and those to come. */
     private readonly limits: { valueBytes: number; txnOps: number },
-    /** Null: this node neither writes nor reads compressed records. */
+    /** Null if this node neither writes nor reads compressed records. */
     private readonly codec: RecordCodec | null = null,
-    /** Whether the cluster's version allows that they are written. */
+    /** Whether the cluster's version allows compressed records to be written. */
     private readonly mayCompress: () => boolean = () => false,
   ) {}
 
@@ -125,36 +125,36 @@
     return this.version === 2;
   }
 
-  /** Every node reads format 2. */
+  /** Switches to writing format 2, once every node can read it. */
   useCompact(): void {
     this.version = 2;
     this.descriptions = new WeakMap();
   }
 
-  /** What a chunk's record takes in the format that is written. */
+  /** Maximum sizes of a chunk's record in the format that is written. */
   get sizes(): RecordSizes {
     return SIZES[this.version];
   }
 
-  /** Tasks of a chunk that one record holds at the most, with room for the description. */
+  /** Returns the maximum number of tasks of a chunk that fit in one record together with the description. */
   maxTasksPerChunk(spec: JobSpec): number {
     const { overheadBytes: frame, taskBytes: task } = this.sizes;
     const room = this.limits.valueBytes * CHUNK_SHARE - this.specBytes(spec) - frame;
     return Math.max(1, Math.floor(room / task));
   }
 
-  /** The most that one value may take. */
+  /** Size limit of one value, in bytes. */
   get valueBytes(): number {
     return this.limits.valueBytes;
   }
 
-  /** The most that may be stored under one key by a transaction that changes so much else. */
+  /** Returns the maximum bytes of one record in a transaction with this number of other operations. */
   maxRecordBytes(otherOperations: number): number {
     const pieces = this.isCompact ? Math.max(1, this.limits.txnOps - otherOperations) : 1;
     return pieces * (this.limits.valueBytes - FRAGMENT_OVERHEAD_BYTES);
   }
 
-  /** Bytes of a job's description as it is stored. */
+  /** Returns the bytes of a job's description as it is stored. */
   specBytes(spec: JobSpec): number {
     const known = this.descriptions.get(spec);
     if (known !== undefined) return known;
@@ -165,17 +165,17 @@
     return bytes;
   }
 
-  /** Bytes of a record as it is stored, before fragments or compression. */
+  /** Returns the bytes of a record as it is stored, before fragmentation or compression. */
   encodedBytes(key: string, value: unknown): number {
     return jsonBytes(this.encode(key, value));
   }
 
-  /** Puts that a value takes: more than one where it is stored in fragments. */
+  /** Returns the number of puts that a value takes: more than one if it is stored in fragments. */
   operations(key: string, value: unknown): number {
     return this.encodePuts(key, value).length;
   }
 
-  /** A record as it is stored, under the field names of `storedRecords.ts`. */
+  /** Returns a record as it is stored, with the field names of `storedRecords.ts`. */
   encode(key: string, value: unknown): unknown {
     if (key === BARRIER_KEY) return value;
     switch (kindOfRecord(key)) {
@@ -200,12 +200,12 @@
     }
   }
 
-  /** What is put for a value; the first is under its own key. */
+  /** Returns the puts for a value; the first is under the record's own key. */
   encodePuts(key: string, value: unknown): [KeyedValue, ...KeyedValue[]] {
     return this.encodeValue(key, value).puts;
   }
 
-  /** What is put for a value, and in which form it is stored. */
+  /** Returns the puts for a value, and the form in which it is stored. */
   encodeValue(key: string, value: unknown): EncodedValue {
     const { valueBytes } = this.limits;
     const encoded = this.encode(key, value);
@@ -225,7 +225,7 @@
     return { puts, form: 'compressed' };
   }
 
-  /** Null where it would be no smaller. */
+  /** Compresses a value. Returns null if that does not make it smaller. */
   private compress(
     key: string,
     value: unknown,
@@ -238,7 +238,7 @@
     return jsonBytes(compressed) < bytes ? compressed : null;
   }
 
-  /** A stored value, its fragments joined, as the program knows it. */
+  /** Decodes a stored value whose fragments are joined. */
   decode(key: string, stored: unknown): unknown {
     if (stored === null || stored === undefined || key === BARRIER_KEY) return stored;
     if (isCompressed(stored)) return this.decodeCompressed(key, stored);
--- a/src/storage/records.ts
+++ b/src/storage/records.ts
@@ -1,39 +1,39 @@
 /**
- * What is kept in the state service. All keys share one prefix, so that one watch follows them all.
+ * Keys and types of the records in the state service. All keys share one prefix, so that one watch covers them all.
  *
- *   b/token              the counter that tokens come from, and which node had each shard last
- *   b/types              the machine types, as the cloud last told them
- *   b/own/SHARD           who owns a shard (held by the owner's lease)
- *   b/job/ID             a job: its description, home shard and state
- *   b/run/SHARD/BUCKET     some chunks of jobs, at the shard that runs them
- *   b/fleet/RENTAL          a rental that was or will be sent, then its machines, and their shard
- *   b/quota/TEAM         how a team's limit is shared out to the shards
- *   b/node/LABEL         which record format a node can read; a node of the first version has none
- *   b/rollout/…           the cluster's version, and what concerns it (packages/rollout)
- *   b/run/~barrier/level the lowest level that a reader of the records needs
- *   b/piece/KEY/N        what did not fit in the record under KEY
+ *   b/token               the counter of fencing tokens, and the last leaders of each shard
+ *   b/types               the machine types, as the cloud last reported them
+ *   b/own/SHARD           the leader of a shard (attached to the leader's lease)
+ *   b/job/ID              a job: its description, home shard and state
+ *   b/run/SHARD/BUCKET    chunks of jobs, at the shard that runs them
+ *   b/fleet/RENTAL        a rental that was or will be requested; then its machines and their shard
+ *   b/quota/TEAM          the shares of a team's limit, by shard
+ *   b/node/LABEL          the record format that a node can read; absent for a node of the first version
+ *   b/rollout/…           the cluster's version and the state of rollouts (packages/rollout)
+ *   b/run/~barrier/level  the lowest level that a reader of the records needs
+ *   b/piece/KEY/N         a fragment of the record under KEY
  */
 import type { JobSpec } from '../protocol/job.js';
 
-/** In front of all keys. */
+/** Prefix of all keys. */
 export const KEY_PREFIX = 'b/';
-/** In front of jobs' keys. */
+/** Prefix of the keys of jobs. */
 export const JOB_PREFIX = 'b/job/';
-/** In front of buckets' keys. */
+/** Prefix of the keys of buckets. */
 export const BUCKET_PREFIX = 'b/run/';
-/** In front of machine groups' keys. */
+/** Prefix of the keys of machine groups. */
 export const MACHINE_GROUP_PREFIX = 'b/fleet/';
-/** In front of leaders' keys. */
+/** Prefix of the keys of leader records. */
 export const LEADER_PREFIX = 'b/own/';
-/** In front of nodes' keys. */
+/** Prefix of the keys of node capability records. */
 export const NODE_PREFIX = 'b/node/';
-/** In front of fragments' keys. */
+/** Prefix of the keys of fragments. */
 export const FRAGMENT_PREFIX = 'b/piece/';
 
-/** Kept in front of all buckets, for builds that know of no cluster version: they cannot read it (safety, R3). */
+/** Key of a barrier among the buckets: builds that know no cluster versions cannot read this record (safety, R3). */
 export const BARRIER_KEY = `${BUCKET_PREFIX}~barrier/level`;
 
-/** The keys of all records. */
+/** Builds the keys of records. */
 export const keys = {
   fencingTokens: 'b/token',
   machineTypes: 'b/types',
@@ -47,11 +47,11 @@
   fragment: (key: string, index: number): string => `${FRAGMENT_PREFIX}${key}/${index}`,
 };
 
-/** The kinds of records whose stored names differ from those that the program uses. */
+/** The kinds of records whose stored field names differ from those in memory; `other` is any other record. */
 export type RecordKind =
   'job' | 'bucket' | 'group' | 'owner' | 'node' | 'tokens' | 'types' | 'other';
 
-/** Which kind of record is stored under a key; fragments are `other`, as they are parts of a text. */
+/** Returns the kind of record under a key; fragments are `other`, as each is only a part of a text. */
 export function kindOfRecord(key: string): RecordKind {
   if (key.startsWith(JOB_PREFIX)) return 'job';
   if (key.startsWith(BUCKET_PREFIX)) return 'bucket';
@@ -63,70 +63,71 @@
 }
 
 /**
- * An owner's key goes with its lease; that another node may still answer a shard's workers must outlast it.
+ * The counter of fencing tokens, and the last leaders by shard. A leader record is removed with its lease; which other nodes
+ * may still answer a shard's workers must remain known after that.
  */
 export interface FencingTokenRecord {
   lastToken: number;
   lastLeaders?: Record<string, LastLeader>;
 }
 
-/** Who led a shard last, and who may not know that it leads no longer. */
+/** The last leader of a shard, and earlier leaders that may not know that they have lost it. */
 export interface LastLeader {
   node: string;
-  /** Nodes that lost the shard to another, and the time of day at which they did: they may not know it. */
+  /** Wall-clock time at which each node lost the shard to another; the nodes may not know it. */
   lostAtByNode: Record<string, number>;
 }
 
-/** Who leads a shard; the key goes with the lease of the leader (safety, O1). */
+/** The leader of a shard; the record is removed with the leader's lease (safety, O1). */
 export interface LeaderRecord {
   node: string;
-  /** The first of the leadership's fencing tokens. */
+  /** First fencing token of the leadership. */
   fencingToken: number;
-  /** Tells one start of a process from the next. */
+  /** Identifies one run of the process. */
   process: string;
 }
 
-/** Tells that a node has the version that it names, or a later one. */
+/** The newest record format that a node can read. */
 export interface NodeCapabilityRecord {
   recordFormat: number;
 }
 
-/** A job: its description, home shard and state. Whether it is over is told by its state alone. */
+/** A job: its description, home shard and state. Only `state` says whether it is over. */
 export type JobRecord = OpenJobRecord | FinalJobRecord;
 
-/** A job that is not over. */
+/** A job that is not in a final state. */
 export interface OpenJobRecord extends JobRecordFields {
   state: 'open';
   spec: JobSpec;
 }
 
-/** A job that is over; its record never changes. */
+/** A job in a final state; its record never changes. */
 export interface FinalJobRecord extends JobRecordFields {
   state: 'done' | 'cancelled';
-  /** Dropped with the end, so that final states, which are kept for good, stay small. */
+  /** Dropped when the job ends: records of final states are kept permanently and have to stay small. */
   spec: JobSpec | null;
 }
 
-/** What all jobs' records have. */
+/** Fields of every job record. */
 export interface JobRecordFields {
   homeShard: string;
   taskCount: number;
-  /** Time of day of the submission; orders the queues. */
+  /** Wall-clock time of the submission; it orders the queues. */
   submittedAt: number;
-  /** Tasks a chunk, and the zones that a spread job's two halves are held to. */
+  /** Tasks per chunk, and the zones that the two halves of a spread job are restricted to. */
   chunkSize: number;
   zones: string[];
-  /** Chunks that have been made so far, and those of them that are done. */
+  /** Number of chunks created so far, and the indices of those that are done. */
   createdChunks: number;
   doneChunks: number[];
   /**
-   * Chunks that have ever left the home shard. Any other that is neither done nor on a bucket of the home
-   * shard has not been stored yet: nothing of it was started, and its home has it.
+   * Indices of the chunks that have ever left the home shard. Any other chunk that is neither done nor in a bucket of the
+   * home shard has not been stored yet: no task of it was started, and it exists only in the memory of the home shard.
    */
   migratedChunks: number[];
 }
 
-/** One attempt of one task that is, or may be, on a machine. */
+/** An attempt of a task that is, or may be, on a machine. */
 export interface AttemptRecord {
   task: number;
   attemptNumber: number;
@@ -134,7 +135,7 @@
   agentEpoch: number;
 }
 
-/** A range of a job's tasks, with what is done and what was started. */
+/** A range of a job's tasks, with the tasks that are done and the attempts that may be running. */
 export interface ChunkRecord {
   spec: JobSpec;
   homeShard: string;
@@ -142,53 +143,53 @@
   firstTask: number;
   endTask: number;
   zone: string | null;
-  /** The next attempt number of any of its tasks; it only rises. */
+  /** Next attempt number, shared by all tasks of the chunk; it only increases. */
   nextAttemptNumber: number;
-  /** Done tasks as ranges: first, one past the last, first, … */
+  /** Done tasks as half-open ranges: start, end, start, end, … */
   doneTasks: number[];
   attempts: AttemptRecord[];
-  /** How often it has been sent on. */
+  /** Number of migrations between shards. */
   migrationCount: number;
 }
 
-/** Chunks by their ids. */
+/** The chunks of a bucket, by id. */
 export interface BucketRecord {
   chunks: Record<string, ChunkRecord>;
 }
 
-/** One machine, as its group's record tells of it. */
+/** A machine, with the fields of its group. */
 export interface MachineRecord {
   shard: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** Time of day at which it was rented, or first heard of. */
+  /** Wall-clock time at which the machine was rented or first reported. */
   launchedAt: number;
-  /** Once the cloud has listed it: a restarted owner can ask it before it has found its way back. */
+  /** Set once the cloud has listed the machine. A restarted leader can contact it there before the worker reports again. */
   address?: string;
 }
 
-/** Machines of one kind and shard that came together. */
+/** Machines of one type and shard from one rental. */
 export interface MachineGroupRecord {
   shard: string;
   type: string;
   zone: string;
   spot: boolean;
   machines: Record<string, GroupMachine>;
-  /** How many are being asked for; absent once the cloud has answered. */
+  /** Number of machines requested; absent once the cloud has answered. */
   requestedCount?: number;
 }
 
-/** One machine of a group, without what all of the group have in common. */
+/** A machine of a group, without the fields that all of the group share. */
 export interface GroupMachine {
   launchedAt: number;
   address?: string;
 }
 
-/** How a team's limit is shared out, by shard. */
+/** The shares of a team's limit, by shard. */
 export type QuotaRecord = Record<string, { cpus: number; gpus: number }>;
 
-/** Task numbers as sorted half-open ranges. */
+/** Returns sorted numbers as half-open ranges. */
 export function toRanges(sorted: Iterable<number>): number[] {
   const ranges: number[] = [];
   for (const n of sorted) {
@@ -198,7 +199,7 @@
   return ranges;
 }
 
-/** The numbers of half-open ranges. */
+/** Returns the numbers in half-open ranges. */
 export function fromRanges(ranges: number[]): Set<number> {
   const set = new Set<number>();
   for (let i = 0; i + 1 < ranges.length; i += 2) {
--- a/src/storage/stateCache.ts
+++ b/src/storage/stateCache.ts
@@ -1,38 +1,38 @@
-/** The copy of the state service's records that each node keeps. */
+/** Each node's cache of the records in the state service. */
 import { sleep, type Clock } from '../base/clock.js';
 import { log, describeError } from '../base/log.js';
 import type { KeyValueChange } from '../protocol/stateProtocol.js';
 import { keys, type JobRecord } from './records.js';
 import type { StateClient } from './stateClient.js';
 
-/** Changes after a revision, up to `epoch`. */
+/** Changes after some revision, complete up to `revision`. */
 export interface ChangeLog {
   revision: number;
   changes: KeyValueChange[];
 }
 
-/** A record of the cache, with the revision of its last change. */
+/** A cached record, with the revision of its last change. */
 export interface CachedRecord {
   value: unknown;
   revision: number;
 }
 
 /**
- * A copy of all our records that follows the state service a little late. It is good for finding
- * things; what must be certain is read, or made a condition of a transaction.
+ * A cache of all records under a prefix, slightly behind the state service. It serves lookups; a decision that needs the
+ * current value reads it from the state service, or makes the revision a condition of a transaction.
  */
 export class StateCache {
-  /** By kind (`b/job/`, `b/run/`, …): final jobs are kept for good, and nobody should walk past them. */
+  /** Records by kind (`b/job/`, `b/run/`, …), so that iterating one kind skips the many records of finished jobs. */
   private readonly kinds = new Map<string, Map<string, CachedRecord>>();
   private syncedRevision = -1;
   /**
-   * Removals that are known here ahead of the watch, by key: until it has caught up, its answers still tell of the
-   * record as it was before.
+   * Revisions of removals that are known here before the watch delivers them, by key. Until it has caught up, the watch
+   * may still deliver earlier states of the record.
    */
   private readonly removals = new Map<string, number>();
   private stopped = false;
   loaded = false;
-  /** Steady time up to which all changes are known here. */
+  /** Monotonic time up to which all changes are known here. */
   syncedAt = -Infinity;
 
   constructor(
@@ -43,17 +43,17 @@
     private readonly changed: (change: KeyValueChange) => void,
   ) {}
 
-  /** The revision up to which it holds everything. */
+  /** Revision up to which the cache is complete. */
   get revision(): number {
     return this.syncedRevision;
   }
 
-  /** One record, by its key. */
+  /** Returns a record by its key. */
   get(key: string): CachedRecord | undefined {
     return this.kinds.get(kindOf(key))?.get(key);
   }
 
-  /** All of one kind, or those of it that begin with `prefix`. */
+  /** Returns the records whose key begins with `prefix`, all of one kind. */
   *entriesWithPrefix(prefix: string): IterableIterator<[string, CachedRecord]> {
     const kind = kindOf(prefix);
     const items = this.kinds.get(kind);
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Notes a change that we made or read ourselves, ahead of the watch. The copy holds all up to its revision: what
-   * it does not have of that time has been removed since, and the answer that tells of it was overtaken.
+   * Applies a put that this node wrote or read itself, ahead of the watch. The cache is complete up to its revision: a
+   * record that is not newer and not cached has been removed since, and the answer that holds it is outdated.
    */
   note(key: string, value: unknown, revision: number): void {
     const items = this.of(key);
@@ -82,7 +82,7 @@
     this.changed({ key, value, revision, removed: false });
   }
 
-  /** Notes a removal that we made or read ourselves, ahead of the watch. */
+  /** Applies a removal that this node wrote or read itself, ahead of the watch. */
   noteRemoved(key: string, revision: number): void {
     const items = this.of(key);
     const known = items.get(key);
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Makes sure that the copy holds all that was stored up to a revision, for who has just written that.
-   * Reading all records again would cost a second of a small processor's time after each restart.
+   * Makes the cache complete up to a revision that this node has just written. It reads only the changes if possible:
+   * reading all records again would take a second of a small processor's time after each restart.
    */
   async catchUp(revision: number): Promise<void> {
     if (this.syncedRevision >= 0) {
@@ -109,7 +109,7 @@
     await this.load();
   }
 
-  /** Takes up an answer with changes, which may have been overtaken by a newer one. */
+  /** Applies an answer with changes; a newer answer may already have been applied. */
   private follow(log: ChangeLog, sent: number): void {
     for (const change of log.changes) {
       if (change.revision <= this.syncedRevision) continue;
@@ -120,7 +120,7 @@
     this.syncedAt = Math.max(this.syncedAt, sent);
   }
 
-  /** The copy holds all up to this revision. */
+  /** Notes that the cache is complete up to this revision. */
   private reach(revision: number): void {
     this.syncedRevision = Math.max(this.syncedRevision, revision);
     for (const [key, revision] of this.removals) {
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Reads all records anew. */
+  /** Reads all records again. */
   async load(): Promise<void> {
     const sent = this.clock.now();
     const { items, revision } = await this.client.readRange(this.prefix);
@@ -142,13 +142,13 @@
         if (!present.has(key) && stored.revision <= revision) this.noteRemoved(key, revision);
       }
     }
-    // Another reading, or the watch, may have gone further meanwhile.
+    // Another read, or the watch, may have advanced further meanwhile.
     this.reach(revision);
     this.loaded = true;
     this.syncedAt = Math.max(this.syncedAt, sent);
   }
 
-  /** Follows the state service until `stop`. */
+  /** Watches the state service until `stop` is called. */
   async run(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -164,7 +164,7 @@
           continue;
         }
         this.follow(changes, sent);
-        // Watches count as requests: a short pause lets changes gather.
+        // Watch calls count towards the request rate: a short pause batches changes.
         await sleep(this.options.pause);
       } catch (error) {
         log.debug(`watch: ${describeError(error)}`);
@@ -173,19 +173,19 @@
     }
   }
 
-  /** Ends following. */
+  /** Stops the watch. */
   stop(): void {
     this.stopped = true;
   }
 }
 
-/** The first two segments of a key, with their slashes; a key without a second slash is its own kind. */
+/** Returns the first two segments of a key, with their slashes; a key without a second slash is its own kind. */
 function kindOf(key: string): string {
   const end = key.indexOf('/', key.indexOf('/') + 1);
   return end < 0 ? key : key.slice(0, end + 1);
 }
 
-/** The copy of a job's record. It may be older than what is stored, but for a final state, which never changes. */
+/** Returns the cached record of a job. It may be older than the stored one, except in a final state, which never changes. */
 export function cachedJob(cache: Pick<StateCache, 'get'>, id: string): JobRecord | undefined {
   return cache.get(keys.job(id))?.value as JobRecord | undefined;
 }
--- a/src/storage/stateClient.ts
+++ b/src/storage/stateClient.ts
@@ -1,4 +1,4 @@
-/** The calls to the state service: reads, watches, leases and transactions, within this node's share of its rate. */
+/** Client of the state service: reads, watches, leases and transactions, within this node's share of the rate. */
 import type { Clock } from '../base/clock.js';
 import { sleep } from '../base/clock.js';
 import { log } from '../base/log.js';
@@ -10,29 +10,29 @@
 import { formOf, type RecordFormat, type StoredForm } from './recordFormat.js';
 import { keys } from './records.js';
 
-/** The state service could not be asked, or refused: nothing is known to have been carried out. */
+/** The state service could not be reached, or refused: the call may or may not have had an effect. */
 export class StateServiceUnavailableError extends Error {}
 
-/** The state service gave an answer that is not of its protocol. */
+/** The state service gave an answer that does not conform to its protocol. */
 class UnexpectedAnswerError extends StateServiceUnavailableError {
   constructor() {
     super('odd answer');
   }
 }
 
-/** What became of a transaction. */
+/** Outcome of a transaction. */
 export type TransactionResult =
   | { kind: 'applied'; revision: number }
   | { kind: 'conflict'; failed: string[] }
-  /** No answer: it may have been applied, or may still be. */
+  /** No answer: the transaction may have been applied, or may still be. */
   | { kind: 'unknown' }
   | { kind: 'refused' }
-  /** A put named a lease that has ended. */
+  /** A put named a lease that has expired. */
   | { kind: 'no-lease' }
-  /** Malformed, or beyond a limit: as it is, it will never be taken. */
+  /** Malformed, or beyond a limit: the service will never apply it as it is. */
   | { kind: 'malformed' };
 
-/** The state service and the limits of its rate. Times in seconds, rates a second. */
+/** The state service and its rate limits. Times are in seconds, rates per second. */
 export interface StateClientOptions {
   endpoint: string;
   rate: number;
@@ -42,35 +42,35 @@
   timeout: number;
 }
 
-/** A record as a transaction puts it. */
+/** How a transaction stored a record. */
 interface WrittenRecord {
   key: string;
   fragments: number;
   form: StoredForm;
 }
 
-/** How often a record in fragments is read while others change it between the reads. */
+/** Attempts to read a record in fragments that others change between the reads of its fragments. */
 const FRAGMENT_READ_ATTEMPTS = 5;
 
-/** What the state service answers to a put under a lease that has ended. */
+/** Text in the state service's answer to a put under a lease that has expired. */
 const NO_LEASE = 'no such lease';
 
-/** What is left of the limits for what the others' word, being old, does not tell of. */
+/** Share of the rate limits that is divided among the nodes; the rest covers outdated reports of other nodes' demand. */
 const RATE_SAFETY_FACTOR = 0.92;
 
 /** This node's calls to the state service, within its share of the rate. */
 export class StateClient {
   private readonly requests: RateLimiter;
   private readonly writes: RateLimiter;
-  /** Steady time of the last answer that was no refusal. */
+  /** Monotonic time of the last answer that was not a refusal. */
   lastServed = -Infinity;
-  /** Steady time of the last refusal or silence. */
+  /** Monotonic time of the last refusal or failed call. */
   lastFailed = -Infinity;
-  /** How many fragments each record had when it was last read or written, if any. */
+  /** Number of fragments of each record when it was last read or written, if any. */
   private readonly fragmentCounts = new Map<string, number>();
-  /** How records that are not stored plainly are stored, as they were last read or written. */
+  /** Forms of the records that are not stored as `plain`, when they were last read or written. */
   private readonly forms = new Map<string, StoredForm>();
-  /** Records that could not be read, and why. */
+  /** Keys of records that could not be read, and why. */
   readonly unreadable = new Map<string, string>();
 
   constructor(
@@ -84,12 +84,12 @@
     this.writes = new RateLimiter(clock, writeRate / sharers, writeRate / sharers);
   }
 
-  /** What this node asks of the service, a second. */
+  /** This node's demand on the service, per second. */
   get demand(): { requests: number; writes: number } {
     return { requests: this.requests.demand, writes: this.writes.demand };
   }
 
-  /** Takes what the others leave; `needs` are those that have been heard of lately. */
+  /** Sets this node's share of the rates; `needs` are the recently reported demands of other nodes. */
   adoptRateShare(needs: { requests: number; writes: number }[]): void {
     const { rate, writeRate, sharers } = this.options;
     const requests = needs.map((n) => n.requests);
@@ -98,22 +98,22 @@
     this.writes.setRate(rateShareOf(writeRate * RATE_SAFETY_FACTOR, sharers, writes));
   }
 
-  /** Changes a second that are ours just now. */
+  /** This node's current share of the write rate, in writes per second. */
   get writeRate(): number {
     return this.writes.rate;
   }
 
-  /** What this node asks of its share of the changes, as a ratio to it. */
+  /** This node's write demand, as a ratio to its share of the write rate. */
   get writeLoad(): number {
     return this.writes.demand / this.writes.rate;
   }
 
-  /** Seconds that a change of this urgency would wait for its turn. */
+  /** Returns the seconds that a write of this priority would wait for the rate limit. */
   writeDelay(priority: RequestPriority): number {
     return this.writes.delay(priority);
   }
 
-  /** Requests and changes that wait for their turn. */
+  /** Number of requests and writes that wait for the rate limit. */
   get backlog(): number {
     return this.requests.queueLength + this.writes.queueLength;
   }
@@ -140,7 +140,7 @@
     }
   }
 
-  /** A read or a lease call, once more after 429. */
+  /** Sends a read or a lease request, and retries it after a 429. */
   private async ask(
     method: string,
     target: string,
@@ -163,7 +163,7 @@
     }
   }
 
-  /** One record, its fragments joined. */
+  /** Reads a record and joins its fragments. */
   async get(key: string): Promise<wire.KeyValue | null> {
     for (let tries = 0; tries < FRAGMENT_READ_ATTEMPTS; tries++) {
       const head = await this.getRow(key);
@@ -184,7 +184,7 @@
     return item;
   }
 
-  /** A head with its fragments, all of one revision; null when they are not. */
+  /** Joins a head and its fragments. Returns null if they are not all of one revision. */
   private join(
     head: wire.KeyValue,
     pieces: (wire.KeyValue | null | undefined)[],
@@ -211,7 +211,7 @@
     }
   }
 
-  /** Whether some record below a prefix cannot be read. */
+  /** Whether any record under a prefix cannot be read. */
   hasUnreadable(prefix: string): boolean {
     for (const key of this.unreadable.keys()) if (key.startsWith(prefix)) return true;
     return false;
@@ -232,14 +232,14 @@
     else this.forms.set(key, form);
   }
 
-  /** Records that were stored in a form when they were last read or written here, in the order of their keys. */
+  /** Returns the keys of records that had this form when they were last read or written here, sorted. */
   keysOfForm(form: StoredForm): string[] {
     const found: string[] = [];
     for (const [key, is] of this.forms) if (is === form) found.push(key);
     return found.sort();
   }
 
-  /** All items below a prefix, with a revision not newer than any of them was read at. */
+  /** Reads all records under a prefix. Each is at least as recent as the returned revision. */
   async readRange(prefix: string): Promise<{ items: wire.KeyValue[]; revision: number }> {
     const { rows, revision } = await this.readRows(prefix);
     return { items: await this.joinAll(rows), revision };
@@ -264,14 +264,14 @@
     return { rows, revision: epoch ?? 0 };
   }
 
-  /** Records that the store holds in a form, read from it and not from what is known here; in the order of their keys. */
+  /** Reads the keys of records that are stored in this form from the state service, not from memory; sorted. */
   async readKeysOfForm(prefix: string, form: StoredForm): Promise<string[]> {
     const { rows } = await this.readRows(prefix);
     const found: string[] = [];
     for (const row of rows.values()) {
       if (isFragmentKey(row.key)) continue;
       const pieces = fragmentsOf(row, (key) => rows.get(key));
-      // Written between two pages of the reading: what it is now is asked for by itself.
+      // The record was written between two pages, so its current form is read separately.
       const isTorn = pieces.some((piece) => piece?.revision !== row.revision);
       if (isTorn) await this.get(row.key);
       const now = isTorn ? (this.forms.get(row.key) ?? 'plain') : formOfRows(row, pieces);
@@ -280,7 +280,7 @@
     return found;
   }
 
-  /** The records of many rows; what changed between the pages is read again by itself. */
+  /** Joins the records of many rows; a record that changed between two pages is read again separately. */
   private async joinAll(rows: Map<string, wire.KeyValue>): Promise<wire.KeyValue[]> {
     const items: wire.KeyValue[] = [];
     for (const row of rows.values()) {
@@ -294,7 +294,7 @@
     return items;
   }
 
-  /** A record by what is known of its fragments, else read by itself; null: it is gone, or cannot be read. */
+  /** Joins a record from the given rows, or else reads it again. Returns null if it was removed or cannot be read. */
   private async joinOrRead(
     head: wire.KeyValue,
     pieces: (wire.KeyValue | undefined)[],
@@ -302,23 +302,23 @@
     try {
       return this.join(head, pieces) ?? (await this.get(head.key));
     } catch (error) {
-      // One damaged record must not keep the others from being served.
+      // One corrupt record must not prevent the others from being read.
       if (error instanceof CorruptRecordError) return null;
       throw error;
     }
   }
 
-  /** Waits for the turn of a transaction that will be made, with `granted`, from what is known then. */
+  /** Waits for the rate limit ahead of a transaction that is built afterwards and sent with priority `granted`. */
   awaitWriteTurn(cost: number, priority: RequestPriority): Promise<void> {
     return this.writes.acquire(cost, priority);
   }
 
-  /** More changes go with a turn that was given. */
+  /** Charges further writes that are sent together with those that were waited for. */
   chargeWrites(cost: number, priority: RequestPriority): void {
     this.writes.charge(cost, priority);
   }
 
-  /** Applies a transaction; its result tells whether it may have been applied. */
+  /** Sends a transaction; the result says whether it was, or may have been, applied. */
   async transact(
     transaction: wire.Transaction,
     priority: RequestPriority | 'granted' = 'later',
@@ -326,7 +326,7 @@
     const { stored, written } = this.encodeTxn(transaction);
     const cost = stored.puts.length + stored.deletes.length;
     if (cost > 0 && priority !== 'granted') await this.writes.acquire(cost, priority);
-    // Pieces are not part of the turn that was waited for.
+    // `awaitWriteTurn` was called without the cost of fragments.
     const extra = cost - transaction.puts.length - transaction.deletes.length;
     if (extra > 0 && priority === 'granted') this.writes.charge(extra, 'urgent');
     await this.requests.acquire(1, priority === 'granted' ? 'ownership' : priority);
@@ -343,7 +343,7 @@
     return result;
   }
 
-  /** The transaction as it is sent: values in their record format, large ones in fragments. */
+  /** Encodes a transaction as it is sent: values in the record format, and large ones in fragments. */
   private encodeTxn(transaction: wire.Transaction): {
     stored: wire.Transaction;
     written: WrittenRecord[];
@@ -366,7 +366,7 @@
     return { stored: { conditions: transaction.conditions, puts, deletes: removes }, written };
   }
 
-  /** Operations that a change of one record takes, those on its fragments included; null: its removal. */
+  /** Returns the operations that a write of a record takes, including its fragments; `value` is null for its removal. */
   operations(key: string, value: unknown): number {
     const before = 1 + (this.fragmentCounts.get(key) ?? 0);
     return value === null ? before : Math.max(before, this.recordFormat.operations(key, value));
@@ -405,7 +405,7 @@
     return { kind: 'refused' };
   }
 
-  /** A new lease of so many seconds. */
+  /** Requests a new lease of `ttl` seconds and returns its id. */
   async grantLease(ttl: number): Promise<number> {
     const response = await this.ask('POST', wire.paths.leases, wire.leaseRequest(ttl));
     const hold = wire.parseLease(response.body);
@@ -413,7 +413,7 @@
     return hold;
   }
 
-  /** Gives false when the lease has ended. Not queued: a renewal that waits is worth nothing. */
+  /** Renews a lease; returns false if it has expired. The call bypasses the rate limit, as a delayed renewal is useless. */
   async renewLease(hold: number, timeout: number): Promise<boolean> {
     let response: Response;
     try {
@@ -427,7 +427,7 @@
     return true;
   }
 
-  /** Changes after a revision; null when that revision is too old. */
+  /** Reads the changes after a revision. Returns null if the service no longer keeps changes from that revision on. */
   async readChanges(
     prefix: string,
     from: number,
@@ -441,7 +441,7 @@
     return { revision: told.revision, changes: await this.joinChanges(told.changes) };
   }
 
-  /** A head and its fragments are changed together, so a log that has the one has the others. */
+  /** Joins the records of a change log. A head and its fragments change in one transaction, so the log has all or none. */
   private async joinChanges(changes: wire.KeyValueChange[]): Promise<wire.KeyValueChange[]> {
     const pieces = new Map<string, wire.KeyValue>();
     const versioned = (key: string, revision: number): string => `${key}@${revision}`;
@@ -467,7 +467,7 @@
 const noAnswer = (cause: unknown): StateServiceUnavailableError =>
   new StateServiceUnavailableError(cause instanceof Error ? cause.message : 'no answer', { cause });
 
-/** The fragments that a head names, as far as they are known. */
+/** Returns the fragments that a head counts; undefined for those that `find` does not know. */
 const fragmentsOf = (
   head: wire.KeyValue,
   find: (key: string) => wire.KeyValue | undefined,
--- a/src/storage/storedRecords.ts
+++ b/src/storage/storedRecords.ts
@@ -1,6 +1,6 @@
 /**
- * Records as they are stored, with the field names of version 0.2, which never change. The rest of the program knows them
- * by the types of `records.ts`; `plainRecords.ts` and `compactRecords.ts` map the one to the other.
+ * Records as they are stored, with the field names of version 0.2, which never change. All other code uses the types of
+ * `records.ts`; `plainRecords.ts` and `compactRecords.ts` map between the two.
  */
 import type { StoredJobSpec } from '../protocol/storedJobSpec.js';
 
@@ -10,7 +10,7 @@
   owners?: Record<string, StoredLastLeader>;
 }
 
-/** Who led a shard last, within `b/token`. */
+/** The last leader of a shard, within `b/token`. */
 export interface StoredLastLeader {
   node: string;
   lost: Record<string, number>;
--- a/test/leadership/authority.test.ts
+++ b/test/leadership/authority.test.ts
@@ -1,4 +1,4 @@
-/** What a node may do for a part, by its lease, its token and what peers say. */
+/** What a node may do for a shard, depending on its lease, its fencing token and the reports of peers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Authority, type HeartbeatDecision } from '../../src/coordination/leadership/authority.js';
@@ -9,48 +9,48 @@
 const TOKEN = 5;
 const GRACE = 36;
 
-/** The lease ends at 100. */
+/** Time at which the lease expires. */
 const LEASE_END = 100;
 
 for (const { name, now, seen = TOKEN, peer = null, isLost = false, answers, mayAct } of [
-  { name: 'within the lease', now: 99, answers: { kind: 'answer' }, mayAct: true },
-  { name: 'a lease that has ended, within the grace', now: 101, answers: { kind: 'answer' } },
-  { name: 'at the end of the grace', now: 136, answers: { kind: 'answer' } },
-  { name: 'past the grace', now: 136.1, answers: { kind: 'silent' } },
+  { name: 'the lease is valid', now: 99, answers: { kind: 'answer' }, mayAct: true },
+  { name: 'the lease has expired, within the grace period', now: 101, answers: { kind: 'answer' } },
+  { name: 'at the end of the grace period', now: 136, answers: { kind: 'answer' } },
+  { name: 'after the grace period', now: 136.1, answers: { kind: 'silent' } },
   {
-    name: 'the worker has seen a later token of the same leadership',
+    name: 'the worker has seen a later fencing token of the same leadership',
     now: 99,
     seen: TOKEN + TOKENS_PER_LEADERSHIP - 1,
     answers: { kind: 'answer' },
     mayAct: true,
   },
   {
-    name: 'the worker has seen the token of a later leadership',
+    name: 'the worker has seen the fencing token of a later leadership',
     now: 99,
     seen: TOKEN + TOKENS_PER_LEADERSHIP,
     answers: { kind: 'deposed' },
     mayAct: true,
   },
   {
-    name: 'without a lease, and a peer says that it has adopted the part',
+    name: 'the lease has expired, and a peer reports that it leads the shard',
     now: 101,
     peer: { label: 'drone-1', fencingToken: TOKEN + 1 },
     answers: { kind: 'adopted', owner: 'drone-1' },
   },
   {
-    name: 'with a lease, a peer that says so is asked of the store instead',
+    name: 'the lease is valid, so the state service decides and not the report of a peer',
     now: 99,
     peer: { label: 'drone-1', fencingToken: TOKEN + 1 },
     answers: { kind: 'answer' },
     mayAct: true,
   },
   {
-    name: 'without a lease, and a peer speaks of an earlier ownership',
+    name: 'the lease has expired, and a peer reports an earlier leadership',
     now: 101,
     peer: { label: 'drone-1', fencingToken: TOKEN - 1 },
     answers: { kind: 'answer' },
   },
-  { name: 'the part was lost', now: 99, isLost: true, answers: { kind: 'silent' } },
+  { name: 'the shard was lost', now: 99, isLost: true, answers: { kind: 'silent' } },
 ] satisfies {
   name: string;
   now: number;
@@ -60,7 +60,7 @@
   answers: HeartbeatDecision;
   mayAct?: boolean;
 }[]) {
-  test(`what a node may do for a part: ${name}`, () => {
+  test(`what a node may do for a shard: ${name}`, () => {
     const host = createOwnedShard(emptyShard(3), { fencingToken: TOKEN, revision: 1 }, 0);
     host.isOwned = !isLost;
     const authority = new Authority({
--- a/test/leadership/shardLeadership.test.ts
+++ b/test/leadership/shardLeadership.test.ts
@@ -1,4 +1,4 @@
-/** Ownership of parts: what a node may believe to own when answers come late. */
+/** Leadership of shards: which shards a node may take itself to lead when answers arrive late. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ShardLeadership } from '../../src/coordination/leadership/shardLeadership.js';
@@ -8,12 +8,12 @@
 
 const LEASE_S = 4;
 
-/** A node that claims its part, with leases that the test ends. */
+/** A node that claims its shard, with leases that the test expires. */
 class Claimant {
   now = 0;
   readonly store = new MemoryStore();
   readonly gained: string[] = [];
-  /** Holds up the reading of the records after a claim. */
+  /** Delays the reading of the records after a claim. */
   catchUp: () => Promise<void> = () => Promise.resolve();
   private hold = 0;
   private readonly ended = new Set<number>();
@@ -51,7 +51,7 @@
     );
   }
 
-  /** The lease ends at the service, and with it the keys that it holds. */
+  /** Expires the lease at the state service, which removes the leader record attached to it. */
   endLease(): void {
     this.ended.add(this.hold);
     this.store.rows.delete(keys.leader('p'));
@@ -62,7 +62,7 @@
   }
 }
 
-test('a claim under a lease that has ended meanwhile is none, although a new lease is valid', async (t) => {
+test('a claim under a lease that expired meanwhile has no effect, although a new lease is valid', async (t) => {
   const c = new Claimant();
   t.after(() => {
     c.ownership.stop();
@@ -77,14 +77,14 @@
   await until('a new lease is granted', () => c.leases === 2 && c.ownership.isLeaseValid);
   readAll();
   await new Promise((resolve) => setImmediate(resolve));
-  assert.deepEqual(c.gained, [], 'its key went with the lease, and a peer may own the part');
+  assert.deepEqual(c.gained, [], 'the leader record was removed with the lease, and a peer may lead the shard');
 });
 
-test('a claim whose lease lasts is one', async (t) => {
+test('a claim under a lease that stays valid gains the leadership', async (t) => {
   const c = new Claimant();
   t.after(() => {
     c.ownership.stop();
   });
   void c.ownership.run();
-  await until('it owns its part', () => c.gained.includes('p'));
+  await until('it leads its shard', () => c.gained.includes('p'));
 });
--- a/test/leadership/shardLoader.test.ts
+++ b/test/leadership/shardLoader.test.ts
@@ -1,4 +1,4 @@
-/** Loading a part from its records: what an earlier owner may have left on machines counts, whatever became of its job. */
+/** Loading a shard from its records: attempts that an earlier leader may have started count, whatever state their job has. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -18,7 +18,7 @@
 
 const HELD = { fencingToken: 7, revision: 9, previousLeaderLostAt: 0 };
 
-/** The records of a part with one machine and one chunk of two tasks, one of which an owner has started. */
+/** A node with the records of a shard with one machine and one chunk of two tasks, one of which a leader has started. */
 function nodeWith(job: Partial<JobRecord>): ShardLoaderContext {
   const task = spec({ id: 'wk-1', taskCount: 2 });
   const open: JobRecord = {
@@ -73,11 +73,11 @@
   { name: 'its job is open', job: {}, isWanted: true },
   { name: 'its job is cancelled', job: { state: 'cancelled', spec: null }, isWanted: false },
   { name: 'its job is done', job: { state: 'done', spec: null }, isWanted: false },
-  { name: 'its chunk has been counted as over', job: { doneChunks: [0] }, isWanted: false },
+  { name: 'its chunk is recorded as done', job: { doneChunks: [0] }, isWanted: false },
 ];
 
 for (const { name, job, isWanted } of cases) {
-  test(`a task that an earlier owner started is counted until it is known to be over: ${name}`, () => {
+  test(`an attempt that an earlier leader started counts until it is known to have terminated: ${name}`, () => {
     const cancellation = job.state === 'cancelled' ? ('stored' as const) : ('none' as const);
     const view = { cancellationOf: () => cancellation };
     const part = emptyShard(3, new Map([['m8', m8]]), view);
@@ -90,13 +90,13 @@
     assert.equal(
       chunk?.attempts.get(1)?.stop !== null,
       !isWanted,
-      'it is ended if nobody wants it',
+      'it is stopped unless its chunk is still wanted',
     );
   });
 }
 
-test('an attempt on a machine that the records have put into another shard is not over for that', () => {
-  // It was dropped, and its task was started once more beside it.
+test('an attempt on a machine that is recorded in another shard still counts as running', () => {
+  // Such an attempt was dropped at loading, and its task was started a second time while the first still ran.
   const node = nodeWith({});
   const elsewhere = { shard: 'q', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
   node.inventory = {
@@ -117,7 +117,7 @@
   assert.equal(part.chunks.get('wk-1/0')?.attempts.size, 0, 'its release is confirmed');
 });
 
-test('a chunk that a new leader loads while its cancellation is announced is not started there', () => {
+test('a chunk that is loaded while the cancellation of its job is announced is not started', () => {
   const view = { cancellationOf: () => 'announced' as const };
   const part = emptyShard(3, new Map([['m8', m8]]), view);
   new ShardLoader(nodeWith({})).load(part, HELD, 100);
--- a/test/persistence/bucketWriter.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -1,4 +1,4 @@
-/** What is stored and when: machines by rental, chunks on buckets, and answers that get lost. */
+/** Which records are written and when: machines by rental, chunks in buckets, and transactions whose answer is lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Chunk } from '../../src/coordination/model/chunk.js';
@@ -27,7 +27,7 @@
   const fleet = new MachineInventory();
   const steps: [string, string, MachineGroupRecord | null, string[], string[], number][] = [
     [
-      'a rental that is being asked for has none',
+      'a rental that is being requested has no machines',
       'r1',
       { ...group('p'), requestedCount: 2 },
       [],
@@ -36,10 +36,10 @@
     ],
     ['its machines', 'r1', group('p', 'n1', 'n2'), ['n1', 'n2'], [], 2],
     ['another rental', 'r2', group('p', 'n3'), ['n3'], [], 3],
-    ['one is returned', 'r1', group('p', 'n2'), ['n2'], ['n1'], 2],
-    ['one that another record has is not taken over', 'r2', group('q', 'n3', 'n2'), ['n3'], [], 1],
-    ['nor taken away with that record', 'r2', null, [], ['n3'], 1],
-    ['the last', 'r1', null, [], ['n2'], 0],
+    ['one machine is released', 'r1', group('p', 'n2'), ['n2'], ['n1'], 2],
+    ['a machine that another record names stays in that one', 'r2', group('q', 'n3', 'n2'), ['n3'], [], 1],
+    ['and stays when the later record is removed', 'r2', null, [], ['n3'], 1],
+    ['the last record is removed', 'r1', null, [], ['n2'], 0],
   ];
   for (const [name, ask, record, present, gone, count] of steps) {
     const change = fleet.update(ask, record);
@@ -53,13 +53,13 @@
   }
 });
 
-test('a chunk is found where it was stored last', () => {
+test('the index finds a chunk in the bucket in which it was last stored', () => {
   const buckets = new ChunkIndex();
   const chunk = new Chunk(spec(), 0, 'p', 1, 0, 4, null, 0);
   const record = { chunks: { 'wk-1/0': chunk.toRecord() } };
   buckets.update('p', 's1', record, 1);
   assert.equal(buckets.find('wk-1/0')?.shard, 'p');
-  // It moves: the new bucket may be heard of before the old one is changed.
+  // The chunk migrates: the new bucket may be delivered before the change of the old one.
   buckets.update('q', 's9', record, 2);
   buckets.update('p', 's1', { chunks: {} }, 2);
   assert.equal(buckets.find('wk-1/0')?.shard, 'q');
@@ -67,14 +67,14 @@
   assert.equal(buckets.find('wk-1/0'), undefined);
 });
 
-test('nodes share a limit by need, and together stay below it', () => {
+test('nodes divide a rate by demand, and together stay within it', () => {
   const cases: [string, number[], number][] = [
-    ['the others need nothing', [0, 0], 30],
-    ['one needs a little', [4, 0], 26],
-    ['one needs more than its even share', [25, 0], 20],
-    ['both do', [25, 40], 10],
-    ['one has not been heard', [2], 18],
-    ['nobody has', [], 10],
+    ['the others demand nothing', [0, 0], 30],
+    ['one demands a little', [4, 0], 26],
+    ['one demands more than its even share', [25, 0], 20],
+    ['both demand more than their even share', [25, 40], 10],
+    ['the demand of one is unknown', [2], 18],
+    ['the demand of both is unknown', [], 10],
   ];
   for (const [name, needs, share] of cases) assert.equal(rateShareOf(30, 3, needs), share, name);
   for (const needs of [
@@ -93,11 +93,11 @@
         ),
       ),
     );
-    assert.ok(used.reduce((a, b) => a + b) <= 30 + 1e-9, `${needs.join(' ')} pass the limit`);
+    assert.ok(used.reduce((a, b) => a + b) <= 30 + 1e-9, `${needs.join(' ')} exceed the rate`);
   }
 });
 
-/** One part with its buckets, on a store in memory. */
+/** One shard with its bucket writer, on a state service in memory. */
 class Desk {
   now = 100;
   readonly store = new MemoryStore();
@@ -175,7 +175,7 @@
     return chunk;
   }
 
-  /** A round: decides, stores what is due and waits until all answers are in. */
+  /** Runs a scheduling round, writes what is due and waits for all answers. */
   async round(seconds = 5): Promise<void> {
     this.now += seconds;
     this.host.shard.scheduler.runRound(this.now, () => false);
@@ -187,11 +187,11 @@
     return this.bucketWriter.move(this.host, chunk, 'q', { conditions: [], puts: [] });
   }
 
-  /** The peer sends the chunk back, and this part hears of it. */
+  /** Migrates the chunk back from the peer, and delivers the change to this shard. */
   sendBack(chunk: Chunk): void {
     const { rows } = this.store;
     const found = [...rows.values()].find(({ key }) => key.startsWith('b/run/q/'));
-    assert.ok(found, 'it is at the peer');
+    assert.ok(found, 'the chunk is stored at the peer');
     rows.delete(found.key);
     const name = `${chunk.id.replace('/', '-')}-2`;
     const sent = { ...chunk.toRecord(), migrationCount: 2 };
@@ -205,7 +205,7 @@
       stateCache: {
         get: (any) => rows.get(any),
         *entriesWithPrefix() {
-          // Nothing else is loaded.
+          // No other records are loaded.
         },
         noteRemoved: () => undefined,
       },
@@ -217,7 +217,7 @@
     loader.noteBucket(this.host, name, value, revision);
   }
 
-  /** Parts whose stored buckets hold the chunk. */
+  /** Returns the shards whose stored buckets hold the chunk. */
   where(chunk: Chunk): string[] {
     return [...this.store.rows.values()].flatMap(({ key, value }) =>
       key.startsWith('b/run/') && (value as BucketRecord).chunks[chunk.id] !== undefined
@@ -227,7 +227,7 @@
   }
 }
 
-test('many chunks cost one change, and one that is over goes with the next', async () => {
+test('many chunks cost one write, and a finished chunk is removed with the next write', async () => {
   const desk = new Desk();
   desk.machine('n-1');
   const chunks = ['wk-1', 'wk-2', 'wk-3', 'wk-4'].map((id) => desk.job(id));
@@ -238,7 +238,7 @@
   if (first === undefined) throw new Error('no chunks');
   desk.host.shard.dropChunk(first);
   await desk.round();
-  assert.equal(desk.store.changes, 1, 'nobody waits for that');
+  assert.equal(desk.store.changes, 1, 'the removal of a finished chunk is not written by itself');
   const next = desk.job('wk-5');
   await desk.round();
   assert.equal(desk.store.changes, 2);
@@ -246,7 +246,7 @@
   assert.deepEqual(desk.where(next), ['p']);
 });
 
-test('an empty bucket is written anew by what comes next, also where its removal got no answer', async () => {
+test('an empty bucket is reused for the next chunk, also if its removal got no answer', async () => {
   for (const removal of ['none', 'applied', 'late'] as const) {
     const desk = new Desk();
     desk.machine('n-1');
@@ -265,18 +265,18 @@
     if (removal === 'late') assert.equal(desk.store.late().kind, 'conflict');
     assert.deepEqual([desk.where(first), desk.where(next)], [[], ['p']], removal);
     assert.ok(desk.started.includes('wk-2/0@n-1'), removal);
-    assert.equal(desk.store.changes, before + 1, `${removal}: one change, no removal`);
+    assert.equal(desk.store.changes, before + 1, `${removal}: one write, no removal`);
   }
 });
 
-test('a start waits for an answer, also when the first copy was applied without one', async () => {
+test('a start waits for the answer to its write, also if the first copy was applied without an answer', async () => {
   for (const applied of [true, false]) {
     const desk = new Desk();
     desk.machine('n-1');
     const chunk = desk.job('wk-1');
     desk.store.loseNext = true;
     await desk.round();
-    assert.deepEqual(desk.started, [], 'started without an answer');
+    assert.deepEqual(desk.started, [], 'started before the write was answered');
     if (applied) desk.store.late();
     await desk.round();
     await desk.round();
@@ -286,7 +286,7 @@
   }
 });
 
-test('a move without an answer leaves the chunk at one part, whenever it is applied', async () => {
+test('a migration without an answer leaves the chunk in one shard, whenever it is applied', async () => {
   for (const early of [true, false]) {
     const desk = new Desk();
     const chunk = desk.job('wk-1');
@@ -295,7 +295,7 @@
     desk.store.loseNext = true;
     assert.equal((await desk.move(chunk)).kind, 'unknown');
     if (early) assert.equal(desk.store.late().kind, 'applied');
-    // Room comes up here meanwhile, and both are placed.
+    // A machine becomes available here meanwhile, and both chunks are placed.
     desk.machine('n-1');
     await desk.round();
     await desk.round();
@@ -303,12 +303,12 @@
     assert.deepEqual(desk.where(chunk), [early ? 'q' : 'p']);
     assert.deepEqual(desk.where(other), ['p']);
     const mine = desk.started.filter((name) => name.startsWith('wk-1/'));
-    assert.equal(mine.length, early ? 0 : 1, 'started here although it had gone');
+    assert.equal(mine.length, early ? 0 : 1, 'started here although it had migrated');
     assert.ok(desk.started.includes('wk-2/0@n-1'));
   }
 });
 
-test('a bucket whose creation got no answer never comes back once its chunks have left it', async () => {
+test('a bucket whose creation got no answer is not created again after its chunks have left it', async () => {
   for (const leave of ['moved', 'dropped before it was stored'] as const) {
     const desk = new Desk();
     const chunk = desk.job('wk-1');
@@ -320,10 +320,10 @@
     } else desk.host.shard.dropChunk(chunk);
     await desk.round();
     await desk.round();
-    // Its condition is that there is no such record: a record that had been removed would let it pass.
+    // The late copy is conditional on the absence of the record: it would be applied if the record had been removed.
     assert.equal(desk.store.late().kind, 'conflict');
     assert.deepEqual(desk.where(chunk), leave === 'moved' ? ['q'] : []);
-    // The bucket serves what comes next.
+    // The bucket is reused for the next chunk.
     const next = desk.job('wk-2');
     await desk.round();
     assert.deepEqual(desk.where(next), ['p']);
@@ -343,10 +343,10 @@
   desk.machine('n-1');
   for (let round = 0; round < 4; round++) await desk.round();
   assert.deepEqual(desk.where(chunk), ['p']);
-  assert.ok(desk.started.includes('wk-1/0@n-1'), 'it waits for good');
+  assert.ok(desk.started.includes('wk-1/0@n-1'), 'it waits forever');
 });
 
-test('a copy of an answered change brings back no chunk that has left its bucket', async () => {
+test('a late copy of an answered transaction does not restore a chunk that has left its bucket', async () => {
   for (const leave of ['moved', 'dropped'] as const) {
     const desk = new Desk();
     const chunk = desk.job('wk-1');
@@ -360,7 +360,7 @@
   }
 });
 
-test('what has started does not move', async () => {
+test('a chunk with started tasks does not migrate', async () => {
   const desk = new Desk();
   desk.machine('n-1');
   const chunk = desk.job('wk-1');
@@ -369,12 +369,12 @@
   assert.deepEqual(desk.where(chunk), ['p']);
 });
 
-test('machines go to the part of their zone that wants them, or to the smallest', () => {
+test('a machine is assigned to the shard of its zone that requests it, or else to the smallest', () => {
   const cases: [string, string, string, string][] = [
-    ['wanted by a part there', 'p', 'a', 'p'],
-    ['wanted by nobody', '', 'a', 'q'],
-    ['wanted by a part of another zone', 'p', 'b', 'r'],
-    ['in a zone without a part', '', 'c', 'q'],
+    ['requested by a shard of the zone', 'p', 'a', 'p'],
+    ['requested by no shard', '', 'a', 'q'],
+    ['requested by a shard of another zone', 'p', 'b', 'r'],
+    ['in a zone without a shard', '', 'c', 'q'],
   ];
   const inventory = new MachineInventory();
   inventory.update('r1', group('p', 'n-1', 'n-2'));
--- a/test/persistence/jobPersistence.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -1,4 +1,4 @@
-/** Jobs' records: what is kept of chunks when another change of the record is found, and what its owner may say. */
+/** Job records: how conflicting and unanswered writes are resolved, and when a cancellation is stored. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Chunk } from '../../src/coordination/model/chunk.js';
@@ -20,7 +20,7 @@
 const ID = 'wk-1';
 const KEY = keys.job(ID);
 
-/** A part with one job of three chunks of eight tasks, of which some have been cut. */
+/** The home shard of one job with three chunks of eight tasks, some of which are created. */
 class Home {
   readonly store = new MemoryStore();
   readonly owned: OwnedShard;
@@ -91,7 +91,7 @@
     this.owned.shard.acceptNewChunk(chunk, this.now);
   }
 
-  /** All tasks of a chunk are done. */
+  /** Marks all tasks of a chunk as done. */
   complete(index: number): void {
     const chunk = this.owned.shard.chunks.get(`${ID}/${index}`);
     if (chunk === undefined) throw new Error('no such chunk');
@@ -99,7 +99,7 @@
     this.owned.shard.noteChunkChanged(chunk, this.now);
   }
 
-  /** Some passes, each with all of its answers. */
+  /** Runs write passes and waits for the answers of each. */
   async passes(count: number): Promise<void> {
     for (let i = 0; i < count; i++) {
       this.now += 3;
@@ -117,9 +117,9 @@
   }
 }
 
-test('the end of a chunk that meets another change of the record is noted, not forgotten with the chunk', async () => {
+test('a finished chunk is recorded in its job although the first write conflicts with another change', async () => {
   const home = new Home(2);
-  // A move of the other chunk was stored and its answer lost.
+  // A migration of the other chunk was applied and its answer lost.
   home.store.rows.set(KEY, {
     key: KEY,
     value: { ...home.job.record, migratedChunks: [1] },
@@ -131,7 +131,7 @@
   assert.deepEqual(home.stored.migratedChunks, [1]);
 });
 
-test('a chunk that was cut without an answer is taken up, whichever change finds that out', async () => {
+test('a chunk whose creation was applied without an answer is created in memory by the next conflict', async () => {
   const home = new Home(1);
   home.store.loseNext = true;
   home.persistence.reconcileJobs();
@@ -144,7 +144,7 @@
   assert.ok(home.chunks.includes(`${ID}/1`), home.chunks.join(' '));
 });
 
-test('after a conflict the owner answers by the store until the record has been read', async () => {
+test('after a conflict the outcome counts as unknown until the record has been read', async () => {
   const home = new Home(1);
   const ended = { ...home.job.record, spec: null, state: 'cancelled' as const };
   home.store.rows.set(KEY, { key: KEY, value: ended, revision: 8 });
@@ -159,13 +159,13 @@
   assert.equal(
     home.job.isOutcomeUnknown,
     true,
-    'others may have told users of the record that we could not read',
+    'other nodes may have told users of the record that this node could not read',
   );
   await home.passes(4);
   assert.equal(home.job.record.state, 'cancelled');
 });
 
-test('a cancelled job keeps no list of chunks that are done or at other shards', async () => {
+test('the record of a cancelled job lists no done or migrated chunks', async () => {
   const home = new Home(3);
   home.job.record = { ...home.job.record, doneChunks: [0], migratedChunks: [1] };
   const evidence = CancellationEvidence.acknowledged(new Set([0, 1, 2]), new Map());
@@ -181,16 +181,16 @@
 const outdatedEvidence: {
   name: string;
   chunks: number[];
-  /** Revision of the other shard's leader record when its leader acknowledged, and as this node's copy has it. */
+  /** Revision of the other shard's leader record when its leader acknowledged, and in this node's cache. */
   acknowledged: number;
   copied: number;
 }[] = [
-  { name: 'a chunk was created since', chunks: [0], acknowledged: 8, copied: 8 },
+  { name: 'a chunk was created since then', chunks: [0], acknowledged: 8, copied: 8 },
   { name: 'a leader is known to have changed', chunks: [0, 1], acknowledged: 7, copied: 8 },
-  { name: 'a leader has changed unheard', chunks: [0, 1], acknowledged: 7, copied: 7 },
+  { name: 'a leader has changed, unknown to this node', chunks: [0, 1], acknowledged: 7, copied: 7 },
 ];
 for (const { name, chunks, acknowledged, copied } of outdatedEvidence) {
-  test(`a cancellation is not stored on what was acknowledged before: ${name}`, async () => {
+  test(`a cancellation is not stored on outdated evidence: ${name}`, async () => {
     const home = new Home(2);
     const key = keys.leader('q');
     home.store.rows.set(key, { key, value: {}, revision: 8 });
--- a/test/persistence/recordLimits.test.ts
+++ b/test/persistence/recordLimits.test.ts
@@ -1,4 +1,4 @@
-/** Limits of the state service that have fallen: what is stored larger is taken apart, and nothing is lost in between. */
+/** Lowered limits of the state service: larger stored buckets are split, and no chunk is lost meanwhile. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BucketWriter } from '../../src/coordination/persistence/bucketWriter.js';
@@ -45,7 +45,7 @@
   }),
 });
 
-/** One part whose bucket was stored under larger limits, on a store whose limits have fallen. */
+/** One shard whose bucket was stored under larger limits, on a state service whose limits were lowered. */
 class FallenLimits {
   now = 100;
   readonly store = new MemoryStore();
@@ -67,7 +67,7 @@
     [this.host, this.writer] = this.adopt();
   }
 
-  /** Loads the part from what is stored, as an adopter would. */
+  /** Loads the shard from the stored records, as a new leader would. */
   adopt(): [OwnedShard, BucketWriter] {
     const { rows } = this.store;
     const commits: Pick<JobPersistence, 'acceptMissing'> = { acceptMissing: () => undefined };
@@ -117,7 +117,7 @@
     for (let i = 0; i < 40; i++) await this.pass();
   }
 
-  /** The chunks by the newest record that holds each. */
+  /** The stored chunks, each from the newest record that holds it. */
   get stored(): Map<string, ChunkRecord> {
     const found = new Map<string, ChunkRecord>();
     const rows = [...this.store.rows.values()].filter(({ key }) => key.startsWith('b/run/p/'));
@@ -138,7 +138,7 @@
     Array.from({ length: SERVICE_COUNT }, (_, i) => [`wk-${i}/0`, service(`wk-${i}`)]),
   );
 
-test('a bucket beyond the limit is emptied into others and then removed', async () => {
+test('the chunks of a bucket beyond the limit move to other buckets, and then the bucket is removed', async () => {
   const site = new FallenLimits(services());
   await site.settle();
   assert.ok(!site.hasOld);
@@ -151,9 +151,9 @@
 });
 
 for (const passes of [1, 2, 3, 4, 5]) {
-  test(`an adopter that finds it half emptied, after ${passes} pass(es), has all of it once`, async () => {
+  test(`a new leader that loads a half emptied bucket, after ${passes} pass(es), has every chunk once`, async () => {
     const site = new FallenLimits(services());
-    // One ends for good meanwhile, and one changes: the old record does not know of either.
+    // One chunk changes meanwhile: the old record does not contain the change.
     const changed = site.host.shard.chunks.get('wk-3/0');
     for (let i = 0; i < passes; i++) await site.pass();
     if (changed !== undefined) {
@@ -172,7 +172,7 @@
   });
 }
 
-test('the old record stays until its chunks are stored elsewhere, whatever is refused meanwhile', async () => {
+test('the old record stays until its chunks are stored elsewhere, also if transactions are refused meanwhile', async () => {
   for (const refused of [0, 1, 2, 3]) {
     const site = new FallenLimits(services());
     site.store.refuseNext = refused;
@@ -185,7 +185,7 @@
   }
 });
 
-test('a chunk that is still in the old record goes to no other part', async () => {
+test('a chunk that is still in the old record does not migrate to another shard', async () => {
   const waiting = { ...service('wk-0'), attempts: [] };
   const site = new FallenLimits({ ...services(), 'wk-0/0': waiting });
   const chunk = site.host.shard.chunks.get('wk-0/0');
@@ -199,11 +199,11 @@
   }
   assert.ok(
     isMovable.includes(false) && chunk.isMigratable,
-    'it may go once the old record is gone',
+    'it may migrate once the old record is removed',
   );
 });
 
-test('one chunk with more tasks than a record holds is stored in pieces and changes', async () => {
+test('a chunk with more attempts than one record holds is stored in fragments and can change', async () => {
   const entries = Array.from({ length: 150 }, (_, task): AttemptRecord => {
     return { task, attemptNumber: task + 1, machine: `n-${task % REPLICAS}`, agentEpoch: 1 };
   });
@@ -248,11 +248,11 @@
     migratedChunks: [7, 407],
   };
   const cases: [string, string, unknown, number][] = [
-    ['a rental', keys.machineGroup('x'), group, 1],
-    ['shares of a limit', keys.quota('crew'), shares, 1],
+    ['a machine group', keys.machineGroup('x'), group, 1],
+    ["shares of a team's limit", keys.quota('crew'), shares, 1],
     ['a job of 100,000 tasks', keys.job('wk-1'), job, 1],
-    // With the ownership key that is written beside it.
-    ['the token counter of 12 nodes, each lost by all', keys.fencingTokens, token, TXN_OPS - 1],
+    // One operation is left for the leader record, which is written in the same transaction.
+    ['the fencing token counter of 12 shards, each lost by all nodes', keys.fencingTokens, token, TXN_OPS - 1],
   ];
   for (const [name, key, value, most] of cases) {
     assert.ok(
--- a/test/persistence/recordSizes.test.ts
+++ b/test/persistence/recordSizes.test.ts
@@ -1,4 +1,4 @@
-/** Any sound settings: the service starts and serves, whatever its size and the limits around it. */
+/** The service starts and serves with valid settings of any size, and records stay within the limits of a value. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { chunkRanges, chunkSize } from '../../src/coordination/model/chunking.js';
@@ -16,17 +16,17 @@
   [1, ['a']],
   [7, ['a', 'b', 'c']],
 ] as [number, string[]][]) {
-  test(`${nodes} controller(s) in ${zones.length} zone(s): a spread service and an array run`, () =>
+  test(`${nodes} controller(s) in ${zones.length} zone(s): a spread service and an array job run`, () =>
     withCluster(
       { nodes, zones, runs: (task) => (task.startsWith('wk-000001') ? Infinity : 0.3) },
       async (cluster) => {
         const last = `drone-${nodes - 1}`;
-        // In a single zone half of a spread service is all that may run.
+        // In a single zone only half of a spread service may run.
         const replicas = zones.length > 1 ? 4 : 2;
         const service = { Shape: 'daemon', Rank: 'prod', Pieces: 4, Apart: true, Loaners: false };
         await accept(cluster, 'drone-0', submission('wk-000001', { ...service, ExpectS: 0 }));
         await accept(cluster, last, submission('wk-000002', { Pieces: 40 }));
-        await until('the array is done', async () => {
+        await until('the array job is done', async () => {
           return (await status(cluster, 'drone-0', 'wk-000002')).Status === 'done';
         });
         await until('the replicas run', async () => {
@@ -36,7 +36,7 @@
     ));
 }
 
-/** The record of a chunk whose tasks all run, each on a machine of its own, with numbers as long as they get. */
+/** Returns the record of a chunk whose tasks all run, each on its own machine, with numbers of maximum length. */
 function fullRecord(job: JobSpec, size: number): BucketRecord {
   const chunk = new Chunk(job, 0, 'drone-100', 1764637200.123, 0, size, 'zone', 0);
   const entries = Array.from({ length: size }, (_, i) => ({
@@ -63,7 +63,7 @@
 ]) {
   const value = kilobytes * 1024;
   const recordFormat = layoutFor(value, 16, isCompact);
-  test(`records stay within values of ${kilobytes} KiB, layout ${isCompact ? 2 : 1}`, () => {
+  test(`records stay within values of ${kilobytes} KiB, format ${isCompact ? 2 : 1}`, () => {
     assert.ok(groupLimit(value) >= 1 && groupLimit(value) <= MAX_RENTAL_COUNT);
     const machine = { 'n-000000000': { at: 1764637200.123, address: '10.255.255.255:65535' } };
     assert.ok(groupLimit(value) * JSON.stringify(machine).length < value);
@@ -77,7 +77,7 @@
             ranges.reduce((n, r) => n + r.endTask - r.firstTask, 0),
             tasks,
           );
-          // All tasks of a chunk may run at once, each an entry of its record.
+          // All tasks of a chunk may run at once, each with an attempt in its record.
           const bytes = recordFormat.encodedBytes(keys.bucket('p', 's'), fullRecord(job, size));
           assert.ok(bytes < value, `${size} tasks take ${bytes} bytes`);
         }
--- a/test/storage/compatibility.test.ts
+++ b/test/storage/compatibility.test.ts
@@ -1,6 +1,6 @@
 /**
- * The version in production and this one on each other's data. The fixtures were made by production's own modules
- * (`npm run fixtures`); whole clusters of both are played outside CI (`npm run mixed`).
+ * Compatibility of this version and the one in production with each other's data. The fixtures were generated with the
+ * modules of the production version (`npm run fixtures`); clusters of both versions run outside CI (`npm run mixed`).
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -36,7 +36,7 @@
 
 const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
 
-test('messages are, byte for byte, those of production, in both directions', () => {
+test('messages equal those of production byte for byte, in both directions', () => {
   productionRequests.forEach((request, i) => {
     const bytes = Buffer.from(fixtures.requests[i], 'base64');
     assert.deepEqual(encodeRequest(request), bytes);
@@ -49,7 +49,7 @@
   });
 });
 
-test('a question of production about a job is understood, and ours holds nothing new', () => {
+test("production's job description in a peer request is decoded, and ours has no new fields", () => {
   const known = plain(toStoredSpec(spec()));
   assert.deepEqual(decodeSpec(JSON.stringify(known)), spec());
   assert.deepEqual(JSON.parse(encodeSpec(spec({ dependencies: ['wk-9'] }))), known);
@@ -70,7 +70,7 @@
   assert.deepEqual('job' in parsed ? parsed.job : null, job.spec);
 });
 
-test('records survive the compact layout, whole or in pieces', () => {
+test('records in the compact format stay within the value limit, whole or in fragments', () => {
   for (const valueBytes of [32 * 1024, 2 * 1024, 512]) {
     const recordFormat = layoutFor(valueBytes, 64, true);
     for (const [key, stored] of Object.entries(fixtures.records)) {
@@ -85,7 +85,7 @@
   }
 });
 
-test('what the compact layout leaves out is put back', () => {
+test('fields that the compact format omits are restored', () => {
   const recordFormat = layoutFor(32 * 1024, 16, true);
   const specs: Partial<JobSpec>[] = [
     {},
@@ -149,7 +149,7 @@
   }
 });
 
-test('the compact layout waits for the marks of all nodes', async () => {
+test('the compact format is written only once all nodes have published that they can read it', async () => {
   const store = new MemoryStore();
   const recordFormat = new RecordFormat({ valueBytes: 2048, txnOps: 5 });
   const replica = {
@@ -161,11 +161,11 @@
   };
   const marks = new NodeCapabilities(store, replica, recordFormat, 'n0', ['n0', 'n1', 'n2']);
   await marks.publish();
-  assert.equal(store.changes, 0, 'what is stored has not been read yet');
+  assert.equal(store.changes, 0, 'the stored records have not been read yet');
   replica.loaded = true;
   store.refuseNext = 1;
   for (let tries = 0; tries < 4; tries++) await marks.publish();
-  assert.equal(store.changes, 1, 'once');
+  assert.equal(store.changes, 1, 'published once');
   marks.update('n1', { recordFormat: RECORD_FORMAT_VERSION });
   marks.update('elsewhere', { recordFormat: RECORD_FORMAT_VERSION });
   marks.update('n2', { recordFormat: RECORD_FORMAT_VERSION - 1 });
--- a/test/storage/compression.test.ts
+++ b/test/storage/compression.test.ts
@@ -1,4 +1,4 @@
-/** Compressed records: what is written, what is read, and what damaged ones come to. */
+/** Compressed records: which records are compressed, how they are read, and how corrupt ones are handled. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -36,7 +36,7 @@
 
 const names = (count: number): string[] => Array.from({ length: count }, (_, i) => `type-${i}`);
 
-/** Words that no compression makes smaller. */
+/** Returns words that compression does not make smaller. */
 const noise = (count: number): string[] =>
   Array.from({ length: count }, (_, i) => {
     const bytes = Array.from(
@@ -63,14 +63,14 @@
   return { form, joined, puts: puts.length };
 }
 
-test('only records that would be stored in pieces are compressed, and only where that is allowed', () => {
+test('only records that would be stored in fragments are compressed, and only if that is allowed', () => {
   const cases: [string, RecordFormat, string[], StoredForm][] = [
     ['small', layoutWith(true), names(5), 'plain'],
     ['large', layoutWith(true), names(300), 'compressed'],
     ['large, not allowed', layoutWith(false), names(300), 'pieces'],
     ['large, no codec', layoutWith(true, false), names(300), 'pieces'],
     ['compressed, and still large', layoutWith(true), [...names(300), ...noise(120)], 'compressed'],
-    ['beyond what a request holds', layoutWith(true), names(9000), 'plain'],
+    ['larger than a request', layoutWith(true), names(9000), 'plain'],
   ];
   for (const [what, recordFormat, types, form] of cases) {
     const record = job(types);
@@ -83,7 +83,7 @@
   );
 });
 
-test('records whose changes are not made under an ownership key are never compressed', () => {
+test('records that are not written under a leader record are never compressed', () => {
   const recordFormat = layoutWith(true);
   const value = names(500);
   assert.equal(recordFormat.encodeValue('b/types', value).form, 'plain');
@@ -91,12 +91,12 @@
 });
 
 test('a build that cannot expand an open job still sees that it is open', () => {
-  // Version 0.3.0 takes a record of a job without a state for one that is done, and told users so.
+  // Version 0.3.0 takes a job record without a state for a finished job, and reported such jobs as done to users.
   const { joined } = store(layoutWith(true), job(names(300)));
   assert.equal((joined as { state?: string }).state, 'open');
 });
 
-test('the barrier is stored and read as it is', () => {
+test('the barrier record is stored and read unchanged', () => {
   const recordFormat = layoutWith(true);
   const barrier = { readers: 3 };
   assert.deepEqual(recordFormat.encode(BARRIER_KEY, barrier), barrier);
@@ -105,7 +105,7 @@
 
 const SMALL_JOB = { v: 2, home: 'p', state: 'done', tasks: 1, at: 1, size: 1, cut: 0 };
 
-test('one record that cannot be read keeps nobody from the others, and is read again once it is put right', async () => {
+test('one unreadable record does not prevent others from being read, and is read again once it is repaired', async () => {
   const state = new StateStandIn();
   try {
     const endpoint = await state.listenFor('x');
@@ -134,7 +134,7 @@
   }
 });
 
-test('whatever text is compressed comes back, or is refused as too large', () => {
+test('any text is restored after compression, or is rejected as too large', () => {
   fc.assert(
     fc.property(fc.string({ unit: 'binary', maxLength: 3000, size: 'max' }), (text) => {
       const packed = deflateCodec.compress(text);
@@ -145,7 +145,7 @@
   );
 });
 
-test('a damaged record is a named error, and never an empty record', () => {
+test('a corrupt record causes a CorruptRecordError and is never read as an empty record', () => {
   const recordFormat = layoutWith(true);
   const { joined } = store(recordFormat, job(names(300)));
   const good = joined as CompressedValue;
@@ -154,17 +154,17 @@
   const flipped = Buffer.from(bytes);
   flipped[40] = (flipped[40] ?? 0) ^ 0x10;
   const damaged: [string, unknown][] = [
-    ['cut off', { ...good, data: cut }],
-    ['one bit', { ...good, data: flipped.toString('base64') }],
+    ['truncated', { ...good, data: cut }],
+    ['one bit flipped', { ...good, data: flipped.toString('base64') }],
     ['empty', { ...good, data: '' }],
-    ['no base64', { ...good, data: '!!!' }],
-    ['another checksum', { ...good, sum: good.sum ^ 1 }],
-    ['shorter than it is', { ...good, bytes: good.bytes - 1 }],
-    ['longer than it is', { ...good, bytes: good.bytes + 1 }],
-    ['expands without limit', { ...good, bytes: 1 << 30 }],
-    ['a negative size', { ...good, bytes: -1 }],
-    ['no size', { ...good, bytes: undefined }],
-    ['no JSON inside', deflateCodec.compress('{"v":2,')],
+    ['not base64', { ...good, data: '!!!' }],
+    ['wrong checksum', { ...good, sum: good.sum ^ 1 }],
+    ['size too small', { ...good, bytes: good.bytes - 1 }],
+    ['size too large', { ...good, bytes: good.bytes + 1 }],
+    ['size beyond the limit', { ...good, bytes: 1 << 30 }],
+    ['negative size', { ...good, bytes: -1 }],
+    ['missing size', { ...good, bytes: undefined }],
+    ['text is not JSON', deflateCodec.compress('{"v":2,')],
     ['compressed twice', deflateCodec.compress(JSON.stringify(good))],
   ];
   for (const [what, value] of damaged) {
--- a/test/storage/fleetRecords.test.ts
+++ b/test/storage/fleetRecords.test.ts
@@ -1,4 +1,4 @@
-/** The copy of the machines' records: which part a machine is in. */
+/** The machine inventory: which shard a machine is in if several groups name it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -10,7 +10,7 @@
   ...{ type: 'm8', zone: 'a', spot: false, machines: { 'n-1': { launchedAt: 0 } } },
 });
 
-test('a machine that two groups name is in the same part for every node, whatever each heard of first', () => {
+test('a machine that two groups name is in the same shard on every node, in whatever order the records arrive', () => {
   const [one, other] = [new MachineInventory(), new MachineInventory()];
   one.update('rental', group('p'));
   one.update('adopted', group('q'));
@@ -19,7 +19,7 @@
   assert.equal(one.get('n-1')?.shard, other.get('n-1')?.shard);
 });
 
-/** What a node can be told of an inventory, to compare two of them. */
+/** Returns everything that an inventory can be queried for, to compare two inventories. */
 function contentOf(inventory: MachineInventory): unknown {
   const names = [...inventory.names()].sort();
   return {
@@ -34,7 +34,7 @@
 
 const names = ['n-1', 'n-2', 'n-3'];
 
-/** A group's record, or its removal. */
+/** A group's record, or null for its removal. */
 const record = fc.option(
   fc.record({
     shard: fc.constantFrom('p', 'q'),
@@ -45,7 +45,7 @@
 );
 const changes = fc.array(fc.tuple(fc.constantFrom('a', 'b', 'c'), record), { maxLength: 12 });
 
-test('whatever order and repeats of records a node heard of, its inventory is that of a fresh load', () => {
+test('an inventory equals one that is loaded from scratch, whatever the order and repetition of changes', () => {
   fc.assert(
     fc.property(changes, fc.infiniteStream(fc.nat({ max: 2 })), (history, order) => {
       const followed = new MachineInventory();
@@ -71,7 +71,7 @@
   );
 });
 
-test('a machine is gone only once no group names it, and the other claim counts from then on', () => {
+test('a machine is gone only once no group names it; until then a remaining claim takes effect', () => {
   const inventory = new MachineInventory();
   inventory.update('rental', group('p'));
   inventory.update('adopted', group('q'));
--- a/test/storage/fragments.test.ts
+++ b/test/storage/fragments.test.ts
@@ -1,4 +1,4 @@
-/** Records beyond the state service's limit: stored in pieces by one transaction, and read whole or not at all. */
+/** Records beyond the size limit: stored in fragments by one transaction, and read completely or not at all. */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import { systemClock } from '../../src/base/clock.js';
@@ -41,12 +41,12 @@
 
 const stored = (): string[] => [...state.rows.keys()].filter((key) => key.includes('r-1')).sort();
 
-test('a large record of before is read, shrinks in pieces, and goes with all of them', async () => {
+test('a record from larger limits is read, is rewritten in fragments, and is deleted with all of them', async () => {
   state.limits = { valueBytes: Infinity, txnOps: Infinity };
   const old = client(false);
   const puts = [{ key: KEY, value: group(50) }];
   assert.equal((await old.transact({ conditions: [], puts, deletes: [] })).kind, 'applied');
-  // The limits fall without notice.
+  // The limits are lowered without notice.
   state.limits = { ...LIMITS };
   const now = client();
   const sizes: [number, number][] = [
@@ -80,7 +80,7 @@
   assert.equal(state.malformed, 0);
 });
 
-test('changes tell of whole records, also of those that have changed again since', async () => {
+test('a change log has complete records, also of those that have changed again since', async () => {
   state.limits = { ...LIMITS };
   const writer = client();
   const from = state.epoch;
@@ -99,14 +99,14 @@
   await writer.transact({ conditions: [], puts: [], deletes: [KEY] });
 });
 
-test('a head whose pieces are of another revision is read again', async () => {
+test('a head whose fragments have another revision is read again', async () => {
   state.limits = { ...LIMITS };
   const writer = client();
   await writer.transact({ conditions: [], puts: [{ key: KEY, value: group(50) }], deletes: [] });
   const half = state.rows.get(KEY);
   await writer.transact({ conditions: [], puts: [{ key: KEY, value: group(48) }], deletes: [] });
   const whole = state.rows.get(KEY);
-  // The head as it was before, beside the pieces of now, until both have been read.
+  // The previous head is served together with the current fragments until both have been read.
   if (half !== undefined) state.rows.set(KEY, half);
   state.reads.length = 0;
   const restore = setInterval(() => {
@@ -115,12 +115,12 @@
   }, 1);
   const read = await client().get(KEY);
   clearInterval(restore);
-  assert.ok(state.reads.filter((key) => key === KEY).length > 1, 'it was read again');
+  assert.ok(state.reads.filter((key) => key === KEY).length > 1, 'the head was read again');
   assert.equal(Object.keys((read?.value as MachineGroupRecord).machines).length, 48);
   await writer.transact({ conditions: [], puts: [], deletes: [KEY] });
 });
 
-test('a change that is malformed is told from a lease that has ended', async () => {
+test('a malformed transaction is distinguished from one under an expired lease', async () => {
   state.limits = { valueBytes: 100, txnOps: 5 };
   const puts = [{ key: KEY, value: group(50) }];
   assert.equal(
--- a/test/storage/goldenBytes.test.ts
+++ b/test/storage/goldenBytes.test.ts
@@ -1,7 +1,7 @@
 /**
- * What is stored and what controllers send each other, byte for byte as version 0.4.1 wrote it (`test/fixtures/golden.json`):
- * every kind of record in both record formats, whole, in fragments and compressed, and every peer message. A build that
- * changes one of these bytes cannot run beside the nodes that are in production.
+ * Compares stored records and messages byte for byte with those of version 0.4.1 (`test/fixtures/golden.json`): every kind
+ * of record in both record formats, whole, in fragments and compressed, and every peer message. A build that changes one of
+ * these bytes cannot run in one cluster with the nodes in production.
  */
 import assert from 'node:assert/strict';
 import { readFileSync, writeFileSync } from 'node:fs';
@@ -133,7 +133,7 @@
   },
 ];
 
-/** One record of each kind, by its key; several where their forms differ. */
+/** One record of each kind by key, or several if a kind has several forms. */
 const records: [string, unknown][] = [
   [keys.job('wk-000001'), { ...openJob, spec: fullSpec, zones: ['a', 'b'] } satisfies JobRecord],
   [keys.job('wk-000002'), openJob],
@@ -183,7 +183,7 @@
   { verb: 'acknowledge', task: 'wk-1/2', attemptNumber: 3 },
 ];
 
-/** Everything that leaves this process for the state service, a peer or a worker, as text. */
+/** Returns every kind of message to the state service, a peer or a worker, as text. */
 function everyMessage(): Record<string, string> {
   const messages: Record<string, string> = {};
   for (const [name, create] of Object.entries(layouts)) {
@@ -220,7 +220,7 @@
   return messages;
 }
 
-/** Written with `UPDATE_GOLDEN=1`, which only a new kind of record or message is a reason for. */
+/** Reads the golden messages. `UPDATE_GOLDEN=1` rewrites them first, only for a new kind of record or message. */
 function goldenMessages(): Record<string, string> {
   if (process.env.UPDATE_GOLDEN === '1') {
     writeFileSync(goldenFile, `${JSON.stringify(everyMessage(), null, 2)}\n`);
@@ -230,11 +230,11 @@
 
 const golden = goldenMessages();
 
-test('every record and message is written byte for byte as before', () => {
+test('every record and message is encoded to the golden bytes', () => {
   assert.deepEqual(everyMessage(), golden);
 });
 
-test('every stored record is read back as the record that was written', () => {
+test('every golden record is decoded to the record that was encoded', () => {
   const recordFormat = new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 }, deflateCodec);
   for (const [key, value] of records) {
     const stored = JSON.parse(golden[`format 1: ${key}`] ?? '') as unknown;
@@ -242,7 +242,7 @@
   }
 });
 
-test('a record of the compact format is written again as it was read', () => {
+test('a decoded record of the compact format is encoded to the same bytes again', () => {
   const recordFormat = layouts['format 2']();
   for (const [key] of records) {
     const stored = JSON.parse(golden[`format 2: ${key}`] ?? '') as unknown;
--- a/test/storage/rateLimiter.test.ts
+++ b/test/storage/rateLimiter.test.ts
@@ -1,11 +1,11 @@
-/** The order in which requests get their turn at a service that limits its rate. */
+/** The order in which the rate limiter admits requests, and the division of a rate among nodes. */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 import { RateLimiter, rateShareOf, type RequestPriority } from '../../src/storage/rateLimiter.js';
 
 const RATE = 10;
 
-/** A budget on a clock of its own; `order` names those that got their turn. */
+/** Returns a rate limiter without tokens, on a simulated clock; `order` lists the admitted requests. */
 function emptyBudget(): {
   budget: RateLimiter;
   order: string[];
@@ -15,7 +15,7 @@
   mock.timers.enable({ apis: ['setTimeout'] });
   let now = 0;
   const budget = new RateLimiter({ now: () => now, wall: () => now }, RATE, RATE);
-  // What was saved up is spent, so that all that follows has to wait.
+  // Spend the initial burst, so that all further requests have to wait.
   budget.charge(RATE, 'later');
   const order: string[] = [];
   const queue = (name: string, urgency: RequestPriority, cost = 1): void => {
@@ -34,7 +34,7 @@
 
 const cases: { name: string; asks: [string, RequestPriority][]; order: string[] }[] = [
   {
-    name: 'those of one urgency in the order in which they came',
+    name: 'requests of one priority in the order of their arrival',
     asks: [
       ['a', 'urgent'],
       ['b', 'urgent'],
@@ -42,7 +42,7 @@
     order: ['a', 'b'],
   },
   {
-    name: 'ownership, users, rentals, starts, bookkeeping',
+    name: 'ownership, submissions, rentals, starts, bookkeeping',
     asks: [
       ['bookkeeping', 'later'],
       ['start', 'urgent'],
@@ -54,7 +54,7 @@
   },
 ];
 for (const { name, asks, order } of cases) {
-  test(`turns: ${name}`, async (t) => {
+  test(`order of requests: ${name}`, async (t) => {
     t.after(() => {
       mock.timers.reset();
     });
@@ -65,13 +65,13 @@
   });
 }
 
-test('a flood of submissions leaves half of the rate to starts', async (t) => {
+test('many submissions leave half of the rate to starts', async (t) => {
   t.after(() => {
     mock.timers.reset();
   });
   const { order, queue, pass } = emptyBudget();
   for (let i = 0; i < 200; i++) queue(`start ${i}`, 'urgent');
-  // Twice as many as there is room for, for ten seconds.
+  // Twice as many as the rate admits, for ten seconds.
   for (let i = 0; i < 200; i++) {
     queue(`user ${i}`, 'submission');
     await pass(0.05);
@@ -82,7 +82,7 @@
   assert.ok(users >= 0.4 * order.length, `${users} submissions of ${order.length}`);
 });
 
-test('a flood of rentals leaves most of the rate to starts', async (t) => {
+test('many rentals leave most of the rate to starts', async (t) => {
   t.after(() => {
     mock.timers.reset();
   });
@@ -97,20 +97,20 @@
   assert.ok(rentals >= 0.15 * order.length, `${rentals} rentals of ${order.length}`);
 });
 
-test('jobs that go along with a submission count towards its share', () => {
+test('writes that are charged with a submission count towards the share of submissions', () => {
   const { budget } = emptyBudget();
   budget.charge(RATE, 'submission');
   void budget.acquire(RATE, 'urgent');
-  // It waits behind what is as urgent, as long as its share is overdrawn.
+  // While its share is overdrawn, a submission queues behind urgent requests.
   assert.equal(budget.delay('submission'), budget.delay('urgent'));
   mock.timers.reset();
 });
 
 const shares: { name: string; needs: number[]; share: number }[] = [
-  { name: 'nobody has been heard: an even share', needs: [], share: 10 },
-  { name: 'the others need nothing', needs: [0, 0], share: 30 },
-  { name: 'the others need more than their share', needs: [25, 25], share: 10 },
-  { name: 'one needs less', needs: [4, 25], share: 16 },
+  { name: 'no demand is known: an even share', needs: [], share: 10 },
+  { name: 'the others demand nothing', needs: [0, 0], share: 30 },
+  { name: 'the others demand more than their share', needs: [25, 25], share: 10 },
+  { name: 'one demands less', needs: [4, 25], share: 16 },
 ];
 for (const { name, needs, share } of shares) {
   test(`share of a rate: ${name}`, () => {
