--- a/test/storage/stateCache.test.ts
+++ b/test/storage/stateCache.test.ts
@@ -1,4 +1,4 @@
-/** The copy of the state service's records: what it asks for, and what late answers may not do. */
+/** The cache of the state service's records: what it requests, and that late answers do not revert it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { KeyValueChange } from '../../src/protocol/stateProtocol.js';
@@ -17,7 +17,7 @@
   removed: true,
 });
 
-/** A replica that has loaded `b/job/1` at revision 10, and what it asks for from then on. */
+/** Returns a cache that has loaded `b/job/1` at revision 10, and the list of its requests from then on. */
 async function loaded(answers: (ChangeLog | null | Promise<ChangeLog>)[]) {
   const asked: string[] = [];
   const client = {
@@ -43,31 +43,31 @@
 
 for (const { name, answer, asked, known } of [
   {
-    name: 'only the changes since then are read',
+    name: 'only the changes since the cached revision are read',
     answer: { revision: 12, changes: [put('b/job/2', 11), put('b/own/p', 12)] },
     asked: ['after 10 for 0'],
     known: ['b/job/1', 'b/job/2', 'b/own/p'],
   },
   {
-    name: 'what has been removed is gone',
+    name: 'removed records are dropped',
     answer: { revision: 13, changes: [put('b/own/p', 12), remove('b/job/1', 13)] },
     asked: ['after 10 for 0'],
     known: ['b/own/p'],
   },
   {
-    name: 'an answer from before the key was written is not enough',
+    name: 'all records are read if the answer is older than the leader record',
     answer: { revision: 11, changes: [put('b/job/2', 11)] },
     asked: ['after 10 for 0', 'all'],
     known: ['b/job/1'],
   },
   {
-    name: 'all is read where the service keeps the changes no longer',
+    name: 'all records are read if the service no longer keeps the changes',
     answer: null,
     asked: ['after 10 for 0', 'all'],
     known: ['b/job/1'],
   },
 ]) {
-  test(`an adopter's copy after its key was written at 12: ${name}`, async () => {
+  test(`the cache of a new leader whose leader record was written at revision 12: ${name}`, async () => {
     const fixture = await loaded([answer]);
     await fixture.replica.catchUp(12);
     assert.deepEqual(fixture.asked, asked);
@@ -79,7 +79,7 @@
   });
 }
 
-test('without a copy all records are read', async () => {
+test('an empty cache reads all records', async () => {
   const fixture = await loaded([]);
   const fresh = new StateCache(
     {
@@ -98,7 +98,7 @@
   assert.deepEqual(fixture.asked, ['all']);
 });
 
-test('an answer of the watch that was overtaken does not bring back what has been removed', async () => {
+test('an outdated answer of the watch does not restore a removed record', async () => {
   let answerWatch: (log: ChangeLog) => void = () => undefined;
   const watch = new Promise<ChangeLog>((resolve) => (answerWatch = resolve));
   const late = { revision: 11, changes: [put('b/run/p/1', 11)] };
@@ -112,19 +112,19 @@
   replica.stop();
 });
 
-test('a read that was overtaken by the watch does not bring back what has been removed', async () => {
+test('a read that is older than the watch does not restore a removed record', async () => {
   const { replica } = await loaded([
     { revision: 20, changes: [put('b/own/p', 15), remove('b/own/p', 18)] },
   ]);
   await replica.catchUp(20);
-  // The answer to a read of one key, sent before its removal.
+  // The late answer to a read of one record from before its removal.
   replica.note('b/own/p', {}, 15);
   assert.equal(replica.get('b/own/p'), undefined);
   replica.note('b/own/p', {}, 21);
   assert.equal(replica.get('b/own/p')?.revision, 21);
 });
 
-test('a reading of all records that was overtaken does not set the copy back', async () => {
+test('an outdated read of all records does not revert the cache', async () => {
   type Read = { items: { key: string; value: unknown; revision: number }[]; revision: number };
   const reads: ((read: Read) => void)[] = [];
   const asked: number[] = [];
@@ -151,7 +151,7 @@
   replica.stop();
 });
 
-test('a removal of our own is not undone by an answer of the watch that only reaches up to before it', async () => {
+test("the node's own removal is not undone by an answer of the watch from before it", async () => {
   const { replica } = await loaded([
     { revision: 15, changes: [put('b/run/p/1', 15)] },
     { revision: 30, changes: [remove('b/run/p/1', 20), put('b/run/p/1', 30)] },
@@ -161,5 +161,5 @@
   await replica.catchUp(15);
   assert.equal(replica.get('b/run/p/1'), undefined, 'its chunks are at another part by now');
   await replica.catchUp(30);
-  assert.equal(replica.get('b/run/p/1')?.revision, 30, 'made anew after that');
+  assert.equal(replica.get('b/run/p/1')?.revision, 30, 'it was created again after the removal');
 });
