--- a/src/coordination/leadership/ownedShard.ts
+++ b/src/coordination/leadership/ownedShard.ts
@@ -43,13 +43,13 @@
 
 /**
  * Creates the state of a shard whose leadership was just gained, without jobs and chunks. Times are monotonic; a previous
- * leader may answer the shard's workers until `previousLeaderUntil`.
+ * leader may answer the shard's workers until `previousLeaderMayAnswerUntil`.
  */
 export function createOwnedShard(
   shard: Shard,
   { fencingToken, revision }: { fencingToken: number; revision: number },
   now: number,
-  previousLeaderUntil = now,
+  previousLeaderMayAnswerUntil = now,
 ): OwnedShard {
   shard.fencingTokens = FencingTokenBlock.startingAt(fencingToken);
   return {
@@ -62,7 +62,7 @@
     batchStartsDeferredUntil: 0,
     writesInFlight: 0,
     fencingTokenAdvancedAt: now,
-    previousLeaderMayAnswerUntil: previousLeaderUntil,
+    previousLeaderMayAnswerUntil,
     fencingTokenAtTakeover: fencingToken,
   };
 }
--- a/src/coordination/leadership/recordFollower.ts
+++ b/src/coordination/leadership/recordFollower.ts
@@ -53,21 +53,21 @@
     }
     if (change.removed && (change.key === keys.machineTypes || kind === 'job' || kind === 'node'))
       return;
-    if (change.key === keys.machineTypes) this.onTypes(change.value as MachineType[]);
-    else if (kind === 'fleet') this.onGroup(name, change);
-    else if (kind === 'job') this.onJob(name, change.value as JobRecord);
+    if (change.key === keys.machineTypes) this.applyMachineTypes(change.value as MachineType[]);
+    else if (kind === 'fleet') this.applyMachineGroup(name, change);
+    else if (kind === 'job') this.applyJob(name, change.value as JobRecord);
     else if (kind === 'node')
       node.nodeCapabilities.update(name, change.value as NodeCapabilityRecord);
-    else if (kind === 'run') this.onBucket(name, bucket, change);
+    else if (kind === 'run') this.applyBucket(name, bucket, change);
   }
 
-  private onTypes(machineTypes: MachineType[]): void {
+  private applyMachineTypes(machineTypes: MachineType[]): void {
     // If this node restarted while the cloud API is unavailable, the stored machine types are used.
     if (this.node.machineTypes.size === 0)
-      this.node.machineTypes = new Map(machineTypes.map((t) => [t.name, t]));
+      this.node.machineTypes = new Map(machineTypes.map((type) => [type.name, type]));
   }
 
-  private onBucket(shard: string, bucket: string, change: KeyValueChange): void {
+  private applyBucket(shard: string, bucket: string, change: KeyValueChange): void {
     const value = change.value as BucketRecord | null;
     this.node.chunkIndex.update(shard, bucket, value, change.revision);
     const ownedShard = this.node.ownedShards.get(shard);
@@ -76,7 +76,7 @@
     }
   }
 
-  private onJob(id: string, record: JobRecord): void {
+  private applyJob(id: string, record: JobRecord): void {
     const now = this.node.clock.now();
     this.node.pipelines.applyJobRecord(id, record);
     if (record.state === 'open' && record.doneChunks.length === 0) return;
@@ -92,7 +92,7 @@
     this.node.requestSchedulingRound();
   }
 
-  private onGroup(group: string, change: KeyValueChange): void {
+  private applyMachineGroup(group: string, change: KeyValueChange): void {
     const now = this.node.clock.now();
     const wall = this.node.clock.wall();
     const { present, gone } = this.node.inventory.update(
--- a/src/coordination/leadership/shardLeadership.ts
+++ b/src/coordination/leadership/shardLeadership.ts
@@ -42,11 +42,11 @@
   private readonly records: LeaderRecords;
   private readonly leaderships = new Map<string, Leadership>();
   /** Monotonic time since which a shard's leader record has been absent. */
-  private readonly keyAbsentSince = new Map<string, number>();
+  private readonly recordAbsentSince = new Map<string, number>();
   /** Shards that are being claimed, handed over or assigned a higher fencing token. */
   private readonly shardsInTransition = new Set<string>();
   private isRelinquishing = false;
-  private stopped = false;
+  private isStopped = false;
 
   constructor(
     private readonly client: Pick<StateClient, 'grantLease' | 'renewLease' | 'get' | 'transact'>,
@@ -97,12 +97,12 @@
   /** Renews the lease and watches the leader records until `stop`. */
   async run(): Promise<void> {
     const pause = this.options.leaseTtl / 5;
-    void this.watchLeaderKeys();
-    while (!this.stopped) {
+    void this.watchLeaderRecords();
+    while (!this.isStopped) {
       // A renewal does not wait for the answer to the previous one: with a slow state service the lease would otherwise
       // expire between two answers.
       const renewal = this.lease.renew().catch((error: unknown) => {
-        log.debug(`lease: ${describeError(error)}`);
+        log.debug(`renewing the lease failed: ${describeError(error)}`);
       });
       if (this.lease.id === null) await renewal;
       await sleep(this.lease.id === null ? pause / 4 : pause);
@@ -111,7 +111,7 @@
 
   /** Stops the loops that `run` started. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
   /** Hands all led shards over to peers, and claims nothing until `resumeClaiming` is called. */
@@ -173,8 +173,8 @@
     this.events.onLost(shard);
   }
 
-  private async watchLeaderKeys(): Promise<void> {
-    while (!this.stopped) {
+  private async watchLeaderRecords(): Promise<void> {
+    while (!this.isStopped) {
       if (this.isLeaseValid && this.stateCache.loaded) {
         for (const shard of [...this.options.shards, AUTOSCALER_ROLE]) this.reviewShard(shard);
       }
@@ -186,9 +186,9 @@
     if (this.shardsInTransition.has(shard)) return;
     const stored = this.stateCache.get(keys.leader(shard))?.value as LeaderRecord | undefined;
     if (this.leaderships.has(shard)) this.reviewLedShard(shard, stored);
-    else if (this.isRelinquishing || !this.events.mayClaim()) this.keyAbsentSince.delete(shard);
+    else if (this.isRelinquishing || !this.events.mayClaim()) this.recordAbsentSince.delete(shard);
     else if (stored !== undefined && this.events.isLeaderCompatible(stored)) {
-      this.keyAbsentSince.delete(shard);
+      this.recordAbsentSince.delete(shard);
       // The record is this node's from before a restart: the process that wrote it is dead, so claim the shard at once.
       if (stored.node === this.options.label) this.startClaim(shard);
     } else this.claimWhenDue(shard);
@@ -197,7 +197,7 @@
   private reviewLedShard(shard: string, stored: LeaderRecord | undefined): void {
     if (stored !== undefined) this.stepDownIfFenced(shard, stored.fencingToken);
     // After a hand-over the record is absent again, and the claim delays count from that moment: the home node goes first.
-    this.keyAbsentSince.delete(shard);
+    this.recordAbsentSince.delete(shard);
     const isForeign = shard !== this.options.label && shard !== AUTOSCALER_ROLE;
     if (this.isRelinquishing || (isForeign && this.events.isReadyToLead(shard))) {
       this.runExclusively(shard, () => this.handOver(shard));
@@ -206,8 +206,8 @@
 
   private claimWhenDue(shard: string): void {
     const now = this.clock.now();
-    const absentSince = this.keyAbsentSince.get(shard) ?? now;
-    this.keyAbsentSince.set(shard, absentSince);
+    const absentSince = this.recordAbsentSince.get(shard) ?? now;
+    this.recordAbsentSince.set(shard, absentSince);
     if (this.clock.now() - absentSince >= this.claimDelay(shard)) this.startClaim(shard);
   }
 
@@ -228,7 +228,7 @@
     this.shardsInTransition.add(shard);
     void work()
       .catch((error: unknown) => {
-        log.debug(`leadership of ${shard}: ${describeError(error)}`);
+        log.debug(`changing the leadership of ${shard} failed: ${describeError(error)}`);
       })
       .finally(() => this.shardsInTransition.delete(shard));
   }
--- a/src/coordination/leadership/shardLoader.ts
+++ b/src/coordination/leadership/shardLoader.ts
@@ -31,19 +31,25 @@
 /** Loads shards whose leadership this node gains. */
 export class ShardLoader {
   /** Keys of stored buckets that the previous check did not find in memory. */
-  private readonly unmatched = new Set<string>();
+  private readonly unmatchedKeys = new Set<string>();
 
   constructor(private readonly node: ShardLoaderContext) {}
 
   /** Loads a shard. A previous leader may answer its workers until `previousLeaderMayAnswerUntil`, in monotonic time. */
-  load(shard: Shard, leadership: Leadership, renewed: number): OwnedShard {
+  load(shard: Shard, leadership: Leadership, previousLeaderMayAnswerUntil: number): OwnedShard {
     const { node } = this;
     const now = node.clock.now();
     const { label } = shard;
-    const ownedShard = createOwnedShard(shard, leadership, now, renewed);
+    const ownedShard = createOwnedShard(shard, leadership, now, previousLeaderMayAnswerUntil);
     const wall = node.clock.wall();
     for (const [name, record] of node.inventory.of(label))
-      shard.addMachine(name, record, now, renewed, Math.max(0, wall - record.launchedAt));
+      shard.addMachine(
+        name,
+        record,
+        now,
+        previousLeaderMayAnswerUntil,
+        Math.max(0, wall - record.launchedAt),
+      );
     const prefix = keys.bucketsOf(label);
     // If two records hold the same chunk, the newer one counts: the older one is about to be removed (safety, V5).
     const stored = [...node.stateCache.entriesWithPrefix(prefix)].sort(
@@ -73,7 +79,7 @@
   loadBucket(ownedShard: OwnedShard, name: string, value: BucketRecord, revision: number): void {
     const { node } = this;
     const now = node.clock.now();
-    this.keepReassigned(ownedShard, value, now);
+    this.addReassignedMachines(ownedShard, value, now);
     const bucket = new Bucket(name, revision, node.recordFormat);
     ownedShard.buckets.set(name, bucket);
     for (const [id, record] of Object.entries(value.chunks)) {
@@ -92,8 +98,12 @@
     if (bucket.chunks.size === 0) bucket.isDirty = true;
   }
 
-  /** Adds machines that run attempts of the shard but are recorded in another shard: their attempts are still running. */
-  private keepReassigned({ shard }: OwnedShard, { chunks }: BucketRecord, now: number): void {
+  /** Adds machines that run attempts of the shard but are recorded in another shard: the attempts may still run. */
+  private addReassignedMachines(
+    { shard }: OwnedShard,
+    { chunks }: BucketRecord,
+    now: number,
+  ): void {
     for (const { machine } of Object.values(chunks).flatMap(({ attempts }) => attempts)) {
       if (shard.machines.has(machine)) continue;
       const record = this.node.inventory.get(machine);
@@ -118,15 +128,19 @@
     const prefix = keys.bucketsOf(ownedShard.shard.label);
     for (const [key] of this.node.stateCache.entriesWithPrefix(prefix)) {
       const name = key.slice(prefix.length);
-      if (ownedShard.buckets.has(name)) this.unmatched.delete(key);
-      else if (this.unmatched.has(key)) void this.adopt(ownedShard, key, name);
-      else this.unmatched.add(key);
+      if (ownedShard.buckets.has(name)) this.unmatchedKeys.delete(key);
+      else if (this.unmatchedKeys.has(key)) void this.loadUnmatchedBucket(ownedShard, key, name);
+      else this.unmatchedKeys.add(key);
     }
   }
 
-  private async adopt(ownedShard: OwnedShard, key: string, name: string): Promise<void> {
+  private async loadUnmatchedBucket(
+    ownedShard: OwnedShard,
+    key: string,
+    name: string,
+  ): Promise<void> {
     const { node } = this;
-    this.unmatched.delete(key);
+    this.unmatchedKeys.delete(key);
     try {
       const item = await node.stateClient.get(key);
       if (!ownedShard.isOwned || ownedShard.buckets.has(name)) return;
@@ -134,11 +148,11 @@
         node.stateCache.noteRemoved(key, Infinity);
         return;
       }
-      log.info(`taking up what ${key} holds`);
+      log.info(`loading stored bucket ${key}, which the watch missed`);
       this.loadBucket(ownedShard, name, item.value as BucketRecord, item.revision);
       node.requestSchedulingRound();
     } catch (error) {
-      log.debug(`stored bucket: ${describeError(error)}`);
+      log.debug(`reading a stored bucket failed: ${describeError(error)}`);
     }
   }
 }
--- a/src/coordination/leadership/stateLease.ts
+++ b/src/coordination/leadership/stateLease.ts
@@ -56,7 +56,7 @@
   }
 
   private end(): void {
-    log.info('the lease at the state service has expired; giving up all shards');
+    log.info('the lease at the state service has expired; all shards are lost');
     this.activeId = null;
     this.validUntil = -Infinity;
     this.onEnded();
--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -44,30 +44,30 @@
 }
 
 /** Maximum number of transactions of a shard in flight. */
-const TRANSACTIONS = 3;
+const MAX_TRANSACTIONS_IN_FLIGHT = 3;
 
 /** Shares of a transaction's and of a record's size limit that are used: sizes are estimated, not measured. */
-const TXN_SHARE = 0.8;
-const VALUE_SHARE = 0.9;
+const TRANSACTION_FILL_RATIO = 0.8;
+const VALUE_FILL_RATIO = 0.9;
 
 /** Factor on the flush delay while other requests queue for the state service. */
-const BUSY_PATIENCE = 4;
+const BUSY_DELAY_FACTOR = 4;
 
 /** Demand, as a share of this node's write rate, above which writes count as scarce. */
-const BUSY_LOAD = 1 / 2;
+const BUSY_WRITE_LOAD = 1 / 2;
 
 /** Share of this node's write rate that starts of batch work may use. */
-const GATHER_SHARE = 0.4;
+const BATCH_START_WRITE_SHARE = 0.4;
 
 /** Writes the buckets of owned shards under the conditions of safety O3. */
 export class BucketWriter {
-  private named = 0;
+  private createdBuckets = 0;
 
   constructor(
     private readonly client: StateServiceAccess,
     private readonly stateCache: StateCacheAccess,
     private readonly clock: Clock,
-    private readonly host: BucketWriterEvents,
+    private readonly events: BucketWriterEvents,
     private readonly options: BucketWriterOptions,
   ) {}
 
@@ -75,14 +75,20 @@
   async write(
     ownedShard: OwnedShard,
     transaction: Transaction,
-    urgency: RequestPriority | 'granted' = 'later',
+    priority: RequestPriority | 'granted' = 'later',
   ): Promise<TransactionResult> {
-    if (!ownedShard.isOwned || !this.host.isLeaseValid()) return { kind: 'refused' };
-    const owner = { key: keys.leader(ownedShard.shard.label), revision: ownedShard.revision };
+    if (!ownedShard.isOwned || !this.events.isLeaseValid()) return { kind: 'refused' };
+    const leaderCondition = {
+      key: keys.leader(ownedShard.shard.label),
+      revision: ownedShard.revision,
+    };
     const others = transaction.conditions.filter(
-      ({ key, revision }) => key !== owner.key || revision !== owner.revision,
+      ({ key, revision }) => key !== leaderCondition.key || revision !== leaderCondition.revision,
+    );
+    return this.client.transact(
+      { ...transaction, conditions: [leaderCondition, ...others] },
+      priority,
     );
-    return this.client.transact({ ...transaction, conditions: [owner, ...others] }, urgency);
   }
 
   /** Starts the writes of all buckets that are due. */
@@ -102,7 +108,7 @@
     for (const bucket of ownedShard.buckets.values()) {
       if (bucket.isSizeChecked || bucket.isWriteInFlight) continue;
       bucket.isSizeChecked = true;
-      if (bucket.chunks.size < 2 || bucket.maxStoredBytes <= this.room) continue;
+      if (bucket.chunks.size < 2 || bucket.maxStoredBytes <= this.maxRecordBytes) continue;
       for (const chunk of [...bucket.chunks]) {
         ownedShard.shard.noteChunkChanged(chunk, this.clock.now());
         bucket.retire(chunk);
@@ -111,10 +117,12 @@
   }
 
   /** Bytes that chunks may take of one record. */
-  private get room(): number {
+  private get maxRecordBytes(): number {
     return (
-      Math.min(this.options.recordFormat.valueBytes, MAX_TRANSACTION_CHANGE_BYTES * TXN_SHARE) *
-      VALUE_SHARE
+      Math.min(
+        this.options.recordFormat.valueBytes,
+        MAX_TRANSACTION_CHANGE_BYTES * TRANSACTION_FILL_RATIO,
+      ) * VALUE_FILL_RATIO
     );
   }
 
@@ -123,18 +131,19 @@
     const now = this.clock.now();
     // Terminated attempts can wait while users and starts need the write rate: after a crash the workers still report
     // them. Waiting also avoids repeated writes of a chunk whose tasks end one by one.
-    const { flushDelay: linger } = this.options;
+    const { flushDelay } = this.options;
     const isBusy =
-      this.client.writeDelay('later') > linger / 2 || this.client.writeLoad > BUSY_LOAD;
-    const maxDelay = linger * (isBusy ? BUSY_PATIENCE : 1);
-    const isGathering = now < ownedShard.batchStartsDeferredUntil;
+      this.client.writeDelay('later') > flushDelay / 2 || this.client.writeLoad > BUSY_WRITE_LOAD;
+    const maxDelay = flushDelay * (isBusy ? BUSY_DELAY_FACTOR : 1);
+    const areBatchStartsDeferred = now < ownedShard.batchStartsDeferredUntil;
     const due = new Map<Bucket, RequestPriority>();
     for (const chunk of ownedShard.shard.unsavedChunks) {
       const bucket = bucketOf(chunk);
       if (bucket === null || bucket.isWriteInFlight || due.get(bucket) === 'urgent') continue;
-      const isOld = chunk.dirtySince !== null && now - chunk.dirtySince >= maxDelay;
-      if (isAwaited(chunk) && (chunk.spec.isService || !isGathering)) due.set(bucket, 'urgent');
-      else if (isOld) due.set(bucket, 'later');
+      const isOverdue = chunk.dirtySince !== null && now - chunk.dirtySince >= maxDelay;
+      if (isWriteUrgent(chunk) && (chunk.spec.isService || !areBatchStartsDeferred))
+        due.set(bucket, 'urgent');
+      else if (isOverdue) due.set(bucket, 'later');
     }
     if (isBusy) return due;
     for (const bucket of ownedShard.buckets.values()) {
@@ -146,7 +155,7 @@
 
   /** Writes buckets, as many in one transaction as fit its limits. */
   private flushAll(ownedShard: OwnedShard, due: Map<Bucket, RequestPriority>): void {
-    const most = Math.max(1, this.options.txnOps - 1);
+    const maxOperations = Math.max(1, this.options.txnOps - 1);
     let batch: Bucket[] = [];
     let bytes = 0;
     let operations = 0;
@@ -156,19 +165,20 @@
       void this.flush(ownedShard, batch, priority);
       [batch, bytes, operations, priority] = [[], 0, 0, 'later'];
     };
-    for (const [bucket, how] of due) {
-      if (ownedShard.writesInFlight >= TRANSACTIONS) break;
+    for (const [bucket, bucketPriority] of due) {
+      if (ownedShard.writesInFlight >= MAX_TRANSACTIONS_IN_FLIGHT) break;
       const size = bucket.estimatedBytes;
       const cost = this.operationsFor(ownedShard, bucket, size);
       const isFull =
-        operations + cost > most || bytes + size > MAX_TRANSACTION_CHANGE_BYTES * TXN_SHARE;
+        operations + cost > maxOperations ||
+        bytes + size > MAX_TRANSACTION_CHANGE_BYTES * TRANSACTION_FILL_RATIO;
       if (batch.length > 0 && isFull) send();
       batch.push(bucket);
       bytes += size;
       operations += cost;
-      if (how === 'urgent') priority = 'urgent';
+      if (bucketPriority === 'urgent') priority = 'urgent';
     }
-    if (ownedShard.writesInFlight < TRANSACTIONS) send();
+    if (ownedShard.writesInFlight < MAX_TRANSACTIONS_IN_FLIGHT) send();
   }
 
   /** Returns the operations that a write of a bucket of this size takes: a large one is stored in fragments. */
@@ -176,8 +186,8 @@
     const { recordFormat } = this.options;
     if (!recordFormat.isCompact) return 1;
     // The record is encoded only when its write is due, and may be slightly larger by then.
-    const most = Math.ceil(bytes / (recordFormat.valueBytes * VALUE_SHARE));
-    return Math.max(most, this.client.operations(this.key(ownedShard, bucket), null));
+    const expectedPuts = Math.ceil(bytes / (recordFormat.valueBytes * VALUE_FILL_RATIO));
+    return Math.max(expectedPuts, this.client.operations(this.keyOf(ownedShard, bucket), null));
   }
 
   /**
@@ -186,27 +196,28 @@
    */
   private assignBucket(ownedShard: OwnedShard, chunk: Chunk): void {
     const { recordFormat, process } = this.options;
-    const { room } = this;
-    const need = maxStoredBytes(chunk, recordFormat);
-    let best: Bucket | null = null;
-    let most = -1;
+    const { maxRecordBytes } = this;
+    const neededBytes = maxStoredBytes(chunk, recordFormat);
+    let fullest: Bucket | null = null;
+    let mostUsed = -1;
     for (const bucket of ownedShard.buckets.values()) {
       if (bucket.isWriteInFlight) continue;
       // Services change seldom and batch tasks often: separate buckets avoid rewriting one for changes of the other.
-      const [first] = bucket.chunks;
-      if (first !== undefined && first.spec.isService !== chunk.spec.isService) continue;
+      const [firstChunk] = bucket.chunks;
+      if (firstChunk !== undefined && firstChunk.spec.isService !== chunk.spec.isService) continue;
       if (bucket === chunk.retiredFrom || bucket.hasUnstoredRetiredChunks) continue;
-      const used = bucket.maxStoredBytes;
-      if (used + need <= room && used > most) [best, most] = [bucket, used];
+      const usedBytes = bucket.maxStoredBytes;
+      if (usedBytes + neededBytes <= maxRecordBytes && usedBytes > mostUsed)
+        [fullest, mostUsed] = [bucket, usedBytes];
     }
-    if (best === null) {
-      best = new Bucket(`${process}-${++this.named}`, 0, recordFormat);
-      ownedShard.buckets.set(best.name, best);
+    if (fullest === null) {
+      fullest = new Bucket(`${process}-${++this.createdBuckets}`, 0, recordFormat);
+      ownedShard.buckets.set(fullest.name, fullest);
     }
-    best.add(chunk);
+    fullest.add(chunk);
   }
 
-  private key(ownedShard: OwnedShard, bucket: Bucket): string {
+  private keyOf(ownedShard: OwnedShard, bucket: Bucket): string {
     return keys.bucket(ownedShard.shard.label, bucket.name);
   }
 
@@ -219,32 +230,31 @@
     for (const bucket of buckets) bucket.isWriteInFlight = true;
     // Starts of batch work are written in spaced rounds, each with all starts since the last one; the rest of the write
     // rate is left for users' requests.
-    const pause = buckets.length / (this.client.writeRate * GATHER_SHARE);
+    const pause = buckets.length / (this.client.writeRate * BATCH_START_WRITE_SHARE);
     ownedShard.batchStartsDeferredUntil =
       Math.max(ownedShard.batchStartsDeferredUntil, this.clock.now()) + pause;
     try {
       await this.client.awaitWriteTurn(buckets.length, priority);
-      const stored = buckets.flatMap((s) =>
-        [...s.chunks].map((c) => ({ chunk: c, at: c.version })),
+      const stored = buckets.flatMap((bucket) =>
+        [...bucket.chunks].map((chunk) => ({ chunk, version: chunk.version })),
       );
       const puts: Transaction['puts'] = [];
-      const removes: string[] = [];
+      const deletes: string[] = [];
       for (const bucket of buckets) {
         if (bucket.chunks.size > 0 || bucket.mayBeRecreated) {
-          puts.push({ key: this.key(ownedShard, bucket), value: bucket.toRecord() });
+          puts.push({ key: this.keyOf(ownedShard, bucket), value: bucket.toRecord() });
           if (bucket.revision === 0) bucket.mayBeRecreated = true;
-        } else if (bucket.revision > 0) removes.push(this.key(ownedShard, bucket));
+        } else if (bucket.revision > 0) deletes.push(this.keyOf(ownedShard, bucket));
         bucket.isDirty = false;
       }
       for (const { chunk } of stored) chunk.dirtySince = null;
-      const when = buckets.map((s) => ({ key: this.key(ownedShard, s), revision: s.revision }));
-      const result = await this.write(
-        ownedShard,
-        { conditions: when, puts, deletes: removes },
-        'granted',
-      );
+      const conditions = buckets.map((bucket) => ({
+        key: this.keyOf(ownedShard, bucket),
+        revision: bucket.revision,
+      }));
+      const result = await this.write(ownedShard, { conditions, puts, deletes }, 'granted');
       if (result.kind === 'applied') {
-        this.applied(ownedShard, buckets, stored, puts, result.revision);
+        this.onApplied(ownedShard, buckets, stored, puts, result.revision);
         return;
       }
       for (const { chunk } of stored) chunk.dirtySince ??= this.clock.now();
@@ -256,7 +266,7 @@
       else if (result.kind === 'malformed') await sleep(this.options.flushDelay);
       else await sleep(this.options.retryDelay);
     } catch (error) {
-      log.debug(`store: ${describeError(error)}`);
+      log.debug(`writing buckets failed: ${describeError(error)}`);
       await sleep(this.options.retryDelay);
     } finally {
       for (const bucket of buckets) bucket.isWriteInFlight = false;
@@ -264,15 +274,15 @@
     }
   }
 
-  private applied(
+  private onApplied(
     ownedShard: OwnedShard,
     buckets: Bucket[],
-    stored: { chunk: Chunk; at: number }[],
+    stored: { chunk: Chunk; version: number }[],
     puts: Transaction['puts'],
     revision: number,
   ): void {
-    for (const { chunk, at } of stored) {
-      chunk.storedVersion = Math.max(chunk.storedVersion, at);
+    for (const { chunk, version } of stored) {
+      chunk.storedVersion = Math.max(chunk.storedVersion, version);
       // The bucket's revision has changed, so a transaction that migrates the chunk away can no longer be applied.
       chunk.mayHaveMigrated = false;
       if (chunk.version === chunk.storedVersion) ownedShard.shard.unsavedChunks.delete(chunk);
@@ -280,26 +290,26 @@
     }
     for (const put of puts) this.stateCache.note(put.key, put.value, revision);
     for (const bucket of buckets) {
-      const key = this.key(ownedShard, bucket);
+      const key = this.keyOf(ownedShard, bucket);
       bucket.clearRetiredChunks();
-      if (puts.some((p) => p.key === key)) bucket.revision = revision;
+      if (puts.some((put) => put.key === key)) bucket.revision = revision;
       else {
         this.stateCache.noteRemoved(key, revision);
         bucket.revision = 0;
         if (bucket.chunks.size === 0) ownedShard.buckets.delete(bucket.name);
       }
     }
-    this.host.stored(
+    this.events.stored(
       ownedShard,
-      stored.map((s) => s.chunk),
+      stored.map(({ chunk }) => chunk),
     );
   }
 
   /** Rereads buckets after a conflict: transactions of this node that got no answer may have been applied. */
   async resolveConflict(ownedShard: OwnedShard, buckets: Bucket[]): Promise<void> {
-    await this.host.verifyLeadership(ownedShard.shard.label);
+    await this.events.verifyLeadership(ownedShard.shard.label);
     for (const bucket of buckets) {
-      const item = await this.client.get(this.key(ownedShard, bucket));
+      const item = await this.client.get(this.keyOf(ownedShard, bucket));
       if (!ownedShard.isOwned) return;
       const revision = item?.revision ?? 0;
       if (revision === bucket.revision) continue;
@@ -313,7 +323,7 @@
       }
       bucket.revision = revision;
       if (item !== null) this.stateCache.note(item.key, item.value, item.revision);
-      else this.stateCache.noteRemoved(this.key(ownedShard, bucket), Infinity);
+      else this.stateCache.noteRemoved(this.keyOf(ownedShard, bucket), Infinity);
     }
   }
 
@@ -324,14 +334,14 @@
   async move(
     ownedShard: OwnedShard,
     chunk: Chunk,
-    to: string,
+    targetShard: string,
     extra: Pick<Transaction, 'conditions' | 'puts'>,
   ): Promise<TransactionResult> {
     const bucket = bucketOf(chunk);
-    const owner = this.stateCache.get(keys.leader(to));
-    if (bucket === null || owner === undefined || !chunk.isMigratable) return { kind: 'refused' };
+    const leader = this.stateCache.get(keys.leader(targetShard));
+    if (bucket === null || leader === undefined || !chunk.isMigratable) return { kind: 'refused' };
     const name = `${chunk.id.replace('/', '-')}-${chunk.migrationCount + 1}`;
-    const key = keys.bucket(to, name);
+    const key = keys.bucket(targetShard, name);
     bucket.isWriteInFlight = true;
     ownedShard.writesInFlight++;
     try {
@@ -342,13 +352,13 @@
       const value: BucketRecord = {
         chunks: { [chunk.id]: { ...chunk.toRecord(), migrationCount: chunk.migrationCount + 1 } },
       };
-      const others = [...bucket.chunks]
+      const otherChunks = [...bucket.chunks]
         .filter((other) => other !== chunk)
-        .map((other) => ({ chunk: other, at: other.version }));
+        .map((other) => ({ chunk: other, version: other.version }));
       const { puts, deletes } = this.withoutChunk(ownedShard, bucket, chunk);
       const conditions = [
-        { key: this.key(ownedShard, bucket), revision: bucket.revision },
-        { key: keys.leader(to), revision: owner.revision },
+        { key: this.keyOf(ownedShard, bucket), revision: bucket.revision },
+        { key: keys.leader(targetShard), revision: leader.revision },
         { key, revision: 0 },
         ...extra.conditions,
       ];
@@ -360,7 +370,7 @@
       const result = await this.write(ownedShard, transaction, 'granted');
       if (result.kind === 'applied') {
         ownedShard.shard.migrateAway(chunk, this.clock.now());
-        this.applied(ownedShard, [bucket], others, puts, result.revision);
+        this.onApplied(ownedShard, [bucket], otherChunks, puts, result.revision);
         this.stateCache.note(key, value, result.revision);
       } else if (result.kind === 'conflict') await this.resolveConflict(ownedShard, [bucket]);
       // Until its bucket is written again the chunk may have migrated, and none of its tasks can be started.
@@ -385,20 +395,20 @@
     bucket: Bucket,
     chunk: Chunk,
   ): Pick<Transaction, 'puts' | 'deletes'> {
-    const key = this.key(ownedShard, bucket);
+    const key = this.keyOf(ownedShard, bucket);
     if (bucket.chunks.size === 1 && !bucket.mayBeRecreated) return { puts: [], deletes: [key] };
-    const others = Object.entries(bucket.toRecord().chunks).filter(([id]) => id !== chunk.id);
-    const value: BucketRecord = { chunks: Object.fromEntries(others) };
+    const remaining = Object.entries(bucket.toRecord().chunks).filter(([id]) => id !== chunk.id);
+    const value: BucketRecord = { chunks: Object.fromEntries(remaining) };
     return { puts: [{ key, value }], deletes: [] };
   }
 }
 
 /** Whether starts, or the completion of the chunk in its job, wait until the chunk is stored. */
-const isAwaited = (chunk: Chunk): boolean =>
-  hasStarts(chunk) || (chunk.isComplete && !chunk.isCancelled);
+const isWriteUrgent = (chunk: Chunk): boolean =>
+  hasUnstoredStarts(chunk) || (chunk.isComplete && !chunk.isCancelled);
 
 /** Whether the chunk has placements that are not stored yet; their starts wait for that. */
-function hasStarts(chunk: Chunk): boolean {
+function hasUnstoredStarts(chunk: Chunk): boolean {
   for (const attempt of chunk.attempts.values()) {
     if (attempt.chunkVersion > chunk.storedVersion && attempt.stop === null) return true;
   }
--- a/src/coordination/persistence/jobPersistence.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -48,12 +48,12 @@
     private readonly stateCache: StateCacheAccess,
     private readonly chunkIndex: Pick<ChunkIndex, 'entries'>,
     private readonly clock: Clock,
-    private readonly host: JobPersistenceContext,
+    private readonly context: JobPersistenceContext,
     private readonly options: BucketWriterOptions,
   ) {
-    this.bucketWriter = new BucketWriter(client, stateCache, clock, host, options);
+    this.bucketWriter = new BucketWriter(client, stateCache, clock, context, options);
     this.jobRecords = new JobRecordWriter(client, stateCache, this.bucketWriter, {
-      verifyLeadership: (shard) => host.verifyLeadership(shard),
+      verifyLeadership: (shard) => context.verifyLeadership(shard),
       onReread: (homeShard, job) => {
         this.acceptMissing(homeShard, job);
       },
@@ -68,30 +68,33 @@
 
   /** Starts the writes that are due in all owned shards, without waiting for them. */
   writeDueBuckets(): void {
-    if (!this.host.isLeaseValid()) return;
-    for (const ownedShard of this.host.ownedShards.values()) {
-      for (const chunk of [...ownedShard.shard.finishedChunks]) this.settle(ownedShard, chunk);
+    if (!this.context.isLeaseValid()) return;
+    for (const ownedShard of this.context.ownedShards.values()) {
+      for (const chunk of [...ownedShard.shard.finishedChunks])
+        this.settleFinishedChunk(ownedShard, chunk);
       this.bucketWriter.writeDueBuckets(ownedShard);
     }
   }
 
   /** Checks all jobs of the owned shards for finished chunks and for chunks to create, in case a change was missed. */
   reconcileJobs(): void {
-    if (!this.host.isLeaseValid()) return;
+    if (!this.context.isLeaseValid()) return;
     for (const [id, { shard, record }] of this.chunkIndex.entries()) {
-      const { doneTasks: done, firstTask: from, endTask: to, homeShard: label } = record;
-      if (done.length !== 2 || done[0] !== from || done[1] !== to) continue;
-      const home = this.host.ownedShards.get(label);
-      const job = home?.jobs.get(record.spec.id);
-      if (home === undefined || job === undefined || this.host.ownedShards.has(shard)) continue;
-      void this.finish(home, job, Number(id.slice(id.lastIndexOf('/') + 1)));
+      const { doneTasks, firstTask, endTask, homeShard: label } = record;
+      if (doneTasks.length !== 2 || doneTasks[0] !== firstTask || doneTasks[1] !== endTask)
+        continue;
+      const homeShard = this.context.ownedShards.get(label);
+      const job = homeShard?.jobs.get(record.spec.id);
+      if (homeShard === undefined || job === undefined || this.context.ownedShards.has(shard))
+        continue;
+      void this.recordFinishedChunk(homeShard, job, Number(id.slice(id.lastIndexOf('/') + 1)));
     }
-    for (const ownedShard of this.host.ownedShards.values()) {
-      for (const job of ownedShard.jobs.values()) this.createMoreChunks(ownedShard, job);
+    for (const ownedShard of this.context.ownedShards.values()) {
+      for (const job of ownedShard.jobs.values()) this.createNextChunk(ownedShard, job);
     }
   }
 
-  private settle(ownedShard: OwnedShard, chunk: Chunk): void {
+  private settleFinishedChunk(ownedShard: OwnedShard, chunk: Chunk): void {
     if (chunk.isCancelled) {
       // The job's record says that it is cancelled, so no node will ever start a task of the chunk again.
       if (chunk.attempts.size === 0) ownedShard.shard.dropChunk(chunk);
@@ -99,11 +102,11 @@
       return;
     }
     if (!chunk.isJobStored) return;
-    const home = this.host.ownedShards.get(chunk.homeShard);
-    const job = home?.jobs.get(chunk.spec.id);
-    if (home !== undefined && job !== undefined) {
-      void this.finish(home, job, chunk.index).then((gone) => {
-        if (gone) ownedShard.shard.dropChunk(chunk);
+    const homeShard = this.context.ownedShards.get(chunk.homeShard);
+    const job = homeShard?.jobs.get(chunk.spec.id);
+    if (homeShard !== undefined && job !== undefined) {
+      void this.recordFinishedChunk(homeShard, job, chunk.index).then((isRecorded) => {
+        if (isRecorded) ownedShard.shard.dropChunk(chunk);
       });
     } else if (chunk.storedVersion < chunk.version) {
       // The home shard has another leader, which learns from the chunk's record that it is complete.
@@ -112,9 +115,9 @@
   }
 
   /** Migrates a chunk without attempts to another shard. */
-  async move(ownedShard: OwnedShard, chunk: Chunk, to: string): Promise<void> {
+  async move(ownedShard: OwnedShard, chunk: Chunk, targetShard: string): Promise<void> {
     if (chunk.homeShard !== ownedShard.shard.label) {
-      await this.bucketWriter.move(ownedShard, chunk, to, { conditions: [], puts: [] });
+      await this.bucketWriter.move(ownedShard, chunk, targetShard, { conditions: [], puts: [] });
       return;
     }
     const job = ownedShard.jobs.get(chunk.spec.id);
@@ -122,11 +125,11 @@
     job.isWriteInFlight = true;
     try {
       const key = keys.job(job.id);
-      const away = [...new Set([...job.record.migratedChunks, chunk.index])];
-      const value: JobRecord = { ...job.record, migratedChunks: away };
-      const when = [{ key, revision: job.revision }];
-      const result = await this.bucketWriter.move(ownedShard, chunk, to, {
-        conditions: when,
+      const migratedChunks = [...new Set([...job.record.migratedChunks, chunk.index])];
+      const value: JobRecord = { ...job.record, migratedChunks };
+      const conditions = [{ key, revision: job.revision }];
+      const result = await this.bucketWriter.move(ownedShard, chunk, targetShard, {
+        conditions,
         puts: [{ key, value }],
       });
       if (result.kind === 'applied') this.jobRecords.apply(ownedShard, job, value, result.revision);
@@ -139,26 +142,30 @@
   }
 
   /** Records a complete chunk in its job, and the job as done with its last chunk. Returns true once that is stored. */
-  private async finish(homeShard: OwnedShard, job: HomeJob, index: number): Promise<boolean> {
+  private async recordFinishedChunk(
+    homeShard: OwnedShard,
+    job: HomeJob,
+    index: number,
+  ): Promise<boolean> {
     if (job.isWriteInFlight) return false;
     const { record } = job;
     if (record.state !== 'open' || record.doneChunks.includes(index)) return true;
     job.isWriteInFlight = true;
     try {
-      const finished = [...record.doneChunks, index];
+      const doneChunks = [...record.doneChunks, index];
       const next: JobRecord =
-        finished.length >= totalChunks(record)
+        doneChunks.length >= totalChunks(record)
           ? { ...record, spec: null, state: 'done', zones: [], doneChunks: [], migratedChunks: [] }
           : {
               ...record,
-              doneChunks: finished,
-              migratedChunks: record.migratedChunks.filter((k) => !finished.includes(k)),
+              doneChunks,
+              migratedChunks: record.migratedChunks.filter((chunk) => !doneChunks.includes(chunk)),
             };
       await this.jobRecords.write(homeShard, job, next);
       // Judge by the record: the write may have conflicted with an unrelated change.
       return job.record.state !== 'open' || job.record.doneChunks.includes(index);
     } catch (error) {
-      log.debug(`finish: ${describeError(error)}`);
+      log.debug(`recording a finished chunk failed: ${describeError(error)}`);
       return false;
     } finally {
       job.isWriteInFlight = false;
@@ -183,8 +190,8 @@
   acceptMissing(homeShard: OwnedShard, job: HomeJob): void {
     if (
       !homeShard.isOwned ||
-      this.host.isBlockedOnDependencies(job.id) ||
-      this.host.hasUnreadableChunks
+      this.context.isBlockedOnDependencies(job.id) ||
+      this.context.hasUnreadableChunks
     )
       return;
     const now = this.clock.now();
@@ -202,9 +209,9 @@
     evidence: CancellationEvidence,
     deadline: number,
   ): Promise<CancellationResult> {
-    const begun = this.clock.now();
+    const startedAt = this.clock.now();
     const mayTry = (): boolean =>
-      this.clock.now() < deadline && homeShard.isOwned && this.host.isLeaseValid();
+      this.clock.now() < deadline && homeShard.isOwned && this.context.isLeaseValid();
     while (mayTry()) {
       if (job.record.state !== 'open') return { kind: 'ended', state: job.record.state };
       if (job.isWriteInFlight) {
@@ -214,7 +221,7 @@
       if (!evidence.covers(job.record) || !evidence.isCurrent(this.stateCache)) {
         return { kind: 'outdated' };
       }
-      await this.tryToCancel(homeShard, job, evidence, begun);
+      await this.tryToCancel(homeShard, job, evidence, startedAt);
     }
     const { state } = job.record;
     return state === 'open' ? { kind: 'not-stored' } : { kind: 'ended', state };
@@ -224,7 +231,7 @@
     homeShard: OwnedShard,
     job: HomeJob,
     evidence: CancellationEvidence,
-    begun: number,
+    startedAt: number,
   ): Promise<void> {
     job.isWriteInFlight = true;
     const { id, revision } = job;
@@ -236,39 +243,48 @@
           shard.audit.note({
             event: 'cancellation-write',
             ...{ job: id, shard: shard.label, fencingToken, outcome },
-            ...{ jobRevision: revision, age: this.clock.now() - begun },
+            ...{ jobRevision: revision, age: this.clock.now() - startedAt },
           });
         },
       });
     } catch (error) {
-      log.debug(`cancel: ${describeError(error)}`);
+      log.debug(`storing a cancellation failed: ${describeError(error)}`);
     } finally {
       job.isWriteInFlight = false;
     }
   }
 
   /** Creates the next chunk of a job. Chunks of large jobs are created gradually, so no shard holds more than it can run. */
-  private createMoreChunks(homeShard: OwnedShard, job: HomeJob): void {
+  private createNextChunk(homeShard: OwnedShard, job: HomeJob): void {
     const { record } = job;
     if (job.isWriteInFlight || record.state !== 'open') return;
-    if (this.host.isBlockedOnDependencies(job.id)) return;
-    const open = record.createdChunks - record.doneChunks.length;
+    if (this.context.isBlockedOnDependencies(job.id)) return;
+    const openChunks = record.createdChunks - record.doneChunks.length;
     if (
-      open >= 4 ||
+      openChunks >= 4 ||
       record.createdChunks >= totalChunks(record) ||
       !mayCreateChunk(record, record.createdChunks)
     )
       return;
-    if (this.host.isBeingCancelled(job.id)) return;
-    const next = chunkRanges(record.spec.taskCount, record.chunkSize, record.zones)[
+    if (this.context.isBeingCancelled(job.id)) return;
+    const range = chunkRanges(record.spec.taskCount, record.chunkSize, record.zones)[
       record.createdChunks
     ];
-    if (next === undefined) return;
+    if (range === undefined) return;
     const spec = record.spec;
     const { label } = homeShard.shard;
-    const { submittedAt: at, createdChunks: cut } = record;
+    const { submittedAt, createdChunks: index } = record;
     const now = this.clock.now();
-    const chunk = new Chunk(spec, cut, label, at, next.firstTask, next.endTask, next.zone, now);
+    const chunk = new Chunk(
+      spec,
+      index,
+      label,
+      submittedAt,
+      range.firstTask,
+      range.endTask,
+      range.zone,
+      now,
+    );
     void this.recordCreatedChunk(homeShard, job, chunk);
   }
 
@@ -284,18 +300,19 @@
         createdChunks: job.record.createdChunks + 1,
       };
       if (!(await this.jobRecords.write(homeShard, job, next))) return;
-      const isCut = job.record.state === 'open' && job.record.createdChunks === next.createdChunks;
-      if (!isCut || !homeShard.isOwned || homeShard.shard.chunks.has(chunk.id)) return;
+      const isCreated =
+        job.record.state === 'open' && job.record.createdChunks === next.createdChunks;
+      if (!isCreated || !homeShard.isOwned || homeShard.shard.chunks.has(chunk.id)) return;
       homeShard.shard.acceptNewChunk(chunk, this.clock.now());
     } catch (error) {
-      log.debug(`cut: ${describeError(error)}`);
+      log.debug(`recording a created chunk failed: ${describeError(error)}`);
     } finally {
       job.isWriteInFlight = false;
     }
   }
 }
 
-/** Returns the record of a cancelled job, without its description and its chunks. */
+/** Returns the record of a cancelled job, without its description and its lists of chunks. */
 function cancelledRecord(record: JobRecord): JobRecord {
   return { ...record, spec: null, state: 'cancelled', doneChunks: [], migratedChunks: [] };
 }
--- a/src/coordination/persistence/jobRecordWriter.ts
+++ b/src/coordination/persistence/jobRecordWriter.ts
@@ -48,7 +48,7 @@
       deletes: [],
     };
     await this.client.awaitWriteTurn(1, 'urgent');
-    const wasUnsettled = job.isOutcomeUnknown === true;
+    const wasOutcomeUnknown = job.isOutcomeUnknown === true;
     // From now on other nodes may read a final state and tell users of it, before the answer arrives here.
     if (next.state !== 'open') job.isOutcomeUnknown = true;
     const result = await this.bucketWriter.write(homeShard, transaction, 'granted');
@@ -61,16 +61,18 @@
       // Another writer, or an earlier copy of this write, has changed the record: other nodes may know a newer state.
       job.isOutcomeUnknown = true;
       await this.options.verifyLeadership(homeShard.shard.label);
-      await this.readAgain(conditions.filter((condition) => result.failed.includes(condition.key)));
-      return this.reread(homeShard, job, wasUnsettled);
+      await this.rereadFailedConditions(
+        conditions.filter((condition) => result.failed.includes(condition.key)),
+      );
+      return this.reread(homeShard, job, wasOutcomeUnknown);
     }
-    job.isOutcomeUnknown = wasUnsettled || result.kind === 'unknown';
+    job.isOutcomeUnknown = wasOutcomeUnknown || result.kind === 'unknown';
     await sleep(this.options.retryDelay);
     return false;
   }
 
   /** Rereads records whose condition has failed into the state cache. */
-  private async readAgain(failed: Transaction['conditions']): Promise<void> {
+  private async rereadFailedConditions(failed: Transaction['conditions']): Promise<void> {
     for (const { key } of failed) {
       const item = await this.client.get(key);
       if (item === null) this.stateCache.noteRemoved(key, Infinity);
@@ -79,11 +81,11 @@
   }
 
   /** Rereads a job's record. Returns true if the stored record had changed and was applied in memory. */
-  async reread(homeShard: OwnedShard, job: HomeJob, wasUnsettled: boolean): Promise<boolean> {
+  async reread(homeShard: OwnedShard, job: HomeJob, wasOutcomeUnknown: boolean): Promise<boolean> {
     const item = await this.client.get(keys.job(job.id));
     if (!homeShard.isOwned || item === null) return false;
     if (item.revision === job.revision) {
-      job.isOutcomeUnknown = wasUnsettled;
+      job.isOutcomeUnknown = wasOutcomeUnknown;
       return false;
     }
     this.apply(homeShard, job, item.value as JobRecord, item.revision);
--- a/src/coordination/persistence/missingChunks.ts
+++ b/src/coordination/persistence/missingChunks.ts
@@ -16,19 +16,19 @@
   if (record.state !== 'open') return [];
   const {
     spec,
-    chunkSize: size,
+    chunkSize,
     zones,
-    createdChunks: cut,
-    doneChunks: finished,
-    migratedChunks: away,
-    submittedAt: at,
+    createdChunks,
+    doneChunks,
+    migratedChunks,
+    submittedAt,
     homeShard,
   } = record;
-  return chunkRanges(spec.taskCount, size, zones)
-    .slice(0, cut)
-    .flatMap(({ firstTask: from, endTask: to, zone }, index) => {
-      const isElsewhere = finished.includes(index) || away.includes(index);
-      if (isElsewhere || present.has(`${id}/${index}`)) return [];
-      return [new Chunk(spec, index, homeShard, at, from, to, zone, now)];
+  return chunkRanges(spec.taskCount, chunkSize, zones)
+    .slice(0, createdChunks)
+    .flatMap(({ firstTask, endTask, zone }, index) => {
+      const isDoneOrMigrated = doneChunks.includes(index) || migratedChunks.includes(index);
+      if (isDoneOrMigrated || present.has(`${id}/${index}`)) return [];
+      return [new Chunk(spec, index, homeShard, submittedAt, firstTask, endTask, zone, now)];
     });
 }
--- a/test/leadership/shardLeadership.test.ts
+++ b/test/leadership/shardLeadership.test.ts
@@ -77,7 +77,11 @@
   await until('a new lease is granted', () => c.leases === 2 && c.ownership.isLeaseValid);
   readAll();
   await new Promise((resolve) => setImmediate(resolve));
-  assert.deepEqual(c.gained, [], 'the leader record was removed with the lease, and a peer may lead the shard');
+  assert.deepEqual(
+    c.gained,
+    [],
+    'the leader record was removed with the lease, and a peer may lead the shard',
+  );
 });
 
 test('a claim under a lease that stays valid gains the leadership', async (t) => {
--- a/test/persistence/bucketWriter.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -37,7 +37,14 @@
     ['its machines', 'r1', group('p', 'n1', 'n2'), ['n1', 'n2'], [], 2],
     ['another rental', 'r2', group('p', 'n3'), ['n3'], [], 3],
     ['one machine is released', 'r1', group('p', 'n2'), ['n2'], ['n1'], 2],
-    ['a machine that another record names stays in that one', 'r2', group('q', 'n3', 'n2'), ['n3'], [], 1],
+    [
+      'a machine that another record names stays in that one',
+      'r2',
+      group('q', 'n3', 'n2'),
+      ['n3'],
+      [],
+      1,
+    ],
     ['and stays when the later record is removed', 'r2', null, [], ['n3'], 1],
     ['the last record is removed', 'r1', null, [], ['n2'], 0],
   ];
--- a/test/persistence/jobPersistence.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -187,7 +187,12 @@
 }[] = [
   { name: 'a chunk was created since then', chunks: [0], acknowledged: 8, copied: 8 },
   { name: 'a leader is known to have changed', chunks: [0, 1], acknowledged: 7, copied: 8 },
-  { name: 'a leader has changed, unknown to this node', chunks: [0, 1], acknowledged: 7, copied: 7 },
+  {
+    name: 'a leader has changed, unknown to this node',
+    chunks: [0, 1],
+    acknowledged: 7,
+    copied: 7,
+  },
 ];
 for (const { name, chunks, acknowledged, copied } of outdatedEvidence) {
   test(`a cancellation is not stored on outdated evidence: ${name}`, async () => {
--- a/test/persistence/recordLimits.test.ts
+++ b/test/persistence/recordLimits.test.ts
@@ -252,7 +252,12 @@
     ["shares of a team's limit", keys.quota('crew'), shares, 1],
     ['a job of 100,000 tasks', keys.job('wk-1'), job, 1],
     // One operation is left for the leader record, which is written in the same transaction.
-    ['the fencing token counter of 12 shards, each lost by all nodes', keys.fencingTokens, token, TXN_OPS - 1],
+    [
+      'the fencing token counter of 12 shards, each lost by all nodes',
+      keys.fencingTokens,
+      token,
+      TXN_OPS - 1,
+    ],
   ];
   for (const [name, key, value, most] of cases) {
     assert.ok(
