--- a/src/storage/chunkIndex.ts
+++ b/src/storage/chunkIndex.ts
@@ -16,7 +16,7 @@
 /** The stored chunks by id, as recent as the state cache. */
 export class ChunkIndex {
   private readonly chunks = new Map<string, IndexedChunk>();
-  private readonly members = new Map<string, string[]>();
+  private readonly idsByBucket = new Map<string, string[]>();
 
   /** Returns a stored chunk by its id. */
   find(chunk: string): IndexedChunk | undefined {
@@ -31,22 +31,22 @@
   /** Applies a changed bucket record; `value` is null if the record was removed. */
   update(shard: string, bucket: string, value: BucketRecord | null, revision: number): void {
     const key = `${shard}/${bucket}`;
-    for (const id of this.members.get(key) ?? []) {
-      const known = this.chunks.get(id);
+    for (const id of this.idsByBucket.get(key) ?? []) {
+      const indexed = this.chunks.get(id);
       // The chunk may be in another bucket by now, of this shard or another.
-      const here = known?.shard === shard && known.bucket === bucket;
-      if (here && value?.chunks[id] === undefined) this.chunks.delete(id);
+      const isInThisBucket = indexed?.shard === shard && indexed.bucket === bucket;
+      if (isInThisBucket && value?.chunks[id] === undefined) this.chunks.delete(id);
     }
     if (value === null) {
-      this.members.delete(key);
+      this.idsByBucket.delete(key);
       return;
     }
-    this.members.set(key, Object.keys(value.chunks));
+    this.idsByBucket.set(key, Object.keys(value.chunks));
     for (const [id, record] of Object.entries(value.chunks)) {
-      const known = this.chunks.get(id);
+      const indexed = this.chunks.get(id);
       // A record beyond the size limit keeps outdated copies of chunks until it is removed (safety, V5).
-      const isOlder = known?.shard === shard && known.revision > revision;
-      if (!isOlder) this.chunks.set(id, { shard, bucket, record, revision });
+      const isOutdated = indexed?.shard === shard && indexed.revision > revision;
+      if (!isOutdated) this.chunks.set(id, { shard, bucket, record, revision });
     }
   }
 }
--- a/src/storage/compactRecords.ts
+++ b/src/storage/compactRecords.ts
@@ -37,7 +37,7 @@
 }
 
 /** A machine and its agent epoch, followed by the task number and attempt number of each attempt on it. */
-type CompactEntries = [string, number, ...number[]];
+type CompactAttempts = [string, number, ...number[]];
 
 interface CompactChunk {
   spec: CompactSpec;
@@ -48,7 +48,7 @@
   zone?: string;
   next: number;
   done?: number[];
-  on?: CompactEntries[];
+  on?: CompactAttempts[];
   moves?: number;
 }
 
@@ -59,12 +59,12 @@
 
 /** Returns a job's description in format 2, without the fields that have their default value. */
 export function compactSpec(spec: JobSpec): CompactSpec {
-  const usual: Record<string, unknown> = { ...specDefaults() };
-  const told = Object.entries(toStoredSpec(spec)).filter(([name, value]) => {
-    if (!(name in usual)) return true;
-    return Array.isArray(value) || value !== usual[name];
+  const defaults: Record<string, unknown> = { ...specDefaults() };
+  const stored = Object.entries(toStoredSpec(spec)).filter(([name, value]) => {
+    if (!(name in defaults)) return true;
+    return Array.isArray(value) || value !== defaults[name];
   });
-  return Object.fromEntries(told) as unknown as CompactSpec;
+  return Object.fromEntries(stored) as unknown as CompactSpec;
 }
 
 /** Returns a job's record in format 2. */
@@ -130,7 +130,7 @@
     zone,
     nextAttemptNumber: next,
     doneTasks: done,
-    attempts: entries,
+    attempts,
     migrationCount: moves,
   } = record;
   return {
@@ -143,29 +143,29 @@
     ...(zone === null ? {} : { zone }),
     next,
     ...(done.length === 0 ? {} : { done }),
-    ...(entries.length === 0 ? {} : { on: compactEntries(entries) }),
+    ...(attempts.length === 0 ? {} : { on: compactAttempts(attempts) }),
     ...(moves === 0 ? {} : { moves }),
   };
 }
 
-function compactEntries(entries: AttemptRecord[]): CompactEntries[] {
-  const groups = new Map<string, CompactEntries>();
-  for (const { task, attemptNumber: attempt, machine, agentEpoch: session } of entries) {
-    const group = groups.get(`${machine} ${session}`) ?? [machine, session];
-    groups.set(`${machine} ${session}`, group);
-    group.push(task, attempt);
+function compactAttempts(attempts: AttemptRecord[]): CompactAttempts[] {
+  const groupsByMachine = new Map<string, CompactAttempts>();
+  for (const { task, attemptNumber, machine, agentEpoch } of attempts) {
+    const grouped = groupsByMachine.get(`${machine} ${agentEpoch}`) ?? [machine, agentEpoch];
+    groupsByMachine.set(`${machine} ${agentEpoch}`, grouped);
+    grouped.push(task, attemptNumber);
   }
-  return [...groups.values()];
+  return [...groupsByMachine.values()];
 }
 
-function decodeEntries(groups: CompactEntries[]): AttemptRecord[] {
-  return groups.flatMap(([machine, session, ...numbers]) => {
-    const entries: AttemptRecord[] = [];
+function decodeAttempts(groups: CompactAttempts[]): AttemptRecord[] {
+  return groups.flatMap(([machine, agentEpoch, ...numbers]) => {
+    const attempts: AttemptRecord[] = [];
     for (let i = 0; i + 1 < numbers.length; i += 2) {
-      const [task = 0, attempt = 0] = numbers.slice(i, i + 2);
-      entries.push({ task, attemptNumber: attempt, machine, agentEpoch: session });
+      const [task = 0, attemptNumber = 0] = numbers.slice(i, i + 2);
+      attempts.push({ task, attemptNumber, machine, agentEpoch });
     }
-    return entries;
+    return attempts;
   });
 }
 
@@ -186,7 +186,7 @@
   zone: stored.zone ?? null,
   nextAttemptNumber: stored.next,
   doneTasks: stored.done ?? [],
-  attempts: decodeEntries(stored.on ?? []),
+  attempts: decodeAttempts(stored.on ?? []),
   migrationCount: stored.moves ?? 0,
 });
 
--- a/src/storage/compression.ts
+++ b/src/storage/compression.ts
@@ -8,25 +8,25 @@
 import { CorruptRecordError, type CompressedValue, type RecordCodec } from './recordCodec.js';
 
 /** Compression level. Records are a few kilobytes long: a higher level takes longer and saves nothing. */
-const LEVEL = 6;
+const COMPRESSION_LEVEL = 6;
 
 /** Maximum length of a record's text. No longer text was ever stored: requests to the state service have this limit. */
-const MOST_BYTES = MAX_REQUEST_BYTES;
+const MAX_TEXT_BYTES = MAX_REQUEST_BYTES;
 
 function compress(text: string): CompressedValue | null {
   const bytes = strToU8(text);
-  if (bytes.length > MOST_BYTES) return null;
-  const packed = deflateSync(bytes, { level: LEVEL });
+  if (bytes.length > MAX_TEXT_BYTES) return null;
+  const compressed = deflateSync(bytes, { level: COMPRESSION_LEVEL });
   return {
     v: 3,
     bytes: bytes.length,
     sum: crc32(bytes),
-    data: Buffer.from(packed).toString('base64'),
+    data: Buffer.from(compressed).toString('base64'),
   };
 }
 
 function expand(key: string, { bytes, sum, data }: CompressedValue): string {
-  if (!Number.isInteger(bytes) || bytes < 0 || bytes > MOST_BYTES) {
+  if (!Number.isInteger(bytes) || bytes < 0 || bytes > MAX_TEXT_BYTES) {
     throw new CorruptRecordError(key, `it claims to expand to ${String(bytes)} bytes`);
   }
   // The output buffer has a fixed size, so that a record cannot expand without limit. Excess output is dropped, and the
--- a/src/storage/fragments.ts
+++ b/src/storage/fragments.ts
@@ -27,7 +27,7 @@
 export const FRAGMENT_OVERHEAD_BYTES = 40;
 
 /** Further bytes reserved in a head that marks its record as incompressible. */
-const KEPT_BYTES = ',"kept":true'.length;
+const KEPT_MARK_BYTES = ',"kept":true'.length;
 
 /** Returns the length of a value as JSON, in bytes. */
 export const jsonBytes = (value: unknown): number =>
@@ -58,29 +58,30 @@
   key: string,
   value: unknown,
   valueBytes: number,
-  isKept: boolean,
+  isIncompressible: boolean,
 ): [KeyedValue, ...KeyedValue[]] {
-  const room = valueBytes - FRAGMENT_OVERHEAD_BYTES - (isKept ? KEPT_BYTES : 0);
-  const [first = '', ...rest] = splitText(JSON.stringify(value), room);
-  const head: FragmentHead = { v: 2, pieces: rest.length, text: first };
-  if (isKept) head.kept = true;
-  const pieces = rest.map((text, i) => ({ key: keys.fragment(key, i + 1), value: { text } }));
+  const maxTextBytes =
+    valueBytes - FRAGMENT_OVERHEAD_BYTES - (isIncompressible ? KEPT_MARK_BYTES : 0);
+  const [firstText = '', ...otherTexts] = splitText(JSON.stringify(value), maxTextBytes);
+  const head: FragmentHead = { v: 2, pieces: otherTexts.length, text: firstText };
+  if (isIncompressible) head.kept = true;
+  const pieces = otherTexts.map((text, i) => ({ key: keys.fragment(key, i + 1), value: { text } }));
   return [{ key, value: head }, ...pieces];
 }
 
 /** Splits a text so that each piece, encoded as a JSON string, takes at most `maxBytes` without its quotes. */
-function splitText(text: string, most: number): string[] {
+function splitText(text: string, maxBytes: number): string[] {
   const pieces: string[] = [];
   let piece = '';
-  let used = 0;
+  let usedBytes = 0;
   for (const char of text) {
-    const size = jsonBytes(char) - 2;
-    if (used + size > most) {
+    const charBytes = jsonBytes(char) - 2;
+    if (usedBytes + charBytes > maxBytes) {
       pieces.push(piece);
-      [piece, used] = ['', 0];
+      [piece, usedBytes] = ['', 0];
     }
     piece += char;
-    used += size;
+    usedBytes += charBytes;
   }
   return [...pieces, piece];
 }
--- a/src/storage/machineInventory.ts
+++ b/src/storage/machineInventory.ts
@@ -22,7 +22,7 @@
 }
 
 /** Whether a claim takes precedence over another: the earliest launch does, and then the lower group name. */
-function comesFirst(claim: Claim, other: Claim): boolean {
+function takesPrecedence(claim: Claim, other: Claim): boolean {
   const difference = claim.record.launchedAt - other.record.launchedAt;
   return difference === 0 ? claim.group < other.group : difference < 0;
 }
@@ -30,7 +30,7 @@
 /** The machines by name, as recent as the state cache. */
 export class MachineInventory {
   /** The effective claim to each machine. */
-  private readonly machines = new Map<string, Claim>();
+  private readonly effectiveClaims = new Map<string, Claim>();
   /** Further claims, for the few machines that have any. */
   private readonly otherClaims = new Map<string, Claim[]>();
   private readonly groups = new Map<string, MachineGroupRecord>();
@@ -39,12 +39,12 @@
 
   /** Number of machines. */
   get size(): number {
-    return this.machines.size;
+    return this.effectiveClaims.size;
   }
 
   /** Returns a machine by name. */
   get(name: string): MachineRecord | undefined {
-    return this.machines.get(name)?.record;
+    return this.effectiveClaims.get(name)?.record;
   }
 
   /** Returns the groups that name a machine, the one of its effective claim first. */
@@ -54,12 +54,12 @@
 
   /** Returns the names of all machines. */
   names(): IterableIterator<string> {
-    return this.machines.keys();
+    return this.effectiveClaims.keys();
   }
 
   /** Returns the machines of a shard. */
   *of(shard: string): IterableIterator<[string, MachineRecord]> {
-    for (const [name, { record }] of this.machines)
+    for (const [name, { record }] of this.effectiveClaims)
       if (record.shard === shard) yield [name, record];
   }
 
@@ -116,33 +116,33 @@
     claim: Claim | null,
     change: InventoryChange,
   ): void {
-    const before = this.machines.get(name);
+    const before = this.effectiveClaims.get(name);
     const claims = this.claimsOf(name).filter((other) => other.group !== group);
     if (claim !== null) claims.push(claim);
-    claims.sort((a, b) => (comesFirst(a, b) ? -1 : 1));
-    const [first, ...others] = claims;
+    claims.sort((a, b) => (takesPrecedence(a, b) ? -1 : 1));
+    const [effective, ...others] = claims;
     if (others.length === 0) this.otherClaims.delete(name);
     else this.otherClaims.set(name, others);
     if (before !== undefined) this.count(before.record, -1);
-    if (first === undefined) {
-      this.machines.delete(name);
+    if (effective === undefined) {
+      this.effectiveClaims.delete(name);
       if (before !== undefined) change.gone.push(name);
       return;
     }
-    this.count(first.record, 1);
-    this.machines.set(name, first);
-    if (first !== before) change.present.push([name, first.record]);
+    this.count(effective.record, 1);
+    this.effectiveClaims.set(name, effective);
+    if (effective !== before) change.present.push([name, effective.record]);
   }
 
   /** Returns all claims to a machine, the effective one first. */
   private claimsOf(name: string): Claim[] {
-    const claim = this.machines.get(name);
+    const claim = this.effectiveClaims.get(name);
     return claim === undefined ? [] : [claim, ...(this.otherClaims.get(name) ?? [])];
   }
 
-  private count({ shard, type }: MachineRecord, by: number): void {
+  private count({ shard, type }: MachineRecord, difference: number): void {
     const types = this.counts.get(shard) ?? new Map<string, number>();
     this.counts.set(shard, types);
-    types.set(type, (types.get(type) ?? 0) + by);
+    types.set(type, (types.get(type) ?? 0) + difference);
   }
 }
--- a/src/storage/nodeCapabilities.ts
+++ b/src/storage/nodeCapabilities.ts
@@ -10,8 +10,8 @@
 
 /** The nodes that can read the current record format; it is written only once all of them can (safety, V2). */
 export class NodeCapabilities {
-  private readonly unmarked: Set<string>;
-  private isWriting = false;
+  private readonly pendingNodes: Set<string>;
+  private isPublishing = false;
 
   constructor(
     private readonly client: Pick<StateClient, 'transact'>,
@@ -21,46 +21,46 @@
     /** Labels of all nodes in the settings. */
     labels: string[],
   ) {
-    this.unmarked = new Set(labels);
+    this.pendingNodes = new Set(labels);
   }
 
   /** Whether every node can read the current record format. */
   get isUpgraded(): boolean {
-    return this.unmarked.size === 0;
+    return this.pendingNodes.size === 0;
   }
 
   /** Applies a node's capability record. */
   update(label: string, record: NodeCapabilityRecord): void {
-    if (record.recordFormat < RECORD_FORMAT_VERSION || !this.unmarked.delete(label)) return;
+    if (record.recordFormat < RECORD_FORMAT_VERSION || !this.pendingNodes.delete(label)) return;
     if (!this.isUpgraded) return;
     this.recordFormat.useCompact();
-    log.info('every node can read the present record format; it is used from now on');
+    log.info('all nodes can read the current record format; it is written from now on');
   }
 
   /** Publishes this node's capability record, unless the state cache shows that it is stored. */
   async publish(): Promise<void> {
     const key = keys.node(this.label);
     const stored = this.stateCache.get(key);
-    const known = stored?.value as NodeCapabilityRecord | undefined;
+    const published = stored?.value as NodeCapabilityRecord | undefined;
     if (
       !this.stateCache.loaded ||
-      this.isWriting ||
-      (known?.recordFormat ?? 0) >= RECORD_FORMAT_VERSION
+      this.isPublishing ||
+      (published?.recordFormat ?? 0) >= RECORD_FORMAT_VERSION
     )
       return;
-    this.isWriting = true;
+    this.isPublishing = true;
     try {
       const value: NodeCapabilityRecord = { recordFormat: RECORD_FORMAT_VERSION };
-      const when = [{ key, revision: stored?.revision ?? 0 }];
+      const conditions = [{ key, revision: stored?.revision ?? 0 }];
       const result = await this.client.transact(
-        { conditions: when, puts: [{ key, value }], deletes: [] },
+        { conditions, puts: [{ key, value }], deletes: [] },
         'urgent',
       );
       if (result.kind === 'applied') this.stateCache.note(key, value, result.revision);
     } catch (error) {
-      log.debug(`mark of this node: ${describeError(error)}`);
+      log.debug(`publishing this node's capabilities failed: ${describeError(error)}`);
     } finally {
-      this.isWriting = false;
+      this.isPublishing = false;
     }
   }
 }
--- a/src/storage/plainRecords.ts
+++ b/src/storage/plainRecords.ts
@@ -107,7 +107,7 @@
     zone: record.zone,
     next: record.nextAttemptNumber,
     done: record.doneTasks,
-    entries: record.attempts.map(toPlainEntry),
+    entries: record.attempts.map(toPlainAttempt),
     moves: record.migrationCount,
   };
 }
@@ -122,19 +122,19 @@
     zone: stored.zone,
     nextAttemptNumber: stored.next,
     doneTasks: stored.done,
-    attempts: stored.entries.map(fromPlainEntry),
+    attempts: stored.entries.map(fromPlainAttempt),
     migrationCount: stored.moves,
   };
 }
 
-const toPlainEntry = (record: AttemptRecord): StoredAttemptRecord => ({
+const toPlainAttempt = (record: AttemptRecord): StoredAttemptRecord => ({
   task: record.task,
   attempt: record.attemptNumber,
   machine: record.machine,
   session: record.agentEpoch,
 });
 
-const fromPlainEntry = (stored: StoredAttemptRecord): AttemptRecord => ({
+const fromPlainAttempt = (stored: StoredAttemptRecord): AttemptRecord => ({
   task: stored.task,
   attemptNumber: stored.attempt,
   machine: stored.machine,
@@ -146,7 +146,7 @@
   last: record.lastToken,
   ...(record.lastLeaders === undefined
     ? {}
-    : { owners: mapValues(record.lastLeaders, toStoredLastOwner) }),
+    : { owners: mapValues(record.lastLeaders, toStoredLastLeader) }),
 });
 
 /** Decodes the stored fencing token counter. */
@@ -154,15 +154,15 @@
   lastToken: stored.last,
   ...(stored.owners === undefined
     ? {}
-    : { lastLeaders: mapValues(stored.owners, fromStoredLastOwner) }),
+    : { lastLeaders: mapValues(stored.owners, fromStoredLastLeader) }),
 });
 
-const toStoredLastOwner = (record: LastLeader): StoredLastLeader => ({
+const toStoredLastLeader = (record: LastLeader): StoredLastLeader => ({
   node: record.node,
   lost: record.lostAtByNode,
 });
 
-const fromStoredLastOwner = (stored: StoredLastLeader): LastLeader => ({
+const fromStoredLastLeader = (stored: StoredLastLeader): LastLeader => ({
   node: stored.node,
   lostAtByNode: stored.lost,
 });
--- a/src/storage/rateLimiter.ts
+++ b/src/storage/rateLimiter.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../base/clock.js';
 
 /** Time constant of the demand average, in seconds. */
-const MEMORY = 3;
+const DEMAND_AVERAGE_SECONDS = 3;
 
 /**
  * Priority of a request, highest first. `ownership`: leases and leader records, which all else depends on; `submission`: a
@@ -11,7 +11,7 @@
  */
 export type RequestPriority = 'ownership' | 'submission' | 'rental' | 'urgent' | 'later';
 
-const ORDER: Record<RequestPriority, number> = {
+const PRIORITY_ORDER: Record<RequestPriority, number> = {
   ownership: 0,
   submission: 1,
   rental: 2,
@@ -23,7 +23,7 @@
  * Shares of the rate that these priorities may use ahead of starts; beyond its share, a priority queues like `urgent`. Many
  * submissions, or many rentals without available machines, must not delay starts.
  */
-const SHARES: ReadonlyMap<RequestPriority, number> = new Map([
+const PRIORITY_SHARES: ReadonlyMap<RequestPriority, number> = new Map([
   ['submission', 1 / 2],
   ['rental', 1 / 4],
 ]);
@@ -37,7 +37,7 @@
   private demandRateAt: number;
   /** Tokens left of each share; while they are below zero, that priority queues like `urgent`. */
   private readonly shareLevels = new Map<RequestPriority, number>();
-  private readonly queue: { cost: number; order: number; go: () => void }[] = [];
+  private readonly queue: { cost: number; order: number; resolve: () => void }[] = [];
   private timer: NodeJS.Timeout | null = null;
 
   constructor(
@@ -46,17 +46,17 @@
     private burst: number,
   ) {
     this.tokens = burst;
-    for (const [priority, share] of SHARES) this.shareLevels.set(priority, burst * share);
+    for (const [priority, share] of PRIORITY_SHARES) this.shareLevels.set(priority, burst * share);
     this.refilledAt = clock.now();
     this.demandRateAt = this.refilledAt;
   }
 
   /** Requested cost per second, including queued requests. */
   get demand(): number {
-    this.forget();
+    this.decayDemand();
     let waiting = 0;
     for (const { cost } of this.queue) waiting += cost;
-    return this.demandRate + waiting / MEMORY;
+    return this.demandRate + waiting / DEMAND_AVERAGE_SECONDS;
   }
 
   /** Changes the rate. The burst is one second's worth of tokens, so it follows the rate. */
@@ -67,9 +67,9 @@
     this.tokens = Math.min(this.tokens, rate);
   }
 
-  private forget(): void {
+  private decayDemand(): void {
     const now = this.clock.now();
-    this.demandRate *= Math.exp(-(now - this.demandRateAt) / MEMORY);
+    this.demandRate *= Math.exp(-(now - this.demandRateAt) / DEMAND_AVERAGE_SECONDS);
     this.demandRateAt = now;
   }
 
@@ -87,30 +87,30 @@
   delay(priority: RequestPriority): number {
     this.refill();
     let ahead = 0;
-    const own = this.orderOf(priority);
-    for (const { cost, order } of this.queue) if (order <= own) ahead += cost;
+    const ownOrder = this.orderOf(priority);
+    for (const { cost, order } of this.queue) if (order <= ownOrder) ahead += cost;
     return Math.max(0, (ahead - this.tokens) / this.refillRate);
   }
 
   /** Resolves once a request of this cost may be sent. */
   acquire(cost: number, priority: RequestPriority): Promise<void> {
-    this.forget();
+    this.decayDemand();
     this.refill();
-    this.demandRate += cost / MEMORY;
+    this.demandRate += cost / DEMAND_AVERAGE_SECONDS;
     const order = this.orderOf(priority);
-    if (order === ORDER[priority]) this.spendShare(priority, cost);
-    return new Promise((go) => {
-      const entry = { cost, order, go };
-      const at = this.queue.findIndex((e) => e.order > order);
-      if (at >= 0) this.queue.splice(at, 0, entry);
-      else this.queue.push(entry);
-      this.drain();
+    if (order === PRIORITY_ORDER[priority]) this.spendShare(priority, cost);
+    return new Promise((resolve) => {
+      const request = { cost, order, resolve };
+      const position = this.queue.findIndex((queued) => queued.order > order);
+      if (position >= 0) this.queue.splice(position, 0, request);
+      else this.queue.push(request);
+      this.admitQueued();
     });
   }
 
   private orderOf(priority: RequestPriority): number {
     const isBeyondShare = (this.shareLevels.get(priority) ?? 0) < 0;
-    return ORDER[isBeyondShare ? 'urgent' : priority];
+    return PRIORITY_ORDER[isBeyondShare ? 'urgent' : priority];
   }
 
   private spendShare(priority: RequestPriority, cost: number): void {
@@ -123,8 +123,8 @@
     this.refill();
     this.tokens -= cost;
     this.spendShare(priority, cost);
-    this.forget();
-    this.demandRate += cost / MEMORY;
+    this.decayDemand();
+    this.demandRate += cost / DEMAND_AVERAGE_SECONDS;
   }
 
   /** Empties the bucket after the service reported that the rate was exceeded: other nodes use more than was assumed. */
@@ -137,33 +137,33 @@
     const now = this.clock.now();
     const gained = (now - this.refilledAt) * this.refillRate;
     this.tokens = Math.min(this.burst, this.tokens + gained);
-    for (const [priority, share] of SHARES) {
+    for (const [priority, share] of PRIORITY_SHARES) {
       const level = this.shareLevels.get(priority) ?? 0;
       this.shareLevels.set(priority, Math.min(this.burst * share, level + gained * share));
     }
     this.refilledAt = now;
   }
 
-  private drain(): void {
+  private admitQueued(): void {
     this.refill();
     for (;;) {
       const head = this.queue[0];
       if (head === undefined) return;
       // A request larger than the burst is sent when the bucket is full, and the token count becomes negative.
-      const need = Math.min(head.cost, this.burst);
-      if (this.tokens + 1e-9 < need) {
+      const neededTokens = Math.min(head.cost, this.burst);
+      if (this.tokens + 1e-9 < neededTokens) {
         this.timer ??= setTimeout(
           () => {
             this.timer = null;
-            this.drain();
+            this.admitQueued();
           },
-          Math.ceil(((need - this.tokens) / this.refillRate) * 1000) + 1,
+          Math.ceil(((neededTokens - this.tokens) / this.refillRate) * 1000) + 1,
         );
         return;
       }
       this.queue.shift();
       this.tokens -= head.cost;
-      head.go();
+      head.resolve();
     }
   }
 }
@@ -173,9 +173,9 @@
  * than the even share counts with the even share, and so does a node whose demand is unknown. The result is at least half
  * of the even share, since the reported demands may be outdated.
  */
-export function rateShareOf(total: number, sharers: number, needs: number[]): number {
-  const even = total / sharers;
-  let left = total;
-  for (let i = 0; i < sharers - 1; i++) left -= Math.min(even, needs[i] ?? even);
-  return Math.max(even / 2, left);
+export function rateShareOf(total: number, nodeCount: number, demands: number[]): number {
+  const evenShare = total / nodeCount;
+  let remaining = total;
+  for (let i = 0; i < nodeCount - 1; i++) remaining -= Math.min(evenShare, demands[i] ?? evenShare);
+  return Math.max(evenShare / 2, remaining);
 }
--- a/src/storage/recordFormat.ts
+++ b/src/storage/recordFormat.ts
@@ -81,7 +81,7 @@
 };
 
 /** Share of a record's size limit that one chunk may grow to. */
-const CHUNK_SHARE = 0.9;
+const CHUNK_FILL_RATIO = 0.9;
 
 /** How a record beyond the size limit of a value is stored; `plain` is any other record. */
 export type StoredForm = 'plain' | 'pieces' | 'compressed';
@@ -95,8 +95,8 @@
 /** Returns the form of a record, given its head and its joined but not expanded value. */
 export function formOf(key: string, head: unknown, joined: unknown): StoredForm {
   if (isCompressed(joined)) return 'compressed';
-  const isInPieces = fragmentCount(head) > 0 && !isMarkedIncompressible(head);
-  return isInPieces && isCompressible(key) ? 'pieces' : 'plain';
+  const isFragmented = fragmentCount(head) > 0 && !isMarkedIncompressible(head);
+  return isFragmented && isCompressible(key) ? 'pieces' : 'plain';
 }
 
 /** The puts that store a value, and the form in which it is stored. */
@@ -109,7 +109,7 @@
 export class RecordFormat {
   private version: 1 | 2 = 1;
   /** Cached sizes of job descriptions, which each write pass needs again. */
-  private descriptions = new WeakMap<JobSpec, number>();
+  private specSizes = new WeakMap<JobSpec, number>();
 
   constructor(
     /** Limits of the state service: the smaller of those in force and those to come. */
@@ -117,7 +117,7 @@
     /** Null if this node neither writes nor reads compressed records. */
     private readonly codec: RecordCodec | null = null,
     /** Whether the cluster's version allows compressed records to be written. */
-    private readonly mayCompress: () => boolean = () => false,
+    private readonly isCompressionAllowed: () => boolean = () => false,
   ) {}
 
   /** Whether format 2 is written. */
@@ -128,7 +128,7 @@
   /** Switches to writing format 2, once every node can read it. */
   useCompact(): void {
     this.version = 2;
-    this.descriptions = new WeakMap();
+    this.specSizes = new WeakMap();
   }
 
   /** Maximum sizes of a chunk's record in the format that is written. */
@@ -139,8 +139,8 @@
   /** Returns the maximum number of tasks of a chunk that fit in one record together with the description. */
   maxTasksPerChunk(spec: JobSpec): number {
     const { overheadBytes: frame, taskBytes: task } = this.sizes;
-    const room = this.limits.valueBytes * CHUNK_SHARE - this.specBytes(spec) - frame;
-    return Math.max(1, Math.floor(room / task));
+    const availableBytes = this.limits.valueBytes * CHUNK_FILL_RATIO - this.specBytes(spec) - frame;
+    return Math.max(1, Math.floor(availableBytes / task));
   }
 
   /** Size limit of one value, in bytes. */
@@ -150,18 +150,18 @@
 
   /** Returns the maximum bytes of one record in a transaction with this number of other operations. */
   maxRecordBytes(otherOperations: number): number {
-    const pieces = this.isCompact ? Math.max(1, this.limits.txnOps - otherOperations) : 1;
-    return pieces * (this.limits.valueBytes - FRAGMENT_OVERHEAD_BYTES);
+    const fragments = this.isCompact ? Math.max(1, this.limits.txnOps - otherOperations) : 1;
+    return fragments * (this.limits.valueBytes - FRAGMENT_OVERHEAD_BYTES);
   }
 
   /** Returns the bytes of a job's description as it is stored. */
   specBytes(spec: JobSpec): number {
-    const known = this.descriptions.get(spec);
-    if (known !== undefined) return known;
+    const cachedBytes = this.specSizes.get(spec);
+    if (cachedBytes !== undefined) return cachedBytes;
     const { dependencies: waitsOn } = spec;
     const stored = this.isCompact ? compactSpec(spec) : { ...toStoredSpec(spec), waitsOn };
     const bytes = jsonBytes(stored);
-    this.descriptions.set(spec, bytes);
+    this.specSizes.set(spec, bytes);
     return bytes;
   }
 
@@ -212,16 +212,17 @@
     if (!this.isCompact) return { puts: [{ key, value: encoded }], form: 'plain' };
     const bytes = jsonBytes(encoded);
     if (bytes <= valueBytes) return { puts: [{ key, value: encoded }], form: 'plain' };
-    const isTried = this.codec !== null && this.mayCompress() && isCompressible(key);
-    const smaller = isTried ? this.compress(key, value, encoded, bytes) : null;
-    if (smaller === null) {
-      const puts = splitIntoFragments(key, encoded, valueBytes, isTried);
+    const isCompressionTried =
+      this.codec !== null && this.isCompressionAllowed() && isCompressible(key);
+    const compressed = isCompressionTried ? this.compress(key, value, encoded, bytes) : null;
+    if (compressed === null) {
+      const puts = splitIntoFragments(key, encoded, valueBytes, isCompressionTried);
       return { puts, form: formOf(key, puts[0].value, encoded) };
     }
-    const isWhole = jsonBytes(smaller) <= valueBytes;
-    const puts: EncodedValue['puts'] = isWhole
-      ? [{ key, value: smaller }]
-      : splitIntoFragments(key, smaller, valueBytes, false);
+    const fitsInOneValue = jsonBytes(compressed) <= valueBytes;
+    const puts: EncodedValue['puts'] = fitsInOneValue
+      ? [{ key, value: compressed }]
+      : splitIntoFragments(key, compressed, valueBytes, false);
     return { puts, form: 'compressed' };
   }
 
--- a/src/storage/stateCache.ts
+++ b/src/storage/stateCache.ts
@@ -23,14 +23,14 @@
  */
 export class StateCache {
   /** Records by kind (`b/job/`, `b/run/`, …), so that iterating one kind skips the many records of finished jobs. */
-  private readonly kinds = new Map<string, Map<string, CachedRecord>>();
+  private readonly recordsByKind = new Map<string, Map<string, CachedRecord>>();
   private syncedRevision = -1;
   /**
    * Revisions of removals that are known here before the watch delivers them, by key. Until it has caught up, the watch
    * may still deliver earlier states of the record.
    */
-  private readonly removals = new Map<string, number>();
-  private stopped = false;
+  private readonly removalRevisions = new Map<string, number>();
+  private isStopped = false;
   loaded = false;
   /** Monotonic time up to which all changes are known here. */
   syncedAt = -Infinity;
@@ -40,7 +40,7 @@
     private readonly prefix: string,
     private readonly clock: Pick<Clock, 'now'>,
     private readonly options: { hold: number; pause: number },
-    private readonly changed: (change: KeyValueChange) => void,
+    private readonly onChange: (change: KeyValueChange) => void,
   ) {}
 
   /** Revision up to which the cache is complete. */
@@ -50,23 +50,24 @@
 
   /** Returns a record by its key. */
   get(key: string): CachedRecord | undefined {
-    return this.kinds.get(kindOf(key))?.get(key);
+    return this.recordsByKind.get(kindOf(key))?.get(key);
   }
 
   /** Returns the records whose key begins with `prefix`, all of one kind. */
   *entriesWithPrefix(prefix: string): IterableIterator<[string, CachedRecord]> {
     const kind = kindOf(prefix);
-    const items = this.kinds.get(kind);
-    if (items === undefined) return;
-    if (kind === prefix) yield* items;
-    else for (const entry of items) if (entry[0].startsWith(prefix)) yield entry;
+    const records = this.recordsByKind.get(kind);
+    if (records === undefined) return;
+    if (kind === prefix) yield* records;
+    else for (const entry of records) if (entry[0].startsWith(prefix)) yield entry;
   }
 
-  private of(key: string): Map<string, CachedRecord> {
+  private recordsOf(key: string): Map<string, CachedRecord> {
     const kind = kindOf(key);
-    let items = this.kinds.get(kind);
-    if (items === undefined) this.kinds.set(kind, (items = new Map<string, CachedRecord>()));
-    return items;
+    let records = this.recordsByKind.get(kind);
+    if (records === undefined)
+      this.recordsByKind.set(kind, (records = new Map<string, CachedRecord>()));
+    return records;
   }
 
   /**
@@ -74,23 +75,26 @@
    * record that is not newer and not cached has been removed since, and the answer that holds it is outdated.
    */
   note(key: string, value: unknown, revision: number): void {
-    const items = this.of(key);
-    const known = items.get(key);
-    if (revision <= Math.max(known?.revision ?? this.syncedRevision, this.removals.get(key) ?? -1))
+    const records = this.recordsOf(key);
+    const cached = records.get(key);
+    if (
+      revision <=
+      Math.max(cached?.revision ?? this.syncedRevision, this.removalRevisions.get(key) ?? -1)
+    )
       return;
-    items.set(key, { value, revision });
-    this.changed({ key, value, revision, removed: false });
+    records.set(key, { value, revision });
+    this.onChange({ key, value, revision, removed: false });
   }
 
   /** Applies a removal that this node wrote or read itself, ahead of the watch. */
   noteRemoved(key: string, revision: number): void {
-    const items = this.of(key);
-    const known = items.get(key);
-    if (known === undefined || known.revision > revision) return;
-    items.delete(key);
+    const records = this.recordsOf(key);
+    const cached = records.get(key);
+    if (cached === undefined || cached.revision > revision) return;
+    records.delete(key);
     if (Number.isFinite(revision) && revision > this.syncedRevision)
-      this.removals.set(key, revision);
-    this.changed({ key, value: null, revision, removed: true });
+      this.removalRevisions.set(key, revision);
+    this.onChange({ key, value: null, revision, removed: true });
   }
 
   /**
@@ -99,10 +103,10 @@
    */
   async catchUp(revision: number): Promise<void> {
     if (this.syncedRevision >= 0) {
-      const sent = this.clock.now();
-      const log = await this.client.readChanges(this.prefix, this.syncedRevision, 0);
-      if (log !== null && log.revision >= revision) {
-        this.follow(log, sent);
+      const sentAt = this.clock.now();
+      const changeLog = await this.client.readChanges(this.prefix, this.syncedRevision, 0);
+      if (changeLog !== null && changeLog.revision >= revision) {
+        this.applyChanges(changeLog, sentAt);
         return;
       }
     }
@@ -110,64 +114,64 @@
   }
 
   /** Applies an answer with changes; a newer answer may already have been applied. */
-  private follow(log: ChangeLog, sent: number): void {
-    for (const change of log.changes) {
+  private applyChanges(changeLog: ChangeLog, sentAt: number): void {
+    for (const change of changeLog.changes) {
       if (change.revision <= this.syncedRevision) continue;
       if (change.removed) this.noteRemoved(change.key, change.revision);
       else this.note(change.key, change.value, change.revision);
     }
-    this.reach(log.revision);
-    this.syncedAt = Math.max(this.syncedAt, sent);
+    this.advanceTo(changeLog.revision);
+    this.syncedAt = Math.max(this.syncedAt, sentAt);
   }
 
   /** Notes that the cache is complete up to this revision. */
-  private reach(revision: number): void {
+  private advanceTo(revision: number): void {
     this.syncedRevision = Math.max(this.syncedRevision, revision);
-    for (const [key, revision] of this.removals) {
-      if (revision <= this.syncedRevision) this.removals.delete(key);
+    for (const [key, removalRevision] of this.removalRevisions) {
+      if (removalRevision <= this.syncedRevision) this.removalRevisions.delete(key);
     }
   }
 
   /** Reads all records again. */
   async load(): Promise<void> {
-    const sent = this.clock.now();
+    const sentAt = this.clock.now();
     const { items, revision } = await this.client.readRange(this.prefix);
     const present = new Set<string>();
     for (const item of items) {
       present.add(item.key);
       this.note(item.key, item.value, item.revision);
     }
-    for (const items of this.kinds.values()) {
-      for (const [key, stored] of [...items]) {
+    for (const records of this.recordsByKind.values()) {
+      for (const [key, stored] of [...records]) {
         if (!present.has(key) && stored.revision <= revision) this.noteRemoved(key, revision);
       }
     }
     // Another read, or the watch, may have advanced further meanwhile.
-    this.reach(revision);
+    this.advanceTo(revision);
     this.loaded = true;
-    this.syncedAt = Math.max(this.syncedAt, sent);
+    this.syncedAt = Math.max(this.syncedAt, sentAt);
   }
 
   /** Watches the state service until `stop` is called. */
   async run(): Promise<void> {
-    while (!this.stopped) {
+    while (!this.isStopped) {
       try {
         if (this.syncedRevision < 0) await this.load();
-        const sent = this.clock.now();
-        const changes = await this.client.readChanges(
+        const sentAt = this.clock.now();
+        const changeLog = await this.client.readChanges(
           this.prefix,
           this.syncedRevision,
           this.options.hold,
         );
-        if (changes === null) {
+        if (changeLog === null) {
           this.syncedRevision = -1;
           continue;
         }
-        this.follow(changes, sent);
+        this.applyChanges(changeLog, sentAt);
         // Watch calls count towards the request rate: a short pause batches changes.
         await sleep(this.options.pause);
       } catch (error) {
-        log.debug(`watch: ${describeError(error)}`);
+        log.debug(`watching the state service failed: ${describeError(error)}`);
         await sleep(this.options.pause * 4);
       }
     }
@@ -175,7 +179,7 @@
 
   /** Stops the watch. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 }
 
--- a/src/storage/stateClient.ts
+++ b/src/storage/stateClient.ts
@@ -16,7 +16,7 @@
 /** The state service gave an answer that does not conform to its protocol. */
 class UnexpectedAnswerError extends StateServiceUnavailableError {
   constructor() {
-    super('odd answer');
+    super('the state service gave an unexpected answer');
   }
 }
 
@@ -141,43 +141,45 @@
   }
 
   /** Sends a read or a lease request, and retries it after a 429. */
-  private async ask(
+  private async send(
     method: string,
     target: string,
     body?: unknown,
     timeout?: number,
   ): Promise<Response> {
-    for (let tries = 0; ; tries++) {
+    for (let attempt = 0; ; attempt++) {
       await this.requests.acquire(1, method === 'POST' ? 'ownership' : 'urgent');
       let response: Response;
       try {
         response = await this.call(method, target, body, timeout);
       } catch (error) {
-        throw noAnswer(error);
+        throw toUnavailableError(error);
       }
-      if (response.status === 503) throw new StateServiceUnavailableError('state service refuses');
+      if (response.status === 503) throw new StateServiceUnavailableError('request refused (503)');
       if (response.status !== 429) return response;
       this.requests.backOff();
-      if (tries >= 3) throw new StateServiceUnavailableError('state service is over its rate');
-      await sleep(0.1 * (tries + 1));
+      if (attempt >= 3) throw new StateServiceUnavailableError('rate limit exceeded (429)');
+      await sleep(0.1 * (attempt + 1));
     }
   }
 
   /** Reads a record and joins its fragments. */
   async get(key: string): Promise<wire.KeyValue | null> {
-    for (let tries = 0; tries < FRAGMENT_READ_ATTEMPTS; tries++) {
+    for (let attempt = 0; attempt < FRAGMENT_READ_ATTEMPTS; attempt++) {
       const head = await this.getRow(key);
       if (head === null) return null;
-      const indexes = Array.from({ length: fragmentCount(head.value) }, (_, i) => i + 1);
-      const pieces = await Promise.all(indexes.map((i) => this.getRow(keys.fragment(key, i))));
-      const item = this.join(head, pieces);
+      const indices = Array.from({ length: fragmentCount(head.value) }, (_, i) => i + 1);
+      const fragments = await Promise.all(indices.map((i) => this.getRow(keys.fragment(key, i))));
+      const item = this.join(head, fragments);
       if (item !== null) return item;
     }
-    throw new StateServiceUnavailableError('a record keeps changing');
+    throw new StateServiceUnavailableError(
+      'a record kept changing between the reads of its fragments',
+    );
   }
 
   private async getRow(key: string): Promise<wire.KeyValue | null> {
-    const response = await this.ask('GET', wire.paths.key(key));
+    const response = await this.send('GET', wire.paths.key(key));
     if (response.status === 404) return null;
     const item = wire.parseKeyValue(response.body);
     if (response.status !== 200 || item === null) throw new UnexpectedAnswerError();
@@ -187,15 +189,15 @@
   /** Joins a head and its fragments. Returns null if they are not all of one revision. */
   private join(
     head: wire.KeyValue,
-    pieces: (wire.KeyValue | null | undefined)[],
+    fragments: (wire.KeyValue | null | undefined)[],
   ): wire.KeyValue | null {
     const { key, revision } = head;
-    if (pieces.some((piece) => piece?.revision !== revision)) return null;
+    if (fragments.some((fragment) => fragment?.revision !== revision)) return null;
     const joined = joinFragments(
       head.value,
-      pieces.map((piece) => piece?.value),
+      fragments.map((fragment) => fragment?.value),
     );
-    this.notePieces(key, pieces.length);
+    this.noteFragmentCount(key, fragments.length);
     this.noteForm(key, formOf(key, head.value, joined));
     return { key, value: this.decode(key, joined), revision };
   }
@@ -222,7 +224,7 @@
     this.unreadable.set(key, reason);
   }
 
-  private notePieces(key: string, count: number): void {
+  private noteFragmentCount(key: string, count: number): void {
     if (count > 0) this.fragmentCounts.set(key, count);
     else this.fragmentCounts.delete(key);
   }
@@ -234,9 +236,9 @@
 
   /** Returns the keys of records that had this form when they were last read or written here, sorted. */
   keysOfForm(form: StoredForm): string[] {
-    const found: string[] = [];
-    for (const [key, is] of this.forms) if (is === form) found.push(key);
-    return found.sort();
+    const matching: string[] = [];
+    for (const [key, storedForm] of this.forms) if (storedForm === form) matching.push(key);
+    return matching.sort();
   }
 
   /** Reads all records under a prefix. Each is at least as recent as the returned revision. */
@@ -249,35 +251,35 @@
     prefix: string,
   ): Promise<{ rows: Map<string, wire.KeyValue>; revision: number }> {
     const rows = new Map<string, wire.KeyValue>();
-    let epoch: number | null = null;
+    let revision: number | null = null;
     for (let after = '', more = true; more;) {
       const target = wire.paths.range(prefix, after, wire.RANGE_PAGE_SIZE);
-      const response = await this.ask('GET', target, undefined, this.options.timeout * 3);
+      const response = await this.send('GET', target, undefined, this.options.timeout * 3);
       const page = wire.parseRange(response.body);
       if (response.status !== 200 || page === null) throw new UnexpectedAnswerError();
       for (const item of page.items) rows.set(item.key, item);
-      epoch ??= page.revision;
+      revision ??= page.revision;
       const last = page.items[page.items.length - 1];
       more = page.more && last !== undefined;
       after = last?.key ?? '';
     }
-    return { rows, revision: epoch ?? 0 };
+    return { rows, revision: revision ?? 0 };
   }
 
   /** Reads the keys of records that are stored in this form from the state service, not from memory; sorted. */
   async readKeysOfForm(prefix: string, form: StoredForm): Promise<string[]> {
     const { rows } = await this.readRows(prefix);
-    const found: string[] = [];
+    const matching: string[] = [];
     for (const row of rows.values()) {
       if (isFragmentKey(row.key)) continue;
-      const pieces = fragmentsOf(row, (key) => rows.get(key));
+      const fragments = fragmentsOf(row, (key) => rows.get(key));
       // The record was written between two pages, so its current form is read separately.
-      const isTorn = pieces.some((piece) => piece?.revision !== row.revision);
+      const isTorn = fragments.some((fragment) => fragment?.revision !== row.revision);
       if (isTorn) await this.get(row.key);
-      const now = isTorn ? (this.forms.get(row.key) ?? 'plain') : formOfRows(row, pieces);
-      if (now === form) found.push(row.key);
+      const current = isTorn ? (this.forms.get(row.key) ?? 'plain') : formOfRows(row, fragments);
+      if (current === form) matching.push(row.key);
     }
-    return found;
+    return matching;
   }
 
   /** Joins the records of many rows; a record that changed between two pages is read again separately. */
@@ -285,7 +287,7 @@
     const items: wire.KeyValue[] = [];
     for (const row of rows.values()) {
       if (isFragmentKey(row.key)) continue;
-      const item = await this.joinOrRead(
+      const item = await this.joinOrReread(
         row,
         fragmentsOf(row, (key) => rows.get(key)),
       );
@@ -295,12 +297,12 @@
   }
 
   /** Joins a record from the given rows, or else reads it again. Returns null if it was removed or cannot be read. */
-  private async joinOrRead(
+  private async joinOrReread(
     head: wire.KeyValue,
-    pieces: (wire.KeyValue | undefined)[],
+    fragments: (wire.KeyValue | undefined)[],
   ): Promise<wire.KeyValue | null> {
     try {
-      return this.join(head, pieces) ?? (await this.get(head.key));
+      return this.join(head, fragments) ?? (await this.get(head.key));
     } catch (error) {
       // One corrupt record must not prevent the others from being read.
       if (error instanceof CorruptRecordError) return null;
@@ -327,8 +329,8 @@
     const cost = stored.puts.length + stored.deletes.length;
     if (cost > 0 && priority !== 'granted') await this.writes.acquire(cost, priority);
     // `awaitWriteTurn` was called without the cost of fragments.
-    const extra = cost - transaction.puts.length - transaction.deletes.length;
-    if (extra > 0 && priority === 'granted') this.writes.charge(extra, 'urgent');
+    const fragmentCost = cost - transaction.puts.length - transaction.deletes.length;
+    if (fragmentCost > 0 && priority === 'granted') this.writes.charge(fragmentCost, 'urgent');
     await this.requests.acquire(1, priority === 'granted' ? 'ownership' : priority);
     let response: Response;
     try {
@@ -349,21 +351,21 @@
     written: WrittenRecord[];
   } {
     const puts: wire.Transaction['puts'] = [];
-    const removes = [...transaction.deletes];
+    const deletes = [...transaction.deletes];
     const written: WrittenRecord[] = [];
-    const removePieces = (key: string, from: number): void => {
+    const deleteFragments = (key: string, from: number): void => {
       for (let i = from; i <= (this.fragmentCounts.get(key) ?? 0); i++)
-        removes.push(keys.fragment(key, i));
+        deletes.push(keys.fragment(key, i));
     };
-    for (const { key, value, leaseId: hold } of transaction.puts) {
+    for (const { key, value, leaseId } of transaction.puts) {
       const { puts: encoded, form } = this.recordFormat.encodeValue(key, value);
-      const [head, ...pieces] = encoded;
-      puts.push(hold === undefined ? head : { ...head, leaseId: hold }, ...pieces);
-      removePieces(key, pieces.length + 1);
-      written.push({ key, fragments: pieces.length, form });
+      const [head, ...fragments] = encoded;
+      puts.push(leaseId === undefined ? head : { ...head, leaseId }, ...fragments);
+      deleteFragments(key, fragments.length + 1);
+      written.push({ key, fragments: fragments.length, form });
     }
-    for (const key of transaction.deletes) removePieces(key, 1);
-    return { stored: { conditions: transaction.conditions, puts, deletes: removes }, written };
+    for (const key of transaction.deletes) deleteFragments(key, 1);
+    return { stored: { conditions: transaction.conditions, puts, deletes }, written };
   }
 
   /** Returns the operations that a write of a record takes, including its fragments; `value` is null for its removal. */
@@ -373,8 +375,8 @@
   }
 
   private noteWritten(written: WrittenRecord[], removed: string[]): void {
-    for (const { key, fragments: pieces, form } of written) {
-      this.notePieces(key, pieces);
+    for (const { key, fragments, form } of written) {
+      this.noteFragmentCount(key, fragments);
       this.noteForm(key, form);
       this.unreadable.delete(key);
     }
@@ -407,46 +409,46 @@
 
   /** Requests a new lease of `ttl` seconds and returns its id. */
   async grantLease(ttl: number): Promise<number> {
-    const response = await this.ask('POST', wire.paths.leases, wire.leaseRequest(ttl));
-    const hold = wire.parseLease(response.body);
-    if (hold === null) throw new UnexpectedAnswerError();
-    return hold;
+    const response = await this.send('POST', wire.paths.leases, wire.leaseRequest(ttl));
+    const leaseId = wire.parseLease(response.body);
+    if (leaseId === null) throw new UnexpectedAnswerError();
+    return leaseId;
   }
 
   /** Renews a lease; returns false if it has expired. The call bypasses the rate limit, as a delayed renewal is useless. */
-  async renewLease(hold: number, timeout: number): Promise<boolean> {
+  async renewLease(leaseId: number, timeout: number): Promise<boolean> {
     let response: Response;
     try {
-      response = await this.call('POST', wire.paths.renewLease(hold), undefined, timeout);
+      response = await this.call('POST', wire.paths.renewLease(leaseId), undefined, timeout);
     } catch (error) {
-      throw noAnswer(error);
+      throw toUnavailableError(error);
     }
     if (response.status === 404) return false;
     if (response.status !== 200)
-      throw new StateServiceUnavailableError(`renewal: ${response.status}`);
+      throw new StateServiceUnavailableError(`lease renewal failed with status ${response.status}`);
     return true;
   }
 
   /** Reads the changes after a revision. Returns null if the service no longer keeps changes from that revision on. */
   async readChanges(
     prefix: string,
-    from: number,
-    hold: number,
+    revision: number,
+    pollTimeout: number,
   ): Promise<{ revision: number; changes: wire.KeyValueChange[] } | null> {
-    const target = wire.paths.changes(prefix, from, hold);
-    const response = await this.ask('GET', target, undefined, hold + this.options.timeout);
+    const target = wire.paths.changes(prefix, revision, pollTimeout);
+    const response = await this.send('GET', target, undefined, pollTimeout + this.options.timeout);
     if (response.status === 410) return null;
-    const told = wire.parseChanges(response.body);
-    if (response.status !== 200 || told === null) throw new UnexpectedAnswerError();
-    return { revision: told.revision, changes: await this.joinChanges(told.changes) };
+    const changeLog = wire.parseChanges(response.body);
+    if (response.status !== 200 || changeLog === null) throw new UnexpectedAnswerError();
+    return { revision: changeLog.revision, changes: await this.joinChanges(changeLog.changes) };
   }
 
   /** Joins the records of a change log. A head and its fragments change in one transaction, so the log has all or none. */
   private async joinChanges(changes: wire.KeyValueChange[]): Promise<wire.KeyValueChange[]> {
-    const pieces = new Map<string, wire.KeyValue>();
+    const fragments = new Map<string, wire.KeyValue>();
     const versioned = (key: string, revision: number): string => `${key}@${revision}`;
     for (const change of changes) {
-      if (isFragmentKey(change.key)) pieces.set(versioned(change.key, change.revision), change);
+      if (isFragmentKey(change.key)) fragments.set(versioned(change.key, change.revision), change);
     }
     const joined: wire.KeyValueChange[] = [];
     for (const change of changes) {
@@ -456,15 +458,15 @@
         joined.push(change);
         continue;
       }
-      const found = fragmentsOf(change, (key) => pieces.get(versioned(key, change.revision)));
-      const item = await this.joinOrRead(change, found);
+      const found = fragmentsOf(change, (key) => fragments.get(versioned(key, change.revision)));
+      const item = await this.joinOrReread(change, found);
       if (item !== null) joined.push({ ...item, removed: false });
     }
     return joined;
   }
 }
 
-const noAnswer = (cause: unknown): StateServiceUnavailableError =>
+const toUnavailableError = (cause: unknown): StateServiceUnavailableError =>
   new StateServiceUnavailableError(cause instanceof Error ? cause.message : 'no answer', { cause });
 
 /** Returns the fragments that a head counts; undefined for those that `find` does not know. */
@@ -474,20 +476,20 @@
 ): (wire.KeyValue | undefined)[] =>
   Array.from({ length: fragmentCount(head.value) }, (_, i) => find(keys.fragment(head.key, i + 1)));
 
-const formOfRows = (head: wire.KeyValue, pieces: (wire.KeyValue | undefined)[]): StoredForm =>
+const formOfRows = (head: wire.KeyValue, fragments: (wire.KeyValue | undefined)[]): StoredForm =>
   formOf(
     head.key,
     head.value,
     joinFragments(
       head.value,
-      pieces.map((piece) => piece?.value),
+      fragments.map((fragment) => fragment?.value),
     ),
   );
 
-function logMalformed({ puts, deletes: removes }: wire.Transaction): void {
+function logMalformed({ puts, deletes }: wire.Transaction): void {
   const sizes = puts.map(({ key, value }) => `${key} ${JSON.stringify(value).length}`);
   log.error(
-    `the state service calls a change malformed: ${puts.length + removes.length} operations, ` +
+    `the service rejected a malformed transaction: ${puts.length + deletes.length} operations, ` +
       `bytes of ${sizes.join(', ')}`,
   );
 }
