--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -301,7 +301,7 @@
     }
     this.events.stored(
       ownedShard,
-      stored.map(({ chunk }) => chunk),
+      stored.map((entry) => entry.chunk),
     );
   }
 
--- a/test/leadership/shardLeadership.test.ts
+++ b/test/leadership/shardLeadership.test.ts
@@ -6,7 +6,7 @@
 import { until } from '../support/cluster.js';
 import { MemoryStore } from '../support/store.js';
 
-const LEASE_S = 4;
+const LEASE_SECONDS = 4;
 
 /** A node that claims its shard, with leases that the test expires. */
 class Claimant {
@@ -15,32 +15,32 @@
   readonly gained: string[] = [];
   /** Delays the reading of the records after a claim. */
   catchUp: () => Promise<void> = () => Promise.resolve();
-  private hold = 0;
-  private readonly ended = new Set<number>();
-  readonly ownership: ShardLeadership;
+  private leaseId = 0;
+  private readonly expired = new Set<number>();
+  readonly leadership: ShardLeadership;
 
   constructor() {
     const client = {
-      grantLease: () => Promise.resolve(++this.hold),
-      renewLease: (hold: number) => Promise.resolve(!this.ended.has(hold)),
+      grantLease: () => Promise.resolve(++this.leaseId),
+      renewLease: (leaseId: number) => Promise.resolve(!this.expired.has(leaseId)),
       get: this.store.get.bind(this.store),
       transact: this.store.transact.bind(this.store),
     };
-    const replica = {
+    const stateCache = {
       loaded: true,
       get: (key: string) => this.store.rows.get(key),
       note: () => undefined,
       noteRemoved: () => undefined,
       catchUp: () => this.catchUp(),
     };
-    this.ownership = new ShardLeadership(
+    this.leadership = new ShardLeadership(
       client,
-      replica,
+      stateCache,
       { now: () => this.now, wall: () => this.now },
-      { label: 'p', process: 'x', shards: ['p'], leaseTtl: LEASE_S, leaderGracePeriod: 10 },
+      { label: 'p', process: 'x', shards: ['p'], leaseTtl: LEASE_SECONDS, leaderGracePeriod: 10 },
       {
-        onGained: (part) => {
-          this.gained.push(part);
+        onGained: (shard) => {
+          this.gained.push(shard);
         },
         onLost: () => undefined,
         awaitWrites: () => Promise.resolve(),
@@ -52,43 +52,48 @@
   }
 
   /** Expires the lease at the state service, which removes the leader record attached to it. */
-  endLease(): void {
-    this.ended.add(this.hold);
+  expireLease(): void {
+    this.expired.add(this.leaseId);
     this.store.rows.delete(keys.leader('p'));
   }
 
-  get leases(): number {
-    return this.hold;
+  get grantedLeases(): number {
+    return this.leaseId;
   }
 }
 
 test('a claim under a lease that expired meanwhile has no effect, although a new lease is valid', async (t) => {
-  const c = new Claimant();
+  const claimant = new Claimant();
   t.after(() => {
-    c.ownership.stop();
+    claimant.leadership.stop();
   });
-  let readAll: () => void = () => undefined;
+  let finishCatchUp: () => void = () => undefined;
   let claims = 0;
-  c.catchUp = () =>
-    ++claims === 1 ? new Promise((resolve) => (readAll = resolve)) : new Promise(() => undefined);
-  void c.ownership.run();
+  claimant.catchUp = () =>
+    ++claims === 1
+      ? new Promise((resolve) => (finishCatchUp = resolve))
+      : new Promise(() => undefined);
+  void claimant.leadership.run();
   await until('the claim is written', () => claims === 1);
-  c.endLease();
-  await until('a new lease is granted', () => c.leases === 2 && c.ownership.isLeaseValid);
-  readAll();
+  claimant.expireLease();
+  await until(
+    'a new lease is granted',
+    () => claimant.grantedLeases === 2 && claimant.leadership.isLeaseValid,
+  );
+  finishCatchUp();
   await new Promise((resolve) => setImmediate(resolve));
   assert.deepEqual(
-    c.gained,
+    claimant.gained,
     [],
     'the leader record was removed with the lease, and a peer may lead the shard',
   );
 });
 
 test('a claim under a lease that stays valid gains the leadership', async (t) => {
-  const c = new Claimant();
+  const claimant = new Claimant();
   t.after(() => {
-    c.ownership.stop();
+    claimant.leadership.stop();
   });
-  void c.ownership.run();
-  await until('it leads its shard', () => c.gained.includes('p'));
+  void claimant.leadership.run();
+  await until('it leads its shard', () => claimant.gained.includes('p'));
 });
--- a/test/leadership/shardLoader.test.ts
+++ b/test/leadership/shardLoader.test.ts
@@ -16,7 +16,7 @@
 import { emptyShard, m8 } from '../support/emptyShard.js';
 import { spec } from '../support/spec.js';
 
-const HELD = { fencingToken: 7, revision: 9, previousLeaderLostAt: 0 };
+const LEADERSHIP = { fencingToken: 7, revision: 9, previousLeaderLostAt: 0 };
 
 /** A node with the records of a shard with one machine and one chunk of two tasks, one of which a leader has started. */
 function nodeWith(job: Partial<JobRecord>): ShardLoaderContext {
@@ -45,8 +45,8 @@
     doneTasks: [],
     migrationCount: 0,
   };
-  const entry = { task: 1, attemptNumber: 2, machine: 'n-1', agentEpoch: 1 };
-  const bucket: BucketRecord = { chunks: { 'wk-1/0': { ...chunk, attempts: [entry] } } };
+  const attempt = { task: 1, attemptNumber: 2, machine: 'n-1', agentEpoch: 1 };
+  const bucket: BucketRecord = { chunks: { 'wk-1/0': { ...chunk, attempts: [attempt] } } };
   const rows = new Map<string, CachedRecord>([
     [keys.job('wk-1'), { value: record, revision: 5 }],
     [keys.bucket('p', 's1'), { value: bucket, revision: 4 }],
@@ -80,12 +80,12 @@
   test(`an attempt that an earlier leader started counts until it is known to have terminated: ${name}`, () => {
     const cancellation = job.state === 'cancelled' ? ('stored' as const) : ('none' as const);
     const view = { cancellationOf: () => cancellation };
-    const part = emptyShard(3, new Map([['m8', m8]]), view);
-    new ShardLoader(nodeWith(job)).load(part, HELD, 100);
-    assert.equal(part.teamUsage.usedBy('crew').cpus, 2);
-    const machine = part.machines.get('n-1');
+    const shard = emptyShard(3, new Map([['m8', m8]]), view);
+    new ShardLoader(nodeWith(job)).load(shard, LEADERSHIP, 100);
+    assert.equal(shard.teamUsage.usedBy('crew').cpus, 2);
+    const machine = shard.machines.get('n-1');
     assert.equal(machine?.free.cpus, 6);
-    const chunk = part.chunks.get('wk-1/0');
+    const chunk = shard.chunks.get('wk-1/0');
     assert.equal(chunk?.isCancelRequested, !isWanted);
     assert.equal(
       chunk?.attempts.get(1)?.stop !== null,
@@ -103,25 +103,25 @@
     of: () => new Map<string, MachineRecord>().entries(),
     get: (name) => (name === 'n-1' ? elsewhere : undefined),
   };
-  const part = emptyShard(3, new Map([['m8', m8]]));
-  new ShardLoader(node).load(part, HELD, 100);
-  assert.equal(part.chunks.get('wk-1/0')?.attempts.get(1)?.machine, 'n-1');
-  part.liveness.sweep(100 + 1000);
+  const shard = emptyShard(3, new Map([['m8', m8]]));
+  new ShardLoader(node).load(shard, LEADERSHIP, 100);
+  assert.equal(shard.chunks.get('wk-1/0')?.attempts.get(1)?.machine, 'n-1');
+  shard.liveness.sweep(100 + 1000);
   assert.equal(
-    part.chunks.get('wk-1/0')?.attempts.size,
+    shard.chunks.get('wk-1/0')?.attempts.size,
     1,
     "another leader renews its worker's lease",
   );
-  assert.equal(part.machines.get('n-1')?.availability(100), 'reassigned');
-  part.removeMachine('n-1', 100);
-  assert.equal(part.chunks.get('wk-1/0')?.attempts.size, 0, 'its release is confirmed');
+  assert.equal(shard.machines.get('n-1')?.availability(100), 'reassigned');
+  shard.removeMachine('n-1', 100);
+  assert.equal(shard.chunks.get('wk-1/0')?.attempts.size, 0, 'its release is confirmed');
 });
 
 test('a chunk that is loaded while the cancellation of its job is announced is not started', () => {
   const view = { cancellationOf: () => 'announced' as const };
-  const part = emptyShard(3, new Map([['m8', m8]]), view);
-  new ShardLoader(nodeWith({})).load(part, HELD, 100);
-  const chunk = part.chunks.get('wk-1/0');
+  const shard = emptyShard(3, new Map([['m8', m8]]), view);
+  new ShardLoader(nodeWith({})).load(shard, LEADERSHIP, 100);
+  const chunk = shard.chunks.get('wk-1/0');
   assert.equal(chunk?.pendingCount, 0);
   assert.deepEqual(chunk.attempts.get(1)?.stop, { gracePeriod: 0, sentAt: null });
 });
--- a/test/persistence/bucketWriter.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -15,8 +15,8 @@
 import { spec } from '../support/spec.js';
 import { MemoryStore } from '../support/store.js';
 
-const group = (part: string, ...names: string[]): MachineGroupRecord => ({
-  shard: part,
+const group = (shard: string, ...names: string[]): MachineGroupRecord => ({
+  shard,
   type: 'm8',
   zone: 'a',
   spot: false,
@@ -24,7 +24,7 @@
 });
 
 test('machines come and go with the record of their rental', () => {
-  const fleet = new MachineInventory();
+  const inventory = new MachineInventory();
   const steps: [string, string, MachineGroupRecord | null, string[], string[], number][] = [
     [
       'a rental that is being requested has no machines',
@@ -48,15 +48,15 @@
     ['and stays when the later record is removed', 'r2', null, [], ['n3'], 1],
     ['the last record is removed', 'r1', null, [], ['n2'], 0],
   ];
-  for (const [name, ask, record, present, gone, count] of steps) {
-    const change = fleet.update(ask, record);
+  for (const [name, rental, record, present, gone, count] of steps) {
+    const change = inventory.update(rental, record);
     assert.deepEqual(
       change.present.map(([n]) => n),
       present,
       name,
     );
     assert.deepEqual(change.gone, gone, name);
-    assert.equal(fleet.countsOf('p').get('m8') ?? 0, count, name);
+    assert.equal(inventory.countsOf('p').get('m8') ?? 0, count, name);
   }
 });
 
@@ -83,48 +83,49 @@
     ['the demand of one is unknown', [2], 18],
     ['the demand of both is unknown', [], 10],
   ];
-  for (const [name, needs, share] of cases) assert.equal(rateShareOf(30, 3, needs), share, name);
-  for (const needs of [
+  for (const [name, demands, share] of cases)
+    assert.equal(rateShareOf(30, 3, demands), share, name);
+  for (const demands of [
     [12, 3, 9],
     [10, 10, 10],
     [1, 2, 3],
     [40, 50, 60],
   ]) {
-    const used = needs.map((n, i) =>
+    const used = demands.map((demand, i) =>
       Math.min(
-        n,
+        demand,
         rateShareOf(
           30,
           3,
-          needs.filter((_, k) => k !== i),
+          demands.filter((_, k) => k !== i),
         ),
       ),
     );
-    assert.ok(used.reduce((a, b) => a + b) <= 30 + 1e-9, `${needs.join(' ')} exceed the rate`);
+    assert.ok(used.reduce((a, b) => a + b) <= 30 + 1e-9, `${demands.join(' ')} exceed the rate`);
   }
 });
 
 /** One shard with its bucket writer, on a state service in memory. */
-class Desk {
+class WriterFixture {
   now = 100;
   readonly store = new MemoryStore();
-  readonly host: OwnedShard;
+  readonly ownedShard: OwnedShard;
   readonly started: string[] = [];
   private readonly bucketWriter: BucketWriter;
 
   constructor() {
-    const part = emptyShard(3, new Map([['m8', m8]]));
-    for (const [label, stamp] of [
+    const shard = emptyShard(3, new Map([['m8', m8]]));
+    for (const [label, revision] of [
       ['p', 1],
       ['q', 2],
     ] as const) {
       this.store.rows.set(keys.leader(label), {
         key: keys.leader(label),
         value: {},
-        revision: stamp,
+        revision,
       });
     }
-    this.host = createOwnedShard(part, { fencingToken: 5, revision: 1 }, 0);
+    this.ownedShard = createOwnedShard(shard, { fencingToken: 5, revision: 1 }, 0);
     const { rows } = this.store;
     this.bucketWriter = new BucketWriter(
       this.store,
@@ -135,9 +136,9 @@
         verifyLeadership: () => Promise.resolve(),
         stored: (_, chunks) => {
           for (const chunk of chunks) {
-            for (const entry of chunk.attempts.values()) {
-              const name = `${chunk.taskName(entry.task)}@${entry.machine}`;
-              if (chunk.isDurable(entry) && !this.started.includes(name)) this.started.push(name);
+            for (const attempt of chunk.attempts.values()) {
+              const name = `${chunk.taskName(attempt.task)}@${attempt.machine}`;
+              if (chunk.isDurable(attempt) && !this.started.includes(name)) this.started.push(name);
             }
           }
         },
@@ -146,7 +147,7 @@
     );
   }
 
-  machine(name: string): void {
+  addMachine(name: string): void {
     const record = {
       shard: 'p',
       type: 'm8',
@@ -155,7 +156,7 @@
       launchedAt: 0,
       address: 'h:1',
     };
-    const machine = this.host.shard.addMachine(name, record, this.now);
+    const machine = this.ownedShard.shard.addMachine(name, record, this.now);
     const report = { machine: name, address: 'h:1', type: 'm8', zone: 'a', spot: false };
     const rest = {
       agentEpoch: 1,
@@ -164,10 +165,10 @@
       preemptionWarning: null,
       attempts: [],
     };
-    this.host.shard.heartbeats.apply(machine, { ...report, ...rest }, this.now, 'response');
+    this.ownedShard.shard.heartbeats.apply(machine, { ...report, ...rest }, this.now, 'response');
   }
 
-  job(id: string, tasks = 1): Chunk {
+  addJob(id: string, tasks = 1): Chunk {
     const chunk = new Chunk(
       spec({ id, taskCount: tasks }),
       0,
@@ -178,24 +179,24 @@
       null,
       this.now,
     );
-    this.host.shard.acceptNewChunk(chunk, this.now);
+    this.ownedShard.shard.acceptNewChunk(chunk, this.now);
     return chunk;
   }
 
   /** Runs a scheduling round, writes what is due and waits for all answers. */
-  async round(seconds = 5): Promise<void> {
+  async runRound(seconds = 5): Promise<void> {
     this.now += seconds;
-    this.host.shard.scheduler.runRound(this.now, () => false);
-    this.bucketWriter.writeDueBuckets(this.host);
-    while (this.host.writesInFlight > 0) await new Promise((r) => setTimeout(r, 1));
+    this.ownedShard.shard.scheduler.runRound(this.now, () => false);
+    this.bucketWriter.writeDueBuckets(this.ownedShard);
+    while (this.ownedShard.writesInFlight > 0) await new Promise((r) => setTimeout(r, 1));
   }
 
   move(chunk: Chunk): ReturnType<BucketWriter['move']> {
-    return this.bucketWriter.move(this.host, chunk, 'q', { conditions: [], puts: [] });
+    return this.bucketWriter.move(this.ownedShard, chunk, 'q', { conditions: [], puts: [] });
   }
 
   /** Migrates the chunk back from the peer, and delivers the change to this shard. */
-  sendBack(chunk: Chunk): void {
+  migrateBack(chunk: Chunk): void {
     const { rows } = this.store;
     const found = [...rows.values()].find(({ key }) => key.startsWith('b/run/q/'));
     assert.ok(found, 'the chunk is stored at the peer');
@@ -221,11 +222,11 @@
       recordFormat: layoutFor(),
       requestSchedulingRound: () => undefined,
     });
-    loader.noteBucket(this.host, name, value, revision);
+    loader.noteBucket(this.ownedShard, name, value, revision);
   }
 
   /** Returns the shards whose stored buckets hold the chunk. */
-  where(chunk: Chunk): string[] {
+  shardsStoring(chunk: Chunk): string[] {
     return [...this.store.rows.values()].flatMap(({ key, value }) =>
       key.startsWith('b/run/') && (value as BucketRecord).chunks[chunk.id] !== undefined
         ? [key.split('/')[2] ?? '']
@@ -235,145 +236,153 @@
 }
 
 test('many chunks cost one write, and a finished chunk is removed with the next write', async () => {
-  const desk = new Desk();
-  desk.machine('n-1');
-  const chunks = ['wk-1', 'wk-2', 'wk-3', 'wk-4'].map((id) => desk.job(id));
-  await desk.round();
-  assert.equal(desk.store.changes, 1);
-  assert.equal(desk.started.length, 4);
+  const fixture = new WriterFixture();
+  fixture.addMachine('n-1');
+  const chunks = ['wk-1', 'wk-2', 'wk-3', 'wk-4'].map((id) => fixture.addJob(id));
+  await fixture.runRound();
+  assert.equal(fixture.store.changes, 1);
+  assert.equal(fixture.started.length, 4);
   const [first] = chunks;
   if (first === undefined) throw new Error('no chunks');
-  desk.host.shard.dropChunk(first);
-  await desk.round();
-  assert.equal(desk.store.changes, 1, 'the removal of a finished chunk is not written by itself');
-  const next = desk.job('wk-5');
-  await desk.round();
-  assert.equal(desk.store.changes, 2);
-  assert.deepEqual(desk.where(first), []);
-  assert.deepEqual(desk.where(next), ['p']);
+  fixture.ownedShard.shard.dropChunk(first);
+  await fixture.runRound();
+  assert.equal(
+    fixture.store.changes,
+    1,
+    'the removal of a finished chunk is not written by itself',
+  );
+  const next = fixture.addJob('wk-5');
+  await fixture.runRound();
+  assert.equal(fixture.store.changes, 2);
+  assert.deepEqual(fixture.shardsStoring(first), []);
+  assert.deepEqual(fixture.shardsStoring(next), ['p']);
 });
 
 test('an empty bucket is reused for the next chunk, also if its removal got no answer', async () => {
   for (const removal of ['none', 'applied', 'late'] as const) {
-    const desk = new Desk();
-    desk.machine('n-1');
-    const first = desk.job('wk-1');
-    await desk.round();
-    desk.host.shard.dropChunk(first);
+    const fixture = new WriterFixture();
+    fixture.addMachine('n-1');
+    const first = fixture.addJob('wk-1');
+    await fixture.runRound();
+    fixture.ownedShard.shard.dropChunk(first);
     if (removal !== 'none') {
-      desk.store.loseNext = true;
-      await desk.round();
-      if (removal === 'applied') assert.equal(desk.store.late().kind, 'applied');
+      fixture.store.loseNext = true;
+      await fixture.runRound();
+      if (removal === 'applied') assert.equal(fixture.store.late().kind, 'applied');
     }
-    const before = desk.store.changes;
-    const next = desk.job('wk-2');
-    await desk.round();
-    await desk.round();
-    if (removal === 'late') assert.equal(desk.store.late().kind, 'conflict');
-    assert.deepEqual([desk.where(first), desk.where(next)], [[], ['p']], removal);
-    assert.ok(desk.started.includes('wk-2/0@n-1'), removal);
-    assert.equal(desk.store.changes, before + 1, `${removal}: one write, no removal`);
+    const before = fixture.store.changes;
+    const next = fixture.addJob('wk-2');
+    await fixture.runRound();
+    await fixture.runRound();
+    if (removal === 'late') assert.equal(fixture.store.late().kind, 'conflict');
+    assert.deepEqual(
+      [fixture.shardsStoring(first), fixture.shardsStoring(next)],
+      [[], ['p']],
+      removal,
+    );
+    assert.ok(fixture.started.includes('wk-2/0@n-1'), removal);
+    assert.equal(fixture.store.changes, before + 1, `${removal}: one write, no removal`);
   }
 });
 
 test('a start waits for the answer to its write, also if the first copy was applied without an answer', async () => {
   for (const applied of [true, false]) {
-    const desk = new Desk();
-    desk.machine('n-1');
-    const chunk = desk.job('wk-1');
-    desk.store.loseNext = true;
-    await desk.round();
-    assert.deepEqual(desk.started, [], 'started before the write was answered');
-    if (applied) desk.store.late();
-    await desk.round();
-    await desk.round();
-    assert.deepEqual(desk.started, ['wk-1/0@n-1']);
-    assert.deepEqual(desk.where(chunk), ['p']);
-    if (!applied) assert.equal(desk.store.late().kind, 'conflict', 'a late copy was applied');
+    const fixture = new WriterFixture();
+    fixture.addMachine('n-1');
+    const chunk = fixture.addJob('wk-1');
+    fixture.store.loseNext = true;
+    await fixture.runRound();
+    assert.deepEqual(fixture.started, [], 'started before the write was answered');
+    if (applied) fixture.store.late();
+    await fixture.runRound();
+    await fixture.runRound();
+    assert.deepEqual(fixture.started, ['wk-1/0@n-1']);
+    assert.deepEqual(fixture.shardsStoring(chunk), ['p']);
+    if (!applied) assert.equal(fixture.store.late().kind, 'conflict', 'a late copy was applied');
   }
 });
 
 test('a migration without an answer leaves the chunk in one shard, whenever it is applied', async () => {
   for (const early of [true, false]) {
-    const desk = new Desk();
-    const chunk = desk.job('wk-1');
-    const other = desk.job('wk-2');
-    await desk.round();
-    desk.store.loseNext = true;
-    assert.equal((await desk.move(chunk)).kind, 'unknown');
-    if (early) assert.equal(desk.store.late().kind, 'applied');
+    const fixture = new WriterFixture();
+    const chunk = fixture.addJob('wk-1');
+    const other = fixture.addJob('wk-2');
+    await fixture.runRound();
+    fixture.store.loseNext = true;
+    assert.equal((await fixture.move(chunk)).kind, 'unknown');
+    if (early) assert.equal(fixture.store.late().kind, 'applied');
     // A machine becomes available here meanwhile, and both chunks are placed.
-    desk.machine('n-1');
-    await desk.round();
-    await desk.round();
-    if (!early) assert.equal(desk.store.late().kind, 'conflict');
-    assert.deepEqual(desk.where(chunk), [early ? 'q' : 'p']);
-    assert.deepEqual(desk.where(other), ['p']);
-    const mine = desk.started.filter((name) => name.startsWith('wk-1/'));
-    assert.equal(mine.length, early ? 0 : 1, 'started here although it had migrated');
-    assert.ok(desk.started.includes('wk-2/0@n-1'));
+    fixture.addMachine('n-1');
+    await fixture.runRound();
+    await fixture.runRound();
+    if (!early) assert.equal(fixture.store.late().kind, 'conflict');
+    assert.deepEqual(fixture.shardsStoring(chunk), [early ? 'q' : 'p']);
+    assert.deepEqual(fixture.shardsStoring(other), ['p']);
+    const startedHere = fixture.started.filter((name) => name.startsWith('wk-1/'));
+    assert.equal(startedHere.length, early ? 0 : 1, 'started here although it had migrated');
+    assert.ok(fixture.started.includes('wk-2/0@n-1'));
   }
 });
 
 test('a bucket whose creation got no answer is not created again after its chunks have left it', async () => {
   for (const leave of ['moved', 'dropped before it was stored'] as const) {
-    const desk = new Desk();
-    const chunk = desk.job('wk-1');
-    desk.store.loseNext = true;
-    await desk.round();
+    const fixture = new WriterFixture();
+    const chunk = fixture.addJob('wk-1');
+    fixture.store.loseNext = true;
+    await fixture.runRound();
     if (leave === 'moved') {
-      await desk.round();
-      assert.equal((await desk.move(chunk)).kind, 'applied');
-    } else desk.host.shard.dropChunk(chunk);
-    await desk.round();
-    await desk.round();
+      await fixture.runRound();
+      assert.equal((await fixture.move(chunk)).kind, 'applied');
+    } else fixture.ownedShard.shard.dropChunk(chunk);
+    await fixture.runRound();
+    await fixture.runRound();
     // The late copy is conditional on the absence of the record: it would be applied if the record had been removed.
-    assert.equal(desk.store.late().kind, 'conflict');
-    assert.deepEqual(desk.where(chunk), leave === 'moved' ? ['q'] : []);
+    assert.equal(fixture.store.late().kind, 'conflict');
+    assert.deepEqual(fixture.shardsStoring(chunk), leave === 'moved' ? ['q'] : []);
     // The bucket is reused for the next chunk.
-    const next = desk.job('wk-2');
-    await desk.round();
-    assert.deepEqual(desk.where(next), ['p']);
-    assert.equal([...desk.store.rows.keys()].filter((k) => k.startsWith('b/run/p/')).length, 1);
+    const next = fixture.addJob('wk-2');
+    await fixture.runRound();
+    assert.deepEqual(fixture.shardsStoring(next), ['p']);
+    assert.equal([...fixture.store.rows.keys()].filter((k) => k.startsWith('b/run/p/')).length, 1);
   }
 });
 
 test('a chunk that comes back before its move away is known to be applied is not lost', async () => {
-  const desk = new Desk();
-  const chunk = desk.job('wk-1');
-  await desk.round();
-  desk.store.loseNext = true;
-  assert.equal((await desk.move(chunk)).kind, 'unknown');
-  assert.equal(desk.store.late().kind, 'applied');
-  desk.sendBack(chunk);
-  await desk.round();
-  desk.machine('n-1');
-  for (let round = 0; round < 4; round++) await desk.round();
-  assert.deepEqual(desk.where(chunk), ['p']);
-  assert.ok(desk.started.includes('wk-1/0@n-1'), 'it waits forever');
+  const fixture = new WriterFixture();
+  const chunk = fixture.addJob('wk-1');
+  await fixture.runRound();
+  fixture.store.loseNext = true;
+  assert.equal((await fixture.move(chunk)).kind, 'unknown');
+  assert.equal(fixture.store.late().kind, 'applied');
+  fixture.migrateBack(chunk);
+  await fixture.runRound();
+  fixture.addMachine('n-1');
+  for (let round = 0; round < 4; round++) await fixture.runRound();
+  assert.deepEqual(fixture.shardsStoring(chunk), ['p']);
+  assert.ok(fixture.started.includes('wk-1/0@n-1'), 'it waits forever');
 });
 
 test('a late copy of an answered transaction does not restore a chunk that has left its bucket', async () => {
   for (const leave of ['moved', 'dropped'] as const) {
-    const desk = new Desk();
-    const chunk = desk.job('wk-1');
-    await desk.round();
-    if (leave === 'moved') assert.equal((await desk.move(chunk)).kind, 'applied');
-    else desk.host.shard.dropChunk(chunk);
-    await desk.round();
-    await desk.round();
-    assert.deepEqual(new Set(desk.store.repeatAnswered()), new Set(['conflict']), leave);
-    assert.deepEqual(desk.where(chunk), leave === 'moved' ? ['q'] : []);
+    const fixture = new WriterFixture();
+    const chunk = fixture.addJob('wk-1');
+    await fixture.runRound();
+    if (leave === 'moved') assert.equal((await fixture.move(chunk)).kind, 'applied');
+    else fixture.ownedShard.shard.dropChunk(chunk);
+    await fixture.runRound();
+    await fixture.runRound();
+    assert.deepEqual(new Set(fixture.store.repeatAnswered()), new Set(['conflict']), leave);
+    assert.deepEqual(fixture.shardsStoring(chunk), leave === 'moved' ? ['q'] : []);
   }
 });
 
 test('a chunk with started tasks does not migrate', async () => {
-  const desk = new Desk();
-  desk.machine('n-1');
-  const chunk = desk.job('wk-1');
-  await desk.round();
-  assert.equal((await desk.move(chunk)).kind, 'refused');
-  assert.deepEqual(desk.where(chunk), ['p']);
+  const fixture = new WriterFixture();
+  fixture.addMachine('n-1');
+  const chunk = fixture.addJob('wk-1');
+  await fixture.runRound();
+  assert.equal((await fixture.move(chunk)).kind, 'refused');
+  assert.deepEqual(fixture.shardsStoring(chunk), ['p']);
 });
 
 test('a machine is assigned to the shard of its zone that requests it, or else to the smallest', () => {
@@ -397,7 +406,7 @@
     machineTypes: machineTypes,
     inventory: inventory,
   };
-  for (const [name, wanted, zone, part] of cases) {
-    assert.equal(chooseShardFor(node, zone, wanted), part, name);
+  for (const [name, wanted, zone, shard] of cases) {
+    assert.equal(chooseShardFor(node, zone, wanted), shard, name);
   }
 });
--- a/test/persistence/recordLimits.test.ts
+++ b/test/persistence/recordLimits.test.ts
@@ -46,11 +46,11 @@
 });
 
 /** One shard whose bucket was stored under larger limits, on a state service whose limits were lowered. */
-class FallenLimits {
+class LoweredLimitsFixture {
   now = 100;
   readonly store = new MemoryStore();
-  readonly layout: RecordFormat = layoutFor(LIMITS.value, TXN_OPS, true);
-  host: OwnedShard;
+  readonly recordFormat: RecordFormat = layoutFor(LIMITS.value, TXN_OPS, true);
+  ownedShard: OwnedShard;
   private writer: BucketWriter;
   private processes = 0;
 
@@ -61,16 +61,16 @@
     const key = keys.bucket('p', 'old');
     rows.set(key, { key, value: { chunks }, revision: 3 });
     this.store.epoch = 3;
-    this.store.layout = this.layout;
+    this.store.layout = this.recordFormat;
     this.store.limits = LIMITS;
     this.store.txnOps = TXN_OPS;
-    [this.host, this.writer] = this.adopt();
+    [this.ownedShard, this.writer] = this.loadAsNewLeader();
   }
 
   /** Loads the shard from the stored records, as a new leader would. */
-  adopt(): [OwnedShard, BucketWriter] {
+  loadAsNewLeader(): [OwnedShard, BucketWriter] {
     const { rows } = this.store;
-    const commits: Pick<JobPersistence, 'acceptMissing'> = { acceptMissing: () => undefined };
+    const persistence: Pick<JobPersistence, 'acceptMissing'> = { acceptMissing: () => undefined };
     const machine = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
     const machines = Array.from({ length: REPLICAS }, (_, i) => [`n-${i}`, machine] as const);
     const loader = new ShardLoader({
@@ -84,12 +84,16 @@
         noteRemoved: () => undefined,
       },
       stateClient: this.store,
-      persistence: commits,
-      recordFormat: this.layout,
+      persistence,
+      recordFormat: this.recordFormat,
       requestSchedulingRound: () => undefined,
     });
-    const part = emptyShard(3, new Map([['m8', m8]]));
-    this.host = loader.load(part, { fencingToken: 7, revision: 1, previousLeaderLostAt: 0 }, 0);
+    const shard = emptyShard(3, new Map([['m8', m8]]));
+    this.ownedShard = loader.load(
+      shard,
+      { fencingToken: 7, revision: 1, previousLeaderLostAt: 0 },
+      0,
+    );
     this.writer = new BucketWriter(
       this.store,
       { get: (name) => rows.get(name), note: () => undefined, noteRemoved: () => undefined },
@@ -100,21 +104,21 @@
         stored: () => undefined,
       },
       {
-        ...{ txnOps: TXN_OPS, recordFormat: this.layout, flushDelay: 1, retryDelay: 0.001 },
+        ...{ txnOps: TXN_OPS, recordFormat: this.recordFormat, flushDelay: 1, retryDelay: 0.001 },
         process: `x${++this.processes}`,
       },
     );
-    return [this.host, this.writer];
+    return [this.ownedShard, this.writer];
   }
 
-  async pass(): Promise<void> {
+  async runPass(): Promise<void> {
     this.now += 10;
-    this.writer.writeDueBuckets(this.host);
+    this.writer.writeDueBuckets(this.ownedShard);
     for (let i = 0; i < 20; i++) await new Promise((resolve) => setTimeout(resolve, 1));
   }
 
-  async settle(): Promise<void> {
-    for (let i = 0; i < 40; i++) await this.pass();
+  async runAllPasses(): Promise<void> {
+    for (let i = 0; i < 40; i++) await this.runPass();
   }
 
   /** The stored chunks, each from the newest record that holds it. */
@@ -128,7 +132,7 @@
     return found;
   }
 
-  get hasOld(): boolean {
+  get hasOldRecord(): boolean {
     return this.store.rows.has(keys.bucket('p', 'old'));
   }
 }
@@ -139,81 +143,87 @@
   );
 
 test('the chunks of a bucket beyond the limit move to other buckets, and then the bucket is removed', async () => {
-  const site = new FallenLimits(services());
-  await site.settle();
-  assert.ok(!site.hasOld);
-  assert.equal(site.stored.size, SERVICE_COUNT);
-  for (const [id, chunk] of site.stored) {
+  const fixture = new LoweredLimitsFixture(services());
+  await fixture.runAllPasses();
+  assert.ok(!fixture.hasOldRecord);
+  assert.equal(fixture.stored.size, SERVICE_COUNT);
+  for (const [id, chunk] of fixture.stored) {
     assert.equal(chunk.attempts.length, REPLICAS, id);
-    assert.equal(site.host.shard.chunks.get(id)?.attempts.size, REPLICAS, id);
+    assert.equal(fixture.ownedShard.shard.chunks.get(id)?.attempts.size, REPLICAS, id);
   }
-  assert.ok([...site.host.shard.chunks.values()].every((chunk) => chunk.retiredFrom === null));
+  assert.ok(
+    [...fixture.ownedShard.shard.chunks.values()].every((chunk) => chunk.retiredFrom === null),
+  );
 });
 
 for (const passes of [1, 2, 3, 4, 5]) {
   test(`a new leader that loads a half emptied bucket, after ${passes} pass(es), has every chunk once`, async () => {
-    const site = new FallenLimits(services());
+    const fixture = new LoweredLimitsFixture(services());
     // One chunk changes meanwhile: the old record does not contain the change.
-    const changed = site.host.shard.chunks.get('wk-3/0');
-    for (let i = 0; i < passes; i++) await site.pass();
+    const changed = fixture.ownedShard.shard.chunks.get('wk-3/0');
+    for (let i = 0; i < passes; i++) await fixture.runPass();
     if (changed !== undefined) {
       changed.attempts.delete(0);
-      site.host.shard.noteChunkChanged(changed, site.now);
+      fixture.ownedShard.shard.noteChunkChanged(changed, fixture.now);
     }
-    await site.pass();
-    const known = site.stored.get('wk-3/0')?.attempts.length;
-    site.adopt();
-    assert.equal(site.host.shard.chunks.size, SERVICE_COUNT);
-    assert.equal(site.host.shard.chunks.get('wk-3/0')?.attempts.size, known);
-    await site.settle();
-    assert.ok(!site.hasOld);
-    assert.equal(site.stored.size, SERVICE_COUNT);
-    assert.equal(site.stored.get('wk-3/0')?.attempts.length, known);
+    await fixture.runPass();
+    const storedAttempts = fixture.stored.get('wk-3/0')?.attempts.length;
+    fixture.loadAsNewLeader();
+    assert.equal(fixture.ownedShard.shard.chunks.size, SERVICE_COUNT);
+    assert.equal(fixture.ownedShard.shard.chunks.get('wk-3/0')?.attempts.size, storedAttempts);
+    await fixture.runAllPasses();
+    assert.ok(!fixture.hasOldRecord);
+    assert.equal(fixture.stored.size, SERVICE_COUNT);
+    assert.equal(fixture.stored.get('wk-3/0')?.attempts.length, storedAttempts);
   });
 }
 
 test('the old record stays until its chunks are stored elsewhere, also if transactions are refused meanwhile', async () => {
   for (const refused of [0, 1, 2, 3]) {
-    const site = new FallenLimits(services());
-    site.store.refuseNext = refused;
+    const fixture = new LoweredLimitsFixture(services());
+    fixture.store.refuseNext = refused;
     for (let i = 0; i < 4; i++) {
-      await site.pass();
-      assert.equal(site.stored.size, SERVICE_COUNT, `${refused} refused, after ${i + 1} pass(es)`);
+      await fixture.runPass();
+      assert.equal(
+        fixture.stored.size,
+        SERVICE_COUNT,
+        `${refused} refused, after ${i + 1} pass(es)`,
+      );
     }
-    await site.settle();
-    assert.ok(!site.hasOld);
+    await fixture.runAllPasses();
+    assert.ok(!fixture.hasOldRecord);
   }
 });
 
 test('a chunk that is still in the old record does not migrate to another shard', async () => {
   const waiting = { ...service('wk-0'), attempts: [] };
-  const site = new FallenLimits({ ...services(), 'wk-0/0': waiting });
-  const chunk = site.host.shard.chunks.get('wk-0/0');
+  const fixture = new LoweredLimitsFixture({ ...services(), 'wk-0/0': waiting });
+  const chunk = fixture.ownedShard.shard.chunks.get('wk-0/0');
   assert.ok(chunk?.isMigratable);
-  await site.pass();
-  const isMovable: boolean[] = [];
+  await fixture.runPass();
+  const wasMigratable: boolean[] = [];
   for (let i = 0; i < 40; i++) {
-    isMovable.push(chunk.isMigratable);
-    assert.ok(!chunk.isMigratable || !site.hasOld);
-    await site.pass();
+    wasMigratable.push(chunk.isMigratable);
+    assert.ok(!chunk.isMigratable || !fixture.hasOldRecord);
+    await fixture.runPass();
   }
   assert.ok(
-    isMovable.includes(false) && chunk.isMigratable,
+    wasMigratable.includes(false) && chunk.isMigratable,
     'it may migrate once the old record is removed',
   );
 });
 
 test('a chunk with more attempts than one record holds is stored in fragments and can change', async () => {
-  const entries = Array.from({ length: 150 }, (_, task): AttemptRecord => {
+  const attempts = Array.from({ length: 150 }, (_, task): AttemptRecord => {
     return { task, attemptNumber: task + 1, machine: `n-${task % REPLICAS}`, agentEpoch: 1 };
   });
-  const large = { ...service('wk-0'), endTask: 150, nextAttemptNumber: 200, attempts: entries };
-  const site = new FallenLimits({ 'wk-0/0': large });
-  const chunk = site.host.shard.chunks.get('wk-0/0');
+  const large = { ...service('wk-0'), endTask: 150, nextAttemptNumber: 200, attempts };
+  const fixture = new LoweredLimitsFixture({ 'wk-0/0': large });
+  const chunk = fixture.ownedShard.shard.chunks.get('wk-0/0');
   chunk?.attempts.delete(4);
-  if (chunk !== undefined) site.host.shard.noteChunkChanged(chunk, site.now);
-  await site.settle();
-  assert.equal(site.stored.get('wk-0/0')?.attempts.length, 149);
+  if (chunk !== undefined) fixture.ownedShard.shard.noteChunkChanged(chunk, fixture.now);
+  await fixture.runAllPasses();
+  assert.equal(fixture.stored.get('wk-0/0')?.attempts.length, 149);
 });
 
 test('the largest records at about 4,000 machines stay within 2 KiB, or a transaction of five', () => {
@@ -259,9 +269,9 @@
       TXN_OPS - 1,
     ],
   ];
-  for (const [name, key, value, most] of cases) {
+  for (const [name, key, value, maxOperations] of cases) {
     assert.ok(
-      recordFormat.operations(key, value) <= most,
+      recordFormat.operations(key, value) <= maxOperations,
       `${name}: ${recordFormat.encodedBytes(key, value)} bytes`,
     );
   }
--- a/test/persistence/recordSizes.test.ts
+++ b/test/persistence/recordSizes.test.ts
@@ -39,7 +39,7 @@
 /** Returns the record of a chunk whose tasks all run, each on its own machine, with numbers of maximum length. */
 function fullRecord(job: JobSpec, size: number): BucketRecord {
   const chunk = new Chunk(job, 0, 'drone-100', 1764637200.123, 0, size, 'zone', 0);
-  const entries = Array.from({ length: size }, (_, i) => ({
+  const attempts = Array.from({ length: size }, (_, i) => ({
     task: 90_000 + i,
     attemptNumber: 1000,
     machine: 'n-000000000',
@@ -49,7 +49,7 @@
     chunks: {
       'wk-000000/0': {
         ...chunk.toRecord(),
-        attempts: entries,
+        attempts,
         nextAttemptNumber: 1000,
         migrationCount: 3,
       },
@@ -67,11 +67,11 @@
     assert.ok(groupLimit(value) >= 1 && groupLimit(value) <= MAX_RENTAL_COUNT);
     const machine = { 'n-000000000': { at: 1764637200.123, address: '10.255.255.255:65535' } };
     assert.ok(groupLimit(value) * JSON.stringify(machine).length < value);
-    for (const parts of [1, 3, 12]) {
+    for (const shardCount of [1, 3, 12]) {
       for (const cpus of [0, 8, 64, 8000]) {
         for (const tasks of [1, 120, 5000]) {
           const job = spec({ taskCount: tasks, cpus: 4 });
-          const size = chunkSize(job, cpus, recordFormat.maxTasksPerChunk(job), parts);
+          const size = chunkSize(job, cpus, recordFormat.maxTasksPerChunk(job), shardCount);
           const ranges = chunkRanges(tasks, size, []);
           assert.equal(
             ranges.reduce((n, r) => n + r.endTask - r.firstTask, 0),
--- a/test/storage/compatibility.test.ts
+++ b/test/storage/compatibility.test.ts
@@ -34,23 +34,23 @@
   readFileSync(new URL('../../../../test/fixtures/production.json', import.meta.url), 'utf8'),
 ) as Fixtures;
 
-const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
+const toPlainJson = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
 
 test('messages equal those of production byte for byte, in both directions', () => {
   productionRequests.forEach((request, i) => {
     const bytes = Buffer.from(fixtures.requests[i], 'base64');
     assert.deepEqual(encodeRequest(request), bytes);
-    assert.deepEqual(plain(decodeRequest(bytes)), plain(request));
+    assert.deepEqual(toPlainJson(decodeRequest(bytes)), toPlainJson(request));
   });
   productionAnswers.forEach((answer, i) => {
     const bytes = Buffer.from(fixtures.answers[i], 'base64');
     assert.deepEqual(encodeAnswer(answer), bytes);
-    assert.deepEqual(plain(decodeAnswer(bytes)), plain(answer));
+    assert.deepEqual(toPlainJson(decodeAnswer(bytes)), toPlainJson(answer));
   });
 });
 
 test("production's job description in a peer request is decoded, and ours has no new fields", () => {
-  const known = plain(toStoredSpec(spec()));
+  const known = toPlainJson(toStoredSpec(spec()));
   assert.deepEqual(decodeSpec(JSON.stringify(known)), spec());
   assert.deepEqual(JSON.parse(encodeSpec(spec({ dependencies: ['wk-9'] }))), known);
 });
@@ -59,7 +59,7 @@
   const recordFormat = layoutFor();
   for (const [key, stored] of Object.entries(fixtures.records)) {
     const value = recordFormat.decode(key, structuredClone(stored));
-    assert.deepEqual(plain(recordFormat.encode(key, value)), stored, key);
+    assert.deepEqual(toPlainJson(recordFormat.encode(key, value)), stored, key);
     assert.equal(recordFormat.operations(key, value), 1, key);
   }
   const parsed = parseJob(JSON.stringify(fixtures.submission));
@@ -122,11 +122,11 @@
     };
     for (const record of [job, { ...job, spec: null, state: 'cancelled', zones: [] }]) {
       assert.deepEqual(
-        recordFormat.decode('b/job/x', plain(recordFormat.encode('b/job/x', record))),
+        recordFormat.decode('b/job/x', toPlainJson(recordFormat.encode('b/job/x', record))),
         record,
       );
     }
-    const entry = { task: 3, attemptNumber: 9, machine: 'n-1', agentEpoch: 1 };
+    const attempt = { task: 3, attemptNumber: 9, machine: 'n-1', agentEpoch: 1 };
     const bucket: BucketRecord = {
       chunks: {
         'wk-1/0': {
@@ -138,12 +138,12 @@
             endTask: 9,
           },
           ...{ zone: null, nextAttemptNumber: 4, doneTasks: [0, 2], migrationCount: 0 },
-          attempts: [entry, { ...entry, task: 4 }, { ...entry, task: 5, agentEpoch: 2 }],
+          attempts: [attempt, { ...attempt, task: 4 }, { ...attempt, task: 5, agentEpoch: 2 }],
         },
       },
     };
     assert.deepEqual(
-      recordFormat.decode('b/run/p/s', plain(recordFormat.encode('b/run/p/s', bucket))),
+      recordFormat.decode('b/run/p/s', toPlainJson(recordFormat.encode('b/run/p/s', bucket))),
       bucket,
     );
   }
@@ -152,24 +152,28 @@
 test('the compact format is written only once all nodes have published that they can read it', async () => {
   const store = new MemoryStore();
   const recordFormat = new RecordFormat({ valueBytes: 2048, txnOps: 5 });
-  const replica = {
+  const stateCache = {
     loaded: false,
     get: (key: string) => store.rows.get(key),
     note: (key: string, value: unknown) => {
-      marks.update(key.slice(keys.node('').length), value as { recordFormat: number });
+      capabilities.update(key.slice(keys.node('').length), value as { recordFormat: number });
     },
   };
-  const marks = new NodeCapabilities(store, replica, recordFormat, 'n0', ['n0', 'n1', 'n2']);
-  await marks.publish();
+  const capabilities = new NodeCapabilities(store, stateCache, recordFormat, 'n0', [
+    'n0',
+    'n1',
+    'n2',
+  ]);
+  await capabilities.publish();
   assert.equal(store.changes, 0, 'the stored records have not been read yet');
-  replica.loaded = true;
+  stateCache.loaded = true;
   store.refuseNext = 1;
-  for (let tries = 0; tries < 4; tries++) await marks.publish();
+  for (let i = 0; i < 4; i++) await capabilities.publish();
   assert.equal(store.changes, 1, 'published once');
-  marks.update('n1', { recordFormat: RECORD_FORMAT_VERSION });
-  marks.update('elsewhere', { recordFormat: RECORD_FORMAT_VERSION });
-  marks.update('n2', { recordFormat: RECORD_FORMAT_VERSION - 1 });
-  assert.ok(!recordFormat.isCompact && !marks.isUpgraded);
-  marks.update('n2', { recordFormat: RECORD_FORMAT_VERSION });
-  assert.ok(recordFormat.isCompact && marks.isUpgraded);
+  capabilities.update('n1', { recordFormat: RECORD_FORMAT_VERSION });
+  capabilities.update('elsewhere', { recordFormat: RECORD_FORMAT_VERSION });
+  capabilities.update('n2', { recordFormat: RECORD_FORMAT_VERSION - 1 });
+  assert.ok(!recordFormat.isCompact && !capabilities.isUpgraded);
+  capabilities.update('n2', { recordFormat: RECORD_FORMAT_VERSION });
+  assert.ok(recordFormat.isCompact && capabilities.isUpgraded);
 });
--- a/test/storage/compression.test.ts
+++ b/test/storage/compression.test.ts
@@ -15,7 +15,7 @@
 
 const VALUE_BYTES = 2048;
 
-function layoutWith(mayCompress: boolean, hasCodec = true): RecordFormat {
+function formatWith(mayCompress: boolean, hasCodec = true): RecordFormat {
   const limits = { valueBytes: VALUE_BYTES, txnOps: 16 };
   const recordFormat = new RecordFormat(limits, hasCodec ? deflateCodec : null, () => mayCompress);
   recordFormat.useCompact();
@@ -34,10 +34,10 @@
   ...{ zones: [], createdChunks: 1, doneChunks: [], migratedChunks: [] },
 });
 
-const names = (count: number): string[] => Array.from({ length: count }, (_, i) => `type-${i}`);
+const typeNames = (count: number): string[] => Array.from({ length: count }, (_, i) => `type-${i}`);
 
 /** Returns words that compression does not make smaller. */
-const noise = (count: number): string[] =>
+const incompressibleNames = (count: number): string[] =>
   Array.from({ length: count }, (_, i) => {
     const bytes = Array.from(
       { length: 24 },
@@ -65,39 +65,45 @@
 
 test('only records that would be stored in fragments are compressed, and only if that is allowed', () => {
   const cases: [string, RecordFormat, string[], StoredForm][] = [
-    ['small', layoutWith(true), names(5), 'plain'],
-    ['large', layoutWith(true), names(300), 'compressed'],
-    ['large, not allowed', layoutWith(false), names(300), 'pieces'],
-    ['large, no codec', layoutWith(true, false), names(300), 'pieces'],
-    ['compressed, and still large', layoutWith(true), [...names(300), ...noise(120)], 'compressed'],
-    ['larger than a request', layoutWith(true), names(9000), 'plain'],
+    ['small', formatWith(true), typeNames(5), 'plain'],
+    ['large', formatWith(true), typeNames(300), 'compressed'],
+    ['large, not allowed', formatWith(false), typeNames(300), 'pieces'],
+    ['large, no codec', formatWith(true, false), typeNames(300), 'pieces'],
+    [
+      'compressed, and still large',
+      formatWith(true),
+      [...typeNames(300), ...incompressibleNames(120)],
+      'compressed',
+    ],
+    ['larger than a request', formatWith(true), typeNames(9000), 'plain'],
   ];
-  for (const [what, recordFormat, types, form] of cases) {
+  for (const [name, recordFormat, types, form] of cases) {
     const record = job(types);
     const stored = store(recordFormat, record);
-    assert.equal(stored.form, form, what);
-    assert.deepEqual(recordFormat.decode(key, stored.joined), record, what);
+    assert.equal(stored.form, form, name);
+    assert.deepEqual(recordFormat.decode(key, stored.joined), record, name);
   }
   assert.ok(
-    store(layoutWith(true), job(names(300))).puts < store(layoutWith(false), job(names(300))).puts,
+    store(formatWith(true), job(typeNames(300))).puts <
+      store(formatWith(false), job(typeNames(300))).puts,
   );
 });
 
 test('records that are not written under a leader record are never compressed', () => {
-  const recordFormat = layoutWith(true);
-  const value = names(500);
+  const recordFormat = formatWith(true);
+  const value = typeNames(500);
   assert.equal(recordFormat.encodeValue('b/types', value).form, 'plain');
   assert.equal(recordFormat.encodeValue('b/quota/crew', value).form, 'plain');
 });
 
 test('a build that cannot expand an open job still sees that it is open', () => {
   // Version 0.3.0 takes a job record without a state for a finished job, and reported such jobs as done to users.
-  const { joined } = store(layoutWith(true), job(names(300)));
+  const { joined } = store(formatWith(true), job(typeNames(300)));
   assert.equal((joined as { state?: string }).state, 'open');
 });
 
 test('the barrier record is stored and read unchanged', () => {
-  const recordFormat = layoutWith(true);
+  const recordFormat = formatWith(true);
   const barrier = { readers: 3 };
   assert.deepEqual(recordFormat.encode(BARRIER_KEY, barrier), barrier);
   assert.deepEqual(recordFormat.decode(BARRIER_KEY, barrier), barrier);
@@ -110,14 +116,14 @@
   try {
     const endpoint = await state.listenFor('x');
     const options = { endpoint, rate: 1e4, writeRate: 1e4, sharers: 1, timeout: 5 };
-    const client = new StateClient(new HttpClient(10, 5), systemClock, options, layoutWith(true));
+    const client = new StateClient(new HttpClient(10, 5), systemClock, options, formatWith(true));
     const [good, bad, small] = [keys.job('wk-1'), keys.job('wk-2'), keys.job('wk-3')];
-    const puts = [good, bad].map((name) => ({ key: name, value: job(names(300)) }));
+    const puts = [good, bad].map((name) => ({ key: name, value: job(typeNames(300)) }));
     assert.equal((await client.transact({ conditions: [], puts, deletes: [] })).kind, 'applied');
     const stored = state.rows.get(bad)?.value as CompressedValue;
-    const tear = { Put: bad, Value: { ...stored, sum: stored.sum ^ 1 } };
+    const corruptPut = { Put: bad, Value: { ...stored, sum: stored.sum ^ 1 } };
     state.apply({
-      Then: [tear, { Put: small, Value: SMALL_JOB }],
+      Then: [corruptPut, { Put: small, Value: SMALL_JOB }],
     });
     const { items } = await client.readRange('b/');
     assert.deepEqual(items.map((item) => item.key).sort(), [good, small]);
@@ -125,10 +131,10 @@
     assert.equal(client.hasUnreadable('b/job/'), true);
     assert.equal(client.hasUnreadable('b/run/'), false);
     assert.deepEqual(await client.readKeysOfForm('b/', 'compressed'), [good, bad]);
-    const repaired = [{ key: bad, value: job(names(300)) }];
+    const repaired = [{ key: bad, value: job(typeNames(300)) }];
     await client.transact({ conditions: [], puts: repaired, deletes: [] });
     assert.equal(client.hasUnreadable('b/job/'), false);
-    assert.deepEqual((await client.get(bad))?.value, job(names(300)));
+    assert.deepEqual((await client.get(bad))?.value, job(typeNames(300)));
   } finally {
     state.close();
   }
@@ -137,17 +143,17 @@
 test('any text is restored after compression, or is rejected as too large', () => {
   fc.assert(
     fc.property(fc.string({ unit: 'binary', maxLength: 3000, size: 'max' }), (text) => {
-      const packed = deflateCodec.compress(text);
-      if (packed === null) return Buffer.byteLength(text) > 64 * 1024;
-      return deflateCodec.expand(key, packed) === text;
+      const compressed = deflateCodec.compress(text);
+      if (compressed === null) return Buffer.byteLength(text) > 64 * 1024;
+      return deflateCodec.expand(key, compressed) === text;
     }),
     { seed: 20261202, numRuns: 200 },
   );
 });
 
 test('a corrupt record causes a CorruptRecordError and is never read as an empty record', () => {
-  const recordFormat = layoutWith(true);
-  const { joined } = store(recordFormat, job(names(300)));
+  const recordFormat = formatWith(true);
+  const { joined } = store(recordFormat, job(typeNames(300)));
   const good = joined as CompressedValue;
   const bytes = Buffer.from(good.data, 'base64');
   const cut = bytes.subarray(0, bytes.length / 2).toString('base64');
@@ -167,8 +173,8 @@
     ['text is not JSON', deflateCodec.compress('{"v":2,')],
     ['compressed twice', deflateCodec.compress(JSON.stringify(good))],
   ];
-  for (const [what, value] of damaged) {
-    assert.throws(() => recordFormat.decode(key, value), CorruptRecordError, what);
+  for (const [name, value] of damaged) {
+    assert.throws(() => recordFormat.decode(key, value), CorruptRecordError, name);
   }
-  assert.throws(() => layoutWith(true, false).decode(key, good), /switched off here/);
+  assert.throws(() => formatWith(true, false).decode(key, good), /switched off here/);
 });
--- a/test/storage/fleetRecords.test.ts
+++ b/test/storage/fleetRecords.test.ts
@@ -5,8 +5,8 @@
 import { MachineInventory } from '../../src/storage/machineInventory.js';
 import type { MachineGroupRecord } from '../../src/storage/records.js';
 
-const group = (part: string): MachineGroupRecord => ({
-  shard: part,
+const group = (shard: string): MachineGroupRecord => ({
+  shard,
   ...{ type: 'm8', zone: 'a', spot: false, machines: { 'n-1': { launchedAt: 0 } } },
 });
 
--- a/test/storage/fragments.test.ts
+++ b/test/storage/fragments.test.ts
@@ -48,7 +48,7 @@
   assert.equal((await old.transact({ conditions: [], puts, deletes: [] })).kind, 'applied');
   // The limits are lowered without notice.
   state.limits = { ...LIMITS };
-  const now = client();
+  const current = client();
   const sizes: [number, number][] = [
     [49, 2],
     [30, 1],
@@ -56,15 +56,15 @@
     [20, 1],
   ];
   for (const [machines, records] of sizes) {
-    const before = await now.get(KEY);
-    const when = [{ key: KEY, revision: before?.revision ?? 0 }];
+    const before = await current.get(KEY);
+    const conditions = [{ key: KEY, revision: before?.revision ?? 0 }];
     const change = [{ key: KEY, value: group(machines) }];
     assert.equal(
-      (await now.transact({ conditions: when, puts: change, deletes: [] })).kind,
+      (await current.transact({ conditions, puts: change, deletes: [] })).kind,
       'applied',
     );
     assert.equal(stored().length, records, `${machines} machines`);
-    for (const reader of [now, client(), client(false)]) {
+    for (const reader of [current, client(), client(false)]) {
       assert.deepEqual((await reader.get(KEY))?.value, group(machines));
       const { items } = await reader.readRange('b/');
       assert.deepEqual(
@@ -74,8 +74,11 @@
     }
   }
   const large = [{ key: KEY, value: group(50) }];
-  await now.transact({ conditions: [], puts: large, deletes: [] });
-  assert.equal((await now.transact({ conditions: [], puts: [], deletes: [KEY] })).kind, 'applied');
+  await current.transact({ conditions: [], puts: large, deletes: [] });
+  assert.equal(
+    (await current.transact({ conditions: [], puts: [], deletes: [KEY] })).kind,
+    'applied',
+  );
   assert.deepEqual(stored(), []);
   assert.equal(state.malformed, 0);
 });
--- a/test/storage/goldenBytes.test.ts
+++ b/test/storage/goldenBytes.test.ts
@@ -154,7 +154,7 @@
   ['b/rollout/version', { level: 2, target: 2, phase: 'steady' }],
 ];
 
-const layouts = {
+const recordFormats = {
   'format 1': () => new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 }),
   'format 2': () => {
     const recordFormat = new RecordFormat({ valueBytes: 16 * 1024, txnOps: 16 });
@@ -177,7 +177,7 @@
   },
 } satisfies Record<string, () => RecordFormat>;
 
-const orders: Command[] = [
+const commands: Command[] = [
   { verb: 'start', task: 'wk-1/0', attemptNumber: 1 },
   { verb: 'stop', task: 'wk-1/1', attemptNumber: 2, gracePeriod: 4 },
   { verb: 'acknowledge', task: 'wk-1/2', attemptNumber: 3 },
@@ -186,7 +186,7 @@
 /** Returns every kind of message to the state service, a peer or a worker, as text. */
 function everyMessage(): Record<string, string> {
   const messages: Record<string, string> = {};
-  for (const [name, create] of Object.entries(layouts)) {
+  for (const [name, create] of Object.entries(recordFormats)) {
     for (const [key, value] of records) {
       for (const put of create().encodePuts(key, value)) {
         messages[`${name}: ${put.key}`] = JSON.stringify(put.value);
@@ -200,8 +200,8 @@
     messages[`peer answer ${String(index)}`] = encodeAnswer(answer).toString('base64');
   });
   messages['job description in a peer request'] = encodeSpec(fullSpec);
-  messages['answer to a worker'] = JSON.stringify(heartbeatAnswer(7 as CommandToken, orders));
-  messages['request to a worker'] = JSON.stringify(commandsRequest(7 as CommandToken, 2, orders));
+  messages['answer to a worker'] = JSON.stringify(heartbeatAnswer(7 as CommandToken, commands));
+  messages['request to a worker'] = JSON.stringify(commandsRequest(7 as CommandToken, 2, commands));
   messages['redirection of a worker'] = JSON.stringify([
     redirectAnswer('drone-1'),
     redirectAnswer(null),
@@ -243,7 +243,7 @@
 });
 
 test('a decoded record of the compact format is encoded to the same bytes again', () => {
-  const recordFormat = layouts['format 2']();
+  const recordFormat = recordFormats['format 2']();
   for (const [key] of records) {
     const stored = JSON.parse(golden[`format 2: ${key}`] ?? '') as unknown;
     const again = JSON.stringify(recordFormat.encode(key, recordFormat.decode(key, stored)));
--- a/test/storage/rateLimiter.test.ts
+++ b/test/storage/rateLimiter.test.ts
@@ -6,20 +6,20 @@
 const RATE = 10;
 
 /** Returns a rate limiter without tokens, on a simulated clock; `order` lists the admitted requests. */
-function emptyBudget(): {
-  budget: RateLimiter;
+function emptyLimiter(): {
+  limiter: RateLimiter;
   order: string[];
-  queue: (name: string, urgency: RequestPriority, cost?: number) => void;
+  queue: (name: string, priority: RequestPriority, cost?: number) => void;
   pass: (seconds: number) => Promise<void>;
 } {
   mock.timers.enable({ apis: ['setTimeout'] });
   let now = 0;
-  const budget = new RateLimiter({ now: () => now, wall: () => now }, RATE, RATE);
+  const limiter = new RateLimiter({ now: () => now, wall: () => now }, RATE, RATE);
   // Spend the initial burst, so that all further requests have to wait.
-  budget.charge(RATE, 'later');
+  limiter.charge(RATE, 'later');
   const order: string[] = [];
-  const queue = (name: string, urgency: RequestPriority, cost = 1): void => {
-    void budget.acquire(cost, urgency).then(() => order.push(name));
+  const queue = (name: string, priority: RequestPriority, cost = 1): void => {
+    void limiter.acquire(cost, priority).then(() => order.push(name));
   };
   const pass = async (seconds: number): Promise<void> => {
     const step = 0.01;
@@ -29,13 +29,13 @@
       await Promise.resolve();
     }
   };
-  return { budget, order, queue, pass };
+  return { limiter, order, queue, pass };
 }
 
-const cases: { name: string; asks: [string, RequestPriority][]; order: string[] }[] = [
+const cases: { name: string; requests: [string, RequestPriority][]; order: string[] }[] = [
   {
     name: 'requests of one priority in the order of their arrival',
-    asks: [
+    requests: [
       ['a', 'urgent'],
       ['b', 'urgent'],
     ],
@@ -43,7 +43,7 @@
   },
   {
     name: 'ownership, submissions, rentals, starts, bookkeeping',
-    asks: [
+    requests: [
       ['bookkeeping', 'later'],
       ['start', 'urgent'],
       ['rental', 'rental'],
@@ -53,15 +53,15 @@
     order: ['lease', 'user', 'rental', 'start', 'bookkeeping'],
   },
 ];
-for (const { name, asks, order } of cases) {
+for (const { name, requests, order } of cases) {
   test(`order of requests: ${name}`, async (t) => {
     t.after(() => {
       mock.timers.reset();
     });
-    const budget = emptyBudget();
-    for (const [who, urgency] of asks) budget.queue(who, urgency);
-    await budget.pass(asks.length / RATE + 0.1);
-    assert.deepEqual(budget.order, order);
+    const fixture = emptyLimiter();
+    for (const [request, priority] of requests) fixture.queue(request, priority);
+    await fixture.pass(requests.length / RATE + 0.1);
+    assert.deepEqual(fixture.order, order);
   });
 }
 
@@ -69,14 +69,14 @@
   t.after(() => {
     mock.timers.reset();
   });
-  const { order, queue, pass } = emptyBudget();
+  const { order, queue, pass } = emptyLimiter();
   for (let i = 0; i < 200; i++) queue(`start ${i}`, 'urgent');
   // Twice as many as the rate admits, for ten seconds.
   for (let i = 0; i < 200; i++) {
     queue(`user ${i}`, 'submission');
     await pass(0.05);
   }
-  const starts = order.filter((who) => who.startsWith('start')).length;
+  const starts = order.filter((name) => name.startsWith('start')).length;
   const users = order.length - starts;
   assert.ok(starts >= 0.4 * order.length, `${starts} starts of ${order.length}`);
   assert.ok(users >= 0.4 * order.length, `${users} submissions of ${order.length}`);
@@ -86,34 +86,34 @@
   t.after(() => {
     mock.timers.reset();
   });
-  const { order, queue, pass } = emptyBudget();
+  const { order, queue, pass } = emptyLimiter();
   for (let i = 0; i < 200; i++) queue(`start ${i}`, 'urgent');
   for (let i = 0; i < 200; i++) {
     queue(`rental ${i}`, 'rental');
     await pass(0.05);
   }
-  const rentals = order.filter((who) => who.startsWith('rental')).length;
+  const rentals = order.filter((name) => name.startsWith('rental')).length;
   assert.ok(rentals <= 0.35 * order.length, `${rentals} rentals of ${order.length}`);
   assert.ok(rentals >= 0.15 * order.length, `${rentals} rentals of ${order.length}`);
 });
 
 test('writes that are charged with a submission count towards the share of submissions', () => {
-  const { budget } = emptyBudget();
-  budget.charge(RATE, 'submission');
-  void budget.acquire(RATE, 'urgent');
+  const { limiter } = emptyLimiter();
+  limiter.charge(RATE, 'submission');
+  void limiter.acquire(RATE, 'urgent');
   // While its share is overdrawn, a submission queues behind urgent requests.
-  assert.equal(budget.delay('submission'), budget.delay('urgent'));
+  assert.equal(limiter.delay('submission'), limiter.delay('urgent'));
   mock.timers.reset();
 });
 
-const shares: { name: string; needs: number[]; share: number }[] = [
-  { name: 'no demand is known: an even share', needs: [], share: 10 },
-  { name: 'the others demand nothing', needs: [0, 0], share: 30 },
-  { name: 'the others demand more than their share', needs: [25, 25], share: 10 },
-  { name: 'one demands less', needs: [4, 25], share: 16 },
+const shares: { name: string; demands: number[]; share: number }[] = [
+  { name: 'no demand is known: an even share', demands: [], share: 10 },
+  { name: 'the others demand nothing', demands: [0, 0], share: 30 },
+  { name: 'the others demand more than their share', demands: [25, 25], share: 10 },
+  { name: 'one demands less', demands: [4, 25], share: 16 },
 ];
-for (const { name, needs, share } of shares) {
+for (const { name, demands, share } of shares) {
   test(`share of a rate: ${name}`, () => {
-    assert.equal(rateShareOf(30, 3, needs), share);
+    assert.equal(rateShareOf(30, 3, demands), share);
   });
 }
