--- a/test/storage/stateCache.test.ts
+++ b/test/storage/stateCache.test.ts
@@ -87,7 +87,8 @@
         fixture.requests.push('all');
         return Promise.resolve({ items: [], revision: 12 });
       },
-      readChanges: () => Promise.reject(new Error('readChanges was called without a cached revision')),
+      readChanges: () =>
+        Promise.reject(new Error('readChanges was called without a cached revision')),
     },
     'b/',
     { now: () => 0 },
