--- a/src/coordination/leadership/authority.ts
+++ b/src/coordination/leadership/authority.ts
@@ -46,7 +46,7 @@
     const { leadership, peers, clock, leaderGracePeriod } = this.node;
     // There is a newer leader; as long as the worker stayed with this node it would ignore this node's commands.
     if (ownedShard.shard.fencingTokens.isSurpassedBy(seenToken)) return { kind: 'deposed' };
-    // Our lease has expired and a peer reports that it leads the shard: redirect the worker to it. If the worker kept
+    // This node's lease has expired and a peer reports that it leads the shard: redirect the worker to it. If the worker kept
     // sending its heartbeats here, the peer would presume a healthy machine lost.
     const leader = leadership.isLeaseValid ? null : peers.leaderOf(ownedShard.shard.label);
     if (leader !== null && leader.fencingToken > ownedShard.fencingToken)
--- a/src/coordination/leadership/shardLeadership.ts
+++ b/src/coordination/leadership/shardLeadership.ts
@@ -136,7 +136,7 @@
   /** Gives a shard up if `fencingToken`, with which another node may lead it, is higher than this node's. */
   stepDownIfFenced(shard: string, fencingToken: number): void {
     const leadership = this.leaderships.get(shard);
-    // During our own claim or token advance the watch may deliver the new record before the transaction is answered.
+    // During this node's own claim or token advance the watch may deliver the new record before the transaction is answered.
     if (
       leadership !== undefined &&
       fencingToken > leadership.fencingToken &&
