--- a/src/storage/storedRecords.ts
+++ b/src/storage/storedRecords.ts
@@ -4,7 +4,7 @@
  */
 import type { StoredJobSpec } from '../protocol/storedJobSpec.js';
 
-/** `b/token`. */
+/** The fencing token counter, under `b/token`. */
 export interface StoredTokenRecord {
   last: number;
   owners?: Record<string, StoredLastLeader>;
@@ -16,19 +16,19 @@
   lost: Record<string, number>;
 }
 
-/** `b/own/SHARD`. */
+/** A leader record, under `b/own/SHARD`. */
 export interface StoredLeaderRecord {
   node: string;
   token: number;
   process: string;
 }
 
-/** `b/node/LABEL`. */
+/** A node capability record, under `b/node/LABEL`. */
 export interface StoredNodeRecord {
   layout: number;
 }
 
-/** `b/job/ID` in record format 1. */
+/** A job, under `b/job/ID`, in record format 1. */
 export interface StoredJobRecord {
   spec: StoredJobSpec | null;
   home: string;
@@ -64,12 +64,12 @@
   moves: number;
 }
 
-/** `b/run/SHARD/BUCKET` in record format 1. */
+/** A bucket of chunks, under `b/run/SHARD/BUCKET`, in record format 1. */
 export interface StoredBucketRecord {
   chunks: Record<string, StoredChunkRecord>;
 }
 
-/** `b/fleet/RENTAL`. */
+/** A machine group, under `b/fleet/RENTAL`. */
 export interface StoredGroupRecord {
   part: string;
   type: string;
--- a/test/persistence/jobPersistence.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -158,7 +158,9 @@
   let reads = 0;
   fixture.store.get = (key) => {
     reads++;
-    return reads < 3 ? Promise.reject(new Error('the state service refused the request')) : readRecord(key);
+    return reads < 3
+      ? Promise.reject(new Error('the state service refused the request'))
+      : readRecord(key);
   };
   fixture.complete(0);
   await fixture.runPasses(1);
