--- a/src/coordination/leadership/recordFollower.ts
+++ b/src/coordination/leadership/recordFollower.ts
@@ -16,13 +16,13 @@
 import type { OwnedShard } from './ownedShard.js';
 import type { ShardLoader } from './shardLoader.js';
 
-/** Follows the records of jobs. */
+/** Receives changes of job records. */
 export interface JobFollower {
-  /** A job's record has changed. */
+  /** Called when a job's record has changed. */
   applyJobRecord(id: string, record: JobRecord): void;
 }
 
-/** What is needed of a node. */
+/** The parts of a node that changed records are applied to. */
 export interface RecordFollowerContext {
   clock: Clock;
   machineTypes: Map<string, MachineType>;
@@ -30,20 +30,20 @@
   chunkIndex: ChunkIndex;
   nodeCapabilities: NodeCapabilities;
   pipelines: JobFollower;
-  /** Follows the records of staged upgrades. */
+  /** Called when a record of a rollout has changed. */
   applyRolloutChange(change: KeyValueChange): void;
   ownedShards: ReadonlyMap<string, OwnedShard>;
   requestSchedulingRound(): void;
 }
 
-/** Follows the changes of the state cache. */
+/** Applies the changes that the state cache delivers. */
 export class RecordFollower {
   constructor(
     private readonly node: RecordFollowerContext,
     private readonly loader: Pick<ShardLoader, 'noteBucket'>,
   ) {}
 
-  /** One record has changed in this node's state cache. */
+  /** Applies one changed record. */
   follow(change: KeyValueChange): void {
     const { node } = this;
     const [, kind, name = '', bucket = ''] = change.key.split('/');
@@ -53,21 +53,21 @@
     }
     if (change.removed && (change.key === keys.machineTypes || kind === 'job' || kind === 'node'))
       return;
-    if (change.key === keys.machineTypes) this.onTypes(change.value as MachineType[]);
-    else if (kind === 'fleet') this.onGroup(name, change);
-    else if (kind === 'job') this.onJob(name, change.value as JobRecord);
+    if (change.key === keys.machineTypes) this.applyMachineTypes(change.value as MachineType[]);
+    else if (kind === 'fleet') this.applyMachineGroup(name, change);
+    else if (kind === 'job') this.applyJob(name, change.value as JobRecord);
     else if (kind === 'node')
       node.nodeCapabilities.update(name, change.value as NodeCapabilityRecord);
-    else if (kind === 'run') this.onBucket(name, bucket, change);
+    else if (kind === 'run') this.applyBucket(name, bucket, change);
   }
 
-  private onTypes(machineTypes: MachineType[]): void {
-    // Restarted while the cloud is down: what it told before will do.
+  private applyMachineTypes(machineTypes: MachineType[]): void {
+    // If this node restarted while the cloud API is unavailable, the stored machine types are used.
     if (this.node.machineTypes.size === 0)
-      this.node.machineTypes = new Map(machineTypes.map((t) => [t.name, t]));
+      this.node.machineTypes = new Map(machineTypes.map((type) => [type.name, type]));
   }
 
-  private onBucket(shard: string, bucket: string, change: KeyValueChange): void {
+  private applyBucket(shard: string, bucket: string, change: KeyValueChange): void {
     const value = change.value as BucketRecord | null;
     this.node.chunkIndex.update(shard, bucket, value, change.revision);
     const ownedShard = this.node.ownedShards.get(shard);
@@ -76,14 +76,14 @@
     }
   }
 
-  private onJob(id: string, record: JobRecord): void {
+  private applyJob(id: string, record: JobRecord): void {
     const now = this.node.clock.now();
     this.node.pipelines.applyJobRecord(id, record);
     if (record.state === 'open' && record.doneChunks.length === 0) return;
     for (const ownedShard of this.node.ownedShards.values()) {
       for (const chunk of ownedShard.shard.chunksOf(id)) {
         if (record.state === 'cancelled') ownedShard.shard.cancel(chunk, now);
-        // Its home shard has counted it as done.
+        // The home shard has recorded the chunk as done.
         else if (record.state === 'done' || record.doneChunks.includes(chunk.index)) {
           ownedShard.shard.discardFinishedChunk(chunk, now);
         }
@@ -92,7 +92,7 @@
     this.node.requestSchedulingRound();
   }
 
-  private onGroup(group: string, change: KeyValueChange): void {
+  private applyMachineGroup(group: string, change: KeyValueChange): void {
     const now = this.node.clock.now();
     const wall = this.node.clock.wall();
     const { present, gone } = this.node.inventory.update(
@@ -100,11 +100,11 @@
       change.value as MachineGroupRecord | null,
     );
     for (const ownedShard of this.node.ownedShards.values()) {
-      // The last record that names it goes only after the cloud has said that the machine is gone.
+      // The last record that names a machine is removed only after the cloud has confirmed that the machine is gone.
       for (const name of gone) ownedShard.shard.removeMachine(name, now);
       for (const [name, record] of present) {
         const { shard } = ownedShard;
-        // One that was in the shard stays until its attempts there are over.
+        // A machine that was reassigned to another shard stays in this one until its attempts here have terminated.
         if (record.shard !== shard.label && !shard.machines.has(name)) continue;
         shard.addMachine(name, record, now, now, Math.max(0, wall - record.launchedAt));
       }
--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the stored chunks in line with what the shards know. Each transaction is conditional on the
- * shard's leader key and on the bucket it changes; a bucket's record is made from memory when its turn
- * comes, so that it holds all that has changed meanwhile.
+ * Writes the chunks of owned shards to the state service, in buckets. Each transaction is conditional on the shard's
+ * leader record and on the revision of each bucket that it changes. A bucket is encoded only when its write is due, so
+ * that the record includes all changes up to then.
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import { describeError, log } from '../../base/log.js';
@@ -15,77 +15,83 @@
 import type { OwnedShard } from '../leadership/ownedShard.js';
 import { maxStoredBytes, Bucket, bucketOf } from '../model/bucket.js';
 
-/** What the writer asks and tells its owner. */
+/** Queries and events of the bucket writer. */
 export interface BucketWriterEvents {
   isLeaseValid(): boolean;
-  /** A leader key was not as we thought. */
+  /** Verifies that this node still leads the shard; called after a condition of a transaction has failed. */
   verifyLeadership(shard: string): Promise<void>;
-  /** Chunks were stored: their starts may go out. */
+  /** Called when chunks were stored; the starts of their attempts may be sent. */
   stored(ownedShard: OwnedShard, chunks: Chunk[]): void;
 }
 
-/** What is needed of the state service and of our copy of the records. */
+/** The calls to the state service that the writers of records use. */
 export type StateServiceAccess = Pick<
   StateClient,
   'transact' | 'get' | 'awaitWriteTurn' | 'writeRate' | 'writeDelay' | 'writeLoad' | 'operations'
 >;
-/** What is needed of the state cache. */
+/** The calls to the state cache that the writers of records use. */
 export type StateCacheAccess = Pick<StateCache, 'get' | 'note' | 'noteRemoved'>;
 
-/** Limits of a transaction, and pauses in seconds. */
+/** Limits of a transaction, and delays in seconds. */
 export interface BucketWriterOptions {
   txnOps: number;
   recordFormat: RecordFormat;
-  /** Seconds that changes which nobody waits for are gathered. */
+  /** Seconds for which changes that nobody waits for are batched. */
   flushDelay: number;
   retryDelay: number;
-  /** Tells the names of this process's buckets from all others. */
+  /** Prefix that makes the names of this process's buckets unique. */
   process: string;
 }
 
-/** Transactions of a shard that may be on their way. */
-const TRANSACTIONS = 3;
+/** Maximum number of transactions of a shard in flight. */
+const MAX_TRANSACTIONS_IN_FLIGHT = 3;
 
-/** Of a transaction's and of a record's limit, what is used: sizes are worked out, not measured. */
-const TXN_SHARE = 0.8;
-const VALUE_SHARE = 0.9;
+/** Shares of a transaction's and of a record's size limit that are used: sizes are estimated, not measured. */
+const TRANSACTION_FILL_RATIO = 0.8;
+const VALUE_FILL_RATIO = 0.9;
 
-/** How much longer changes that nobody waits for are gathered while others queue for the state service. */
-const BUSY_PATIENCE = 4;
+/** Factor on the flush delay while other requests queue for the state service. */
+const BUSY_DELAY_FACTOR = 4;
 
-/** Of the changes that are ours, what is asked for when they are counted as scarce. */
-const BUSY_LOAD = 1 / 2;
+/** Demand, as a share of this node's write rate, above which writes count as scarce. */
+const BUSY_WRITE_LOAD = 1 / 2;
 
-/** Of the changes that are ours, what starts of batch work may use. */
-const GATHER_SHARE = 0.4;
+/** Share of this node's write rate that starts of batch work may use. */
+const BATCH_START_WRITE_SHARE = 0.4;
 
-/** Writes the buckets of owned shards, under the conditions of safety O3. */
+/** Writes the buckets of owned shards under the conditions of safety O3. */
 export class BucketWriter {
-  private named = 0;
+  private createdBuckets = 0;
 
   constructor(
     private readonly client: StateServiceAccess,
     private readonly stateCache: StateCacheAccess,
     private readonly clock: Clock,
-    private readonly host: BucketWriterEvents,
+    private readonly events: BucketWriterEvents,
     private readonly options: BucketWriterOptions,
   ) {}
 
-  /** Every write of a shard goes through here: under its ownership, and only while that is valid. */
+  /** Applies a transaction of a shard, under the condition of its leader record and only while the lease is valid. */
   async write(
     ownedShard: OwnedShard,
     transaction: Transaction,
-    urgency: RequestPriority | 'granted' = 'later',
+    priority: RequestPriority | 'granted' = 'later',
   ): Promise<TransactionResult> {
-    if (!ownedShard.isOwned || !this.host.isLeaseValid()) return { kind: 'refused' };
-    const owner = { key: keys.leader(ownedShard.shard.label), revision: ownedShard.revision };
+    if (!ownedShard.isOwned || !this.events.isLeaseValid()) return { kind: 'refused' };
+    const leaderCondition = {
+      key: keys.leader(ownedShard.shard.label),
+      revision: ownedShard.revision,
+    };
     const others = transaction.conditions.filter(
-      ({ key, revision }) => key !== owner.key || revision !== owner.revision,
+      ({ key, revision }) => key !== leaderCondition.key || revision !== leaderCondition.revision,
+    );
+    return this.client.transact(
+      { ...transaction, conditions: [leaderCondition, ...others] },
+      priority,
     );
-    return this.client.transact({ ...transaction, conditions: [owner, ...others] }, urgency);
   }
 
-  /** Starts the storing of what is due. */
+  /** Starts the writes of all buckets that are due. */
   writeDueBuckets(ownedShard: OwnedShard): void {
     if (this.options.recordFormat.isCompact) this.retireLargeBuckets(ownedShard);
     for (const chunk of ownedShard.shard.unsavedChunks) {
@@ -95,14 +101,14 @@
   }
 
   /**
-   * Buckets from before the present limits, whose records may not be written any more: their chunks go to others, as
-   * the state service allows (safety, V5). A single chunk that is too large is stored in fragments.
+   * Empties buckets that were stored under larger limits and whose records can no longer be written: their chunks move
+   * to other buckets as the state service permits (safety, V5). A single chunk that is too large is stored in fragments.
    */
   private retireLargeBuckets(ownedShard: OwnedShard): void {
     for (const bucket of ownedShard.buckets.values()) {
       if (bucket.isSizeChecked || bucket.isWriteInFlight) continue;
       bucket.isSizeChecked = true;
-      if (bucket.chunks.size < 2 || bucket.maxStoredBytes <= this.room) continue;
+      if (bucket.chunks.size < 2 || bucket.maxStoredBytes <= this.maxRecordBytes) continue;
       for (const chunk of [...bucket.chunks]) {
         ownedShard.shard.noteChunkChanged(chunk, this.clock.now());
         bucket.retire(chunk);
@@ -110,31 +116,34 @@
     }
   }
 
-  /** What chunks may take of one record. */
-  private get room(): number {
+  /** Bytes that chunks may take of one record. */
+  private get maxRecordBytes(): number {
     return (
-      Math.min(this.options.recordFormat.valueBytes, MAX_TRANSACTION_CHANGE_BYTES * TXN_SHARE) *
-      VALUE_SHARE
+      Math.min(
+        this.options.recordFormat.valueBytes,
+        MAX_TRANSACTION_CHANGE_BYTES * TRANSACTION_FILL_RATIO,
+      ) * VALUE_FILL_RATIO
     );
   }
 
-  /** Buckets that should be stored now. */
+  /** Returns the buckets to be written now, with the priority of each. */
   private dueBuckets(ownedShard: OwnedShard): Map<Bucket, RequestPriority> {
     const now = this.clock.now();
-    // Ends can wait while users and starts need the state service's changes: a crash meanwhile loses nothing
-    // that the workers do not still report. A chunk whose tasks end one by one would be written for each few.
-    const { flushDelay: linger } = this.options;
+    // Terminated attempts can wait while users and starts need the write rate: after a crash the workers still report
+    // them. Waiting also avoids repeated writes of a chunk whose tasks end one by one.
+    const { flushDelay } = this.options;
     const isBusy =
-      this.client.writeDelay('later') > linger / 2 || this.client.writeLoad > BUSY_LOAD;
-    const maxDelay = linger * (isBusy ? BUSY_PATIENCE : 1);
-    const isGathering = now < ownedShard.batchStartsDeferredUntil;
+      this.client.writeDelay('later') > flushDelay / 2 || this.client.writeLoad > BUSY_WRITE_LOAD;
+    const maxDelay = flushDelay * (isBusy ? BUSY_DELAY_FACTOR : 1);
+    const areBatchStartsDeferred = now < ownedShard.batchStartsDeferredUntil;
     const due = new Map<Bucket, RequestPriority>();
     for (const chunk of ownedShard.shard.unsavedChunks) {
       const bucket = bucketOf(chunk);
       if (bucket === null || bucket.isWriteInFlight || due.get(bucket) === 'urgent') continue;
-      const isOld = chunk.dirtySince !== null && now - chunk.dirtySince >= maxDelay;
-      if (isAwaited(chunk) && (chunk.spec.isService || !isGathering)) due.set(bucket, 'urgent');
-      else if (isOld) due.set(bucket, 'later');
+      const isOverdue = chunk.dirtySince !== null && now - chunk.dirtySince >= maxDelay;
+      if (isWriteUrgent(chunk) && (chunk.spec.isService || !areBatchStartsDeferred))
+        due.set(bucket, 'urgent');
+      else if (isOverdue) due.set(bucket, 'later');
     }
     if (isBusy) return due;
     for (const bucket of ownedShard.buckets.values()) {
@@ -144,9 +153,9 @@
     return due;
   }
 
-  /** Stores buckets, as many in one transaction as fit it. */
+  /** Writes buckets, as many in one transaction as fit its limits. */
   private flushAll(ownedShard: OwnedShard, due: Map<Bucket, RequestPriority>): void {
-    const most = Math.max(1, this.options.txnOps - 1);
+    const maxOperations = Math.max(1, this.options.txnOps - 1);
     let batch: Bucket[] = [];
     let bytes = 0;
     let operations = 0;
@@ -156,57 +165,59 @@
       void this.flush(ownedShard, batch, priority);
       [batch, bytes, operations, priority] = [[], 0, 0, 'later'];
     };
-    for (const [bucket, how] of due) {
-      if (ownedShard.writesInFlight >= TRANSACTIONS) break;
+    for (const [bucket, bucketPriority] of due) {
+      if (ownedShard.writesInFlight >= MAX_TRANSACTIONS_IN_FLIGHT) break;
       const size = bucket.estimatedBytes;
       const cost = this.operationsFor(ownedShard, bucket, size);
       const isFull =
-        operations + cost > most || bytes + size > MAX_TRANSACTION_CHANGE_BYTES * TXN_SHARE;
+        operations + cost > maxOperations ||
+        bytes + size > MAX_TRANSACTION_CHANGE_BYTES * TRANSACTION_FILL_RATIO;
       if (batch.length > 0 && isFull) send();
       batch.push(bucket);
       bytes += size;
       operations += cost;
-      if (how === 'urgent') priority = 'urgent';
+      if (bucketPriority === 'urgent') priority = 'urgent';
     }
-    if (ownedShard.writesInFlight < TRANSACTIONS) send();
+    if (ownedShard.writesInFlight < MAX_TRANSACTIONS_IN_FLIGHT) send();
   }
 
-  /** Puts that a bucket of this size takes: a large one is stored in fragments. */
+  /** Returns the operations that a write of a bucket of this size takes: a large one is stored in fragments. */
   private operationsFor(ownedShard: OwnedShard, bucket: Bucket, bytes: number): number {
     const { recordFormat } = this.options;
     if (!recordFormat.isCompact) return 1;
-    // The record is made when its turn comes, and may be a little larger by then.
-    const most = Math.ceil(bytes / (recordFormat.valueBytes * VALUE_SHARE));
-    return Math.max(most, this.client.operations(this.key(ownedShard, bucket), null));
+    // The record is encoded only when its write is due, and may be slightly larger by then.
+    const expectedPuts = Math.ceil(bytes / (recordFormat.valueBytes * VALUE_FILL_RATIO));
+    return Math.max(expectedPuts, this.client.operations(this.keyOf(ownedShard, bucket), null));
   }
 
   /**
-   * Onto the fullest bucket of its kind that is sure to hold it, or a new one. An empty bucket whose record is still
-   * stored serves as well: it takes one change, where removing it and creating another takes two.
+   * Adds a chunk to the fullest bucket of its kind that is certain to have room for it, or to a new one. An empty bucket
+   * whose record is still stored is reused: that takes one write, and removing it and creating another takes two.
    */
   private assignBucket(ownedShard: OwnedShard, chunk: Chunk): void {
     const { recordFormat, process } = this.options;
-    const { room } = this;
-    const need = maxStoredBytes(chunk, recordFormat);
-    let best: Bucket | null = null;
-    let most = -1;
+    const { maxRecordBytes } = this;
+    const neededBytes = maxStoredBytes(chunk, recordFormat);
+    let fullest: Bucket | null = null;
+    let mostUsed = -1;
     for (const bucket of ownedShard.buckets.values()) {
       if (bucket.isWriteInFlight) continue;
-      // Replicas seldom change, tasks often: apart, so that the ones are not written for the others.
-      const [first] = bucket.chunks;
-      if (first !== undefined && first.spec.isService !== chunk.spec.isService) continue;
+      // Services change seldom and batch tasks often: separate buckets avoid rewriting one for changes of the other.
+      const [firstChunk] = bucket.chunks;
+      if (firstChunk !== undefined && firstChunk.spec.isService !== chunk.spec.isService) continue;
       if (bucket === chunk.retiredFrom || bucket.hasUnstoredRetiredChunks) continue;
-      const used = bucket.maxStoredBytes;
-      if (used + need <= room && used > most) [best, most] = [bucket, used];
+      const usedBytes = bucket.maxStoredBytes;
+      if (usedBytes + neededBytes <= maxRecordBytes && usedBytes > mostUsed)
+        [fullest, mostUsed] = [bucket, usedBytes];
     }
-    if (best === null) {
-      best = new Bucket(`${process}-${++this.named}`, 0, recordFormat);
-      ownedShard.buckets.set(best.name, best);
+    if (fullest === null) {
+      fullest = new Bucket(`${process}-${++this.createdBuckets}`, 0, recordFormat);
+      ownedShard.buckets.set(fullest.name, fullest);
     }
-    best.add(chunk);
+    fullest.add(chunk);
   }
 
-  private key(ownedShard: OwnedShard, bucket: Bucket): string {
+  private keyOf(ownedShard: OwnedShard, bucket: Bucket): string {
     return keys.bucket(ownedShard.shard.label, bucket.name);
   }
 
@@ -217,33 +228,33 @@
   ): Promise<void> {
     ownedShard.writesInFlight++;
     for (const bucket of buckets) bucket.isWriteInFlight = true;
-    // A round of starts every so often, each with all that has come up; users have the rest.
-    const pause = buckets.length / (this.client.writeRate * GATHER_SHARE);
+    // Starts of batch work are written in spaced rounds, each with all starts since the last one; the rest of the write
+    // rate is left for users' requests.
+    const pause = buckets.length / (this.client.writeRate * BATCH_START_WRITE_SHARE);
     ownedShard.batchStartsDeferredUntil =
       Math.max(ownedShard.batchStartsDeferredUntil, this.clock.now()) + pause;
     try {
       await this.client.awaitWriteTurn(buckets.length, priority);
-      const stored = buckets.flatMap((s) =>
-        [...s.chunks].map((c) => ({ chunk: c, at: c.version })),
+      const stored = buckets.flatMap((bucket) =>
+        [...bucket.chunks].map((chunk) => ({ chunk, version: chunk.version })),
       );
       const puts: Transaction['puts'] = [];
-      const removes: string[] = [];
+      const deletes: string[] = [];
       for (const bucket of buckets) {
         if (bucket.chunks.size > 0 || bucket.mayBeRecreated) {
-          puts.push({ key: this.key(ownedShard, bucket), value: bucket.toRecord() });
+          puts.push({ key: this.keyOf(ownedShard, bucket), value: bucket.toRecord() });
           if (bucket.revision === 0) bucket.mayBeRecreated = true;
-        } else if (bucket.revision > 0) removes.push(this.key(ownedShard, bucket));
+        } else if (bucket.revision > 0) deletes.push(this.keyOf(ownedShard, bucket));
         bucket.isDirty = false;
       }
       for (const { chunk } of stored) chunk.dirtySince = null;
-      const when = buckets.map((s) => ({ key: this.key(ownedShard, s), revision: s.revision }));
-      const result = await this.write(
-        ownedShard,
-        { conditions: when, puts, deletes: removes },
-        'granted',
-      );
+      const conditions = buckets.map((bucket) => ({
+        key: this.keyOf(ownedShard, bucket),
+        revision: bucket.revision,
+      }));
+      const result = await this.write(ownedShard, { conditions, puts, deletes }, 'granted');
       if (result.kind === 'applied') {
-        this.applied(ownedShard, buckets, stored, puts, result.revision);
+        this.onApplied(ownedShard, buckets, stored, puts, result.revision);
         return;
       }
       for (const { chunk } of stored) chunk.dirtySince ??= this.clock.now();
@@ -251,11 +262,11 @@
         bucket.isDirty = true;
       }
       if (result.kind === 'conflict') await this.resolveConflict(ownedShard, buckets);
-      // Sent again at once it would be refused again, and keep others from their turn.
+      // Repeated at once it would be rejected again and delay other writes.
       else if (result.kind === 'malformed') await sleep(this.options.flushDelay);
       else await sleep(this.options.retryDelay);
     } catch (error) {
-      log.debug(`store: ${describeError(error)}`);
+      log.debug(`writing buckets failed: ${describeError(error)}`);
       await sleep(this.options.retryDelay);
     } finally {
       for (const bucket of buckets) bucket.isWriteInFlight = false;
@@ -263,74 +274,74 @@
     }
   }
 
-  private applied(
+  private onApplied(
     ownedShard: OwnedShard,
     buckets: Bucket[],
-    stored: { chunk: Chunk; at: number }[],
+    stored: { chunk: Chunk; version: number }[],
     puts: Transaction['puts'],
     revision: number,
   ): void {
-    for (const { chunk, at } of stored) {
-      chunk.storedVersion = Math.max(chunk.storedVersion, at);
-      // Written under the revision that a move of it would have needed: that can't be applied any more.
+    for (const { chunk, version } of stored) {
+      chunk.storedVersion = Math.max(chunk.storedVersion, version);
+      // The bucket's revision has changed, so a transaction that migrates the chunk away can no longer be applied.
       chunk.mayHaveMigrated = false;
       if (chunk.version === chunk.storedVersion) ownedShard.shard.unsavedChunks.delete(chunk);
       else chunk.dirtySince ??= this.clock.now();
     }
     for (const put of puts) this.stateCache.note(put.key, put.value, revision);
     for (const bucket of buckets) {
-      const key = this.key(ownedShard, bucket);
+      const key = this.keyOf(ownedShard, bucket);
       bucket.clearRetiredChunks();
-      if (puts.some((p) => p.key === key)) bucket.revision = revision;
+      if (puts.some((put) => put.key === key)) bucket.revision = revision;
       else {
         this.stateCache.noteRemoved(key, revision);
         bucket.revision = 0;
         if (bucket.chunks.size === 0) ownedShard.buckets.delete(bucket.name);
       }
     }
-    this.host.stored(
+    this.events.stored(
       ownedShard,
-      stored.map((s) => s.chunk),
+      stored.map((entry) => entry.chunk),
     );
   }
 
-  /** Copies of ours that got no answer may have been applied: take what they left. */
+  /** Rereads buckets after a conflict: transactions of this node that got no answer may have been applied. */
   async resolveConflict(ownedShard: OwnedShard, buckets: Bucket[]): Promise<void> {
-    await this.host.verifyLeadership(ownedShard.shard.label);
+    await this.events.verifyLeadership(ownedShard.shard.label);
     for (const bucket of buckets) {
-      const item = await this.client.get(this.key(ownedShard, bucket));
+      const item = await this.client.get(this.keyOf(ownedShard, bucket));
       if (!ownedShard.isOwned) return;
       const revision = item?.revision ?? 0;
       if (revision === bucket.revision) continue;
       const record = item?.value as BucketRecord | undefined;
       for (const chunk of [...bucket.chunks]) {
         if (!chunk.mayHaveMigrated) continue;
-        // Its move was applied after all, or never will be, since the revision has changed.
+        // The revision has changed, so the transaction that migrates the chunk was applied or never will be.
         if (record?.chunks[chunk.id] === undefined)
           ownedShard.shard.migrateAway(chunk, this.clock.now());
         else chunk.mayHaveMigrated = false;
       }
       bucket.revision = revision;
       if (item !== null) this.stateCache.note(item.key, item.value, item.revision);
-      else this.stateCache.noteRemoved(this.key(ownedShard, bucket), Infinity);
+      else this.stateCache.noteRemoved(this.keyOf(ownedShard, bucket), Infinity);
     }
   }
 
   /**
-   * Hands a chunk, of which nothing is on any machine, to another shard, in one transaction. `extra` are
-   * changes that belong to it: its home notes that it has left.
+   * Migrates a chunk without attempts to another shard in one transaction. `extra` holds further changes of that
+   * transaction: the home shard records that the chunk has left.
    */
   async move(
     ownedShard: OwnedShard,
     chunk: Chunk,
-    to: string,
+    targetShard: string,
     extra: Pick<Transaction, 'conditions' | 'puts'>,
   ): Promise<TransactionResult> {
     const bucket = bucketOf(chunk);
-    const owner = this.stateCache.get(keys.leader(to));
-    if (bucket === null || owner === undefined || !chunk.isMigratable) return { kind: 'refused' };
+    const leader = this.stateCache.get(keys.leader(targetShard));
+    if (bucket === null || leader === undefined || !chunk.isMigratable) return { kind: 'refused' };
     const name = `${chunk.id.replace('/', '-')}-${chunk.migrationCount + 1}`;
-    const key = keys.bucket(to, name);
+    const key = keys.bucket(targetShard, name);
     bucket.isWriteInFlight = true;
     ownedShard.writesInFlight++;
     try {
@@ -341,13 +352,13 @@
       const value: BucketRecord = {
         chunks: { [chunk.id]: { ...chunk.toRecord(), migrationCount: chunk.migrationCount + 1 } },
       };
-      const others = [...bucket.chunks]
+      const otherChunks = [...bucket.chunks]
         .filter((other) => other !== chunk)
-        .map((other) => ({ chunk: other, at: other.version }));
+        .map((other) => ({ chunk: other, version: other.version }));
       const { puts, deletes } = this.withoutChunk(ownedShard, bucket, chunk);
       const conditions = [
-        { key: this.key(ownedShard, bucket), revision: bucket.revision },
-        { key: keys.leader(to), revision: owner.revision },
+        { key: this.keyOf(ownedShard, bucket), revision: bucket.revision },
+        { key: keys.leader(targetShard), revision: leader.revision },
         { key, revision: 0 },
         ...extra.conditions,
       ];
@@ -359,10 +370,10 @@
       const result = await this.write(ownedShard, transaction, 'granted');
       if (result.kind === 'applied') {
         ownedShard.shard.migrateAway(chunk, this.clock.now());
-        this.applied(ownedShard, [bucket], others, puts, result.revision);
+        this.onApplied(ownedShard, [bucket], otherChunks, puts, result.revision);
         this.stateCache.note(key, value, result.revision);
       } else if (result.kind === 'conflict') await this.resolveConflict(ownedShard, [bucket]);
-      // Until its bucket is written again it may have gone, and nothing of it can be started.
+      // Until its bucket is written again the chunk may have migrated, and none of its tasks can be started.
       else if (result.kind === 'unknown') {
         chunk.mayHaveMigrated = true;
         bucket.isDirty = true;
@@ -375,26 +386,29 @@
     }
   }
 
-  /** The change of a bucket that loses a chunk; one that is empty then goes, unless it may be created late. */
+  /**
+   * Returns the change of a bucket that a chunk leaves. A bucket that becomes empty is deleted, unless a late copy of the
+   * transaction that creates it could then be applied.
+   */
   private withoutChunk(
     ownedShard: OwnedShard,
     bucket: Bucket,
     chunk: Chunk,
   ): Pick<Transaction, 'puts' | 'deletes'> {
-    const key = this.key(ownedShard, bucket);
+    const key = this.keyOf(ownedShard, bucket);
     if (bucket.chunks.size === 1 && !bucket.mayBeRecreated) return { puts: [], deletes: [key] };
-    const others = Object.entries(bucket.toRecord().chunks).filter(([id]) => id !== chunk.id);
-    const value: BucketRecord = { chunks: Object.fromEntries(others) };
+    const remaining = Object.entries(bucket.toRecord().chunks).filter(([id]) => id !== chunk.id);
+    const value: BucketRecord = { chunks: Object.fromEntries(remaining) };
     return { puts: [{ key, value }], deletes: [] };
   }
 }
 
-/** Starts or the end of its job wait for it to be stored. */
-const isAwaited = (chunk: Chunk): boolean =>
-  hasStarts(chunk) || (chunk.isComplete && !chunk.isCancelled);
+/** Whether starts, or the completion of the chunk in its job, wait until the chunk is stored. */
+const isWriteUrgent = (chunk: Chunk): boolean =>
+  hasUnstoredStarts(chunk) || (chunk.isComplete && !chunk.isCancelled);
 
-/** Placements of it are not stored yet, and their starts wait for that. */
-function hasStarts(chunk: Chunk): boolean {
+/** Whether the chunk has placements that are not stored yet; their starts wait for that. */
+function hasUnstoredStarts(chunk: Chunk): boolean {
   for (const attempt of chunk.attempts.values()) {
     if (attempt.chunkVersion > chunk.storedVersion && attempt.stop === null) return true;
   }
--- a/src/coordination/persistence/jobPersistence.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -1,7 +1,6 @@
 /**
- * Brings the records of jobs in line with what the shards know: chunks that are over, jobs that are
- * done, chunks that are cut or move. A transaction that got no answer is repeated under the same
- * conditions, so that at most one of the copies is ever applied.
+ * Writes changes of the shards to the records of jobs: finished chunks, finished jobs, created chunks and migrated chunks.
+ * A transaction that got no answer is repeated under the same conditions, so that at most one of the copies is ever applied.
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import { describeError, log } from '../../base/log.js';
@@ -21,25 +20,25 @@
   type StateServiceAccess,
 } from './bucketWriter.js';
 
-/** What is needed of the controller. */
+/** The parts of the controller that writing job records depends on. */
 export interface JobPersistenceContext extends BucketWriterEvents {
   ownedShards: ReadonlyMap<string, OwnedShard>;
-  /** The job is about to be cancelled. */
+  /** Whether a cancellation of the job is in progress. */
   isBeingCancelled(job: string): boolean;
-  /** The job waits for others: it has no chunks before these are done. */
+  /** Whether the job waits for its dependencies; it has no chunks before these are done. */
   isBlockedOnDependencies(job: string): boolean;
-  /** A stored record of chunks cannot be read: what it holds may run, though nobody knows of it. */
+  /** Whether a stored bucket cannot be read; tasks of its chunks may be running unknown to any node. */
   readonly hasUnreadableChunks: boolean;
 }
 
 /**
- * What became of a cancellation. `ended`: the job is over, perhaps otherwise than asked for; `outdated`: a leader has changed or
- * a chunk was created since the evidence was collected; `not-stored`: not in time.
+ * Result of a cancellation. `ended`: the job is in a final state, which may be `done`; `outdated`: a leader has changed or
+ * a chunk was created since the evidence was collected; `not-stored`: it could not be stored before the deadline.
  */
 export type CancellationResult =
   { kind: 'ended'; state: FinalJobRecord['state'] } | { kind: 'outdated' } | { kind: 'not-stored' };
 
-/** Writes jobs' records and, by the bucket writer, their chunks. */
+/** Writes the records of jobs and, through the bucket writer, their chunks. */
 export class JobPersistence {
   private readonly bucketWriter: BucketWriter;
   private readonly jobRecords: JobRecordWriter;
@@ -49,12 +48,12 @@
     private readonly stateCache: StateCacheAccess,
     private readonly chunkIndex: Pick<ChunkIndex, 'entries'>,
     private readonly clock: Clock,
-    private readonly host: JobPersistenceContext,
+    private readonly context: JobPersistenceContext,
     private readonly options: BucketWriterOptions,
   ) {
-    this.bucketWriter = new BucketWriter(client, stateCache, clock, host, options);
+    this.bucketWriter = new BucketWriter(client, stateCache, clock, context, options);
     this.jobRecords = new JobRecordWriter(client, stateCache, this.bucketWriter, {
-      verifyLeadership: (shard) => host.verifyLeadership(shard),
+      verifyLeadership: (shard) => context.verifyLeadership(shard),
       onReread: (homeShard, job) => {
         this.acceptMissing(homeShard, job);
       },
@@ -62,60 +61,63 @@
     });
   }
 
-  /** Applies a transaction for a shard, under the condition that this node leads it. */
+  /** Applies a transaction of a shard, under the condition that this node leads the shard. */
   get write(): BucketWriter['write'] {
     return this.bucketWriter.write.bind(this.bucketWriter);
   }
 
-  /** One pass over all owned shards; starts what is due and returns. */
+  /** Starts the writes that are due in all owned shards, without waiting for them. */
   writeDueBuckets(): void {
-    if (!this.host.isLeaseValid()) return;
-    for (const ownedShard of this.host.ownedShards.values()) {
-      for (const chunk of [...ownedShard.shard.finishedChunks]) this.settle(ownedShard, chunk);
+    if (!this.context.isLeaseValid()) return;
+    for (const ownedShard of this.context.ownedShards.values()) {
+      for (const chunk of [...ownedShard.shard.finishedChunks])
+        this.settleFinishedChunk(ownedShard, chunk);
       this.bucketWriter.writeDueBuckets(ownedShard);
     }
   }
 
-  /** Looks at all jobs of the owned shards, in case a change was missed. */
+  /** Checks all jobs of the owned shards for finished chunks and for chunks to create, in case a change was missed. */
   reconcileJobs(): void {
-    if (!this.host.isLeaseValid()) return;
+    if (!this.context.isLeaseValid()) return;
     for (const [id, { shard, record }] of this.chunkIndex.entries()) {
-      const { doneTasks: done, firstTask: from, endTask: to, homeShard: label } = record;
-      if (done.length !== 2 || done[0] !== from || done[1] !== to) continue;
-      const home = this.host.ownedShards.get(label);
-      const job = home?.jobs.get(record.spec.id);
-      if (home === undefined || job === undefined || this.host.ownedShards.has(shard)) continue;
-      void this.finish(home, job, Number(id.slice(id.lastIndexOf('/') + 1)));
+      const { doneTasks, firstTask, endTask, homeShard: label } = record;
+      if (doneTasks.length !== 2 || doneTasks[0] !== firstTask || doneTasks[1] !== endTask)
+        continue;
+      const homeShard = this.context.ownedShards.get(label);
+      const job = homeShard?.jobs.get(record.spec.id);
+      if (homeShard === undefined || job === undefined || this.context.ownedShards.has(shard))
+        continue;
+      void this.recordFinishedChunk(homeShard, job, Number(id.slice(id.lastIndexOf('/') + 1)));
     }
-    for (const ownedShard of this.host.ownedShards.values()) {
-      for (const job of ownedShard.jobs.values()) this.createMoreChunks(ownedShard, job);
+    for (const ownedShard of this.context.ownedShards.values()) {
+      for (const job of ownedShard.jobs.values()) this.createNextChunk(ownedShard, job);
     }
   }
 
-  private settle(ownedShard: OwnedShard, chunk: Chunk): void {
+  private settleFinishedChunk(ownedShard: OwnedShard, chunk: Chunk): void {
     if (chunk.isCancelled) {
-      // Its job's record says that it is cancelled, so nobody will ever start anything of it again.
+      // The job's record says that it is cancelled, so no node will ever start a task of the chunk again.
       if (chunk.attempts.size === 0) ownedShard.shard.dropChunk(chunk);
       else ownedShard.shard.finishedChunks.delete(chunk);
       return;
     }
     if (!chunk.isJobStored) return;
-    const home = this.host.ownedShards.get(chunk.homeShard);
-    const job = home?.jobs.get(chunk.spec.id);
-    if (home !== undefined && job !== undefined) {
-      void this.finish(home, job, chunk.index).then((gone) => {
-        if (gone) ownedShard.shard.dropChunk(chunk);
+    const homeShard = this.context.ownedShards.get(chunk.homeShard);
+    const job = homeShard?.jobs.get(chunk.spec.id);
+    if (homeShard !== undefined && job !== undefined) {
+      void this.recordFinishedChunk(homeShard, job, chunk.index).then((isRecorded) => {
+        if (isRecorded) ownedShard.shard.dropChunk(chunk);
       });
     } else if (chunk.storedVersion < chunk.version) {
-      // Its home is elsewhere and learns from the record that it is complete.
+      // The home shard has another leader, which learns from the chunk's record that it is complete.
       ownedShard.shard.unsavedChunks.add(chunk);
     }
   }
 
-  /** Hands a chunk, of which nothing is on any machine, to another shard. */
-  async move(ownedShard: OwnedShard, chunk: Chunk, to: string): Promise<void> {
+  /** Migrates a chunk without attempts to another shard. */
+  async move(ownedShard: OwnedShard, chunk: Chunk, targetShard: string): Promise<void> {
     if (chunk.homeShard !== ownedShard.shard.label) {
-      await this.bucketWriter.move(ownedShard, chunk, to, { conditions: [], puts: [] });
+      await this.bucketWriter.move(ownedShard, chunk, targetShard, { conditions: [], puts: [] });
       return;
     }
     const job = ownedShard.jobs.get(chunk.spec.id);
@@ -123,11 +125,11 @@
     job.isWriteInFlight = true;
     try {
       const key = keys.job(job.id);
-      const away = [...new Set([...job.record.migratedChunks, chunk.index])];
-      const value: JobRecord = { ...job.record, migratedChunks: away };
-      const when = [{ key, revision: job.revision }];
-      const result = await this.bucketWriter.move(ownedShard, chunk, to, {
-        conditions: when,
+      const migratedChunks = [...new Set([...job.record.migratedChunks, chunk.index])];
+      const value: JobRecord = { ...job.record, migratedChunks };
+      const conditions = [{ key, revision: job.revision }];
+      const result = await this.bucketWriter.move(ownedShard, chunk, targetShard, {
+        conditions,
         puts: [{ key, value }],
       });
       if (result.kind === 'applied') this.jobRecords.apply(ownedShard, job, value, result.revision);
@@ -139,36 +141,38 @@
     }
   }
 
-  // ---- Jobs ----
-
-  /** Notes a complete chunk in its job, and the job as done with the last one. True when stored. */
-  private async finish(homeShard: OwnedShard, job: HomeJob, index: number): Promise<boolean> {
+  /** Records a complete chunk in its job, and the job as done with its last chunk. Returns true once that is stored. */
+  private async recordFinishedChunk(
+    homeShard: OwnedShard,
+    job: HomeJob,
+    index: number,
+  ): Promise<boolean> {
     if (job.isWriteInFlight) return false;
     const { record } = job;
     if (record.state !== 'open' || record.doneChunks.includes(index)) return true;
     job.isWriteInFlight = true;
     try {
-      const finished = [...record.doneChunks, index];
+      const doneChunks = [...record.doneChunks, index];
       const next: JobRecord =
-        finished.length >= totalChunks(record)
+        doneChunks.length >= totalChunks(record)
           ? { ...record, spec: null, state: 'done', zones: [], doneChunks: [], migratedChunks: [] }
           : {
               ...record,
-              doneChunks: finished,
-              migratedChunks: record.migratedChunks.filter((k) => !finished.includes(k)),
+              doneChunks,
+              migratedChunks: record.migratedChunks.filter((chunk) => !doneChunks.includes(chunk)),
             };
       await this.jobRecords.write(homeShard, job, next);
-      // By the record: the change that a conflict was with may have been another one.
+      // Judge by the record: the write may have conflicted with an unrelated change.
       return job.record.state !== 'open' || job.record.doneChunks.includes(index);
     } catch (error) {
-      log.debug(`finish: ${describeError(error)}`);
+      log.debug(`recording a finished chunk failed: ${describeError(error)}`);
       return false;
     } finally {
       job.isWriteInFlight = false;
     }
   }
 
-  /** Stores a job's record as it is, so that it takes the form that is written now. True when stored. */
+  /** Rewrites an unchanged job record in the form that is written now. Returns true once it is stored. */
   async rewrite(homeShard: OwnedShard, job: HomeJob): Promise<boolean> {
     if (job.isWriteInFlight || job.record.state !== 'open') return false;
     job.isWriteInFlight = true;
@@ -180,14 +184,14 @@
   }
 
   /**
-   * Takes up the chunks of a home job that are neither here nor stored: nothing of them was started. So it is where a
-   * shard is loaded, where a change that cut a chunk got no answer, and where a job no longer waits for others.
+   * Creates the chunks of a home job that are neither in memory nor stored; no task of them was started. There are such
+   * chunks after a shard is loaded, after the write that created a chunk got no answer, and after a job is released.
    */
   acceptMissing(homeShard: OwnedShard, job: HomeJob): void {
     if (
       !homeShard.isOwned ||
-      this.host.isBlockedOnDependencies(job.id) ||
-      this.host.hasUnreadableChunks
+      this.context.isBlockedOnDependencies(job.id) ||
+      this.context.hasUnreadableChunks
     )
       return;
     const now = this.clock.now();
@@ -198,16 +202,16 @@
     }
   }
 
-  /** Stores a cancellation on the evidence that its tasks are being ended, while nothing has changed of that. */
+  /** Stores a cancellation, provided that the evidence that the job's tasks are being stopped is still current. */
   async cancel(
     homeShard: OwnedShard,
     job: HomeJob,
     evidence: CancellationEvidence,
     deadline: number,
   ): Promise<CancellationResult> {
-    const begun = this.clock.now();
+    const startedAt = this.clock.now();
     const mayTry = (): boolean =>
-      this.clock.now() < deadline && homeShard.isOwned && this.host.isLeaseValid();
+      this.clock.now() < deadline && homeShard.isOwned && this.context.isLeaseValid();
     while (mayTry()) {
       if (job.record.state !== 'open') return { kind: 'ended', state: job.record.state };
       if (job.isWriteInFlight) {
@@ -217,7 +221,7 @@
       if (!evidence.covers(job.record) || !evidence.isCurrent(this.stateCache)) {
         return { kind: 'outdated' };
       }
-      await this.tryToCancel(homeShard, job, evidence, begun);
+      await this.tryToCancel(homeShard, job, evidence, startedAt);
     }
     const { state } = job.record;
     return state === 'open' ? { kind: 'not-stored' } : { kind: 'ended', state };
@@ -227,7 +231,7 @@
     homeShard: OwnedShard,
     job: HomeJob,
     evidence: CancellationEvidence,
-    begun: number,
+    startedAt: number,
   ): Promise<void> {
     job.isWriteInFlight = true;
     const { id, revision } = job;
@@ -239,39 +243,48 @@
           shard.audit.note({
             event: 'cancellation-write',
             ...{ job: id, shard: shard.label, fencingToken, outcome },
-            ...{ jobRevision: revision, age: this.clock.now() - begun },
+            ...{ jobRevision: revision, age: this.clock.now() - startedAt },
           });
         },
       });
     } catch (error) {
-      log.debug(`cancel: ${describeError(error)}`);
+      log.debug(`storing a cancellation failed: ${describeError(error)}`);
     } finally {
       job.isWriteInFlight = false;
     }
   }
 
-  /** Large jobs are cut step by step, so that no shard holds more of them than it can run. */
-  private createMoreChunks(homeShard: OwnedShard, job: HomeJob): void {
+  /** Creates the next chunk of a job. Chunks of large jobs are created gradually, so no shard holds more than it can run. */
+  private createNextChunk(homeShard: OwnedShard, job: HomeJob): void {
     const { record } = job;
     if (job.isWriteInFlight || record.state !== 'open') return;
-    if (this.host.isBlockedOnDependencies(job.id)) return;
-    const open = record.createdChunks - record.doneChunks.length;
+    if (this.context.isBlockedOnDependencies(job.id)) return;
+    const openChunks = record.createdChunks - record.doneChunks.length;
     if (
-      open >= 4 ||
+      openChunks >= 4 ||
       record.createdChunks >= totalChunks(record) ||
       !mayCreateChunk(record, record.createdChunks)
     )
       return;
-    if (this.host.isBeingCancelled(job.id)) return;
-    const next = chunkRanges(record.spec.taskCount, record.chunkSize, record.zones)[
+    if (this.context.isBeingCancelled(job.id)) return;
+    const range = chunkRanges(record.spec.taskCount, record.chunkSize, record.zones)[
       record.createdChunks
     ];
-    if (next === undefined) return;
+    if (range === undefined) return;
     const spec = record.spec;
     const { label } = homeShard.shard;
-    const { submittedAt: at, createdChunks: cut } = record;
+    const { submittedAt, createdChunks: index } = record;
     const now = this.clock.now();
-    const chunk = new Chunk(spec, cut, label, at, next.firstTask, next.endTask, next.zone, now);
+    const chunk = new Chunk(
+      spec,
+      index,
+      label,
+      submittedAt,
+      range.firstTask,
+      range.endTask,
+      range.zone,
+      now,
+    );
     void this.recordCreatedChunk(homeShard, job, chunk);
   }
 
@@ -287,18 +300,19 @@
         createdChunks: job.record.createdChunks + 1,
       };
       if (!(await this.jobRecords.write(homeShard, job, next))) return;
-      const isCut = job.record.state === 'open' && job.record.createdChunks === next.createdChunks;
-      if (!isCut || !homeShard.isOwned || homeShard.shard.chunks.has(chunk.id)) return;
+      const isCreated =
+        job.record.state === 'open' && job.record.createdChunks === next.createdChunks;
+      if (!isCreated || !homeShard.isOwned || homeShard.shard.chunks.has(chunk.id)) return;
       homeShard.shard.acceptNewChunk(chunk, this.clock.now());
     } catch (error) {
-      log.debug(`cut: ${describeError(error)}`);
+      log.debug(`recording a created chunk failed: ${describeError(error)}`);
     } finally {
       job.isWriteInFlight = false;
     }
   }
 }
 
-/** The record of a job once it is cancelled: nothing of its description or its chunks is kept. */
+/** Returns the record of a cancelled job, without its description and its lists of chunks. */
 function cancelledRecord(record: JobRecord): JobRecord {
   return { ...record, spec: null, state: 'cancelled', doneChunks: [], migratedChunks: [] };
 }
--- a/src/coordination/persistence/missingChunks.ts
+++ b/src/coordination/persistence/missingChunks.ts
@@ -1,9 +1,12 @@
-/** Chunks of a home job that nobody has stored: its record says that they were cut, and nothing of them was started. */
+/** Chunks of a home job that its record counts as created but that are not stored: no task of them was started. */
 import type { JobRecord } from '../../storage/records.js';
 import { Chunk } from '../model/chunk.js';
 import { chunkRanges } from '../model/chunking.js';
 
-/** Made anew where the home shard does not have them; `record` is as stored, with all that it says of moves. */
+/**
+ * Creates the chunks that the home shard does not have. `record` is the stored record, which lists all chunks that have
+ * ever migrated away.
+ */
 export function missingChunks(
   id: string,
   record: JobRecord,
@@ -13,19 +16,19 @@
   if (record.state !== 'open') return [];
   const {
     spec,
-    chunkSize: size,
+    chunkSize,
     zones,
-    createdChunks: cut,
-    doneChunks: finished,
-    migratedChunks: away,
-    submittedAt: at,
+    createdChunks,
+    doneChunks,
+    migratedChunks,
+    submittedAt,
     homeShard,
   } = record;
-  return chunkRanges(spec.taskCount, size, zones)
-    .slice(0, cut)
-    .flatMap(({ firstTask: from, endTask: to, zone }, index) => {
-      const isElsewhere = finished.includes(index) || away.includes(index);
-      if (isElsewhere || present.has(`${id}/${index}`)) return [];
-      return [new Chunk(spec, index, homeShard, at, from, to, zone, now)];
+  return chunkRanges(spec.taskCount, chunkSize, zones)
+    .slice(0, createdChunks)
+    .flatMap(({ firstTask, endTask, zone }, index) => {
+      const isDoneOrMigrated = doneChunks.includes(index) || migratedChunks.includes(index);
+      if (isDoneOrMigrated || present.has(`${id}/${index}`)) return [];
+      return [new Chunk(spec, index, homeShard, submittedAt, firstTask, endTask, zone, now)];
     });
 }
--- a/src/storage/compactRecords.ts
+++ b/src/storage/compactRecords.ts
@@ -1,4 +1,4 @@
-/** Format 2 of stored records: what has its usual value is left out, and tasks are gathered by machine. */
+/** Format 2 of stored records: fields with their default value are omitted, and attempts are grouped by machine. */
 import type { JobSpec } from '../protocol/job.js';
 import {
   fromStoredSpec,
@@ -31,13 +31,13 @@
   size: number;
   zones?: string[];
   cut: number;
-  /** Chunk numbers as ranges. */
+  /** Chunk indices as ranges. */
   finished?: number[];
   away?: number[];
 }
 
-/** A machine, its agent epoch, and a task and its attempt for each task on it. */
-type CompactEntries = [string, number, ...number[]];
+/** A machine and its agent epoch, followed by the task number and attempt number of each attempt on it. */
+type CompactAttempts = [string, number, ...number[]];
 
 interface CompactChunk {
   spec: CompactSpec;
@@ -48,7 +48,7 @@
   zone?: string;
   next: number;
   done?: number[];
-  on?: CompactEntries[];
+  on?: CompactAttempts[];
   moves?: number;
 }
 
@@ -57,17 +57,17 @@
   chunks: Record<string, CompactChunk>;
 }
 
-/** A job's description in format 2: fields that have their default are left out. */
+/** Returns a job's description in format 2, without the fields that have their default value. */
 export function compactSpec(spec: JobSpec): CompactSpec {
-  const usual: Record<string, unknown> = { ...specDefaults() };
-  const told = Object.entries(toStoredSpec(spec)).filter(([name, value]) => {
-    if (!(name in usual)) return true;
-    return Array.isArray(value) || value !== usual[name];
+  const defaults: Record<string, unknown> = { ...specDefaults() };
+  const stored = Object.entries(toStoredSpec(spec)).filter(([name, value]) => {
+    if (!(name in defaults)) return true;
+    return Array.isArray(value) || value !== defaults[name];
   });
-  return Object.fromEntries(told) as unknown as CompactSpec;
+  return Object.fromEntries(stored) as unknown as CompactSpec;
 }
 
-/** A job's record in format 2. */
+/** Returns a job's record in format 2. */
 export function compactJob(record: JobRecord): CompactJob {
   const {
     spec,
@@ -96,7 +96,7 @@
   };
 }
 
-/** A job's record of either format, stored under `key`. Throws `CorruptRecordError` where it tells no state. */
+/** Decodes a job's record of either format, stored under `key`. Throws `CorruptRecordError` for an unknown state. */
 export function decodeJob(key: string, stored: unknown): JobRecord {
   if ((stored as Partial<CompactJob>).v !== 2) {
     return fromPlainJob(key, stored as StoredJobRecord);
@@ -114,7 +114,7 @@
   });
 }
 
-/** A bucket of chunks in format 2. */
+/** Returns a bucket of chunks in format 2. */
 export const compactBucket = ({ chunks }: BucketRecord): CompactBucket => ({
   v: 2,
   chunks: mapValues(chunks, compactChunk),
@@ -130,11 +130,11 @@
     zone,
     nextAttemptNumber: next,
     doneTasks: done,
-    attempts: entries,
+    attempts,
     migrationCount: moves,
   } = record;
   return {
-    // Only the job's own record tells what it waits for: what is stored of a chunk has been released.
+    // Dependencies are stored only in the job's record: a stored chunk belongs to a job that has been released.
     spec: compactSpec({ ...spec, dependencies: [] }),
     home,
     at,
@@ -143,33 +143,33 @@
     ...(zone === null ? {} : { zone }),
     next,
     ...(done.length === 0 ? {} : { done }),
-    ...(entries.length === 0 ? {} : { on: compactEntries(entries) }),
+    ...(attempts.length === 0 ? {} : { on: compactAttempts(attempts) }),
     ...(moves === 0 ? {} : { moves }),
   };
 }
 
-function compactEntries(entries: AttemptRecord[]): CompactEntries[] {
-  const groups = new Map<string, CompactEntries>();
-  for (const { task, attemptNumber: attempt, machine, agentEpoch: session } of entries) {
-    const group = groups.get(`${machine} ${session}`) ?? [machine, session];
-    groups.set(`${machine} ${session}`, group);
-    group.push(task, attempt);
+function compactAttempts(attempts: AttemptRecord[]): CompactAttempts[] {
+  const groupsByMachine = new Map<string, CompactAttempts>();
+  for (const { task, attemptNumber, machine, agentEpoch } of attempts) {
+    const grouped = groupsByMachine.get(`${machine} ${agentEpoch}`) ?? [machine, agentEpoch];
+    groupsByMachine.set(`${machine} ${agentEpoch}`, grouped);
+    grouped.push(task, attemptNumber);
   }
-  return [...groups.values()];
+  return [...groupsByMachine.values()];
 }
 
-function decodeEntries(groups: CompactEntries[]): AttemptRecord[] {
-  return groups.flatMap(([machine, session, ...numbers]) => {
-    const entries: AttemptRecord[] = [];
+function decodeAttempts(groups: CompactAttempts[]): AttemptRecord[] {
+  return groups.flatMap(([machine, agentEpoch, ...numbers]) => {
+    const attempts: AttemptRecord[] = [];
     for (let i = 0; i + 1 < numbers.length; i += 2) {
-      const [task = 0, attempt = 0] = numbers.slice(i, i + 2);
-      entries.push({ task, attemptNumber: attempt, machine, agentEpoch: session });
+      const [task = 0, attemptNumber = 0] = numbers.slice(i, i + 2);
+      attempts.push({ task, attemptNumber, machine, agentEpoch });
     }
-    return entries;
+    return attempts;
   });
 }
 
-/** A bucket of chunks of either format. */
+/** Decodes a bucket of chunks of either format. */
 export function decodeBucket(stored: unknown): BucketRecord {
   if ((stored as Partial<CompactBucket>).v !== 2) {
     return fromPlainBucket(stored as StoredBucketRecord);
@@ -186,7 +186,7 @@
   zone: stored.zone ?? null,
   nextAttemptNumber: stored.next,
   doneTasks: stored.done ?? [],
-  attempts: decodeEntries(stored.on ?? []),
+  attempts: decodeAttempts(stored.on ?? []),
   migrationCount: stored.moves ?? 0,
 });
 
--- a/src/storage/rateLimiter.ts
+++ b/src/storage/rateLimiter.ts
@@ -1,16 +1,17 @@
-/** What a node may ask of a service that limits its rate, and how nodes share that. */
+/** Limits a node's calls to a service to its rate, and divides that rate among the nodes. */
 import type { Clock } from '../base/clock.js';
 
-/** Seconds over which need is averaged. */
-const MEMORY = 3;
+/** Time constant of the demand average, in seconds. */
+const DEMAND_AVERAGE_SECONDS = 3;
 
 /**
- * Who goes first. `ownership`: without it nothing else counts; `submission`: a user waits for the answer;
- * `rental`: machines that are paid for; `urgent`: starts and ends that somebody waits for; `later`: bookkeeping.
+ * Priority of a request, highest first. `ownership`: leases and leader records, which all else depends on; `submission`: a
+ * user waits for the answer; `rental`: machines that are paid for; `urgent`: starts and completions that users wait for;
+ * `later`: bookkeeping.
  */
 export type RequestPriority = 'ownership' | 'submission' | 'rental' | 'urgent' | 'later';
 
-const ORDER: Record<RequestPriority, number> = {
+const PRIORITY_ORDER: Record<RequestPriority, number> = {
   ownership: 0,
   submission: 1,
   rental: 2,
@@ -19,24 +20,24 @@
 };
 
 /**
- * Of the rate, what these may take ahead of starts; beyond it they queue with them. A flood of submissions, or of
- * rentals that find nothing, must not keep starts waiting.
+ * Shares of the rate that these priorities may use ahead of starts; beyond its share, a priority queues like `urgent`. Many
+ * submissions, or many rentals without available machines, must not delay starts.
  */
-const SHARES: ReadonlyMap<RequestPriority, number> = new Map([
+const PRIORITY_SHARES: ReadonlyMap<RequestPriority, number> = new Map([
   ['submission', 1 / 2],
   ['rental', 1 / 4],
 ]);
 
-/** A bucket of tokens, refilled at a rate; callers wait their turn. */
+/** A token bucket with a priority queue of waiting callers. */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: number;
-  /** Cost asked for lately, a second; forgets over a few seconds. */
+  /** Recently requested cost per second, decaying exponentially. */
   private demandRate = 0;
   private demandRateAt: number;
-  /** What is left of each share; below zero, they queue like other urgent work. */
+  /** Tokens left of each share; while they are below zero, that priority queues like `urgent`. */
   private readonly shareLevels = new Map<RequestPriority, number>();
-  private readonly queue: { cost: number; order: number; go: () => void }[] = [];
+  private readonly queue: { cost: number; order: number; resolve: () => void }[] = [];
   private timer: NodeJS.Timeout | null = null;
 
   constructor(
@@ -45,20 +46,20 @@
     private burst: number,
   ) {
     this.tokens = burst;
-    for (const [priority, share] of SHARES) this.shareLevels.set(priority, burst * share);
+    for (const [priority, share] of PRIORITY_SHARES) this.shareLevels.set(priority, burst * share);
     this.refilledAt = clock.now();
     this.demandRateAt = this.refilledAt;
   }
 
-  /** Cost a second that is being asked for, what waits included. */
+  /** Requested cost per second, including queued requests. */
   get demand(): number {
-    this.forget();
+    this.decayDemand();
     let waiting = 0;
     for (const { cost } of this.queue) waiting += cost;
-    return this.demandRate + waiting / MEMORY;
+    return this.demandRate + waiting / DEMAND_AVERAGE_SECONDS;
   }
 
-  /** Bursts of a second's worth are allowed, so the burst follows the rate. */
+  /** Changes the rate. The burst is one second's worth of tokens, so it follows the rate. */
   setRate(rate: number): void {
     this.refill();
     this.refillRate = rate;
@@ -66,50 +67,50 @@
     this.tokens = Math.min(this.tokens, rate);
   }
 
-  private forget(): void {
+  private decayDemand(): void {
     const now = this.clock.now();
-    this.demandRate *= Math.exp(-(now - this.demandRateAt) / MEMORY);
+    this.demandRate *= Math.exp(-(now - this.demandRateAt) / DEMAND_AVERAGE_SECONDS);
     this.demandRateAt = now;
   }
 
-  /** Cost a second that is granted. */
+  /** Permitted cost per second. */
   get rate(): number {
     return this.refillRate;
   }
 
-  /** Callers that wait for their turn. */
+  /** Number of queued callers. */
   get queueLength(): number {
     return this.queue.length;
   }
 
-  /** Seconds until something of this urgency would get its turn. */
+  /** Returns the seconds that a request of this priority would wait. */
   delay(priority: RequestPriority): number {
     this.refill();
     let ahead = 0;
-    const own = this.orderOf(priority);
-    for (const { cost, order } of this.queue) if (order <= own) ahead += cost;
+    const ownOrder = this.orderOf(priority);
+    for (const { cost, order } of this.queue) if (order <= ownOrder) ahead += cost;
     return Math.max(0, (ahead - this.tokens) / this.refillRate);
   }
 
-  /** Resolves when it is the turn of a request of this cost. */
+  /** Resolves once a request of this cost may be sent. */
   acquire(cost: number, priority: RequestPriority): Promise<void> {
-    this.forget();
+    this.decayDemand();
     this.refill();
-    this.demandRate += cost / MEMORY;
+    this.demandRate += cost / DEMAND_AVERAGE_SECONDS;
     const order = this.orderOf(priority);
-    if (order === ORDER[priority]) this.spendShare(priority, cost);
-    return new Promise((go) => {
-      const entry = { cost, order, go };
-      const at = this.queue.findIndex((e) => e.order > order);
-      if (at >= 0) this.queue.splice(at, 0, entry);
-      else this.queue.push(entry);
-      this.drain();
+    if (order === PRIORITY_ORDER[priority]) this.spendShare(priority, cost);
+    return new Promise((resolve) => {
+      const request = { cost, order, resolve };
+      const position = this.queue.findIndex((queued) => queued.order > order);
+      if (position >= 0) this.queue.splice(position, 0, request);
+      else this.queue.push(request);
+      this.admitQueued();
     });
   }
 
   private orderOf(priority: RequestPriority): number {
     const isBeyondShare = (this.shareLevels.get(priority) ?? 0) < 0;
-    return ORDER[isBeyondShare ? 'urgent' : priority];
+    return PRIORITY_ORDER[isBeyondShare ? 'urgent' : priority];
   }
 
   private spendShare(priority: RequestPriority, cost: number): void {
@@ -117,16 +118,16 @@
     if (level !== undefined) this.shareLevels.set(priority, level - cost);
   }
 
-  /** What goes along with somebody whose turn it is; the next wait for it. */
+  /** Charges the cost of a request that is sent without waiting; later requests wait longer for it. */
   charge(cost: number, priority: RequestPriority): void {
     this.refill();
     this.tokens -= cost;
     this.spendShare(priority, cost);
-    this.forget();
-    this.demandRate += cost / MEMORY;
+    this.decayDemand();
+    this.demandRate += cost / DEMAND_AVERAGE_SECONDS;
   }
 
-  /** The other side says that the rate was passed: the others use more than we thought. */
+  /** Empties the bucket after the service reported that the rate was exceeded: other nodes use more than was assumed. */
   backOff(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
@@ -136,45 +137,45 @@
     const now = this.clock.now();
     const gained = (now - this.refilledAt) * this.refillRate;
     this.tokens = Math.min(this.burst, this.tokens + gained);
-    for (const [priority, share] of SHARES) {
+    for (const [priority, share] of PRIORITY_SHARES) {
       const level = this.shareLevels.get(priority) ?? 0;
       this.shareLevels.set(priority, Math.min(this.burst * share, level + gained * share));
     }
     this.refilledAt = now;
   }
 
-  private drain(): void {
+  private admitQueued(): void {
     this.refill();
     for (;;) {
       const head = this.queue[0];
       if (head === undefined) return;
-      // A request larger than the burst goes when the bucket is full, and leaves a debt.
-      const need = Math.min(head.cost, this.burst);
-      if (this.tokens + 1e-9 < need) {
+      // A request larger than the burst is sent when the bucket is full, and the token count becomes negative.
+      const neededTokens = Math.min(head.cost, this.burst);
+      if (this.tokens + 1e-9 < neededTokens) {
         this.timer ??= setTimeout(
           () => {
             this.timer = null;
-            this.drain();
+            this.admitQueued();
           },
-          Math.ceil(((need - this.tokens) / this.refillRate) * 1000) + 1,
+          Math.ceil(((neededTokens - this.tokens) / this.refillRate) * 1000) + 1,
         );
         return;
       }
       this.queue.shift();
       this.tokens -= head.cost;
-      head.go();
+      head.resolve();
     }
   }
 }
 
 /**
- * This node's part of a rate that all share. What the others leave is ours; one that needs more than
- * its even share counts with no more than that, and so does one that has not been heard. Never less
- * than half of the even share: what the others said may be old.
+ * Returns this node's share of a rate that all nodes share: what the demands of the others leave. A node that demands more
+ * than the even share counts with the even share, and so does a node whose demand is unknown. The result is at least half
+ * of the even share, since the reported demands may be outdated.
  */
-export function rateShareOf(total: number, sharers: number, needs: number[]): number {
-  const even = total / sharers;
-  let left = total;
-  for (let i = 0; i < sharers - 1; i++) left -= Math.min(even, needs[i] ?? even);
-  return Math.max(even / 2, left);
+export function rateShareOf(total: number, nodeCount: number, demands: number[]): number {
+  const evenShare = total / nodeCount;
+  let remaining = total;
+  for (let i = 0; i < nodeCount - 1; i++) remaining -= Math.min(evenShare, demands[i] ?? evenShare);
+  return Math.max(evenShare / 2, remaining);
 }
--- a/src/storage/storedRecords.ts
+++ b/src/storage/storedRecords.ts
@@ -1,34 +1,34 @@
 /**
- * Records as they are stored, with the field names of version 0.2, which never change. The rest of the program knows them
- * by the types of `records.ts`; `plainRecords.ts` and `compactRecords.ts` map the one to the other.
+ * Records as they are stored, with the field names of version 0.2, which never change. All other code uses the types of
+ * `records.ts`; `plainRecords.ts` and `compactRecords.ts` map between the two.
  */
 import type { StoredJobSpec } from '../protocol/storedJobSpec.js';
 
-/** `b/token`. */
+/** The fencing token counter, under `b/token`. */
 export interface StoredTokenRecord {
   last: number;
   owners?: Record<string, StoredLastLeader>;
 }
 
-/** Who led a shard last, within `b/token`. */
+/** The last leader of a shard, within `b/token`. */
 export interface StoredLastLeader {
   node: string;
   lost: Record<string, number>;
 }
 
-/** `b/own/SHARD`. */
+/** A leader record, under `b/own/SHARD`. */
 export interface StoredLeaderRecord {
   node: string;
   token: number;
   process: string;
 }
 
-/** `b/node/LABEL`. */
+/** A node capability record, under `b/node/LABEL`. */
 export interface StoredNodeRecord {
   layout: number;
 }
 
-/** `b/job/ID` in record format 1. */
+/** A job, under `b/job/ID`, in record format 1. */
 export interface StoredJobRecord {
   spec: StoredJobSpec | null;
   home: string;
@@ -64,12 +64,12 @@
   moves: number;
 }
 
-/** `b/run/SHARD/BUCKET` in record format 1. */
+/** A bucket of chunks, under `b/run/SHARD/BUCKET`, in record format 1. */
 export interface StoredBucketRecord {
   chunks: Record<string, StoredChunkRecord>;
 }
 
-/** `b/fleet/RENTAL`. */
+/** A machine group, under `b/fleet/RENTAL`. */
 export interface StoredGroupRecord {
   part: string;
   type: string;
--- a/test/persistence/bucketWriter.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -1,4 +1,4 @@
-/** What is stored and when: machines by rental, chunks on buckets, and answers that get lost. */
+/** Which records are written and when: machines by rental, chunks in buckets, and transactions whose answer is lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Chunk } from '../../src/coordination/model/chunk.js';
@@ -15,8 +15,8 @@
 import { spec } from '../support/spec.js';
 import { MemoryStore } from '../support/store.js';
 
-const group = (part: string, ...names: string[]): MachineGroupRecord => ({
-  shard: part,
+const group = (shard: string, ...names: string[]): MachineGroupRecord => ({
+  shard,
   type: 'm8',
   zone: 'a',
   spot: false,
@@ -24,10 +24,10 @@
 });
 
 test('machines come and go with the record of their rental', () => {
-  const fleet = new MachineInventory();
+  const inventory = new MachineInventory();
   const steps: [string, string, MachineGroupRecord | null, string[], string[], number][] = [
     [
-      'a rental that is being asked for has none',
+      'a rental that is being requested has no machines',
       'r1',
       { ...group('p'), requestedCount: 2 },
       [],
@@ -36,30 +36,37 @@
     ],
     ['its machines', 'r1', group('p', 'n1', 'n2'), ['n1', 'n2'], [], 2],
     ['another rental', 'r2', group('p', 'n3'), ['n3'], [], 3],
-    ['one is returned', 'r1', group('p', 'n2'), ['n2'], ['n1'], 2],
-    ['one that another record has is not taken over', 'r2', group('q', 'n3', 'n2'), ['n3'], [], 1],
-    ['nor taken away with that record', 'r2', null, [], ['n3'], 1],
-    ['the last', 'r1', null, [], ['n2'], 0],
+    ['one machine is released', 'r1', group('p', 'n2'), ['n2'], ['n1'], 2],
+    [
+      'a machine that another record names stays in that one',
+      'r2',
+      group('q', 'n3', 'n2'),
+      ['n3'],
+      [],
+      1,
+    ],
+    ['and stays when the later record is removed', 'r2', null, [], ['n3'], 1],
+    ['the last record is removed', 'r1', null, [], ['n2'], 0],
   ];
-  for (const [name, ask, record, present, gone, count] of steps) {
-    const change = fleet.update(ask, record);
+  for (const [name, rental, record, present, gone, count] of steps) {
+    const change = inventory.update(rental, record);
     assert.deepEqual(
       change.present.map(([n]) => n),
       present,
       name,
     );
     assert.deepEqual(change.gone, gone, name);
-    assert.equal(fleet.countsOf('p').get('m8') ?? 0, count, name);
+    assert.equal(inventory.countsOf('p').get('m8') ?? 0, count, name);
   }
 });
 
-test('a chunk is found where it was stored last', () => {
+test('the index finds a chunk in the bucket in which it was last stored', () => {
   const buckets = new ChunkIndex();
   const chunk = new Chunk(spec(), 0, 'p', 1, 0, 4, null, 0);
   const record = { chunks: { 'wk-1/0': chunk.toRecord() } };
   buckets.update('p', 's1', record, 1);
   assert.equal(buckets.find('wk-1/0')?.shard, 'p');
-  // It moves: the new bucket may be heard of before the old one is changed.
+  // The chunk migrates: the new bucket may be delivered before the change of the old one.
   buckets.update('q', 's9', record, 2);
   buckets.update('p', 's1', { chunks: {} }, 2);
   assert.equal(buckets.find('wk-1/0')?.shard, 'q');
@@ -67,57 +74,58 @@
   assert.equal(buckets.find('wk-1/0'), undefined);
 });
 
-test('nodes share a limit by need, and together stay below it', () => {
+test('nodes divide a rate by demand, and together stay within it', () => {
   const cases: [string, number[], number][] = [
-    ['the others need nothing', [0, 0], 30],
-    ['one needs a little', [4, 0], 26],
-    ['one needs more than its even share', [25, 0], 20],
-    ['both do', [25, 40], 10],
-    ['one has not been heard', [2], 18],
-    ['nobody has', [], 10],
+    ['the others demand nothing', [0, 0], 30],
+    ['one demands a little', [4, 0], 26],
+    ['one demands more than its even share', [25, 0], 20],
+    ['both demand more than their even share', [25, 40], 10],
+    ['the demand of one is unknown', [2], 18],
+    ['the demand of both is unknown', [], 10],
   ];
-  for (const [name, needs, share] of cases) assert.equal(rateShareOf(30, 3, needs), share, name);
-  for (const needs of [
+  for (const [name, demands, share] of cases)
+    assert.equal(rateShareOf(30, 3, demands), share, name);
+  for (const demands of [
     [12, 3, 9],
     [10, 10, 10],
     [1, 2, 3],
     [40, 50, 60],
   ]) {
-    const used = needs.map((n, i) =>
+    const used = demands.map((demand, i) =>
       Math.min(
-        n,
+        demand,
         rateShareOf(
           30,
           3,
-          needs.filter((_, k) => k !== i),
+          demands.filter((_, k) => k !== i),
         ),
       ),
     );
-    assert.ok(used.reduce((a, b) => a + b) <= 30 + 1e-9, `${needs.join(' ')} pass the limit`);
+    assert.ok(used.reduce((a, b) => a + b) <= 30 + 1e-9, `${demands.join(' ')} exceed the rate`);
   }
 });
 
-/** One part with its buckets, on a store in memory. */
-class Desk {
+/** One shard with its bucket writer, on a state service in memory. */
+class WriterFixture {
   now = 100;
   readonly store = new MemoryStore();
-  readonly host: OwnedShard;
+  readonly ownedShard: OwnedShard;
   readonly started: string[] = [];
   private readonly bucketWriter: BucketWriter;
 
   constructor() {
-    const part = emptyShard(3, new Map([['m8', m8]]));
-    for (const [label, stamp] of [
+    const shard = emptyShard(3, new Map([['m8', m8]]));
+    for (const [label, revision] of [
       ['p', 1],
       ['q', 2],
     ] as const) {
       this.store.rows.set(keys.leader(label), {
         key: keys.leader(label),
         value: {},
-        revision: stamp,
+        revision,
       });
     }
-    this.host = createOwnedShard(part, { fencingToken: 5, revision: 1 }, 0);
+    this.ownedShard = createOwnedShard(shard, { fencingToken: 5, revision: 1 }, 0);
     const { rows } = this.store;
     this.bucketWriter = new BucketWriter(
       this.store,
@@ -128,9 +136,9 @@
         verifyLeadership: () => Promise.resolve(),
         stored: (_, chunks) => {
           for (const chunk of chunks) {
-            for (const entry of chunk.attempts.values()) {
-              const name = `${chunk.taskName(entry.task)}@${entry.machine}`;
-              if (chunk.isDurable(entry) && !this.started.includes(name)) this.started.push(name);
+            for (const attempt of chunk.attempts.values()) {
+              const name = `${chunk.taskName(attempt.task)}@${attempt.machine}`;
+              if (chunk.isDurable(attempt) && !this.started.includes(name)) this.started.push(name);
             }
           }
         },
@@ -139,7 +147,7 @@
     );
   }
 
-  machine(name: string): void {
+  addMachine(name: string): void {
     const record = {
       shard: 'p',
       type: 'm8',
@@ -148,7 +156,7 @@
       launchedAt: 0,
       address: 'h:1',
     };
-    const machine = this.host.shard.addMachine(name, record, this.now);
+    const machine = this.ownedShard.shard.addMachine(name, record, this.now);
     const report = { machine: name, address: 'h:1', type: 'm8', zone: 'a', spot: false };
     const rest = {
       agentEpoch: 1,
@@ -157,10 +165,10 @@
       preemptionWarning: null,
       attempts: [],
     };
-    this.host.shard.heartbeats.apply(machine, { ...report, ...rest }, this.now, 'response');
+    this.ownedShard.shard.heartbeats.apply(machine, { ...report, ...rest }, this.now, 'response');
   }
 
-  job(id: string, tasks = 1): Chunk {
+  addJob(id: string, tasks = 1): Chunk {
     const chunk = new Chunk(
       spec({ id, taskCount: tasks }),
       0,
@@ -171,27 +179,27 @@
       null,
       this.now,
     );
-    this.host.shard.acceptNewChunk(chunk, this.now);
+    this.ownedShard.shard.acceptNewChunk(chunk, this.now);
     return chunk;
   }
 
-  /** A round: decides, stores what is due and waits until all answers are in. */
-  async round(seconds = 5): Promise<void> {
+  /** Runs a scheduling round, writes what is due and waits for all answers. */
+  async runRound(seconds = 5): Promise<void> {
     this.now += seconds;
-    this.host.shard.scheduler.runRound(this.now, () => false);
-    this.bucketWriter.writeDueBuckets(this.host);
-    while (this.host.writesInFlight > 0) await new Promise((r) => setTimeout(r, 1));
+    this.ownedShard.shard.scheduler.runRound(this.now, () => false);
+    this.bucketWriter.writeDueBuckets(this.ownedShard);
+    while (this.ownedShard.writesInFlight > 0) await new Promise((r) => setTimeout(r, 1));
   }
 
   move(chunk: Chunk): ReturnType<BucketWriter['move']> {
-    return this.bucketWriter.move(this.host, chunk, 'q', { conditions: [], puts: [] });
+    return this.bucketWriter.move(this.ownedShard, chunk, 'q', { conditions: [], puts: [] });
   }
 
-  /** The peer sends the chunk back, and this part hears of it. */
-  sendBack(chunk: Chunk): void {
+  /** Migrates the chunk back from the peer, and delivers the change to this shard. */
+  migrateBack(chunk: Chunk): void {
     const { rows } = this.store;
     const found = [...rows.values()].find(({ key }) => key.startsWith('b/run/q/'));
-    assert.ok(found, 'it is at the peer');
+    assert.ok(found, 'the chunk is stored at the peer');
     rows.delete(found.key);
     const name = `${chunk.id.replace('/', '-')}-2`;
     const sent = { ...chunk.toRecord(), migrationCount: 2 };
@@ -205,7 +213,7 @@
       stateCache: {
         get: (any) => rows.get(any),
         *entriesWithPrefix() {
-          // Nothing else is loaded.
+          // No other records are loaded.
         },
         noteRemoved: () => undefined,
       },
@@ -214,11 +222,11 @@
       recordFormat: layoutFor(),
       requestSchedulingRound: () => undefined,
     });
-    loader.noteBucket(this.host, name, value, revision);
+    loader.noteBucket(this.ownedShard, name, value, revision);
   }
 
-  /** Parts whose stored buckets hold the chunk. */
-  where(chunk: Chunk): string[] {
+  /** Returns the shards whose stored buckets hold the chunk. */
+  shardsStoring(chunk: Chunk): string[] {
     return [...this.store.rows.values()].flatMap(({ key, value }) =>
       key.startsWith('b/run/') && (value as BucketRecord).chunks[chunk.id] !== undefined
         ? [key.split('/')[2] ?? '']
@@ -227,154 +235,162 @@
   }
 }
 
-test('many chunks cost one change, and one that is over goes with the next', async () => {
-  const desk = new Desk();
-  desk.machine('n-1');
-  const chunks = ['wk-1', 'wk-2', 'wk-3', 'wk-4'].map((id) => desk.job(id));
-  await desk.round();
-  assert.equal(desk.store.changes, 1);
-  assert.equal(desk.started.length, 4);
+test('many chunks cost one write, and a finished chunk is removed with the next write', async () => {
+  const fixture = new WriterFixture();
+  fixture.addMachine('n-1');
+  const chunks = ['wk-1', 'wk-2', 'wk-3', 'wk-4'].map((id) => fixture.addJob(id));
+  await fixture.runRound();
+  assert.equal(fixture.store.changes, 1);
+  assert.equal(fixture.started.length, 4);
   const [first] = chunks;
   if (first === undefined) throw new Error('no chunks');
-  desk.host.shard.dropChunk(first);
-  await desk.round();
-  assert.equal(desk.store.changes, 1, 'nobody waits for that');
-  const next = desk.job('wk-5');
-  await desk.round();
-  assert.equal(desk.store.changes, 2);
-  assert.deepEqual(desk.where(first), []);
-  assert.deepEqual(desk.where(next), ['p']);
+  fixture.ownedShard.shard.dropChunk(first);
+  await fixture.runRound();
+  assert.equal(
+    fixture.store.changes,
+    1,
+    'the removal of a finished chunk is not written by itself',
+  );
+  const next = fixture.addJob('wk-5');
+  await fixture.runRound();
+  assert.equal(fixture.store.changes, 2);
+  assert.deepEqual(fixture.shardsStoring(first), []);
+  assert.deepEqual(fixture.shardsStoring(next), ['p']);
 });
 
-test('an empty bucket is written anew by what comes next, also where its removal got no answer', async () => {
+test('an empty bucket is reused for the next chunk, also if its removal got no answer', async () => {
   for (const removal of ['none', 'applied', 'late'] as const) {
-    const desk = new Desk();
-    desk.machine('n-1');
-    const first = desk.job('wk-1');
-    await desk.round();
-    desk.host.shard.dropChunk(first);
+    const fixture = new WriterFixture();
+    fixture.addMachine('n-1');
+    const first = fixture.addJob('wk-1');
+    await fixture.runRound();
+    fixture.ownedShard.shard.dropChunk(first);
     if (removal !== 'none') {
-      desk.store.loseNext = true;
-      await desk.round();
-      if (removal === 'applied') assert.equal(desk.store.late().kind, 'applied');
+      fixture.store.loseNext = true;
+      await fixture.runRound();
+      if (removal === 'applied') assert.equal(fixture.store.late().kind, 'applied');
     }
-    const before = desk.store.changes;
-    const next = desk.job('wk-2');
-    await desk.round();
-    await desk.round();
-    if (removal === 'late') assert.equal(desk.store.late().kind, 'conflict');
-    assert.deepEqual([desk.where(first), desk.where(next)], [[], ['p']], removal);
-    assert.ok(desk.started.includes('wk-2/0@n-1'), removal);
-    assert.equal(desk.store.changes, before + 1, `${removal}: one change, no removal`);
+    const before = fixture.store.changes;
+    const next = fixture.addJob('wk-2');
+    await fixture.runRound();
+    await fixture.runRound();
+    if (removal === 'late') assert.equal(fixture.store.late().kind, 'conflict');
+    assert.deepEqual(
+      [fixture.shardsStoring(first), fixture.shardsStoring(next)],
+      [[], ['p']],
+      removal,
+    );
+    assert.ok(fixture.started.includes('wk-2/0@n-1'), removal);
+    assert.equal(fixture.store.changes, before + 1, `${removal}: one write, no removal`);
   }
 });
 
-test('a start waits for an answer, also when the first copy was applied without one', async () => {
+test('a start waits for the answer to its write, also if the first copy was applied without an answer', async () => {
   for (const applied of [true, false]) {
-    const desk = new Desk();
-    desk.machine('n-1');
-    const chunk = desk.job('wk-1');
-    desk.store.loseNext = true;
-    await desk.round();
-    assert.deepEqual(desk.started, [], 'started without an answer');
-    if (applied) desk.store.late();
-    await desk.round();
-    await desk.round();
-    assert.deepEqual(desk.started, ['wk-1/0@n-1']);
-    assert.deepEqual(desk.where(chunk), ['p']);
-    if (!applied) assert.equal(desk.store.late().kind, 'conflict', 'a late copy was applied');
+    const fixture = new WriterFixture();
+    fixture.addMachine('n-1');
+    const chunk = fixture.addJob('wk-1');
+    fixture.store.loseNext = true;
+    await fixture.runRound();
+    assert.deepEqual(fixture.started, [], 'started before the write was answered');
+    if (applied) fixture.store.late();
+    await fixture.runRound();
+    await fixture.runRound();
+    assert.deepEqual(fixture.started, ['wk-1/0@n-1']);
+    assert.deepEqual(fixture.shardsStoring(chunk), ['p']);
+    if (!applied) assert.equal(fixture.store.late().kind, 'conflict', 'a late copy was applied');
   }
 });
 
-test('a move without an answer leaves the chunk at one part, whenever it is applied', async () => {
+test('a migration without an answer leaves the chunk in one shard, whenever it is applied', async () => {
   for (const early of [true, false]) {
-    const desk = new Desk();
-    const chunk = desk.job('wk-1');
-    const other = desk.job('wk-2');
-    await desk.round();
-    desk.store.loseNext = true;
-    assert.equal((await desk.move(chunk)).kind, 'unknown');
-    if (early) assert.equal(desk.store.late().kind, 'applied');
-    // Room comes up here meanwhile, and both are placed.
-    desk.machine('n-1');
-    await desk.round();
-    await desk.round();
-    if (!early) assert.equal(desk.store.late().kind, 'conflict');
-    assert.deepEqual(desk.where(chunk), [early ? 'q' : 'p']);
-    assert.deepEqual(desk.where(other), ['p']);
-    const mine = desk.started.filter((name) => name.startsWith('wk-1/'));
-    assert.equal(mine.length, early ? 0 : 1, 'started here although it had gone');
-    assert.ok(desk.started.includes('wk-2/0@n-1'));
+    const fixture = new WriterFixture();
+    const chunk = fixture.addJob('wk-1');
+    const other = fixture.addJob('wk-2');
+    await fixture.runRound();
+    fixture.store.loseNext = true;
+    assert.equal((await fixture.move(chunk)).kind, 'unknown');
+    if (early) assert.equal(fixture.store.late().kind, 'applied');
+    // A machine becomes available here meanwhile, and both chunks are placed.
+    fixture.addMachine('n-1');
+    await fixture.runRound();
+    await fixture.runRound();
+    if (!early) assert.equal(fixture.store.late().kind, 'conflict');
+    assert.deepEqual(fixture.shardsStoring(chunk), [early ? 'q' : 'p']);
+    assert.deepEqual(fixture.shardsStoring(other), ['p']);
+    const startedHere = fixture.started.filter((name) => name.startsWith('wk-1/'));
+    assert.equal(startedHere.length, early ? 0 : 1, 'started here although it had migrated');
+    assert.ok(fixture.started.includes('wk-2/0@n-1'));
   }
 });
 
-test('a bucket whose creation got no answer never comes back once its chunks have left it', async () => {
+test('a bucket whose creation got no answer is not created again after its chunks have left it', async () => {
   for (const leave of ['moved', 'dropped before it was stored'] as const) {
-    const desk = new Desk();
-    const chunk = desk.job('wk-1');
-    desk.store.loseNext = true;
-    await desk.round();
+    const fixture = new WriterFixture();
+    const chunk = fixture.addJob('wk-1');
+    fixture.store.loseNext = true;
+    await fixture.runRound();
     if (leave === 'moved') {
-      await desk.round();
-      assert.equal((await desk.move(chunk)).kind, 'applied');
-    } else desk.host.shard.dropChunk(chunk);
-    await desk.round();
-    await desk.round();
-    // Its condition is that there is no such record: a record that had been removed would let it pass.
-    assert.equal(desk.store.late().kind, 'conflict');
-    assert.deepEqual(desk.where(chunk), leave === 'moved' ? ['q'] : []);
-    // The bucket serves what comes next.
-    const next = desk.job('wk-2');
-    await desk.round();
-    assert.deepEqual(desk.where(next), ['p']);
-    assert.equal([...desk.store.rows.keys()].filter((k) => k.startsWith('b/run/p/')).length, 1);
+      await fixture.runRound();
+      assert.equal((await fixture.move(chunk)).kind, 'applied');
+    } else fixture.ownedShard.shard.dropChunk(chunk);
+    await fixture.runRound();
+    await fixture.runRound();
+    // The late copy is conditional on the absence of the record: it would be applied if the record had been removed.
+    assert.equal(fixture.store.late().kind, 'conflict');
+    assert.deepEqual(fixture.shardsStoring(chunk), leave === 'moved' ? ['q'] : []);
+    // The bucket is reused for the next chunk.
+    const next = fixture.addJob('wk-2');
+    await fixture.runRound();
+    assert.deepEqual(fixture.shardsStoring(next), ['p']);
+    assert.equal([...fixture.store.rows.keys()].filter((k) => k.startsWith('b/run/p/')).length, 1);
   }
 });
 
 test('a chunk that comes back before its move away is known to be applied is not lost', async () => {
-  const desk = new Desk();
-  const chunk = desk.job('wk-1');
-  await desk.round();
-  desk.store.loseNext = true;
-  assert.equal((await desk.move(chunk)).kind, 'unknown');
-  assert.equal(desk.store.late().kind, 'applied');
-  desk.sendBack(chunk);
-  await desk.round();
-  desk.machine('n-1');
-  for (let round = 0; round < 4; round++) await desk.round();
-  assert.deepEqual(desk.where(chunk), ['p']);
-  assert.ok(desk.started.includes('wk-1/0@n-1'), 'it waits for good');
+  const fixture = new WriterFixture();
+  const chunk = fixture.addJob('wk-1');
+  await fixture.runRound();
+  fixture.store.loseNext = true;
+  assert.equal((await fixture.move(chunk)).kind, 'unknown');
+  assert.equal(fixture.store.late().kind, 'applied');
+  fixture.migrateBack(chunk);
+  await fixture.runRound();
+  fixture.addMachine('n-1');
+  for (let round = 0; round < 4; round++) await fixture.runRound();
+  assert.deepEqual(fixture.shardsStoring(chunk), ['p']);
+  assert.ok(fixture.started.includes('wk-1/0@n-1'), 'it waits forever');
 });
 
-test('a copy of an answered change brings back no chunk that has left its bucket', async () => {
+test('a late copy of an answered transaction does not restore a chunk that has left its bucket', async () => {
   for (const leave of ['moved', 'dropped'] as const) {
-    const desk = new Desk();
-    const chunk = desk.job('wk-1');
-    await desk.round();
-    if (leave === 'moved') assert.equal((await desk.move(chunk)).kind, 'applied');
-    else desk.host.shard.dropChunk(chunk);
-    await desk.round();
-    await desk.round();
-    assert.deepEqual(new Set(desk.store.repeatAnswered()), new Set(['conflict']), leave);
-    assert.deepEqual(desk.where(chunk), leave === 'moved' ? ['q'] : []);
+    const fixture = new WriterFixture();
+    const chunk = fixture.addJob('wk-1');
+    await fixture.runRound();
+    if (leave === 'moved') assert.equal((await fixture.move(chunk)).kind, 'applied');
+    else fixture.ownedShard.shard.dropChunk(chunk);
+    await fixture.runRound();
+    await fixture.runRound();
+    assert.deepEqual(new Set(fixture.store.repeatAnswered()), new Set(['conflict']), leave);
+    assert.deepEqual(fixture.shardsStoring(chunk), leave === 'moved' ? ['q'] : []);
   }
 });
 
-test('what has started does not move', async () => {
-  const desk = new Desk();
-  desk.machine('n-1');
-  const chunk = desk.job('wk-1');
-  await desk.round();
-  assert.equal((await desk.move(chunk)).kind, 'refused');
-  assert.deepEqual(desk.where(chunk), ['p']);
+test('a chunk with started tasks does not migrate', async () => {
+  const fixture = new WriterFixture();
+  fixture.addMachine('n-1');
+  const chunk = fixture.addJob('wk-1');
+  await fixture.runRound();
+  assert.equal((await fixture.move(chunk)).kind, 'refused');
+  assert.deepEqual(fixture.shardsStoring(chunk), ['p']);
 });
 
-test('machines go to the part of their zone that wants them, or to the smallest', () => {
+test('a machine is assigned to the shard of its zone that requests it, or else to the smallest', () => {
   const cases: [string, string, string, string][] = [
-    ['wanted by a part there', 'p', 'a', 'p'],
-    ['wanted by nobody', '', 'a', 'q'],
-    ['wanted by a part of another zone', 'p', 'b', 'r'],
-    ['in a zone without a part', '', 'c', 'q'],
+    ['requested by a shard of the zone', 'p', 'a', 'p'],
+    ['requested by no shard', '', 'a', 'q'],
+    ['requested by a shard of another zone', 'p', 'b', 'r'],
+    ['in a zone without a shard', '', 'c', 'q'],
   ];
   const inventory = new MachineInventory();
   inventory.update('r1', group('p', 'n-1', 'n-2'));
@@ -390,7 +406,7 @@
     machineTypes: machineTypes,
     inventory: inventory,
   };
-  for (const [name, wanted, zone, part] of cases) {
-    assert.equal(chooseShardFor(node, zone, wanted), part, name);
+  for (const [name, wanted, zone, shard] of cases) {
+    assert.equal(chooseShardFor(node, zone, wanted), shard, name);
   }
 });
--- a/test/storage/compatibility.test.ts
+++ b/test/storage/compatibility.test.ts
@@ -1,6 +1,6 @@
 /**
- * The version in production and this one on each other's data. The fixtures were made by production's own modules
- * (`npm run fixtures`); whole clusters of both are played outside CI (`npm run mixed`).
+ * Compatibility of this version and the one in production with each other's data. The fixtures were generated with the
+ * modules of the production version (`npm run fixtures`); clusters of both versions run outside CI (`npm run mixed`).
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -34,23 +34,23 @@
   readFileSync(new URL('../../../../test/fixtures/production.json', import.meta.url), 'utf8'),
 ) as Fixtures;
 
-const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
+const toPlainJson = (value: unknown): unknown => JSON.parse(JSON.stringify(value)) as unknown;
 
-test('messages are, byte for byte, those of production, in both directions', () => {
+test('messages equal those of production byte for byte, in both directions', () => {
   productionRequests.forEach((request, i) => {
     const bytes = Buffer.from(fixtures.requests[i], 'base64');
     assert.deepEqual(encodeRequest(request), bytes);
-    assert.deepEqual(plain(decodeRequest(bytes)), plain(request));
+    assert.deepEqual(toPlainJson(decodeRequest(bytes)), toPlainJson(request));
   });
   productionAnswers.forEach((answer, i) => {
     const bytes = Buffer.from(fixtures.answers[i], 'base64');
     assert.deepEqual(encodeAnswer(answer), bytes);
-    assert.deepEqual(plain(decodeAnswer(bytes)), plain(answer));
+    assert.deepEqual(toPlainJson(decodeAnswer(bytes)), toPlainJson(answer));
   });
 });
 
-test('a question of production about a job is understood, and ours holds nothing new', () => {
-  const known = plain(toStoredSpec(spec()));
+test("production's job description in a peer request is decoded, and ours has no new fields", () => {
+  const known = toPlainJson(toStoredSpec(spec()));
   assert.deepEqual(decodeSpec(JSON.stringify(known)), spec());
   assert.deepEqual(JSON.parse(encodeSpec(spec({ dependencies: ['wk-9'] }))), known);
 });
@@ -59,7 +59,7 @@
   const recordFormat = layoutFor();
   for (const [key, stored] of Object.entries(fixtures.records)) {
     const value = recordFormat.decode(key, structuredClone(stored));
-    assert.deepEqual(plain(recordFormat.encode(key, value)), stored, key);
+    assert.deepEqual(toPlainJson(recordFormat.encode(key, value)), stored, key);
     assert.equal(recordFormat.operations(key, value), 1, key);
   }
   const parsed = parseJob(JSON.stringify(fixtures.submission));
@@ -70,7 +70,7 @@
   assert.deepEqual('job' in parsed ? parsed.job : null, job.spec);
 });
 
-test('records survive the compact layout, whole or in pieces', () => {
+test('records in the compact format stay within the value limit, whole or in fragments', () => {
   for (const valueBytes of [32 * 1024, 2 * 1024, 512]) {
     const recordFormat = layoutFor(valueBytes, 64, true);
     for (const [key, stored] of Object.entries(fixtures.records)) {
@@ -85,7 +85,7 @@
   }
 });
 
-test('what the compact layout leaves out is put back', () => {
+test('fields that the compact format omits are restored', () => {
   const recordFormat = layoutFor(32 * 1024, 16, true);
   const specs: Partial<JobSpec>[] = [
     {},
@@ -122,11 +122,11 @@
     };
     for (const record of [job, { ...job, spec: null, state: 'cancelled', zones: [] }]) {
       assert.deepEqual(
-        recordFormat.decode('b/job/x', plain(recordFormat.encode('b/job/x', record))),
+        recordFormat.decode('b/job/x', toPlainJson(recordFormat.encode('b/job/x', record))),
         record,
       );
     }
-    const entry = { task: 3, attemptNumber: 9, machine: 'n-1', agentEpoch: 1 };
+    const attempt = { task: 3, attemptNumber: 9, machine: 'n-1', agentEpoch: 1 };
     const bucket: BucketRecord = {
       chunks: {
         'wk-1/0': {
@@ -138,38 +138,42 @@
             endTask: 9,
           },
           ...{ zone: null, nextAttemptNumber: 4, doneTasks: [0, 2], migrationCount: 0 },
-          attempts: [entry, { ...entry, task: 4 }, { ...entry, task: 5, agentEpoch: 2 }],
+          attempts: [attempt, { ...attempt, task: 4 }, { ...attempt, task: 5, agentEpoch: 2 }],
         },
       },
     };
     assert.deepEqual(
-      recordFormat.decode('b/run/p/s', plain(recordFormat.encode('b/run/p/s', bucket))),
+      recordFormat.decode('b/run/p/s', toPlainJson(recordFormat.encode('b/run/p/s', bucket))),
       bucket,
     );
   }
 });
 
-test('the compact layout waits for the marks of all nodes', async () => {
+test('the compact format is written only once all nodes have published that they can read it', async () => {
   const store = new MemoryStore();
   const recordFormat = new RecordFormat({ valueBytes: 2048, txnOps: 5 });
-  const replica = {
+  const stateCache = {
     loaded: false,
     get: (key: string) => store.rows.get(key),
     note: (key: string, value: unknown) => {
-      marks.update(key.slice(keys.node('').length), value as { recordFormat: number });
+      capabilities.update(key.slice(keys.node('').length), value as { recordFormat: number });
     },
   };
-  const marks = new NodeCapabilities(store, replica, recordFormat, 'n0', ['n0', 'n1', 'n2']);
-  await marks.publish();
-  assert.equal(store.changes, 0, 'what is stored has not been read yet');
-  replica.loaded = true;
+  const capabilities = new NodeCapabilities(store, stateCache, recordFormat, 'n0', [
+    'n0',
+    'n1',
+    'n2',
+  ]);
+  await capabilities.publish();
+  assert.equal(store.changes, 0, 'the stored records have not been read yet');
+  stateCache.loaded = true;
   store.refuseNext = 1;
-  for (let tries = 0; tries < 4; tries++) await marks.publish();
-  assert.equal(store.changes, 1, 'once');
-  marks.update('n1', { recordFormat: RECORD_FORMAT_VERSION });
-  marks.update('elsewhere', { recordFormat: RECORD_FORMAT_VERSION });
-  marks.update('n2', { recordFormat: RECORD_FORMAT_VERSION - 1 });
-  assert.ok(!recordFormat.isCompact && !marks.isUpgraded);
-  marks.update('n2', { recordFormat: RECORD_FORMAT_VERSION });
-  assert.ok(recordFormat.isCompact && marks.isUpgraded);
+  for (let i = 0; i < 4; i++) await capabilities.publish();
+  assert.equal(store.changes, 1, 'published once');
+  capabilities.update('n1', { recordFormat: RECORD_FORMAT_VERSION });
+  capabilities.update('elsewhere', { recordFormat: RECORD_FORMAT_VERSION });
+  capabilities.update('n2', { recordFormat: RECORD_FORMAT_VERSION - 1 });
+  assert.ok(!recordFormat.isCompact && !capabilities.isUpgraded);
+  capabilities.update('n2', { recordFormat: RECORD_FORMAT_VERSION });
+  assert.ok(recordFormat.isCompact && capabilities.isUpgraded);
 });
