--- a/src/coordination/scheduling/chunkPlacer.ts
+++ b/src/coordination/scheduling/chunkPlacer.ts
@@ -1,6 +1,6 @@
 /**
- * Places the tasks of one chunk: best fit among a few sampled machines that last reported room (DESIGN),
- * without delaying the start for which a machine is reserved (EASY backfilling).
+ * Places the tasks of one chunk: best fit among a few sampled machines that last reported free resources (DESIGN),
+ * without delaying the start of the chunk that holds the reservation (EASY backfilling).
  */
 import { log } from '../../base/log.js';
 import type { Random } from '../../base/random.js';
@@ -14,14 +14,14 @@
 import type { RunTimes } from './runTimes.js';
 import type { SchedulableShard } from './schedulableShard.js';
 
-/** Whether all pending tasks of a chunk are placed, or why some of them are not. */
+/** `complete`: all pending tasks of the chunk are placed; the other values say why some of them are not. */
 export type PlacementOutcome = 'complete' | 'throttled' | 'no-room';
 
-/** Which machines a chunk may not use in this round. */
+/** Machines that a chunk may not use in this round. */
 interface Exclusions {
-  /** The reserved machine, where work of the chunk would delay the reservation. */
+  /** The reserved machine, if tasks of the chunk would delay the reservation; otherwise undefined. */
   readonly reservedMachine: Machine | undefined;
-  /** Machines on which the chunk has failed are left out, as long as there are others. */
+  /** Whether machines on which the chunk has failed are excluded; they are as long as there are others. */
   readonly avoidsFailedMachines: boolean;
 }
 
@@ -32,11 +32,11 @@
     private readonly throttle: QuotaThrottle,
     private readonly runTimes: RunTimes,
     private readonly random: Random,
-    /** How many candidate machines are looked at for one task. */
+    /** Number of candidate machines that are sampled for each task. */
     private readonly sampleSize: number,
   ) {}
 
-  /** Places as many of the chunk's pending tasks as there is room and quota for. */
+  /** Places as many of the chunk's pending tasks as free resources and quota allow. */
   placeChunk(chunk: Chunk, round: RoundState): PlacementOutcome {
     const { spec, zone } = chunk;
     if (this.throttle.mustYield(chunk)) return 'throttled';
@@ -74,7 +74,7 @@
     return 'complete';
   }
 
-  /** The reserved machine, if work of this chunk could still run there at the shadow time. */
+  /** The reserved machine, if tasks of this chunk could still run there at the shadow time. */
   private reservedMachine({ spec }: Chunk, { reservation, now }: RoundState): Machine | undefined {
     if (reservation === null || spec.isGang) return undefined;
     const run = this.runTimes.expected(spec.jobClass, spec.expectedRunSeconds);
@@ -86,7 +86,7 @@
     return failedMachines.size > 0 && failedMachines.size < this.shard.machines.size;
   }
 
-  /** A gang starts as a whole: none of its tasks runs, and all that are left fit at once. */
+  /** Whether a gang can start as a whole: it has no attempts, and all of its pending tasks fit at the same time. */
   private canPlaceGang(chunk: Chunk, now: number): boolean {
     if (chunk.attempts.size > 0) return false;
     const { spec, zone } = chunk;
@@ -111,7 +111,7 @@
   private placeTask(chunk: Chunk, task: number, machine: Machine, now: number): void {
     const attempt: Attempt = {
       task,
-      // The tasks of a gang know each other by a common attempt number.
+      // The tasks of a gang identify each other by a common attempt number.
       attemptNumber: chunk.spec.isGang ? chunk.nextAttemptNumber : chunk.nextAttemptNumber++,
       machine: machine.name,
       agentEpoch: machine.agentEpoch,
@@ -130,15 +130,15 @@
     machine.place({ chunk, attempt });
     this.shard.waitEstimates.invalidate();
     log.debug(
-      `${this.shard.label} places ${chunk.taskName(task)} (${chunk.spec.jobClass}) on ${machine.name}, ` +
+      `shard ${this.shard.label}: placed ${chunk.taskName(task)} (${chunk.spec.jobClass}) on ${machine.name}, ` +
         `image ${machine.hasImage(chunk.spec.image) ? 'cached' : 'missing'}, ` +
-        `after ${(now - chunk.queuedAt).toFixed(1)} s`,
+        `queued for ${(now - chunk.queuedAt).toFixed(1)} s`,
     );
     this.shard.noteChunkChanged(chunk, now);
   }
 }
 
-/** The machines that have room for a task of the chunk. */
+/** Machines with room for a task of the chunk, without the excluded ones. */
 function candidatesFor(
   { spec, zone, failedMachines }: Chunk,
   machines: readonly Machine[],
--- a/src/coordination/scheduling/heap.ts
+++ b/src/coordination/scheduling/heap.ts
@@ -1,17 +1,17 @@
 /** A binary heap. */
 
-/** A priority queue by `compare`: the least element comes out first. */
+/** A priority queue ordered by `compare`: the smallest element is removed first. */
 export class Heap<T> {
   private readonly items: T[] = [];
 
   constructor(private readonly compare: (a: T, b: T) => number) {}
 
-  /** The least element, which is not removed; undefined if the heap is empty. */
+  /** Returns the smallest element without removing it; undefined if the heap is empty. */
   peek(): T | undefined {
     return this.items[0];
   }
 
-  /** Adds an element. */
+  /** Inserts an element. */
   push(item: T): void {
     const { items } = this;
     let index = items.push(item) - 1;
@@ -24,7 +24,7 @@
     items[index] = item;
   }
 
-  /** Removes the least element and gives it; undefined if the heap is empty. */
+  /** Removes and returns the smallest element; undefined if the heap is empty. */
   pop(): T | undefined {
     const { items } = this;
     const first = items[0];
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,45 +1,44 @@
 /**
- * Where one task may run: constraints, best fit and victims of preemption, as pure functions of what
- * machines last reported.
+ * Decides where one task may run: constraints, best fit and the victims of preemption. All functions are pure; they work
+ * on the state that machines last reported.
  */
 import type { Random } from '../../base/random.js';
 import type { JobSpec } from '../../protocol/job.js';
 import { fits, subtractResources, type Resources } from '../model/resources.js';
 
-/** What placement uses of a machine. */
+/** The properties of a machine that placement uses. */
 export interface CandidateMachine {
   name: string;
   type: string;
   zone: string;
   spot: boolean;
   free: Resources;
-  /** Run time of a task as a ratio to the usual; 1 is usual, 2 is half as fast. */
+  /** Run time of a task as a ratio to its usual run time: 1 is the usual speed, 2 is half as fast. */
   slowness: number;
-  /** CPUs that live services use there. */
+  /** CPUs allocated to live services on the machine. */
   serviceCpus: number;
   /** Whether the image is in the machine's cache. */
   hasImage(image: string): boolean;
 }
 
-/** Machines slower than this are avoided where others have room. */
+/** Machines with a higher `slowness` are avoided while others have room. */
 export const SLOW_MACHINE = 1.5;
 
 /**
- * Penalties of `bestFit`, each above what the weaker criteria can add up to. The unit is CPUs that would
- * be left over.
+ * Penalties of `bestFit`, in CPUs left over. Each one exceeds what the weaker criteria can add up to.
  */
 const ON_DEMAND_PENALTY = 1e3;
-const NO_SERVICE_THERE_PENALTY = 1e3;
+const NO_SERVICE_PENALTY = 1e3;
 const MISSING_IMAGE_PENALTY = 1e4;
 const SLOW_MACHINE_PENALTY = 1e6;
 
-/** Weight of each CPU that other live services use on a machine, for a live service. */
+/** Penalty for a live service, for each CPU that other live services use on the machine. */
 const SERVICE_CPU_PENALTY = 10;
 
-/** GB of memory left over that count as much as one CPU left over. */
+/** GB of leftover memory that weigh as much as one leftover CPU. */
 const MEMORY_GB_PER_CPU = 1e3;
 
-/** Whether a job's constraints allow a machine, whatever resources are free there. */
+/** Whether a job's constraints allow a machine, regardless of its free resources. */
 export function satisfiesConstraints(
   spec: JobSpec,
   zone: string | null,
@@ -53,10 +52,10 @@
   );
 }
 
-/** Shapes that have been worked out: each round asks for them often. */
+/** Cached shapes: each scheduling round asks for them often. */
 const shapes = new WeakMap<JobSpec, string>();
 
-/** The shape of a job's tasks: those of the same shape fit the same machines. */
+/** The shape of a job's tasks: a key of their resources and constraints. Tasks of the same shape fit the same machines. */
 export function shapeOf(spec: JobSpec, zone: string | null): string {
   let shape = shapes.get(spec);
   if (shape === undefined) {
@@ -68,7 +67,7 @@
   return zone === null ? shape : `${shape} ${zone}`;
 }
 
-/** Samples `count` of the machines with room; those that have the image are always added (DESIGN). */
+/** Samples `count` of the machines with room; machines that have the image cached are always included (DESIGN). */
 export function sampleCandidates<T extends CandidateMachine>(
   machines: T[],
   image: string,
@@ -87,8 +86,8 @@
 }
 
 /**
- * Best fit: the machine with the fewest resources left over. Spot machines come first where the job
- * allows them, machines without the image come later, and slow machines last.
+ * Best fit: the machine with the fewest resources left over. Spot machines come first if the job allows them, machines
+ * without the image come later, and slow machines come last.
  */
 export function bestFit<T extends CandidateMachine>(machines: T[], spec: JobSpec): T | null {
   let best: T | null = null;
@@ -103,7 +102,7 @@
   return best;
 }
 
-/** The lower, the better the machine suits a task of the job. */
+/** Score of a machine for a task of the job; lower is better. */
 function fitScore(machine: CandidateMachine, spec: JobSpec): number {
   const { free } = machine;
   const leftOver = free.cpus - spec.cpus + (free.memoryGb - spec.memoryGb) / MEMORY_GB_PER_CPU;
@@ -116,25 +115,25 @@
 }
 
 /**
- * Live services are kept apart, so that the loss of one machine takes few of them; but a machine
- * without any comes later still, since with one it can't be released once batch work has ended.
+ * Spreads live services over machines, so that the loss of one machine affects few of them. A machine without any gets a
+ * higher penalty still: once a service runs there, it can't be released when batch work has ended.
  */
 function serviceSpreadPenalty({ serviceCpus }: CandidateMachine): number {
-  return serviceCpus > 0 ? SERVICE_CPU_PENALTY * serviceCpus : NO_SERVICE_THERE_PENALTY;
+  return serviceCpus > 0 ? SERVICE_CPU_PENALTY * serviceCpus : NO_SERVICE_PENALTY;
 }
 
 /** A running task that may be preempted. */
 export interface Victim {
   readonly rank: number;
-  /** What it uses. */
-  readonly need: Resources;
-  /** Seconds of work that stopping it would lose. */
+  /** Resources that it uses. */
+  readonly resources: Resources;
+  /** Seconds of work that are lost if it is stopped. */
   readonly loss: number;
 }
 
 /**
- * The cheapest set of lower-ranked tasks whose end makes room for a task on their machine; null if even
- * all of them don't. Work of the same or a higher rank is never in it.
+ * Selects lower-ranked tasks whose end makes room for a task on their machine, by rank and then by loss; null if stopping
+ * all of them is not enough. Tasks of the same or a higher rank are never selected.
  */
 export function selectVictims<T extends Victim>(
   free: Readonly<Resources>,
@@ -148,7 +147,7 @@
   const chosen: T[] = [];
   for (const victim of candidates) {
     if (fits(freed, resources)) break;
-    subtractResources(freed, victim.need, -1);
+    subtractResources(freed, victim.resources, -1);
     chosen.push(victim);
   }
   return fits(freed, resources) ? chosen : null;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,6 +1,6 @@
 /**
- * Preempts running work of lower ranks, and work that other teams run beyond their guarantee, where
- * queued work needs the room (docs/design.md, "Rank before arrival").
+ * Preempts running tasks of lower ranks, and tasks that other teams run beyond their guarantee, to make room for queued
+ * work (docs/design.md, "Rank before arrival").
  */
 import { rankOrder } from '../../protocol/job.js';
 import type { Chunk } from '../model/chunk.js';
@@ -22,35 +22,35 @@
   readonly placement: Placement;
 }
 
-/** A machine on which preempting some tasks makes room for one. */
+/** A machine on which preempting some tasks makes room for one task of the claimant. */
 interface PreemptionCandidate {
   readonly machine: Machine;
   readonly victims: readonly RunningTask[];
-  /** Seconds of work that would be lost, and a penalty where the image is missing. */
+  /** Seconds of work that would be lost, plus a penalty if the machine lacks the image. */
   readonly loss: number;
 }
 
-/** What has been found of the running work at the start of a round. */
+/** Summary of the running work at the start of a round. */
 interface RunningWork {
-  /** The lowest rank of what runs; Infinity if nothing does. */
+  /** The lowest rank of the running chunks; Infinity if there are none. */
   readonly lowestRank: number;
-  /** Tasks that are being stopped already; their room will be free soon. */
+  /** Number of tasks that are being stopped already; their resources will be free soon. */
   readonly stopping: number;
 }
 
-/** Added to the loss, in seconds, where the image is missing: machines that have it come first. */
+/** Seconds added to the loss if the machine lacks the image, so that machines that have it come first. */
 const MISSING_IMAGE_PENALTY = 1e6;
 
-/** Below every rank: work that its team only borrows the room for, against an entitled team. */
+/** Rank of a task on borrowed resources when an entitled team claims them: below every other rank. */
 const BORROWED_RANK = -1;
 
-/** The heartbeat interval divided by how long a service waits for a preemption at its image. */
+/** The heartbeat interval divided by the time that a service waits for a preemption on a machine with its image. */
 const IMAGE_PREEMPTION_DIVISOR = 6;
 
-/** The rank up to which a chunk may preempt: its own, whatever rank it has inherited. */
+/** The rank below which a chunk may preempt tasks: its job's own rank, not an inherited one. */
 const preemptingRank = (chunk: Chunk): number => rankOrder[chunk.spec.rank];
 
-/** Chooses and stops the running tasks of one shard that give way to queued work. */
+/** Selects and stops the running tasks of one shard that are preempted for queued work. */
 export class Preemption {
   constructor(
     private readonly shard: PreemptibleShard,
@@ -59,18 +59,18 @@
     private readonly heartbeatInterval: number,
   ) {}
 
-  /** Makes room for blocked chunks, in their order, on the machines where that costs least. */
+  /** Makes room for blocked chunks, in queue order, on the machines where the least work is lost. */
   makeRoom(blocked: Chunk[], now: number, outOfTime: () => boolean): void {
     if (blocked.length === 0) return;
     const { lowestRank, stopping } = this.runningWork();
     let freedSoon = stopping;
-    // Where nothing of a lower rank runs, hundreds of machines need not be looked at.
+    // Without a running task of a lower rank, the scan of hundreds of machines can be skipped.
     const claimants = blocked.filter(
       (chunk) => preemptingRank(chunk) > lowestRank || this.teams.isEntitled(chunk.spec),
     );
     const candidates = new Map<string, Heap<PreemptionCandidate>>();
     for (const chunk of claimants) {
-      // What is being stopped already counts for the first chunks; more would be stopped for nothing.
+      // Tasks that are being stopped already make room for the first chunks; stopping more would lose work for nothing.
       const count = Math.max(0, chunk.pendingCount - freedSoon);
       freedSoon = Math.max(0, freedSoon - chunk.pendingCount);
       if (count === 0) continue;
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Preempts batch work for a service's task that would have to fetch its image although a machine
-   * that has the image is full of lower-ranked work. True while the task should wait for that machine.
+   * Preempts batch work for a service's task that would otherwise have to fetch its image, although a machine that has the
+   * image is occupied by lower-ranked work. True while the task should wait for that machine.
    */
   makeRoomAtImage(chunk: Chunk, now: number): boolean {
     const { spec, preemptingSince } = chunk;
@@ -112,26 +112,26 @@
     return { lowestRank, stopping };
   }
 
-  /** The candidates for the chunk, cheapest first; `known` keeps them for chunks alike. */
+  /** The candidates for the chunk, cheapest first; `cached` holds them for chunks of the same kind. */
   private candidatesFor(
     chunk: Chunk,
-    known: Map<string, Heap<PreemptionCandidate>>,
+    cached: Map<string, Heap<PreemptionCandidate>>,
     now: number,
   ): Heap<PreemptionCandidate> {
     const { spec, zone } = chunk;
     const key = [shapeOf(spec, zone), preemptingRank(chunk), spec.team, spec.image].join(' ');
-    let candidates = known.get(key);
+    let candidates = cached.get(key);
     if (candidates === undefined) {
       candidates = new Heap<PreemptionCandidate>((a, b) => a.loss - b.loss);
       for (const machine of this.shard.machines.values()) {
         this.addCandidate(candidates, machine, chunk, now);
       }
-      known.set(key, candidates);
+      cached.set(key, candidates);
     }
     return candidates;
   }
 
-  /** Preempts the cheapest candidates for so many tasks of the chunk. */
+  /** Preempts the cheapest candidates to make room for `count` tasks of the chunk. */
   private preemptFor(
     chunk: Chunk,
     count: number,
@@ -142,7 +142,7 @@
     while (unserved > 0) {
       const best = candidates.pop();
       if (best === undefined) return;
-      // A chunk of another shape may have taken some of its victims in the meantime.
+      // Another shape's candidate may have preempted some of these victims in the meantime.
       const isStale = best.victims.some(({ placement }) => placement.attempt.stop !== null);
       if (!isStale) {
         unserved--;
@@ -152,7 +152,7 @@
     }
   }
 
-  /** Stops the candidate's victims; those that write checkpoints get the time to write one more. */
+  /** Stops the candidate's victims; tasks that write checkpoints get the time to write another one. */
   private stopVictims({ machine, victims }: PreemptionCandidate): void {
     for (const { placement } of victims) {
       const { checkpointInterval, checkpointDuration } = placement.chunk.spec;
@@ -161,7 +161,7 @@
     }
   }
 
-  /** Adds the machine, if preempting some of its tasks makes room for a task of the chunk. */
+  /** Adds the machine as a candidate if preempting some of its tasks makes room for a task of the chunk. */
   private addCandidate(
     candidates: Heap<PreemptionCandidate>,
     machine: Machine,
@@ -177,7 +177,7 @@
     candidates.push({ machine, victims, loss: totalLoss(victims, penalty) });
   }
 
-  /** The machine's tasks that are not being stopped, with the rank that counts against the claimant. */
+  /** The machine's tasks that are not being stopped, each with the rank to compare with the claimant's. */
   private preemptibleTasks(machine: Machine, claimant: Chunk, now: number): RunningTask[] {
     const tasks: RunningTask[] = [];
     const isEntitled = this.teams.isEntitled(claimant.spec);
@@ -191,7 +191,7 @@
         this.takeFromBorrowed(borrowed, chunk);
       tasks.push({
         rank: isBorrowing ? BORROWED_RANK : chunk.rank,
-        need: chunk.spec,
+        resources: chunk.spec,
         loss: lostSeconds(placement, now),
         placement,
       });
@@ -200,8 +200,8 @@
   }
 
   /**
-   * Whether the task runs on what its team has borrowed, that is beyond its own guarantee; such work
-   * of any rank gives way. Takes the task off `borrowed`, so that no more than that gives way.
+   * Whether the task runs on borrowed resources, that is beyond its team's guarantee: such a task may be preempted whatever
+   * its rank. Subtracts the task from `borrowed`, so that no more than the borrowed amount is preempted.
    */
   private takeFromBorrowed(
     borrowed: Map<string, TeamResources>,
@@ -225,7 +225,7 @@
     );
   }
 
-  /** The cheapest of the machines where no victim would need time to write a checkpoint. */
+  /** The cheapest candidate among the machines where no victim needs time to write a checkpoint. */
   private cheapestWithoutCheckpoints(
     machines: readonly Machine[],
     chunk: Chunk,
@@ -243,7 +243,7 @@
   }
 }
 
-/** Seconds of work that stopping the task would lose. */
+/** Seconds of work that are lost if the task is stopped. */
 function lostSeconds({ chunk: { spec }, attempt }: Placement, now: number): number {
   const ran = attempt.runningSince === null ? 0 : now - attempt.runningSince;
   return spec.checkpointInterval > 0 ? Math.min(ran, spec.checkpointDuration) : ran;
--- a/src/coordination/scheduling/queueReplay.ts
+++ b/src/coordination/scheduling/queueReplay.ts
@@ -1,25 +1,25 @@
 /**
- * Estimates the wait of a job by replaying a shard's queue: running tasks end when expected, and at
- * each such moment the queue is gone through in order, with later work backfilled (PAPER, III.A: the
- * approximate wait time comes from simulating the local policy).
+ * Estimates the wait of a job by replaying a shard's queue: running tasks end when expected, and at each end the queue is
+ * scanned in order, with later work backfilled (PAPER, III.A: the approximate wait time comes from simulating the local
+ * policy).
  *
- * An end changes the free resources of one machine only, so only that machine is looked at again: a
- * shard of hundreds of machines is replayed for every submission and every question of a peer.
+ * A task's end changes the free resources of one machine only, so only that machine is examined again: a shard of hundreds
+ * of machines is replayed for every submission and every estimate that a peer requests.
  */
 import { Heap } from './heap.js';
 import { satisfiesConstraints, shapeOf } from './placement.js';
 import { fits, subtractResources, type Resources } from '../model/resources.js';
 import type { JobSpec } from '../../protocol/job.js';
 
-/** A machine at the beginning of a replay. */
+/** State of a machine at the beginning of a replay. */
 export interface ReplayMachine {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly free: Readonly<Resources>;
-  /** Seconds until it can take work: 0, or the rest of its boot time. */
+  /** Seconds until tasks can be placed on it: 0, or the rest of its boot time. */
   readonly readyIn: number;
-  /** Running tasks: the seconds until each ends, and what it uses. */
+  /** Running tasks: the seconds until each ends, and the resources that it uses. */
   readonly running: readonly { readonly endsIn: number; readonly resources: Resources }[];
 }
 
@@ -33,16 +33,16 @@
   readonly run: number;
 }
 
-/** What a replay finds. */
+/** Result of a replay. */
 export interface ReplayResult {
   /** Seconds until the last of the candidate's tasks starts; Infinity if it fits nowhere. */
   readonly wait: number;
 }
 
-/** Ends of tasks that are replayed at most; the wait is then at least the time reached. */
+/** Maximum number of replayed events; when it is reached, the result is a lower bound of the wait. */
 const MAX_EVENTS = 4000;
 
-/** Resources that become free, or, with none, a machine that gets ready. Times are seconds from the start. */
+/** A task's end that releases resources or, with none, a machine that becomes ready. Times are seconds from the start. */
 interface ReplayEvent {
   readonly at: number;
   readonly machineIndex: number;
@@ -56,20 +56,20 @@
   readonly order: number;
 }
 
-/** Work of one shape, which the same machines can run, in the order of the queue. */
+/** Items of one shape, which fit the same machines, in queue order. */
 interface ShapeQueue {
   readonly spec: JobSpec;
   readonly zone: string | null;
   readonly items: QueuedItem[];
-  /** Index of the first item that is not wholly started. */
+  /** Index of the first item with tasks that have not started. */
   head: number;
 }
 
 const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** The machines at the beginning of a replay; one instance serves any number of replays. */
+/** State of the machines at the beginning of a replay; one instance can be used for any number of replays. */
 export class ReplaySnapshot {
-  /** When running tasks end and machines get ready, soonest first. */
+  /** Ends of running tasks and boots of machines, earliest first. */
   readonly events: readonly ReplayEvent[];
 
   constructor(readonly machines: readonly ReplayMachine[]) {
@@ -84,7 +84,7 @@
   }
 }
 
-/** Replays the queue with the candidate behind it, and says when the candidate's last task starts. */
+/** Replays the queue with the candidate at its end, and computes when the candidate's last task starts. */
 export function replayQueue(
   start: ReplaySnapshot,
   queue: ReplayItem[],
@@ -99,14 +99,14 @@
   return new Replay(start, queue, candidate).run();
 }
 
-/** One replay: the queue, the machines' free resources and the coming events as they change. */
+/** State of one replay: the queue, the machines' free resources and the remaining events. */
 class Replay {
-  /** By shapes: of the items of one shape only the first has to be looked at. */
+  /** Items grouped by shape: only the first item of each group has to be examined. */
   private shapeQueues: ShapeQueue[];
   private readonly free: Resources[];
   private readonly events: EventQueue;
-  /** Tasks of the candidate that have not started. */
-  private unstartedCandidates: number;
+  /** Number of the candidate's tasks that have not started. */
+  private unstartedCandidateTasks: number;
 
   constructor(
     private readonly start: ReplaySnapshot,
@@ -116,21 +116,21 @@
     this.shapeQueues = groupByShape([...queue, candidate]);
     this.free = start.machines.map((machine) => ({ ...machine.free }));
     this.events = new EventQueue(start.events);
-    this.unstartedCandidates = candidate.count;
+    this.unstartedCandidateTasks = candidate.count;
   }
 
   run(): ReplayResult {
     this.start.machines.forEach((machine, index) => {
       if (machine.readyIn <= 0) this.startTasks(index, 0);
     });
-    if (this.unstartedCandidates === 0) return { wait: 0 };
+    if (this.unstartedCandidateTasks === 0) return { wait: 0 };
     let now = 0;
     for (let count = 0; count < MAX_EVENTS; count++) {
       const event = this.events.next();
       if (event === undefined) return { wait: Infinity };
       now = Math.max(now, event.at);
       this.apply(event, now);
-      if (this.unstartedCandidates === 0) return { wait: now };
+      if (this.unstartedCandidateTasks === 0) return { wait: now };
     }
     return { wait: now };
   }
@@ -143,7 +143,7 @@
     if (machine.readyIn <= now) this.startTasks(machineIndex, now);
   }
 
-  /** Starts what the machine has room for: in the order of the queue, later work backfilled. */
+  /** Starts the tasks that the machine has room for, in queue order with later work backfilled. */
   private startTasks(machineIndex: number, now: number): void {
     const machine = this.start.machines[machineIndex];
     const free = this.free[machineIndex];
@@ -157,7 +157,7 @@
     }
   }
 
-  /** The shape whose first item is the earliest in the queue of those that fit the machine. */
+  /** Of the shapes that fit the machine, the one whose first item comes first in the queue. */
   private firstThatFits(machine: ReplayMachine, free: Resources): ShapeQueue | null {
     let first: ShapeQueue | null = null;
     let firstOrder = Infinity;
@@ -176,11 +176,11 @@
     const { spec, run } = next.item;
     subtractResources(free, spec);
     if (Number.isFinite(run)) this.events.add({ at: now + run, machineIndex, released: spec });
-    if (next.item === this.candidate) this.unstartedCandidates--;
+    if (next.item === this.candidate) this.unstartedCandidateTasks--;
     next.unstarted--;
   }
 
-  /** The first item of the shape is wholly started. */
+  /** Moves on to the shape's next item once all tasks of the first have started. */
   private advance(shapeQueue: ShapeQueue): void {
     shapeQueue.head++;
     if (shapeQueue.head === shapeQueue.items.length) {
@@ -189,26 +189,26 @@
   }
 }
 
-/** The events of a replay: those known at its start, and the ends of tasks that it starts itself. */
+/** Events of a replay: those known at its start, and the ends of the tasks that it starts. */
 class EventQueue {
-  private passed = 0;
+  private position = 0;
   private readonly added = new Heap<ReplayEvent>((a, b) => a.at - b.at);
 
-  constructor(private readonly atStart: readonly ReplayEvent[]) {}
+  constructor(private readonly initialEvents: readonly ReplayEvent[]) {}
 
   add(event: ReplayEvent): void {
     this.added.push(event);
   }
 
-  /** Removes the earliest event and gives it; undefined when none is left. */
+  /** Removes and returns the earliest event; undefined when none is left. */
   next(): ReplayEvent | undefined {
-    const known = this.atStart[this.passed];
+    const initial = this.initialEvents[this.position];
     const added = this.added.peek();
-    if (known === undefined || (added !== undefined && added.at < known.at)) {
+    if (initial === undefined || (added !== undefined && added.at < initial.at)) {
       return this.added.pop();
     }
-    this.passed++;
-    return known;
+    this.position++;
+    return initial;
   }
 }
 
@@ -224,7 +224,7 @@
   return [...byShape.values()];
 }
 
-/** Whether the machine holds a task of the item once all that runs there has ended. */
+/** Whether the machine could hold a task of the item once all of its running tasks have ended. */
 function couldEverHold(machine: ReplayMachine, { spec }: ReplayItem): boolean {
   if (fits(machine.free, spec)) return true;
   const free = { ...machine.free };
--- a/src/coordination/scheduling/quotaThrottle.ts
+++ b/src/coordination/scheduling/quotaThrottle.ts
@@ -1,8 +1,8 @@
 /**
- * Throttling of teams that have reached their quota. Such a team is served strictly in queue order, at
- * all shards: with backfilling, small tasks would take each bit of quota that becomes free, and a large
- * task of the team would never start, here or at another shard (DESIGN does not have quotas; see
- * "At its limit a team is served strictly in order" in docs/design.md).
+ * Throttles teams that have reached their quota. The tasks of such a team are placed strictly in queue order, at all
+ * shards: with backfilling, small tasks would use up all quota that becomes free, and a large task of the team would never
+ * start, here or at another shard (DESIGN does not have quotas; see "At its limit a team is served strictly in order" in
+ * docs/design.md).
  */
 import type { Chunk } from '../model/chunk.js';
 import {
@@ -12,18 +12,18 @@
   type TeamResources,
 } from '../quota/teamUsage.js';
 
-/** A job counts as starved once its team's quota has blocked it for this many heartbeat intervals. */
-const STARVED_AFTER = 2;
+/** A job is starved once its team's quota has blocked it for this many heartbeat intervals. */
+const STARVATION_INTERVALS = 2;
 
-/** Which teams are throttled, and which of their jobs starve; renewed by each scheduling round. */
+/** Which teams are throttled, and which of their jobs are starved; recomputed by each scheduling round. */
 export class QuotaThrottle {
-  /** Teams whose work was blocked by this shard's share of their quota in the last round. */
+  /** Teams with tasks that this shard's share of their quota blocked in the last round. */
   readonly throttledTeams = new Set<string>();
-  /** By team, the first job that its quota has blocked for long. */
+  /** By team, a job that is starved by the team's quota. */
   readonly starvedJobs = new Map<string, StarvedJob>();
-  /** Teams of which nothing more is placed in this round. */
+  /** Teams whose tasks are no longer placed in this round. */
   private readonly blockedTeams = new Set<string>();
-  /** By team, what `ClusterView.starvedElsewhere` gave in this round. */
+  /** By team, the cached result of `ClusterView.starvedElsewhere` for this round. */
   private readonly starvedElsewhere = new Map<string, StarvedJob | null>();
 
   constructor(
@@ -32,7 +32,7 @@
     private readonly heartbeatInterval: number,
   ) {}
 
-  /** Forgets what the last round found. */
+  /** Discards the results of the last round. */
   beginRound(): void {
     this.throttledTeams.clear();
     this.starvedJobs.clear();
@@ -40,12 +40,12 @@
     this.starvedElsewhere.clear();
   }
 
-  /** Whether nothing more of the team is placed in this round. */
+  /** Whether the team's tasks are no longer placed in this round. */
   isBlocked(team: string): boolean {
     return this.blockedTeams.has(team);
   }
 
-  /** Whether the chunk must let earlier work of its team go first, here or at another shard. */
+  /** Whether the chunk must wait for earlier work of its team, here or at another shard. */
   mustYield(chunk: Chunk): boolean {
     const { team } = chunk.spec;
     if (chunk.pendingCount === 0) return false;
@@ -55,42 +55,42 @@
     return true;
   }
 
-  /** The team's quota leaves no room for the chunk's next task. */
+  /** Records that the team's quota has no room for the chunk's next task. */
   noteThrottled(chunk: Chunk, now: number): void {
     const { team } = chunk.spec;
     this.throttledTeams.add(team);
     this.blockedTeams.add(team);
     const blockedSince = chunk.blockedSince ?? now;
-    if (now - blockedSince > this.heartbeatInterval * STARVED_AFTER) {
+    if (now - blockedSince > this.heartbeatInterval * STARVATION_INTERVALS) {
       this.starvedJobs.set(team, { team, submittedAt: chunk.submittedAt, rank: chunk.rank });
     }
   }
 
   /**
-   * What the team's pending tasks would use, out of `chunks`. Work that yields to a starved job at
-   * another shard is left out: quota kept for it here is what that job waits for.
+   * Resources that the team's pending tasks in `chunks` would use. Tasks that yield to a starved job at another shard are
+   * left out: that job waits for the quota that this shard would keep for them.
    */
   pendingDemand(team: string, chunks: Iterable<Chunk>): TeamResources {
-    const wanted = zeroTeamResources();
+    const demand = zeroTeamResources();
     const starved = this.cluster.starvedElsewhere(team);
     for (const chunk of chunks) {
       if (chunk.spec.team !== team || isBehind(chunk, starved)) continue;
-      wanted.cpus += chunk.pendingCount * chunk.spec.cpus;
-      wanted.gpus += chunk.pendingCount * chunk.spec.gpus;
+      demand.cpus += chunk.pendingCount * chunk.spec.cpus;
+      demand.gpus += chunk.pendingCount * chunk.spec.gpus;
     }
-    return wanted;
+    return demand;
   }
 
   private firstStarvedElsewhere(team: string): StarvedJob | null {
-    const known = this.starvedElsewhere.get(team);
-    if (known !== undefined) return known;
+    const cached = this.starvedElsewhere.get(team);
+    if (cached !== undefined) return cached;
     const first = this.cluster.starvedElsewhere(team);
     this.starvedElsewhere.set(team, first);
     return first;
   }
 }
 
-/** Whether the chunk comes after the starved job in the order of the queue. */
+/** Whether the chunk comes after the starved job in queue order. */
 function isBehind(chunk: Chunk, starved: StarvedJob | null): boolean {
   if (starved === null || chunk.rank > starved.rank) return false;
   return chunk.rank < starved.rank || chunk.submittedAt > starved.submittedAt;
--- a/src/coordination/scheduling/reservation.ts
+++ b/src/coordination/scheduling/reservation.ts
@@ -1,7 +1,7 @@
 /**
- * Reservations of EASY backfilling (DESIGN: first come first served with backfilling): the first
- * blocked chunk of the queue has the machine reserved where it can start soonest, and later work may
- * run there only if it is expected to end before that.
+ * Reservations of EASY backfilling (DESIGN: first come first served with backfilling): the machine where the first blocked
+ * chunk of the queue can start soonest is reserved for it, and later work may run there only if it is expected to end before
+ * that chunk starts.
  */
 import type { Chunk } from '../model/chunk.js';
 import type { Machine } from '../model/machine.js';
@@ -9,10 +9,10 @@
 import { satisfiesConstraints } from './placement.js';
 import type { SchedulableShard } from './schedulableShard.js';
 
-/** A machine kept for the first blocked chunk. */
+/** The machine that is reserved for the first blocked chunk. */
 export interface Reservation {
   readonly machine: Machine;
-  /** The shadow time: steady time at which the machine is expected to have room for the chunk. */
+  /** Monotonic time at which the machine is expected to have room for the chunk. */
   readonly shadowTime: number;
 }
 
@@ -27,7 +27,7 @@
   let best: Reservation | null = null;
   for (const machine of shard.machines.values()) {
     if (!couldHold(machine, chunk, now)) continue;
-    // Most machines are skipped here: nothing on them ends sooner than the best shadow time so far.
+    // Most machines are skipped here: none of their tasks ends before the best shadow time so far.
     const hasRoomNow = fits(machine.free, chunk.spec);
     if (best !== null && !hasRoomNow && earliestEnd(shard, machine, now) >= best.shadowTime) {
       continue;
@@ -38,7 +38,7 @@
   return best;
 }
 
-/** Whether the machine would hold a task of the chunk if nothing else ran there. */
+/** Whether the machine could hold a task of the chunk if nothing else ran there. */
 function couldHold(machine: Machine, { spec, zone }: Chunk, now: number): boolean {
   return (
     machine.isSchedulable(now) &&
@@ -47,7 +47,7 @@
   );
 }
 
-/** When enough of the machine's tasks are expected to have ended; Infinity if that is never so. */
+/** Monotonic time at which enough of the machine's tasks are expected to have ended; Infinity if that never happens. */
 function shadowTimeOn(
   { waitEstimates }: ReservableShard,
   machine: Machine,
--- a/src/coordination/scheduling/roundState.ts
+++ b/src/coordination/scheduling/roundState.ts
@@ -1,24 +1,24 @@
-/** What one scheduling round knows of the shard's machines, and learns while it goes through the queue. */
+/** What one scheduling round knows about the shard's machines, and learns while it goes through the queue. */
 import type { Machine } from '../model/machine.js';
 import type { Reservation } from './reservation.js';
 
 /** The state of one scheduling round; discarded at its end. */
 export interface RoundState {
-  /** Steady time at which the round began. */
+  /** Monotonic time at which the round began. */
   readonly now: number;
   /**
-   * Machines that accepted work and had free resources when the round began. Free resources only
-   * shrink within a round, so no other machine has to be looked at.
+   * Machines that accepted work and had free resources when the round began. Free resources only shrink within a round, so
+   * no other machine has to be examined.
    */
   readonly machinesWithRoom: readonly Machine[];
   /** The machine reserved for the first blocked chunk of the queue; null while there is none. */
   reservation: Reservation | null;
   /**
-   * Shapes of work that found no machine in this round: since free resources only shrink, other
-   * chunks of the same shape need not be tried.
+   * Shapes that found no machine in this round: since free resources only shrink, other chunks of the same shape need not be
+   * tried.
    */
   readonly shapesWithoutRoom: Set<string>;
-  /** Shapes of work that no machine of the shard could hold even if it were idle. */
+  /** Shapes that no machine of the shard could hold even if it were idle. */
   readonly unschedulableShapes: Set<string>;
 }
 
--- a/src/coordination/scheduling/runTimes.ts
+++ b/src/coordination/scheduling/runTimes.ts
@@ -1,30 +1,29 @@
-/** Expected run times of tasks: the users' estimates, corrected per job class by what was measured. */
-// The package's index loads formatters, the log reader and WebAssembly too: a third of the time of a start.
+/** Expected run times of tasks: the users' estimates, corrected per job class by measured run times. */
+// The package's index also loads formatters, the log reader and WebAssembly, which takes a third of the process's startup time.
 import histograms from 'hdr-histogram-js/dist/Int32Histogram.js';
 
 const Int32Histogram = histograms.default;
 type Histogram = InstanceType<typeof Int32Histogram>;
 
-/** Histograms hold whole numbers: ratios are recorded in hundredths. */
+/** Histograms hold integers, so ratios are recorded in hundredths. */
 const RATIO_SCALE = 100;
 
-/** The largest ratio that is recorded. */
+/** Larger ratios are recorded as this one. */
 const MAX_RATIO = 100;
 
-/** Significant digits of the histograms. */
-const DIGITS = 1;
+const SIGNIFICANT_DIGITS = 1;
 
-/** Run times of a class that must be known before its estimates are corrected. */
+/** Number of measured run times of a class that are required before its estimates are corrected. */
 const MIN_SAMPLES = 5;
 
 /**
- * Corrects estimated run times (docs/design.md, "Run times are corrected per class"): the paper assumes
- * estimates that can be replayed, but users' estimates are mostly too high or mostly too low on a day.
+ * Corrects estimated run times (docs/design.md, "Run times are corrected per class"): the paper assumes estimates that can
+ * be replayed, but on a given day users' estimates are mostly too high or mostly too low.
  */
 export class RunTimes {
   /** By job class, the ratios of measured to estimated run times. */
   private readonly ratios = new Map<string, Histogram>();
-  /** Medians as of the last recorded run time: a round asks for them thousands of times. */
+  /** Cached medians by job class: a scheduling round asks for them thousands of times. */
   private readonly medians = new Map<string, number>();
 
   /** Records that a task estimated at `estimate` seconds ran for `actual` seconds. */
@@ -33,7 +32,7 @@
     const largest = MAX_RATIO * RATIO_SCALE;
     let histogram = this.ratios.get(jobClass);
     if (histogram === undefined) {
-      histogram = new Int32Histogram(1, largest, DIGITS);
+      histogram = new Int32Histogram(1, largest, SIGNIFICANT_DIGITS);
       this.ratios.set(jobClass, histogram);
     }
     const ratio = Math.round((actual / estimate) * RATIO_SCALE);
--- a/src/coordination/scheduling/schedulableShard.ts
+++ b/src/coordination/scheduling/schedulableShard.ts
@@ -1,10 +1,10 @@
-/** A shard as its scheduler sees it. */
+/** The interfaces of a shard that its scheduler uses. */
 import type { Attempt, Chunk } from '../model/chunk.js';
 import type { Machine } from '../model/machine.js';
 import type { TeamUsage } from '../quota/teamUsage.js';
 import type { WaitEstimates } from './waitEstimates.js';
 
-/** What preemption uses of a shard. */
+/** The part of a shard that preemption uses. */
 export interface PreemptibleShard {
   /** The shard's machines, by name. */
   readonly machines: ReadonlyMap<string, Machine>;
@@ -14,14 +14,14 @@
   requestStop(machine: Machine, attempt: Attempt, gracePeriod: number): void;
 }
 
-/** What scheduling rounds use of a shard. */
+/** The part of a shard that scheduling rounds use. */
 export interface SchedulableShard extends PreemptibleShard {
   readonly label: string;
   readonly teamUsage: TeamUsage;
   readonly waitEstimates: Pick<WaitEstimates, 'endOf' | 'invalidate'>;
-  /** Chunks with pending tasks, in the order of the queue. */
+  /** Chunks with pending tasks, in queue order. */
   queuedChunks(): Chunk[];
-  /** The chunk has changed and has to be stored. */
+  /** Marks the chunk as changed, so that it is stored. */
   noteChunkChanged(chunk: Chunk, now: number): void;
 }
 
@@ -29,6 +29,6 @@
 export interface SchedulerOptions {
   /** Seconds between two heartbeats of a worker. */
   readonly heartbeatInterval: number;
-  /** How many candidate machines are looked at for one task. */
+  /** Number of candidate machines that are sampled for each task. */
   readonly sample: number;
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * Places queued work on the machines of one shard: first come first served within a rank, with EASY
- * backfilling (DESIGN), and preemption of lower ranks where there is no room.
+ * Places queued work on the machines of one shard: first come first served within a rank, with EASY backfilling (DESIGN),
+ * and preemption of lower ranks if there is no room.
  */
 import type { Random } from '../../base/random.js';
 import { rankOrder } from '../../protocol/job.js';
@@ -17,7 +17,7 @@
 
 /** Runs the scheduling rounds of one shard. */
 export class Scheduler {
-  /** The chunk at which the last round ran out of time; null: it went through the whole queue. */
+  /** Id of the chunk at which the last round ran out of time; null if the round went through the whole queue. */
   private resumeAt: string | null = null;
   private readonly throttle: QuotaThrottle;
   private readonly placer: ChunkPlacer;
@@ -35,24 +35,24 @@
     this.preemption = new Preemption(shard, shard.teamUsage, heartbeatInterval);
   }
 
-  /** Teams whose work was blocked by this shard's share of their quota in the last round. */
+  /** Teams with tasks that this shard's share of their quota blocked in the last round. */
   get throttledTeams(): ReadonlySet<string> {
     return this.throttle.throttledTeams;
   }
 
-  /** By team, the first job that its quota has blocked for long. */
+  /** By team, a job that is starved by the team's quota. */
   get starvedJobs(): ReadonlyMap<string, StarvedJob> {
     return this.throttle.starvedJobs;
   }
 
-  /** What pending tasks of a team would use here, for a new share of the team's quota. */
+  /** Resources that a team's pending tasks would use here, to compute a new share of the team's quota. */
   pendingDemand(team: string): TeamResources {
     return this.throttle.pendingDemand(team, this.shard.chunks.values());
   }
 
   /**
-   * One round: goes through the queue in order and places what fits; later work is backfilled. It
-   * stops once `outOfTime`, and the next round goes on from there.
+   * Runs one round: goes through the queue in order and places what fits, with later work backfilled. The round stops once
+   * `outOfTime` returns true, and the next round continues from there.
    */
   runRound(now: number, outOfTime: () => boolean): void {
     const queue = this.shard.queuedChunks();
@@ -62,27 +62,27 @@
     const round = createRoundState(this.shard.machines.values(), now);
     const blocked: Chunk[] = [];
     for (const [index, chunk] of queue.entries()) {
-      // Live services are looked at in every round; batch work goes on where the last round stopped.
+      // Every round considers live services; batch work continues where the last round stopped.
       if (chunk.rank < rankOrder.prod && index < resumeIndex) continue;
       if (outOfTime()) {
         this.resumeAt = chunk.id;
         break;
       }
-      if (!this.isDue(chunk, now) || !this.isLeftBlocked(chunk, round)) continue;
+      if (!this.isDue(chunk, now) || !this.placeAndCheckBlocked(chunk, round)) continue;
       blocked.push(chunk);
       this.reserveIfFirst(chunk, round);
     }
     this.preemption.makeRoom(blocked, now, outOfTime);
   }
 
-  /** Whether the chunk may be placed in this round, or has to wait for a retry or for its image's machine. */
+  /** Whether the chunk may be placed in this round: not before its retry, nor while room is made on a machine with its image. */
   private isDue(chunk: Chunk, now: number): boolean {
     if (chunk.retryNotBefore > now) return false;
     return !(chunk.spec.isService && this.preemption.makeRoomAtImage(chunk, now));
   }
 
-  /** Places the chunk; true when tasks of it are left for which machines, not its quota, lack room. */
-  private isLeftBlocked(chunk: Chunk, round: RoundState): boolean {
+  /** Places the chunk; true if tasks are left over because machines, not the team's quota, lack room. */
+  private placeAndCheckBlocked(chunk: Chunk, round: RoundState): boolean {
     const attemptsBefore = chunk.attempts.size;
     const outcome = this.placer.placeChunk(chunk, round);
     if (chunk.spec.isGang && chunk.attempts.size > attemptsBefore) chunk.nextAttemptNumber++;
@@ -91,11 +91,11 @@
       return false;
     }
     chunk.blockedSince ??= round.now;
-    // A reservation or a preemption for work that its quota blocks would be in vain.
+    // A reservation or preemption would not help work that is blocked by its team's quota.
     return !this.throttle.isBlocked(chunk.spec.team);
   }
 
-  /** EASY backfilling: the first blocked chunk that some machine can hold gets the reservation. */
+  /** EASY backfilling: reserves a machine for the first blocked chunk that some machine can hold. */
   private reserveIfFirst(chunk: Chunk, round: RoundState): void {
     const shape = shapeOf(chunk.spec, chunk.zone);
     if (round.reservation !== null || round.unschedulableShapes.has(shape)) return;
--- a/src/coordination/scheduling/schedulingRounds.ts
+++ b/src/coordination/scheduling/schedulingRounds.ts
@@ -1,33 +1,33 @@
 /**
- * When scheduling rounds run: soon after a change, from time to time without one, since time alone
- * changes what is due, and never without a rest in between.
+ * Decides when scheduling rounds run: soon after a change, and periodically without one, since retries and timeouts become
+ * due as time passes. There is always a pause between two rounds.
  */
 import { sleep, type Clock } from '../../base/clock.js';
 import { log } from '../../base/log.js';
 
-/** How long changes are gathered for one round, as a ratio to the heartbeat interval. */
-const GATHER = 1 / 200;
+/** Delay during which changes are collected for one round, as a ratio to the heartbeat interval. */
+const BATCH_DELAY = 1 / 200;
 
-/** The longest time between two rounds, as a ratio to the heartbeat interval. */
-const PAUSE = 1 / 30;
+/** Interval between rounds without a request, as a ratio to the heartbeat interval. */
+const ROUND_INTERVAL = 1 / 30;
 
 /**
- * Rest after a round, as a ratio to its duration: on a small machine rounds would otherwise follow each
- * other without a break, and heartbeats, users and lease renewals would wait for them.
+ * Pause after a round, as a ratio to its duration: on a small machine rounds would otherwise follow each other without a
+ * break, and delay heartbeats, users' requests and lease renewals.
  */
-const REST = 3;
+const PAUSE_RATIO = 3;
 
 /**
- * The longest rest, as a ratio to the heartbeat interval: after a process was suspended for seconds in
- * the middle of a round, nothing would be stored or started for three times as long otherwise.
+ * Upper limit of the pause, as a ratio to the heartbeat interval: if the process was suspended for seconds in the middle of a
+ * round, nothing would otherwise be stored or started for three times as long.
  */
-const LONGEST_REST = 1 / 2;
+const MAX_PAUSE = 1 / 2;
 
-/** Runs scheduling rounds on request and from time to time, with a rest after each. */
+/** Runs scheduling rounds on request and periodically, with a pause after each. */
 export class SchedulingRounds {
   private isRequested = false;
   private isStopped = false;
-  private lastEnd = -Infinity;
+  private lastEndedAt = -Infinity;
   /** Seconds that the last round took, including its wait for the CPU. */
   private duration = 0;
 
@@ -38,47 +38,49 @@
     private readonly runRound: () => void,
   ) {}
 
-  /** Something has changed: runs a round soon, for all changes that come until then. */
+  /** Requests a round after a change; one round handles all changes that arrive before it starts. */
   request(): void {
     if (this.isRequested) return;
     this.isRequested = true;
-    const delay = Math.max(this.heartbeatInterval * GATHER, this.restLeft);
+    const delay = Math.max(this.heartbeatInterval * BATCH_DELAY, this.pauseLeft);
     setTimeout(() => {
       this.isRequested = false;
       this.perform();
     }, delay * 1000);
   }
 
-  /** Runs rounds until `stop`. */
+  /** Runs periodic rounds until `stop` is called. */
   async run(): Promise<void> {
-    const pause = this.heartbeatInterval * PAUSE;
+    const interval = this.heartbeatInterval * ROUND_INTERVAL;
     while (!this.isStopped) {
-      const isDue = this.clock.now() - this.lastEnd >= pause && this.restLeft <= 0;
+      const isDue = this.clock.now() - this.lastEndedAt >= interval && this.pauseLeft <= 0;
       if (isDue) this.perform();
-      await sleep(Math.max(pause, this.restLeft));
+      await sleep(Math.max(interval, this.pauseLeft));
     }
   }
 
-  /** Ends `run`; no further round begins. */
+  /** Ends `run`; no further round starts. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Seconds until the next round may begin. */
-  private get restLeft(): number {
-    const rest = Math.min(this.duration * REST, this.heartbeatInterval * LONGEST_REST);
-    return this.lastEnd + rest - this.clock.now();
+  /** Seconds until the next round may start. */
+  private get pauseLeft(): number {
+    const pause = Math.min(this.duration * PAUSE_RATIO, this.heartbeatInterval * MAX_PAUSE);
+    return this.lastEndedAt + pause - this.clock.now();
   }
 
   private perform(): void {
     if (this.isStopped) return;
-    const began = this.clock.now();
+    const startedAt = this.clock.now();
     try {
       this.runRound();
     } catch (error) {
-      log.error(`round: ${error instanceof Error ? (error.stack ?? '') : String(error)}`);
+      log.error(
+        `scheduling round failed: ${error instanceof Error ? (error.stack ?? '') : String(error)}`,
+      );
     }
-    this.lastEnd = this.clock.now();
-    this.duration = this.lastEnd - began;
+    this.lastEndedAt = this.clock.now();
+    this.duration = this.lastEndedAt - startedAt;
   }
 }
--- a/src/coordination/scheduling/waitEstimates.ts
+++ b/src/coordination/scheduling/waitEstimates.ts
@@ -1,4 +1,4 @@
-/** Estimates of the wait, run time and image fetch that work would see at a shard (PAPER, III.A). */
+/** Estimates of the wait, run time and image fetch time of work at a shard (PAPER, III.A). */
 import { rankOrder, type JobSpec } from '../../protocol/job.js';
 import { isAhead, type Chunk } from '../model/chunk.js';
 import { readyIn } from '../model/availability.js';
@@ -8,36 +8,35 @@
 import { fits, type Resources, subtractResources } from '../model/resources.js';
 import { replayQueue, ReplaySnapshot, type ReplayMachine, type ReplayItem } from './queueReplay.js';
 
-/** How old a snapshot of the machines may be, as a ratio to the heartbeat interval. */
-const SNAPSHOT_AGE = 1 / 40;
+/** Maximum age of a snapshot of the machines, as a ratio to the heartbeat interval. */
+const MAX_SNAPSHOT_AGE = 1 / 40;
 
-/** Floor of fetch rates, in GB a second, against division by zero. */
+/** Lower limit of fetch rates in GB per second, to avoid a division by zero. */
 const MIN_FETCH_RATE = 1e-3;
 
-/** Room for rounding where resources are divided. */
+/** Tolerance for rounding errors when resources are divided. */
 const EPSILON = 1e-9;
 
 interface Snapshot {
   start: ReplaySnapshot;
-  /** Steady time at which it was taken. */
-  at: number;
+  /** Monotonic time at which it was taken. */
+  takenAt: number;
 }
 
-/** What wait estimates use of a shard. */
+/** The part of a shard that wait estimates use. */
 export interface QueuedShard {
   /** The shard's machines, by name. */
   readonly machines: ReadonlyMap<string, Machine>;
-  /** Chunks with pending tasks, in the order of the queue. */
+  /** Chunks with pending tasks, in queue order. */
   queuedChunks(): Chunk[];
 }
 
-/** Estimates for one shard. */
+/** Wait, run time and fetch estimates for one shard. */
 export class WaitEstimates {
   /**
-   * The machines as work of each rank sees them. A snapshot is used until a task is placed or a machine
-   * is added or removed, and for `SNAPSHOT_AGE` at most; tasks that have ended since then are not seen
-   * yet. After a restart peers ask dozens of times a second, and looking at each machine anew took most
-   * of the CPU.
+   * By rank, a snapshot of the machines as seen by work of that rank. It is valid until a task is placed or a machine is
+   * added or removed, and for `MAX_SNAPSHOT_AGE` at most; it does not show tasks that have ended since. After a restart peers
+   * request dozens of estimates a second, and reading the state of each machine every time took most of the CPU.
    */
   private readonly snapshots = new Map<number, Snapshot>();
 
@@ -48,36 +47,36 @@
     private readonly heartbeatInterval: number,
   ) {}
 
-  /** A task has been placed, or a machine has been added or removed. */
+  /** Discards the snapshots after a task has been placed, or a machine has been added or removed. */
   invalidate(): void {
     this.snapshots.clear();
   }
 
-  /** Steady time at which a placed task is expected to end; Infinity for live services. */
+  /** Monotonic time at which a placed task is expected to end; Infinity for live services. */
   endOf({ chunk, attempt }: Placement, now: number): number {
     if (chunk.spec.isService) return Infinity;
     const run = this.expectedRun(chunk.spec);
     return Math.max(now, (attempt.runningSince ?? now) + run);
   }
 
-  /** Expected run time of one task in seconds, corrected by what was measured of its class. */
+  /** Expected run time of one task in seconds, corrected by the measured run times of its job class. */
   expectedRun(spec: JobSpec): number {
     return this.runTimes.expected(spec.jobClass, spec.expectedRunSeconds);
   }
 
   /**
-   * Seconds until the last of the candidate's tasks would start here, by replaying the queue. `self` is
-   * the candidate's chunk where it is in the queue already: only what is ahead of it counts.
+   * Seconds until the last of the candidate's tasks would start here, computed by replaying the queue. `self` is the
+   * candidate's chunk if it is in the queue already: only the chunks ahead of it are replayed.
    */
   estimateWait(candidate: ReplayItem, now: number, self?: Chunk): number {
     const rank = rankOrder[candidate.spec.rank];
     const queue = this.queueAhead(rank, self);
     if (queue.length === 0 && this.hasRoomNow(candidate, now)) return 0;
-    const { start, at } = this.snapshot(rank, now);
-    return Math.max(0, replayQueue(start, queue, candidate).wait - (now - at));
+    const { start, takenAt } = this.snapshot(rank, now);
+    return Math.max(0, replayQueue(start, queue, candidate).wait - (now - takenAt));
   }
 
-  /** Seconds to fetch an image here: 0 when a machine with room has it, or none that counts is allowed. */
+  /** Seconds to fetch an image here: 0 if a machine with room has it cached, or if no usable machine is allowed. */
   estimateFetch(spec: JobSpec, zone: string | null, now: number): number {
     let shortest = Infinity;
     for (const machine of this.shard.machines.values()) {
@@ -90,7 +89,7 @@
     return Number.isFinite(shortest) ? shortest : 0;
   }
 
-  /** The queue that work of the rank would come behind. */
+  /** The queued work ahead of the candidate, which has the given rank. */
   private queueAhead(rank: number, self: Chunk | undefined): ReplayItem[] {
     return this.shard
       .queuedChunks()
@@ -107,9 +106,10 @@
   }
 
   private snapshot(rank: number, now: number): Snapshot {
-    const known = this.snapshots.get(rank);
-    if (known !== undefined && now - known.at < this.heartbeatInterval * SNAPSHOT_AGE) return known;
-    const snapshot = { start: new ReplaySnapshot(this.replayMachines(rank, now)), at: now };
+    const cached = this.snapshots.get(rank);
+    if (cached !== undefined && now - cached.takenAt < this.heartbeatInterval * MAX_SNAPSHOT_AGE)
+      return cached;
+    const snapshot = { start: new ReplaySnapshot(this.replayMachines(rank, now)), takenAt: now };
     this.snapshots.set(rank, snapshot);
     return snapshot;
   }
@@ -130,7 +130,7 @@
     for (const placement of machine.placements.values()) {
       const { rank: placedRank, spec } = placement.chunk;
       if (placedRank < rank) {
-        // It would be preempted for the candidate.
+        // This task would be preempted for the candidate.
         subtractResources(free, spec, -1);
         continue;
       }
@@ -140,7 +140,7 @@
     return { type, zone, spot, free, readyIn: readyIn(machine, now), running };
   }
 
-  /** Whether all of the candidate fits right now; saves the replay where nothing is ahead of it. */
+  /** Whether all of the candidate's tasks fit now, in which case no replay is needed if nothing is ahead of it. */
   private hasRoomNow({ spec, zone, count }: ReplayItem, now: number): boolean {
     let unplaced = count;
     for (const machine of this.shard.machines.values()) {
@@ -153,7 +153,7 @@
     return false;
   }
 
-  /** Resources for work of this rank: what is free, and what lower ranks would give up. */
+  /** Resources for tasks of this rank: the free ones, and those of tasks of lower ranks, which can be preempted. */
   private roomFor(machine: Machine, spec: JobSpec): Resources {
     const room = { ...machine.free };
     for (const { chunk } of machine.placements.values()) {
@@ -164,7 +164,7 @@
   }
 }
 
-/** How many tasks of the job fit in these resources. */
+/** Number of the job's tasks that fit into these resources. */
 function tasksThatFit(free: Resources, spec: JobSpec): number {
   const quotient = (available: number, needed: number): number =>
     needed > 0 ? Math.floor(available / needed + EPSILON) : Infinity;
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -65,10 +65,10 @@
 
 test('only lower ranks make room, the cheapest first', () => {
   const running = [
-    { rank: 1, need: room(4, 1), loss: 20 },
-    { rank: 1, need: room(4, 1), loss: 5 },
-    { rank: 0, need: room(2, 1), loss: 90 },
-    { rank: 3, need: room(8, 1), loss: 0 },
+    { rank: 1, resources: room(4, 1), loss: 20 },
+    { rank: 1, resources: room(4, 1), loss: 5 },
+    { rank: 0, resources: room(2, 1), loss: 90 },
+    { rank: 3, resources: room(8, 1), loss: 0 },
   ];
   const losses = (cpus: number, rank: number): number[] | undefined =>
     selectVictims(room(0), room(cpus, 0), running, rank)?.map((v) => v.loss);
