--- a/src/coordination/model/acknowledgedAttempts.ts
+++ b/src/coordination/model/acknowledgedAttempts.ts
@@ -1,26 +1,26 @@
 /**
- * Attempts that a worker was told to forget, and whether one of them comes back in a later report: a copy of its start was
- * carried out, which must not happen (safety, T3).
+ * Tracks attempts that have been acknowledged to a worker, to detect one that returns in a later report: then a copy of its
+ * start was executed, which must not happen (safety, T3).
  */
 import { attemptKey } from './endedAttempt.js';
 import type { ReportedAttempts } from './reportedAttempts.js';
 
-/** Forgotten attempts that are remembered for one machine: copies mostly come within seconds, and memory is short. */
-const MOST_REMEMBERED = 16;
+/** Maximum number of forgotten attempts per machine: copies mostly arrive within seconds, and the limit bounds memory. */
+const MAX_FORGOTTEN_ATTEMPTS = 16;
 
-/** What one worker has been told to forget. */
+/** The acknowledged attempts of one worker. */
 export class AcknowledgedAttempts {
-  /** Acknowledged, and still in the latest report. */
+  /** Keys of attempts that are acknowledged, but still in the latest report. */
   private readonly pending = new Set<string>();
-  /** Gone from the reports since, the latest last. */
+  /** Keys of acknowledged attempts that the worker no longer reports, the most recent last. */
   private readonly forgotten = new Set<string>();
 
-  /** The worker is told to forget an attempt. */
+  /** Records that an acknowledgement of the attempt, which lets the worker forget it, is sent. */
   noteAcknowledged(task: string, attemptNumber: number): void {
     this.pending.add(attemptKey(task, attemptNumber));
   }
 
-  /** Takes in a report; the keys of attempts that are back. */
+  /** Processes a report, and returns the keys of forgotten attempts that it contains again. */
   applyReport({ all }: ReportedAttempts): string[] {
     if (this.pending.size === 0 && this.forgotten.size === 0) return [];
     const reported = new Set(all.map(({ task, attemptNumber }) => attemptKey(task, attemptNumber)));
@@ -32,7 +32,7 @@
   private noteForgotten(key: string): void {
     this.pending.delete(key);
     this.forgotten.add(key);
-    if (this.forgotten.size <= MOST_REMEMBERED) return;
+    if (this.forgotten.size <= MAX_FORGOTTEN_ATTEMPTS) return;
     const [oldest] = this.forgotten;
     if (oldest !== undefined) this.forgotten.delete(oldest);
   }
--- a/src/coordination/model/availability.ts
+++ b/src/coordination/model/availability.ts
@@ -1,18 +1,19 @@
 /**
- * Whether work may count on a machine, and by which evidence. This module alone decides that: placement, estimates, demands
- * and what users are told all ask it. It says nothing of what still runs on a machine; see `attemptTermination.ts`.
+ * Decides the availability of a machine for work, and from which evidence. It is the only module that does so: placement,
+ * estimates, demands and the answers to users are all based on it. It does not decide whether attempts still run on a machine;
+ * see `attemptTermination.ts`.
  */
 import type { Reachability } from './reachability.js';
 
 /**
- * What a machine is to work, the first that applies:
- * - `reassigned`: the records have put it into another shard;
- * - `lost`: its worker's lease ended with attempts on it, and it has not been reached since;
- * - `cordoned`: it is offered back to the cloud, and nothing is placed on it any more;
- * - `preempted`: the cloud has announced that it takes the machine;
+ * Availability of a machine; the first state that applies:
+ * - `reassigned`: its record names another shard;
+ * - `lost`: its worker's lease expired with attempts on it, and it has not been reached since;
+ * - `cordoned`: it is to be released, and nothing is placed on it any more;
+ * - `preempted`: the cloud has announced that it takes the machine back;
  * - `unresponsive`: several probes in a row got no response;
- * - `booting`: it has not been reached yet, and may still come;
- * - `overdue`: it has not been reached for longer than machines take to come;
+ * - `booting`: it has not been reached yet, and may still be booting;
+ * - `overdue`: it has not been reached for longer than machines take to boot;
  * - `partitioned`: it responds, but its worker reaches no controller;
  * - `quarantined`: tasks failed there, and nothing is placed on it for a while;
  * - `ready`: work may be placed on it now.
@@ -29,14 +30,14 @@
   | 'quarantined'
   | 'ready';
 
-/** A state with the time of the evidence for it. */
+/** An availability state with the time of its evidence. */
 export interface Availability {
   readonly state: AvailabilityState;
-  /** Steady time of the evidence; null where it has none. */
+  /** Monotonic time of the evidence; null if there is none. */
   readonly evidenceAt: number | null;
 }
 
-/** What the decision rests on; `Machine` is one. Times are steady. */
+/** The evidence for the availability of a machine; `Machine` implements it. Times are monotonic. */
 export interface AvailabilityEvidence {
   readonly isReassigned: boolean;
   readonly isLost: boolean;
@@ -59,26 +60,26 @@
   >;
 }
 
-/** Almost all machines are up within this many times their type's boot time. */
-const LATE_BOOT_RATIO = 1.6;
+/** Almost all machines have booted within this many times the boot time of their type. */
+const BOOT_TIMEOUT_RATIO = 1.6;
 
-/** Heartbeats that a worker takes beyond the boot to be heard. */
-const FIRST_HEARTBEATS = 2;
+/** Heartbeat intervals between the end of the boot and the worker's first received heartbeat. */
+const FIRST_HEARTBEAT_INTERVALS = 2;
 
-/** Heartbeats after a start or takeover of ours within which a worker that is up has found us. */
-const SEARCH_HEARTBEATS = 5;
+/** Heartbeat intervals after this controller's start or takeover within which a running worker has found it. */
+const REDISCOVERY_INTERVALS = 5;
 
-/** Seconds after its launch after which a machine that has not been heard is overdue. */
+/** Seconds after its launch after which a machine without a heartbeat is overdue. */
 export function bootTimeout(bootSeconds: number, heartbeatInterval: number): number {
-  return bootSeconds * LATE_BOOT_RATIO + heartbeatInterval * FIRST_HEARTBEATS;
+  return bootSeconds * BOOT_TIMEOUT_RATIO + heartbeatInterval * FIRST_HEARTBEAT_INTERVALS;
 }
 
-/** Seconds after a takeover within which each worker that is up should have been heard. */
+/** Seconds after a takeover within which a heartbeat of each running worker should have been received. */
 export function rediscoveryTimeout(heartbeatInterval: number): number {
-  return heartbeatInterval * SEARCH_HEARTBEATS;
+  return heartbeatInterval * REDISCOVERY_INTERVALS;
 }
 
-/** What a machine is to work at this steady time. */
+/** The availability of a machine at this monotonic time. */
 export function availabilityState(machine: AvailabilityEvidence, now: number): AvailabilityState {
   const { reachability } = machine;
   if (machine.isReassigned) return 'reassigned';
@@ -91,20 +92,20 @@
   return machine.quarantinedUntil > now ? 'quarantined' : 'ready';
 }
 
-/** The state with the time of its evidence. */
+/** The availability of a machine, with the time of its evidence. */
 export function availabilityOf(machine: AvailabilityEvidence, now: number): Availability {
   const state = availabilityState(machine, now);
   return { state, evidenceAt: evidenceTime(machine, state) };
 }
 
-/** Whether work that waits may count on a machine in this state, now or soon. */
+/** Whether queued work can be expected to start on a machine in this state, now or soon. */
 export function isCapacity(state: AvailabilityState): boolean {
   return state === 'ready' || state === 'booting' || state === 'quarantined';
 }
 
 /**
- * Seconds until work may be placed on a machine that is capacity. One that is late is expected to take as long again as it is
- * late already: a machine that never comes must not seem to be about to come for ever.
+ * Seconds until work may be placed on a machine for which `isCapacity` holds. A late machine is expected to take as long again
+ * as it is late already: otherwise a machine that never boots would always seem about to be ready.
  */
 export function readyIn(machine: AvailabilityEvidence, now: number): number {
   if (machine.reachability.lastReachedAt !== null)
@@ -113,17 +114,17 @@
     machine.launchedAtMonotonic + machine.bootSeconds,
     machine.firstSeenAt,
   );
-  return Math.max(MIN_BOOT_LEFT, Math.abs(expectedAt - now));
+  return Math.max(MIN_REMAINING_BOOT_S, Math.abs(expectedAt - now));
 }
 
-/** A machine that has not been heard takes at least so many seconds more. */
-const MIN_BOOT_LEFT = 1;
+/** Lower limit in seconds of the remaining boot time of a machine without a heartbeat. */
+const MIN_REMAINING_BOOT_S = 1;
 
 function isOverdue(machine: AvailabilityEvidence, now: number): boolean {
   const { bootSeconds, heartbeatInterval } = machine;
-  const boot = machine.launchedAtMonotonic + bootTimeout(bootSeconds, heartbeatInterval);
-  const search = machine.firstSeenAt + rediscoveryTimeout(heartbeatInterval);
-  return now > Math.max(boot, search);
+  const bootDeadline = machine.launchedAtMonotonic + bootTimeout(bootSeconds, heartbeatInterval);
+  const rediscoveryDeadline = machine.firstSeenAt + rediscoveryTimeout(heartbeatInterval);
+  return now > Math.max(bootDeadline, rediscoveryDeadline);
 }
 
 function evidenceTime(machine: AvailabilityEvidence, state: AvailabilityState): number | null {
--- a/src/coordination/model/bucket.ts
+++ b/src/coordination/model/bucket.ts
@@ -1,71 +1,75 @@
-/** Some chunks of a shard that are stored in one record. */
+/** Buckets: several chunks of a shard that are stored in one record. */
 import type { BucketRecord } from '../../storage/records.js';
 import type { RecordFormat } from '../../storage/recordFormat.js';
 import type { Chunk, ChunkBucket } from './chunk.js';
 
-/** Bytes of the numbers around a gap in what is done. */
-const GAP_BYTES = 8;
+/** Bytes of the task numbers at the bounds of one range of done tasks. */
+const RANGE_BYTES = 8;
 
-/** One stored record with several chunks of a shard, as its owner knows it. */
+/** One stored record with several chunks of a shard, as the shard's leader knows it. */
 export class Bucket implements ChunkBucket {
   readonly chunks = new Set<Chunk>();
-  /** A transaction that changes it is on its way, or waits for its turn. */
+  /** A transaction that changes the record is in flight, or queued. */
   isWriteInFlight = false;
-  /** Its record still holds chunks that are over; nobody needs that stored in a hurry. */
+  /** The record still holds chunks that have been removed here; writing that change is not urgent. */
   isDirty = false;
   /**
-   * A transaction that creates its record has left under this leadership. Were the record removed, a late copy could be applied,
-   * answered before or not, and bring back chunks that are at other shards by then (safety, T13). So the record stays, empty if
-   * need be, for as long as the leadership that the transaction is conditional on.
+   * A transaction that creates the record has been sent under this leadership. If the record were removed, a late copy of that
+   * transaction, whether it was answered before or not, could be applied and restore chunks that are at other shards by then
+   * (safety, T13). The record is therefore kept, empty if necessary, as long as the leadership that is the transaction's
+   * condition.
    */
   mayBeRecreated = false;
   /**
-   * Chunks that were here when the record turned out to be beyond the limit. It is not written again, and removed once
-   * all of them are stored elsewhere.
+   * Chunks that were in the bucket when its record turned out to exceed the size limit, each with the chunk version from which
+   * on it is stored in another bucket. The record is not written again, and removed once all of them are stored elsewhere.
    */
   private readonly retired = new Map<Chunk, number>();
-  /** It was looked at whether its record may grow beyond the limit. */
+  /** Whether it has been checked that the record can't grow beyond the size limit. */
   isSizeChecked = false;
 
   constructor(
     readonly name: string,
-    /** The record's revision; 0 while there is none. */
+    /** The record's revision; 0 while there is no record. */
     public revision: number,
     private readonly recordFormat: RecordFormat,
   ) {}
 
-  /** Puts a chunk into the bucket. */
+  /** Adds a chunk, and sets it as the chunk's bucket. */
   add(chunk: Chunk): void {
     this.chunks.add(chunk);
     chunk.bucket = this;
   }
 
-  /** Takes a chunk out of the bucket. */
+  /** Removes a chunk, and marks the record as dirty. */
   remove(chunk: Chunk): void {
     if (!this.chunks.delete(chunk)) return;
     chunk.bucket = null;
     this.isDirty = true;
   }
 
-  /** What its record may grow to while all tasks of all its chunks run. */
+  /** Maximum size of the record in bytes, which it has when all tasks of all its chunks have attempts. */
   get maxStoredBytes(): number {
     let bytes = 0;
     for (const chunk of this.chunks) bytes += maxStoredBytes(chunk, this.recordFormat);
     return bytes;
   }
 
-  /** About what its record takes now. */
+  /** Approximate size of the record now, in bytes. */
   get estimatedBytes(): number {
     const { overheadBytes: frame, taskBytes: task } = this.recordFormat.sizes;
     let bytes = 0;
-    for (const { spec, attempts: entries, doneTasks: done } of this.chunks) {
+    for (const { spec, attempts, doneTasks } of this.chunks) {
       bytes +=
-        this.recordFormat.specBytes(spec) + frame + task * entries.size + GAP_BYTES * done.size;
+        this.recordFormat.specBytes(spec) +
+        frame +
+        task * attempts.size +
+        RANGE_BYTES * doneTasks.size;
     }
     return bytes;
   }
 
-  /** Chunks of it are not stored elsewhere yet, so that its record has to stay. */
+  /** Whether some retired chunks are not stored elsewhere yet, so that the record must be kept. */
   get hasUnstoredRetiredChunks(): boolean {
     for (const [chunk, version] of this.retired) {
       if (!chunk.isDropped && chunk.storedVersion < version) return true;
@@ -73,14 +77,14 @@
     return false;
   }
 
-  /** Takes a chunk off it, to be stored in another bucket; the version from which on it is. */
+  /** Removes a chunk that is to be stored in another bucket; its copy in this record counts until its current version is stored. */
   retire(chunk: Chunk): void {
     this.remove(chunk);
     this.retired.set(chunk, chunk.version);
     chunk.retiredFrom = this;
   }
 
-  /** Its record is gone, and with it the copies of chunks that are in others. */
+  /** Clears the retired chunks after the record, with its copies of them, has been removed. */
   clearRetiredChunks(): void {
     for (const chunk of this.retired.keys()) chunk.retiredFrom = null;
     this.retired.clear();
@@ -88,15 +92,17 @@
 
   /** The record to store. */
   toRecord(): BucketRecord {
-    return { chunks: Object.fromEntries([...this.chunks].map((c) => [c.id, c.toRecord()])) };
+    return {
+      chunks: Object.fromEntries([...this.chunks].map((chunk) => [chunk.id, chunk.toRecord()])),
+    };
   }
 }
 
-/** The bucket that a chunk is in, or null. */
+/** The bucket of a chunk; null if it has none. */
 export const bucketOf = (chunk: Chunk): Bucket | null =>
   chunk.bucket instanceof Bucket ? chunk.bucket : null;
 
-/** What a chunk may take of a record while all of its tasks run. */
+/** Maximum bytes of a chunk in a record, which it takes when all of its tasks have attempts. */
 export function maxStoredBytes(chunk: Chunk, recordFormat: RecordFormat): number {
   const { overheadBytes: frame, taskBytes: task } = recordFormat.sizes;
   return recordFormat.specBytes(chunk.spec) + frame + task * chunk.size;
--- a/src/coordination/model/chunk.ts
+++ b/src/coordination/model/chunk.ts
@@ -1,4 +1,4 @@
-/** Chunks: ranges of a job's tasks, and the attempts that are, or may be, on machines. */
+/** Chunks: ranges of a job's tasks, with the attempts that are, or may be, on machines. */
 import { rankOrder, type JobSpec } from '../../protocol/job.js';
 import type { TaskState } from '../../protocol/workerProtocol.js';
 import { fromRanges, toRanges, type ChunkRecord } from '../../storage/records.js';
@@ -10,78 +10,80 @@
   attemptNumber: number;
   machine: string;
   agentEpoch: number;
-  /** The chunk's version that first held it; once that is stored, the start may be sent. */
+  /** The first version of the chunk that contains the attempt; its start may be sent once that version is stored. */
   chunkVersion: number;
   wasReported: boolean;
   /**
-   * It was loaded from a record: whether its start was ever sent is not known, and the last owner may have known it
-   * to be over and given its room away. It is never started here; what is not on its machine is placed anew.
+   * The attempt was loaded from a record: it is not known whether its start was ever sent, and the previous leader may have
+   * seen it terminate and reused its resources. It is never started by this leader; if it is not on its machine, its task is
+   * placed again.
    */
   isInherited: boolean;
   state: TaskState;
   placedAt: number;
   runningSince: number | null;
-  /** Whether a start sent straight to the worker may still be carried out. */
+  /** Tracks whether a start that was sent to the worker as a command may still be executed. */
   readonly startCommands: StartCommands;
-  /** A start rides in the answer to a heartbeat; the worker's next heartbeat settles it. */
+  /** A start was sent in the answer to a heartbeat; the worker's next heartbeat shows whether it was executed. */
   startSentInAnswer: boolean;
   stop: { gracePeriod: number; sentAt: number | null } | null;
 }
 
-/** The bucket, a record of several chunks, in which a chunk is stored. */
+/** The bucket, a stored record of several chunks, that contains a chunk. */
 export interface ChunkBucket {
-  /** Name of its record within the shard. */
+  /** Name of the record within the shard. */
   readonly name: string;
-  /** Revision of its record; 0 while there is none. */
+  /** Revision of the record; 0 while there is no record. */
   readonly revision: number;
-  /** A transaction that changes its record is in flight, or queued. */
+  /** A transaction that changes the record is in flight, or queued. */
   readonly isWriteInFlight: boolean;
-  /** Takes a chunk out of it. */
+  /** Removes a chunk. */
   remove(chunk: Chunk): void;
 }
 
-/** A range of a job's tasks that is queued, placed and sent to peers as a whole. */
+/** A range of a job's tasks that is queued, placed and migrated to peers as a unit. */
 export class Chunk {
   readonly doneTasks: Set<number>;
   readonly attempts = new Map<number, Attempt>();
   nextAttemptNumber: number;
-  /** Rises with each change; `stored` is the version that the state service has. */
+  /** Incremented with each change; `storedVersion` is the version that the state service has stored. */
   version = 1;
   storedVersion = 0;
-  /** Its job is stored: it may be stored too, and started after that. */
+  /** The record of its job is stored: the chunk may be stored too, and then started. */
   isJobStored = false;
-  /** Where it is stored, or is about to be. */
+  /** The bucket in which it is stored, or is about to be. */
   bucket: ChunkBucket | null = null;
-  /** A move to another shard got no answer: until its bucket is written again it may have gone. */
+  /** A migration to another shard got no answer: it may have been applied, until the bucket is written again. */
   mayHaveMigrated = false;
-  /** A record beyond the limit that it was in before, which still has a copy of it. */
+  /** Its previous bucket, whose record exceeded the size limit and still contains a copy of it. */
   retiredFrom: ChunkBucket | null = null;
-  /** It has been released and its peers are to be asked for it, as at a submission. */
+  /** Its job's dependencies have just released it, and the peers are to be asked about it as at a submission. */
   isNewlyReleased = false;
   dirtySince: number | null = null;
   isCancelled = false;
-  /** Steady time at which its job's cancellation was announced; null: nobody wants it cancelled. */
+  /** Monotonic time at which its job's cancellation was announced; null while no cancellation is prepared. */
   cancellationPreparedAt: number | null = null;
-  /** A transaction that hands it to another shard is on its way. */
+  /** A transaction that migrates it to another shard is in flight. */
   isMigrating = false;
-  /** Set once its record is gone from this shard. */
+  /** Set once it has been removed from this shard. */
   isDropped = false;
-  /** Nothing is started before this time, after failures. */
+  /** Monotonic time before which no task is started, after failures. */
   retryNotBefore = 0;
   failureCount = 0;
   readonly failedMachines = new Set<string>();
   readonly queuedAt: number;
   migrationCount = 0;
-  /** Steady time of the last question to the peers. */
+  /** Monotonic time of the last request to the peers about it. */
   peersAskedAt = -Infinity;
-  /** Since when lower-ranked work has been making room for it where its image is. */
+  /** Monotonic time at which lower-ranked tasks were preempted for it on a machine with its image; null if none were. */
   preemptingSince: number | null = null;
-  /** Since when there was room nowhere; null when all is placed. */
+  /** Monotonic time since which some of its tasks could not be placed; null once all are placed. */
   blockedSince: number | null = null;
   readonly id: string;
-  /** Its own rank, or a higher one of a job that needs its job. */
+  /** The rank of its job, or a higher one inherited from a job that depends on it. */
   rank: number;
-  private cursor: number;
+  /** The task at which the search for a pending task continues. */
+  private nextCandidateTask: number;
 
   constructor(
     readonly spec: JobSpec,
@@ -95,7 +97,7 @@
   ) {
     this.doneTasks = new Set();
     this.nextAttemptNumber = 1;
-    this.cursor = firstTask;
+    this.nextCandidateTask = firstTask;
     this.queuedAt = now;
     this.id = `${spec.id}/${index}`;
     this.rank = rankOrder[spec.rank];
@@ -103,8 +105,8 @@
 
   /** A chunk from its stored record, without its attempts. */
   static load(index: number, stored: ChunkRecord, now: number): Chunk {
-    const { spec, homeShard, submittedAt: at, firstTask: from, endTask: to, zone } = stored;
-    const chunk = new Chunk(spec, index, homeShard, at, from, to, zone, now);
+    const { spec, homeShard, submittedAt, firstTask, endTask, zone } = stored;
+    const chunk = new Chunk(spec, index, homeShard, submittedAt, firstTask, endTask, zone, now);
     chunk.nextAttemptNumber = stored.nextAttemptNumber;
     chunk.migrationCount = stored.migrationCount;
     chunk.isJobStored = true;
@@ -113,59 +115,60 @@
     return chunk;
   }
 
-  /** How many tasks it has. */
+  /** Number of its tasks. */
   get size(): number {
     return this.endTask - this.firstTask;
   }
-  /** Tasks that neither run nor are done; none once it is to be cancelled. */
+  /** Number of tasks that have no attempt and are not done; 0 once a cancellation is requested. */
   get pendingCount(): number {
     return this.isCancelRequested ? 0 : this.size - this.doneTasks.size - this.attempts.size;
   }
-  /** All of its tasks are done. */
+  /** Whether all of its tasks are done. */
   get isComplete(): boolean {
     return this.doneTasks.size === this.size;
   }
-  /** Its user has asked to cancel it: what its tasks do is of no use to anybody. */
+  /** Whether its user has requested a cancellation, so that the results of its tasks are no longer needed. */
   get isCancelRequested(): boolean {
     return this.isCancelled || this.cancellationPreparedAt !== null;
   }
-  /** Attempts whose worker says that they run. */
+  /** Number of attempts that their worker reports as running. */
   get runningCount(): number {
     let count = 0;
     for (const attempt of this.attempts.values()) if (attempt.state === 'running') count++;
     return count;
   }
 
-  /** Stored as it is here, with nothing of it on any machine or on its way. */
+  /** Whether it may migrate: its record is up to date, no write is in flight, and it has no attempts. */
   get isMigratable(): boolean {
     const { bucket } = this;
-    const settled =
+    const isSettled =
       bucket !== null && !bucket.isWriteInFlight && bucket.revision > 0 && this.storedVersion > 0;
     const isFree = !this.mayHaveMigrated && this.retiredFrom === null && !this.isCancelRequested;
-    return settled && this.isJobStored && isFree && this.attempts.size === 0;
+    return isSettled && this.isJobStored && isFree && this.attempts.size === 0;
   }
 
-  /** A task's name on the wire: the job's id and the task's number. */
+  /** Name of a task on the wire: the job's id and the task's number. */
   taskName(task: number): string {
     return `${this.spec.id}/${task}`;
   }
 
-  /** The state service has stored the attempt, so that its start may be sent. */
+  /** Whether the state service has stored the attempt, so that its start may be sent. */
   isDurable(attempt: Attempt): boolean {
     return this.storedVersion >= attempt.chunkVersion;
   }
 
-  /** Its record has to be stored again. */
+  /** Marks the chunk as changed since it was stored last. */
   markChanged(now: number): void {
     this.version++;
     this.dirtySince ??= now;
   }
 
-  /** A task that neither runs nor is done. */
+  /** The next task that has no attempt and is not done; null if there is none. */
   nextPending(): number | null {
     for (let i = 0; i < this.size; i++) {
-      const task = this.cursor;
-      this.cursor = this.cursor + 1 >= this.endTask ? this.firstTask : this.cursor + 1;
+      const task = this.nextCandidateTask;
+      this.nextCandidateTask =
+        this.nextCandidateTask + 1 >= this.endTask ? this.firstTask : this.nextCandidateTask + 1;
       if (!this.doneTasks.has(task) && !this.attempts.has(task)) return task;
     }
     return null;
@@ -193,9 +196,9 @@
   }
 }
 
-/** The order of the queue: rank before arrival. */
+/** Queue order: by rank, then by submission time. */
 export const compareByQueueOrder = (a: Chunk, b: Chunk): number =>
   b.rank - a.rank || a.submittedAt - b.submittedAt || (a.id < b.id ? -1 : 1);
 
-/** Whether a chunk is looked at before another. */
+/** Whether `a` comes before `b` in queue order. */
 export const isAhead = (a: Chunk, b: Chunk): boolean => compareByQueueOrder(a, b) < 0;
--- a/src/coordination/model/chunking.ts
+++ b/src/coordination/model/chunking.ts
@@ -1,8 +1,8 @@
-/** How a job is cut into chunks: pure, and the same on every node. */
+/** Splits a job into chunks. All functions are pure and give the same result on every node. */
 import type { JobSpec } from '../../protocol/job.js';
 import type { JobRecord } from '../../storage/records.js';
 
-/** The tasks of one chunk, and the zone that it is held to. */
+/** The tasks of one chunk, and the zone that it is bound to; null for any zone. */
 export interface ChunkRange {
   firstTask: number;
   endTask: number;
@@ -10,9 +10,9 @@
 }
 
 /**
- * Chunk K of a job. A spread job is cut into two halves that are held to different zones, so that at
- * most half of its tasks, rounded up, can ever be in one zone, whoever runs them and whatever is
- * still unreachable. A job that must share a zone has the same zone for all chunks.
+ * The ranges of all chunks of a job, by chunk index. A spread job is split into two halves that are bound to different zones,
+ * so that at most half of its tasks, rounded up, can ever be in one zone, whichever shards run them and whichever machines are
+ * unreachable. All chunks of a job that must share a zone are bound to the same zone.
  */
 export function chunkRanges(tasks: number, size: number, zones: string[]): ChunkRange[] {
   const half = zones.length > 1 ? Math.ceil(tasks / 2) : tasks;
@@ -21,14 +21,14 @@
     [0, half, zones[0] ?? null],
     [half, tasks, zones[1] ?? null],
   ] as const) {
-    for (let from = start; from < end; from += size) {
-      ranges.push({ firstTask: from, endTask: Math.min(end, from + size), zone });
+    for (let firstTask = start; firstTask < end; firstTask += size) {
+      ranges.push({ firstTask, endTask: Math.min(end, firstTask + size), zone });
     }
   }
   return ranges;
 }
 
-/** How many ranges `chunkRanges` gives, without making them: it is asked of every job in each review. */
+/** Number of ranges that `chunkRanges` returns, without creating them: each review calls this for every job. */
 export function totalChunks({ spec, chunkSize: size, zones }: JobRecord): number {
   if (spec === null) return 0;
   const half = zones.length > 1 ? Math.ceil(spec.taskCount / 2) : spec.taskCount;
@@ -36,45 +36,45 @@
 }
 
 /**
- * Where only one zone can run a spread job, its second half waits until all of the first is over:
- * until then a task of it would be one too many in that zone.
+ * Whether a chunk may be created now. If only one zone can run a spread job, its second half waits until the first half has
+ * finished: before that, more than half of the job's tasks could be in that zone.
  */
 export function mayCreateChunk(record: JobRecord, index: number): boolean {
-  const { spec, chunkSize: size, zones, doneChunks: finished } = record;
+  const { spec, chunkSize: size, zones, doneChunks } = record;
   if (spec === null || zones.length < 2 || zones[0] !== zones[1]) return true;
-  const firstHalf = Math.ceil(Math.ceil(spec.taskCount / 2) / size);
-  if (index < firstHalf) return true;
-  return finished.filter((k) => k < firstHalf).length === firstHalf;
+  const firstHalfChunks = Math.ceil(Math.ceil(spec.taskCount / 2) / size);
+  if (index < firstHalfChunks) return true;
+  return doneChunks.filter((k) => k < firstHalfChunks).length === firstHalfChunks;
 }
 
-/** Zones that a job is held to from the start; empty when any will do. */
-export function zonesFor(spec: JobSpec, byRoom: string[]): string[] {
+/** Zones that a job is bound to, of `zonesByRoom` in order of available room; empty if any zone is allowed. */
+export function zonesFor(spec: JobSpec, zonesByRoom: string[]): string[] {
   if (spec.isGang && !spec.sameZone && !spec.spreadZones) return [];
-  const allowed = spec.zone === null ? byRoom : byRoom.filter((z) => z === spec.zone);
+  const allowed = spec.zone === null ? zonesByRoom : zonesByRoom.filter((z) => z === spec.zone);
   const first = allowed[0];
   if (first === undefined) return [];
-  // Sharing one zone and being spread over several leaves half of the tasks, in one zone.
+  // A job with both constraints has both halves bound to one zone, so only half of its tasks are there at a time.
   if (spec.spreadZones) return [first, spec.sameZone ? first : (allowed[1] ?? first)];
   if (spec.sameZone) return [first];
   return [];
 }
 
 /**
- * Tasks a chunk: what a part of this size can run at once, within bounds of a record's size. Each chunk
- * costs changes at the state service, so a job has no more chunks than two for each shard, and a shard
- * that has no machines yet gets it whole: they are rented for it.
+ * Number of tasks per chunk: as many as a shard of this size can run at once, within the limits of a record's size. Each chunk
+ * needs writes to the state service, so a job has at most two chunks per shard. A shard that has no machines yet gets the whole
+ * job, and machines are launched for it.
  */
 export function chunkSize(
   spec: JobSpec,
-  partCpus: number,
-  /** The most tasks whose entries a record holds. */
-  mostTasks: number,
+  shardCpus: number,
+  /** Maximum number of tasks whose attempts fit into a record. */
+  maxTasks: number,
   shards: number,
 ): number {
-  // A gang starts whole, so one shard must hold it whole.
+  // A gang starts as a whole, so one shard must hold all of it.
   if (spec.isGang) return spec.taskCount;
-  const fits = partCpus > 0 ? Math.floor(partCpus / spec.cpus) : spec.taskCount;
-  const least = Math.max(8, Math.ceil(spec.taskCount / (2 * shards)));
-  const most = Math.max(8, mostTasks);
-  return Math.max(1, Math.min(Math.max(fits, least), most));
+  const concurrentTasks = shardCpus > 0 ? Math.floor(shardCpus / spec.cpus) : spec.taskCount;
+  const minSize = Math.max(8, Math.ceil(spec.taskCount / (2 * shards)));
+  const maxSize = Math.max(8, maxTasks);
+  return Math.max(1, Math.min(Math.max(concurrentTasks, minSize), maxSize));
 }
--- a/src/coordination/model/commandTokens.ts
+++ b/src/coordination/model/commandTokens.ts
@@ -1,62 +1,70 @@
 /**
- * The fencing tokens under which one machine is sent commands. This is the one place that decides whether an acknowledgement
- * may leave, and under which token: above that of every message with a start, so that the worker itself refuses each copy of
- * such a message from then on (safety, T3).
+ * Assigns the fencing tokens under which commands are sent to one machine. Only this module decides whether an acknowledgement
+ * may be sent, and under which token: a higher one than that of every message with a start, so that the worker refuses each
+ * later copy of such a message (safety, T3).
  */
 import type { Command, CommandToken } from '../../protocol/workerProtocol.js';
 import type { FencingTokenBlock } from './fencingTokenBlock.js';
 
-/** Commands that leave for a worker in one message, and the fencing token of the message. */
+/** Commands that are sent to a worker in one message, and the fencing token of the message. */
 export interface CommandBatch {
   readonly token: CommandToken;
   readonly commands: Command[];
-  /** The highest token under which a start has left for this machine before; -Infinity: none has. */
+  /** The highest token under which a start was sent to this machine before; -Infinity if none was. */
   readonly startToken: number;
 }
 
 const isAcknowledgement = ({ verb }: Command): boolean => verb === 'acknowledge';
 
-/** What one leadership has used of its fencing tokens for one machine. */
+/** The fencing tokens that one leadership has used for one machine. */
 export class CommandTokens {
   /** The token of the newest message. */
-  private current = 0;
+  private currentToken = 0;
   /** The highest token of a message with a start. */
-  private highestStart = -Infinity;
+  private highestStartToken = -Infinity;
 
   /**
-   * Decides the token of a message, and leaves out acknowledgements that may not go with it. `seenToken`: the highest one that
-   * the worker has shown; `mayRaise`: false while another message to the worker would be refused for a higher token.
+   * Assigns a token to a message, and removes acknowledgements that may not be sent with it. `seenToken`: the highest token that
+   * the worker is known to have seen; `mayRaise`: false while a higher token would make the worker refuse another message that
+   * is in flight.
    */
   assignToken(
     commands: readonly Command[],
     block: FencingTokenBlock,
     { seenToken, mayRaise }: { seenToken: number; mayRaise: boolean },
   ): CommandBatch {
-    this.catchUp(block, seenToken);
-    const startToken = this.highestStart;
-    const needsRaise = startToken >= this.current;
-    const withholds = needsRaise && (!mayRaise || this.isExhausted(block));
-    const sealed = commands.filter((command) => !withholds || !isAcknowledgement(command));
-    if (sealed.some(isAcknowledgement)) this.current = Math.max(this.current, startToken + 1);
-    if (sealed.some(({ verb }) => verb === 'start')) this.highestStart = this.current;
-    return { token: this.current as CommandToken, commands: sealed, startToken };
+    this.adoptSeenToken(block, seenToken);
+    const startToken = this.highestStartToken;
+    const mustRaise = startToken >= this.currentToken;
+    const withholdsAcknowledgements = mustRaise && (!mayRaise || this.isExhausted(block));
+    const sendable = commands.filter(
+      (command) => !withholdsAcknowledgements || !isAcknowledgement(command),
+    );
+    if (sendable.some(isAcknowledgement))
+      this.currentToken = Math.max(this.currentToken, startToken + 1);
+    if (sendable.some(({ verb }) => verb === 'start')) this.highestStartToken = this.currentToken;
+    return { token: this.currentToken as CommandToken, commands: sendable, startToken };
   }
 
-  /** Gives the next message a token above that of every start, where the block has one. */
+  /** Raises the token of the next message above that of every start, if the block has such a token. */
   raiseToken(block: FencingTokenBlock): void {
-    if (!this.isExhausted(block)) this.current = Math.max(this.current, this.highestStart + 1);
+    if (!this.isExhausted(block))
+      this.currentToken = Math.max(this.currentToken, this.highestStartToken + 1);
   }
 
-  /** No token above that of every start is left; another block is needed. */
+  /** Whether the block has no token above that of every start, so that another block is needed. */
   isExhausted(block: FencingTokenBlock): boolean {
-    return this.highestStart >= block.last;
+    return this.highestStartToken >= block.last;
   }
 
-  /** The worker may be ahead where this node has forgotten the machine meanwhile: starts may have left under what it has seen. */
-  private catchUp(block: FencingTokenBlock, seenToken: number): void {
-    this.current = Math.max(this.current, block.first);
-    if (seenToken <= this.current || block.isSurpassedBy(seenToken)) return;
-    this.current = seenToken;
-    this.highestStart = seenToken;
+  /**
+   * Adopts the token that the worker has seen. It can be higher than the current one if this node has dropped the machine's
+   * state in the meantime; starts may then have been sent under it.
+   */
+  private adoptSeenToken(block: FencingTokenBlock, seenToken: number): void {
+    this.currentToken = Math.max(this.currentToken, block.first);
+    if (seenToken <= this.currentToken || block.isSurpassedBy(seenToken)) return;
+    this.currentToken = seenToken;
+    this.highestStartToken = seenToken;
   }
 }
--- a/src/coordination/model/endedAttempt.ts
+++ b/src/coordination/model/endedAttempt.ts
@@ -1,4 +1,4 @@
-/** Attempts that have ended and that their worker still reports, until it may forget them. */
+/** Attempts that have ended, and that their worker reports until they are acknowledged. */
 import type { Chunk } from './chunk.js';
 import type { StartCommands } from './startCommands.js';
 
@@ -8,24 +8,24 @@
 
 /** An ended attempt that its worker still reports, and the conditions of its acknowledgement. */
 export class EndedAttempt {
-  /** The version of the chunk that records the end. */
+  /** The version of the chunk that includes the end. */
   private readonly chunkVersion: number;
 
   constructor(
     private readonly chunk: Chunk,
-    /** Steady time at which its end was reported. */
+    /** Monotonic time at which its end was reported. */
     readonly endedAt: number,
-    /** A start of it was sent with the answer to a heartbeat, and no heartbeat has followed that answer. */
+    /** A start of it was sent in the answer to a heartbeat, and no heartbeat has been received since. */
     public startSentInAnswer: boolean,
-    /** Null where this shard never had a start of it to send. */
+    /** Null if this shard never had to send a start of it. */
     readonly startCommands: StartCommands | null,
   ) {
     this.chunkVersion = chunk.version;
   }
 
   /**
-   * Whether the worker may forget it: its end must be stored first. Under which fencing token is up to `CommandTokens`: a
-   * copy of its start may still come, and must be refused.
+   * Whether the attempt may be acknowledged: its end must be stored first. `CommandTokens` decides the fencing token of the
+   * acknowledgement, since a copy of the attempt's start may still arrive, and must be refused.
    */
   get mayAcknowledge(): boolean {
     const { chunk } = this;
--- a/src/coordination/model/fencingTokenBlock.ts
+++ b/src/coordination/model/fencingTokenBlock.ts
@@ -1,11 +1,11 @@
 /**
- * The fencing tokens of one leadership. The counter at the state service rises by a whole block, in the transaction that writes
- * the leader key; within it the leader raises the token of a single machine without a write (safety, O2).
+ * The fencing tokens of one leadership. The transaction that writes the leader key increments the counter at the state service
+ * by a whole block; within the block the leader raises the token of a single machine without a write (safety, O2).
  */
 
 /**
- * Fencing tokens that one leadership may use. A machine needs one for each acknowledgement, at most two a second: this lasts
- * for three months. The counter stays exact, below 2^53, for half a billion leaderships.
+ * Number of fencing tokens that one leadership may use. A machine needs one for each acknowledgement, at most two per second,
+ * so a block lasts for three months. The counter stays exact, below 2^53, for half a billion leaderships.
  */
 export const TOKENS_PER_LEADERSHIP = 2 ** 24;
 
@@ -21,11 +21,11 @@
     return new FencingTokenBlock(first, first + TOKENS_PER_LEADERSHIP - 1);
   }
 
-  /** A worker that has seen this token has heard of a later leadership. */
+  /** Whether a worker that has seen this token has received a command of a later leadership. */
   isSurpassedBy(seenToken: number): boolean {
     return seenToken > this.last;
   }
 }
 
-/** For a shard that nobody leads yet. */
+/** The block of a shard that has no leader yet. */
 export const NO_LEADERSHIP = new FencingTokenBlock(0, Infinity);
--- a/src/coordination/model/imageCache.ts
+++ b/src/coordination/model/imageCache.ts
@@ -1,6 +1,6 @@
-/** The images that a machine has seen, as a worker's least-recently-used cache keeps them. */
+/** A model of the least-recently-used image cache of a worker: the images that the machine should still hold. */
 export class ImageCache {
-  /** Sizes in GB by image, least recently used first. */
+  /** Size in GB of each image, least recently used first. */
   private readonly sizes = new Map<string, number>();
 
   /** Whether the machine should still hold the image. */
@@ -8,7 +8,7 @@
     return this.sizes.has(image);
   }
 
-  /** Records a use of an image of `sizeGb`, and drops the least recently used beyond the capacity. */
+  /** Records the use of an image of `sizeGb`, and evicts the least recently used images beyond the capacity. */
   noteUse(image: string, sizeGb: number, capacityGb: number): void {
     this.sizes.delete(image);
     this.sizes.set(image, sizeGb);
--- a/src/coordination/model/machine.ts
+++ b/src/coordination/model/machine.ts
@@ -1,4 +1,4 @@
-/** One machine of a shard. */
+/** State of one machine of a shard. */
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { Heartbeat, ReportedAttempt } from '../../protocol/workerProtocol.js';
 import type { MachineRecord } from '../../storage/records.js';
@@ -15,17 +15,17 @@
 
 export type { Placement } from './occupancy.js';
 
-/** What tells how long a machine may take to be heard for the first time. In seconds. */
+/** Times in seconds that determine how long the first heartbeat of a machine may take. */
 export interface FirstContactTiming {
-  /** Its age when this controller first heard of it. */
-  readonly ageWhenSeen: number;
-  /** Time between two heartbeats of its worker. */
+  /** Seconds since its launch when this controller first learned of it. */
+  readonly ageWhenFirstSeen: number;
+  /** Seconds between two heartbeats of its worker. */
   readonly heartbeatInterval: number;
 }
 
 /** One machine of a shard, as its worker last reported it. */
 export class Machine {
-  /** `HOST:PORT` of its worker; empty until it is known. */
+  /** `HOST:PORT` of its worker; empty while it is unknown. */
   address: string;
   /** The agent epoch of the newest heartbeat. */
   agentEpoch = 0;
@@ -33,74 +33,75 @@
   heartbeatSequence = -1;
   /** The highest fencing token that its worker has seen. */
   highestFencingToken = 0;
-  /** Steady time until which, at most, its worker's lease was renewed by an answer: ours or another leader's. */
+  /** Latest monotonic time at which an answer of this or another leader may have renewed its worker's lease. */
   leaseRenewedAt: number;
-  /** Steady time at which the cloud will take it; null without a warning. */
+  /** Monotonic time at which the cloud will preempt it; null without a preemption warning. */
   preemptionDeadline: number | null = null;
-  /** What is known of the connection to its worker. */
+  /** State of the connection to its worker. */
   readonly reachability = new Reachability();
-  /** Ended attempts that its worker still reports, by `attemptKey`: a task may have ended here more than once. */
+  /** Ended attempts that its worker still reports, by `attemptKey`; a task may have several ended attempts here. */
   readonly endedAttempts = new Map<string, EndedAttempt>();
-  /** Time that it takes for a unit of work, as a ratio to the usual; 2 is half as fast. */
+  /** Run time of a task here as a ratio to its usual run time: 1 is the usual speed, 2 is half as fast. */
   slowness = 1;
-  /** Distinct jobs whose tasks failed here in a row. */
+  /** Distinct jobs whose tasks failed here in succession. */
   readonly failedJobs = new Set<string>();
-  /** Steady time before which nothing is placed here. */
+  /** Monotonic time before which nothing is placed here, after failures. */
   quarantinedUntil = 0;
-  /** Offered back to the cloud: nothing is placed here any more. */
+  /** To be released to the cloud: nothing is placed here any more. */
   isCordoned = false;
   /** Its worker's lease has expired with attempts on it, and it has not been reached since. */
   isLost = false;
   /**
-   * The records have put it into another shard, whose leader answers its worker and may renew the worker's lease. Nothing is
-   * placed on it or sent to it any more, and its attempts here are over only by its heartbeats or a confirmed release.
+   * Its record names another shard, whose leader answers its worker and may renew the worker's lease. No tasks are placed on it
+   * and no commands are sent to it any more, and only its heartbeats or a confirmed release show that its attempts have
+   * terminated.
    */
   isReassigned = false;
-  /** The audit trail has an event for the request to release it. */
+  /** The request to release it has been recorded in the audit trail. */
   isReleaseRequested = false;
-  /** Steady time since which nothing is placed here. */
+  /** Monotonic time since which no attempt is placed here. */
   idleSince: number;
-  /** A request with commands is waiting for its response. */
+  /** A request with commands is in flight. */
   hasCommandInFlight = false;
   /** The fencing tokens of commands to its worker. */
   readonly commandTokens = new CommandTokens();
-  /** Attempts that its worker was told to forget. */
+  /** Attempts that have been acknowledged to its worker. */
   readonly acknowledgedAttempts = new AcknowledgedAttempts();
   private readonly occupancy = new Occupancy();
   private readonly images = new ImageCache();
 
   constructor(
-    /** Its name, which is that of its record. */
+    /** Name of the machine and of its record. */
     readonly name: string,
     private record: MachineRecord,
     private readonly machineTypes: () => Map<string, MachineType>,
-    /** Steady time at which this controller first heard of it. */
+    /** Monotonic time at which this controller first learned of it. */
     readonly firstSeenAt: number,
     /** Whether a start of the task may be sent now (safety, T18). */
     readonly mayStart: (task: string, now: number) => boolean = () => true,
-    private readonly arrival: FirstContactTiming = { ageWhenSeen: 0, heartbeatInterval: 0 },
+    private readonly timing: FirstContactTiming = { ageWhenFirstSeen: 0, heartbeatInterval: 0 },
   ) {
     this.leaseRenewedAt = firstSeenAt;
     this.address = record.address ?? '';
     this.idleSince = firstSeenAt;
   }
 
-  /** Steady time at which it was rented, as far as its record tells. */
+  /** Monotonic time at which it was launched, according to its record. */
   get launchedAtMonotonic(): number {
-    return this.firstSeenAt - this.arrival.ageWhenSeen;
+    return this.firstSeenAt - this.timing.ageWhenFirstSeen;
   }
 
   /** Seconds between two heartbeats of its worker. */
   get heartbeatInterval(): number {
-    return this.arrival.heartbeatInterval;
+    return this.timing.heartbeatInterval;
   }
 
-  /** Seconds that a machine of its type takes to boot; 0 while the cloud has not told the type. */
+  /** Boot time of its type in seconds; 0 while the type is unknown. */
   get bootSeconds(): number {
     return this.machineType?.bootSeconds ?? 0;
   }
 
-  /** Time of day at which it was rented, or first heard of. */
+  /** Wall-clock time at which it was launched, or first seen. */
   get launchedAt(): number {
     return this.record.launchedAt;
   }
@@ -110,41 +111,41 @@
     return this.record.shard;
   }
 
-  /** Takes in a changed record; an address that is known stays. */
+  /** Replaces its record; a known address is kept. */
   updateRecord(record: MachineRecord): void {
     this.record = record;
     if (this.address === '') this.address = record.address ?? '';
   }
 
   /**
-   * Its type; undefined while the cloud has not told it. Looked up each time: after a restart machines are loaded
-   * before the types, and a machine that kept "unknown" would never be given work again.
+   * Its type; undefined while it is unknown. It is looked up each time: after a restart machines are loaded before the types, and
+   * a machine that cached an unknown type would never get work again.
    */
   get machineType(): MachineType | undefined {
     return this.machineTypes().get(this.record.type);
   }
 
-  /** The name of its type. */
+  /** Name of its machine type. */
   get type(): string {
     return this.record.type;
   }
 
-  /** Its zone. */
+  /** The zone in which it runs. */
   get zone(): string {
     return this.record.zone;
   }
 
-  /** Whether the cloud may take it back at short notice. */
+  /** Whether it is a spot machine, which the cloud may preempt at short notice. */
   get spot(): boolean {
     return this.record.spot;
   }
 
-  /** It has been reached, and is not lost. */
+  /** Whether it has been reached, and is not lost. */
   get isUp(): boolean {
     return this.reachability.lastReachedAt !== null && !this.isLost;
   }
 
-  /** It has missed several probes in a row: it gets no work. */
+  /** Whether it has missed several probes in a row, so that it gets no work. */
   get isUnresponsive(): boolean {
     return this.reachability.isUnresponsive;
   }
@@ -154,12 +155,12 @@
     return this.availability(now) === 'ready';
   }
 
-  /** What it is to work, at this steady time. */
+  /** Its availability for work at this monotonic time. */
   availability(now: number): AvailabilityState {
     return availabilityState(this, now);
   }
 
-  /** Whether work that waits may count on it, now or soon. */
+  /** Whether queued work can be expected to start on it, now or soon. */
   isCapacity(now: number): boolean {
     return isCapacity(this.availability(now));
   }
@@ -169,27 +170,27 @@
     return this.machineType ?? NO_RESOURCES;
   }
 
-  /** Resources left beside everything that is, or may still be, here. */
+  /** Resources that are not used by any attempt that is, or may still be, here. */
   get free(): Readonly<Resources> {
     return this.occupancy.useOf(this.machineType).free;
   }
 
-  /** Processors allocated to services. */
+  /** CPUs allocated to live services. */
   get serviceCpus(): number {
     return this.occupancy.useOf(this.machineType).serviceCpus;
   }
 
-  /** Processors allocated to tasks of the shard. */
+  /** CPUs allocated to tasks of the shard. */
   get allocatedCpus(): number {
     return this.occupancy.useOf(this.machineType).allocatedCpus;
   }
 
-  /** The shard's attempts that are, or may be, here, by task. */
+  /** The shard's attempts that are, or may be, here, by task name. */
   get placements(): ReadonlyMap<string, Placement> {
     return this.occupancy.placements;
   }
 
-  /** Adds an attempt. */
+  /** Adds an attempt, replacing an earlier one of the same task. */
   place(placement: Placement): void {
     this.occupancy.place(placement);
   }
@@ -199,22 +200,22 @@
     this.occupancy.remove(task);
   }
 
-  /** All attempts that the worker last reported. */
+  /** All attempts in the worker's latest report. */
   get reportedAttempts(): ReportedAttempts {
     return this.occupancy.reportedAttempts;
   }
 
-  /** Takes in what the worker reports; false when nothing has changed, as in most heartbeats. */
+  /** Replaces the reported attempts; returns false if nothing has changed, as in most heartbeats. */
   updateReportedAttempts(attempts: ReportedAttempt[]): boolean {
     return this.occupancy.updateReportedAttempts(attempts);
   }
 
-  /** Attempts that run here and that the shard did not place. */
+  /** Reported attempts that have not ended and that the shard did not place. */
   get unknownAttempts(): ReportedAttempt[] {
     return this.occupancy.unknownAttempts;
   }
 
-  /** Whether a reported attempt runs that the shard did not place. */
+  /** Whether a reported attempt has not ended and was not placed by the shard. */
   isUnknownAttempt(reportedAttempt: ReportedAttempt): boolean {
     return this.occupancy.isUnknownAttempt(reportedAttempt);
   }
@@ -224,34 +225,34 @@
     return attempt.startCommands.mayStillExecute(this.highestFencingToken);
   }
 
-  /** An attempt that no heartbeat shows can't be terminated before the worker has seen a higher fencing token. */
+  /** Whether an unreported attempt can't be terminated before the worker has seen a higher fencing token. */
   get isBlockedByStartCommand(): boolean {
     for (const [task, { attempt }] of this.placements) {
-      const isGone = this.reportedAttempts.find(task, attempt.attemptNumber) === undefined;
-      if (!isGone || (!attempt.wasReported && attempt.stop === null)) continue;
+      const isUnreported = this.reportedAttempts.find(task, attempt.attemptNumber) === undefined;
+      if (!isUnreported || (!attempt.wasReported && attempt.stop === null)) continue;
       if (this.mayStartStillExecute(attempt)) return true;
     }
     return false;
   }
 
-  /** Something of ours has arrived there: it counts as up, whatever was thought of it. */
+  /** Records proof that a message of this controller has arrived: the machine is up, whatever its state was before. */
   markReached(now: number): void {
     this.reachability.noteReached(now);
     this.isLost = false;
     this.isReleaseRequested = false;
   }
 
-  /** Whether it should still hold an image. */
+  /** Whether the image should still be in its cache. */
   hasImage(image: string): boolean {
     return this.images.has(image);
   }
 
-  /** Records that a task with the image, of `sizeGb`, is here. */
+  /** Records that a task uses the image, of `sizeGb`, here. */
   noteImage(image: string, sizeGb: number): void {
     this.images.noteUse(image, sizeGb, this.machineType?.cacheGb ?? Infinity);
   }
 
-  /** Whether a heartbeat is newer than the newest that was taken in. */
+  /** Whether a heartbeat is newer than the newest that was processed. */
   isNewer(heartbeat: Heartbeat): boolean {
     return (
       heartbeat.agentEpoch > this.agentEpoch ||
--- a/src/coordination/model/occupancy.ts
+++ b/src/coordination/model/occupancy.ts
@@ -1,4 +1,4 @@
-/** What occupies a machine: the placements that a shard made, and the attempts that its worker reports. */
+/** Occupancy of a machine: the placements of its shard, and the attempts that its worker reports. */
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import type { ReportedAttempt } from '../../protocol/workerProtocol.js';
 import type { Attempt, Chunk } from './chunk.js';
@@ -13,32 +13,32 @@
 
 /** How the resources of a machine are used. */
 export interface ResourceUse {
-  /** The type of the machine that it was computed for. */
+  /** The machine type for which the use was computed. */
   readonly machineType: MachineType | undefined;
-  /** What is left beside everything that is, or may still be, on the machine. */
+  /** Resources that are not used by any attempt that is, or may still be, on the machine. */
   readonly free: Readonly<Resources>;
-  /** Processors allocated to services. */
+  /** CPUs allocated to live services. */
   readonly serviceCpus: number;
-  /** Processors allocated to tasks of the shard. */
+  /** CPUs allocated to tasks of the shard. */
   readonly allocatedCpus: number;
 }
 
-/** The resources of a machine of which the type is not known, or of which nothing may be used. */
+/** Resources of a machine whose type is unknown, or on which nothing may be placed. */
 export const NO_RESOURCES: Readonly<Resources> = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** The placements and reported attempts of one machine, and the resources that they leave. */
+/** The placements and reported attempts of one machine, and the remaining resources. */
 export class Occupancy {
   private latestReport = new ReportedAttempts();
   private readonly placementsByTask = new Map<string, Placement>();
-  /** Placement decisions ask for it far more often than it changes. */
+  /** Cached, since placement decisions read it far more often than it changes. */
   private cachedUse: ResourceUse | null = null;
 
-  /** The shard's attempts that are, or may be, on the machine, by task. */
+  /** The shard's attempts that are, or may be, on the machine, by task name. */
   get placements(): ReadonlyMap<string, Placement> {
     return this.placementsByTask;
   }
 
-  /** All attempts that the worker last reported. */
+  /** All attempts in the worker's latest report. */
   get reportedAttempts(): ReportedAttempts {
     return this.latestReport;
   }
@@ -50,7 +50,7 @@
     );
   }
 
-  /** Adds an attempt, in place of an earlier one of the same task. */
+  /** Adds an attempt, replacing an earlier one of the same task. */
   place(placement: Placement): void {
     this.placementsByTask.set(placement.chunk.taskName(placement.attempt.task), placement);
     this.cachedUse = null;
@@ -62,7 +62,7 @@
     this.cachedUse = null;
   }
 
-  /** Takes in what the worker reports; false when nothing has changed, as in most heartbeats. */
+  /** Replaces the reported attempts; returns false if nothing has changed, as in most heartbeats. */
   updateReportedAttempts(attempts: ReportedAttempt[]): boolean {
     if (this.latestReport.isSameAs(attempts)) return false;
     this.latestReport = new ReportedAttempts(attempts);
@@ -70,14 +70,14 @@
     return true;
   }
 
-  /** Whether a reported attempt runs that the shard did not place. */
+  /** Whether a reported attempt has not ended and was not placed by the shard. */
   isUnknownAttempt({ task, attemptNumber, state }: ReportedAttempt): boolean {
     return (
       state !== 'ended' && this.placementsByTask.get(task)?.attempt.attemptNumber !== attemptNumber
     );
   }
 
-  /** How the resources of a machine of this type are used. */
+  /** Use of the machine's resources, if it is of this type. */
   useOf(machineType: MachineType | undefined): ResourceUse {
     if (this.cachedUse !== null && this.cachedUse.machineType === machineType)
       return this.cachedUse;
@@ -94,7 +94,7 @@
       allocatedCpus += chunk.spec.cpus;
       if (chunk.spec.isService) serviceCpus += chunk.spec.cpus;
     }
-    // What an unknown attempt uses can't be told, so nothing is placed beside it.
+    // The resources of an unknown attempt can't be determined, so nothing is placed beside it.
     const hasUnknown = this.latestReport.all.some((reported) => this.isUnknownAttempt(reported));
     return { machineType, free: hasUnknown ? NO_RESOURCES : free, serviceCpus, allocatedCpus };
   }
--- a/src/coordination/model/reachability.ts
+++ b/src/coordination/model/reachability.ts
@@ -1,37 +1,37 @@
-/** Missed probes in a row from which on a machine counts as unresponsive. */
-const UNRESPONSIVE_PROBES = 2;
+/** Number of consecutive missed probes after which a machine is unresponsive. */
+const MISSED_PROBE_LIMIT = 2;
 
 /**
- * What heartbeats and probes show of the connection to a machine. Being heard is not being reachable: a heartbeat may be
- * a late copy, or come from a machine that gets no answer.
+ * State of the connection to a machine, as heartbeats and probes show it. A received heartbeat does not prove that the machine
+ * is reachable: it may be a late copy, or come from a machine that receives no answers.
  */
 export class Reachability {
-  /** Steady time of the last heartbeat, unsolicited or as a response; null before the first one. */
+  /** Monotonic time of the last heartbeat, unsolicited or as a response; null before the first one. */
   lastHeartbeatAt: number | null = null;
-  /** Steady time of the last heartbeat that the worker sent by itself. */
+  /** Monotonic time of the last unsolicited heartbeat; null before the first one. */
   lastUnsolicitedHeartbeatAt: number | null = null;
-  /** Steady time of the last proof that a request or answer of ours arrived; null before the first. */
+  /** Monotonic time of the last proof that a request or answer of this controller arrived; null before the first one. */
   lastReachedAt: number | null = null;
   /**
-   * It responds, but its worker reaches no controller: responses do not renew the worker's lease, so
-   * whatever starts there is killed within one.
+   * The machine responds, but its worker reaches no controller: responses do not renew the worker's lease, so each task that
+   * starts there is killed within one lease duration.
    */
   isPartitioned = false;
-  /** Probes in a row that got no response. */
+  /** Number of consecutive probes without a response. */
   missedProbes = 0;
-  /** Steady time at which the first of them was sent. */
+  /** Monotonic time at which the first of these probes was sent; null without one. */
   firstMissedProbeAt: number | null = null;
-  /** A probe is waiting for its response. */
+  /** A probe has been sent, and its response is pending. */
   isProbeInFlight = false;
-  /** Steady time of the last probe. */
+  /** Monotonic time of the last probe. */
   lastProbeAt = -Infinity;
 
-  /** It sends heartbeats, perhaps, but does not respond: its lease is running out, and it gets no work. */
+  /** Whether the machine does not respond, even if it sends heartbeats: its lease will expire, and it gets no work. */
   get isUnresponsive(): boolean {
-    return this.missedProbes >= UNRESPONSIVE_PROBES;
+    return this.missedProbes >= MISSED_PROBE_LIMIT;
   }
 
-  /** Records a heartbeat; one that the worker sent by itself shows that it is not partitioned. */
+  /** Records a heartbeat; an unsolicited one shows that the worker is not partitioned. */
   noteHeartbeat(now: number, isUnsolicited: boolean): void {
     this.lastHeartbeatAt = now;
     if (!isUnsolicited) return;
@@ -39,7 +39,7 @@
     this.isPartitioned = false;
   }
 
-  /** Records the proof that something of ours has arrived. */
+  /** Records proof that a message of this controller has arrived. */
   noteReached(now: number): void {
     this.lastReachedAt = now;
     this.missedProbes = 0;
--- a/src/coordination/model/reportedAttempts.ts
+++ b/src/coordination/model/reportedAttempts.ts
@@ -1,44 +1,52 @@
 /**
- * What a worker last reported of the attempts on its machine. A task may stand in it more than once, in any order: an attempt
- * that has ended stays until it is acknowledged, and the next one of the same task may run beside it.
+ * The attempts that a worker last reported for its machine. A report may contain several attempts of a task, in any order: an
+ * ended attempt is reported until it is acknowledged, and the next attempt of the same task may run beside it.
  */
 import type { ReportedAttempt } from '../../protocol/workerProtocol.js';
 
 /** The attempts in a worker's latest heartbeat. */
 export class ReportedAttempts {
-  private readonly firstOf = new Map<string, ReportedAttempt>();
-  /** Further attempts of tasks that stand more than once; null in nearly all reports. */
-  private furtherOf: Map<string, ReportedAttempt[]> | null = null;
+  private readonly firstByTask = new Map<string, ReportedAttempt>();
+  /** Further attempts of tasks with more than one attempt; null for nearly all reports. */
+  private furtherByTask: Map<string, ReportedAttempt[]> | null = null;
 
   constructor(readonly all: readonly ReportedAttempt[] = []) {
     for (const reportedAttempt of all) this.add(reportedAttempt);
   }
 
-  /** What was reported of one attempt. */
+  /** The report of one attempt; undefined if it was not reported. */
   find(task: string, attemptNumber: number): ReportedAttempt | undefined {
-    const first = this.firstOf.get(task);
+    const first = this.firstByTask.get(task);
     if (first === undefined || first.attemptNumber === attemptNumber) return first;
-    return this.furtherOf
+    return this.furtherByTask
       ?.get(task)
       ?.find((reportedAttempt) => reportedAttempt.attemptNumber === attemptNumber);
   }
 
-  /** Whether a later report says the same. */
-  isSameAs(tasks: readonly ReportedAttempt[]): boolean {
-    return tasks.length === this.all.length && tasks.every((task) => this.isKnown(task));
+  /** Whether a later report contains the same attempts in the same states. */
+  isSameAs(attempts: readonly ReportedAttempt[]): boolean {
+    return (
+      attempts.length === this.all.length && attempts.every((attempt) => this.isUnchanged(attempt))
+    );
   }
 
   private add(reportedAttempt: ReportedAttempt): void {
-    if (!this.firstOf.has(reportedAttempt.task)) {
-      this.firstOf.set(reportedAttempt.task, reportedAttempt);
+    if (!this.firstByTask.has(reportedAttempt.task)) {
+      this.firstByTask.set(reportedAttempt.task, reportedAttempt);
       return;
     }
-    this.furtherOf ??= new Map();
-    const further = this.furtherOf.get(reportedAttempt.task) ?? [];
-    this.furtherOf.set(reportedAttempt.task, [...further, reportedAttempt]);
+    this.furtherByTask ??= new Map();
+    const further = this.furtherByTask.get(reportedAttempt.task) ?? [];
+    this.furtherByTask.set(reportedAttempt.task, [...further, reportedAttempt]);
   }
 
-  private isKnown({ task, attemptNumber, state, cause, hasCheckpoint }: ReportedAttempt): boolean {
+  private isUnchanged({
+    task,
+    attemptNumber,
+    state,
+    cause,
+    hasCheckpoint,
+  }: ReportedAttempt): boolean {
     const known = this.find(task, attemptNumber);
     if (known?.state !== state) return false;
     return known.cause === cause && known.hasCheckpoint === hasCheckpoint;
--- a/src/coordination/shard/capacityByRank.ts
+++ b/src/coordination/shard/capacityByRank.ts
@@ -1,4 +1,4 @@
-/** Which of the work that waits finds room on a shard's machines: pure. */
+/** Computes how much of the queued work fits on a shard's machines, without side effects on the shard. */
 import type { JobSpec } from '../../protocol/job.js';
 import type { Chunk } from '../model/chunk.js';
 import type { Machine } from '../model/machine.js';
@@ -6,50 +6,56 @@
 import { satisfiesConstraints, shapeOf } from '../scheduling/placement.js';
 
 /**
- * Room on machines for what waits, in the order of the queue: what is placed takes its room before lower
- * ranks do, so work that would be stopped for a waiting service does not make it ask for a machine.
+ * Room on machines for queued chunks, which are allocated in queue order. Placed tasks occupy their room only for chunks of
+ * their rank or below: a service that can preempt tasks of a lower rank does not create a demand for a machine.
  */
 export class CapacityByRank {
   private readonly rooms: { machine: Machine; room: Resources }[];
-  /** What is placed, by falling rank, and the room that it takes. */
+  /** Placed tasks by descending rank, each with the room of its machine. */
   private readonly placed: { spec: JobSpec; rank: number; room: Resources }[];
-  private settled = 0;
-  /** Shapes of work for which no room is left. */
-  private readonly full = new Set<string>();
+  /** Number of entries of `placed` that are subtracted from the room of their machines. */
+  private subtractedCount = 0;
+  /** Shapes that no longer fit on any machine. */
+  private readonly shapesWithoutRoom = new Set<string>();
 
   constructor(machines: Machine[]) {
     this.rooms = machines.map((machine) => ({ machine, room: { ...machine.capacity } }));
-    this.placed = this.rooms.flatMap(({ machine, room: resources }) =>
+    this.placed = this.rooms.flatMap(({ machine, room }) =>
       [...machine.placements.values()].map(({ chunk: { spec, rank } }) => ({
         spec,
         rank,
-        room: resources,
+        room,
       })),
     );
     this.placed.sort((a, b) => b.rank - a.rank);
   }
 
-  /** Gives how many of a chunk's tasks find no room, and whether some machine could ever hold one. */
-  allocate(chunk: Chunk): { left: number; hasSuitableMachine: boolean } {
-    this.settleDownTo(chunk.rank);
+  /**
+   * Allocates room for a chunk's pending tasks. `unplaced`: the number of tasks without room; `hasSuitableMachine`: whether
+   * some machine could hold a task if it were idle.
+   */
+  allocate(chunk: Chunk): { unplaced: number; hasSuitableMachine: boolean } {
+    this.subtractPlacedDownTo(chunk.rank);
     const { spec, zone } = chunk;
     const shape = shapeOf(spec, zone);
-    if (this.full.has(shape)) return { left: chunk.pendingCount, hasSuitableMachine: true };
-    let left = chunk.pendingCount;
-    let hasSuited = false;
-    for (const { machine, room: resources } of this.rooms) {
-      if (left === 0) break;
+    if (this.shapesWithoutRoom.has(shape))
+      return { unplaced: chunk.pendingCount, hasSuitableMachine: true };
+    let unplaced = chunk.pendingCount;
+    let hasSuitableMachine = false;
+    for (const { machine, room } of this.rooms) {
+      if (unplaced === 0) break;
       if (!satisfiesConstraints(spec, zone, machine)) continue;
-      if (fits(machine.capacity, spec)) hasSuited = true;
-      for (; left > 0 && fits(resources, spec); left--) subtractResources(resources, spec);
+      if (fits(machine.capacity, spec)) hasSuitableMachine = true;
+      for (; unplaced > 0 && fits(room, spec); unplaced--) subtractResources(room, spec);
     }
-    if (left > 0 && hasSuited) this.full.add(shape);
-    return { left, hasSuitableMachine: hasSuited };
+    if (unplaced > 0 && hasSuitableMachine) this.shapesWithoutRoom.add(shape);
+    return { unplaced, hasSuitableMachine };
   }
 
-  private settleDownTo(rank: number): void {
-    for (; this.settled < this.placed.length; this.settled++) {
-      const next = this.placed[this.settled];
+  /** Subtracts the placed tasks of this rank and above. */
+  private subtractPlacedDownTo(rank: number): void {
+    for (; this.subtractedCount < this.placed.length; this.subtractedCount++) {
+      const next = this.placed[this.subtractedCount];
       if (next === undefined || next.rank < rank) return;
       subtractResources(next.room, next.spec);
     }
--- a/src/coordination/shard/demandEstimator.ts
+++ b/src/coordination/shard/demandEstimator.ts
@@ -1,4 +1,4 @@
-/** What should be rented for a shard, and which of its machines may be returned: pure. */
+/** Estimates which machines should be launched for a shard, and which of its machines may be released. */
 import type { MachineType } from '../../protocol/cloudProtocol.js';
 import { rankName } from '../../protocol/job.js';
 import type { Demand } from '../../protocol/peerMessages.js';
@@ -11,34 +11,35 @@
 import { CapacityByRank } from './capacityByRank.js';
 import { DemandList } from './demandList.js';
 
-/** How soon work should be through, and over which time arrivals are averaged; in seconds. */
+/** Time targets of demand estimation; times are in seconds. */
 export interface DemandOptions {
-  /** Batch work that waits should be through in this many seconds. */
+  /** Queued batch work should be completed within this time. */
   scaleOutWindow: number;
-  /** Beyond this many seconds machines at full price are worth it: the last of its objectives is at risk. */
+  /** If queued batch work takes longer than this, on-demand machines are justified: the last of its objectives is at risk. */
   onDemandWindow: number;
-  /** Room for arriving batch work, as a ratio to its average. */
+  /** Capacity for arriving batch work, as a ratio to its average. */
   headroom: number;
-  /** Seconds over which arrivals are averaged. */
+  /** Time constant of the average of arrivals. */
   arrivalWindow: number;
 }
 
-/** What the estimator needs of its shard. */
+/** The part of a shard that the estimator uses. */
 export interface DemandContext {
   readonly label: string;
   readonly machines: ReadonlyMap<string, Machine>;
   readonly chunks: ReadonlyMap<string, Chunk>;
   readonly waitEstimates: Pick<WaitEstimates, 'expectedRun'>;
-  /** Tasks that are not placed. */
+  /** Number of tasks that are not placed. */
   readonly waitingTaskCount: number;
-  /** Chunks with pending tasks, in the order in which they are considered. */
+  /** Chunks with pending tasks, in queue order. */
   queuedChunks(): Chunk[];
 }
 
-/** Estimates which machines a shard needs beside its own, and which of its own it does not. */
+/** Estimates which machines a shard needs in addition to its own, and which of its own it does not need. */
 export class DemandEstimator {
-  private readonly arrivals: ArrivalRate;
+  private readonly batchArrivals: ArrivalRate;
   private readonly serviceArrivals: ArrivalRate;
+  /** The service chunk that arrived or left last; its size and resources stand for those of the next one. */
   private lastService: Chunk | null = null;
 
   constructor(
@@ -46,18 +47,18 @@
     private readonly options: DemandOptions,
     private readonly machineTypes: () => Map<string, MachineType>,
   ) {
-    this.arrivals = new ArrivalRate(options.arrivalWindow);
+    this.batchArrivals = new ArrivalRate(options.arrivalWindow);
     this.serviceArrivals = new ArrivalRate(options.arrivalWindow);
   }
 
-  /** Counts a chunk's work as arrived, or with a `sign` of -1 as gone to another shard. */
+  /** Counts a chunk's work as arrived or, with a `sign` of -1, as migrated to another shard. */
   noteArrival(chunk: Chunk, sign: number, now: number): void {
     if (chunk.spec.isService) {
       this.serviceArrivals.record(sign * chunk.pendingCount * chunk.spec.cpus, now);
       this.lastService = chunk;
       return;
     }
-    this.arrivals.record(
+    this.batchArrivals.record(
       sign *
         chunk.pendingCount *
         chunk.spec.cpus *
@@ -66,21 +67,22 @@
     );
   }
 
-  /** After a start the rate of arrivals is not known: what runs is the best guess. */
+  /** Initializes the arrival rate after a start, when it is not known, from the CPUs of the running batch tasks. */
   seedArrivals(now: number): void {
     let cpus = 0;
     for (const chunk of this.shard.chunks.values()) {
       if (!chunk.spec.isService) cpus += chunk.attempts.size * chunk.spec.cpus;
     }
-    this.arrivals.seed(cpus, now);
+    this.batchArrivals.seed(cpus, now);
   }
 
+  /** Whether batch work may count on the machine: it has capacity and is not quarantined. */
   private countsForBatch(machine: Machine, now: number): boolean {
     const state = machine.availability(now);
     return isCapacity(state) && state !== 'quarantined';
   }
 
-  /** Processors that batch work has or may have here, those on their way included. */
+  /** CPUs that batch work uses or may use here, including those of booting machines. */
   private batchCpus(now: number): number {
     let cpus = 0;
     for (const machine of this.shard.machines.values()) {
@@ -89,7 +91,7 @@
     return cpus;
   }
 
-  /** Batch work that has piled up, in processor seconds. */
+  /** Backlog of batch work in CPU-seconds. */
   private backlog(): number {
     let work = 0;
     for (const chunk of this.shard.chunks.values()) {
@@ -100,13 +102,13 @@
     return work;
   }
 
-  /** Processors that batch work needs: what arrives on the average, and what has piled up. */
+  /** CPUs that batch work needs: for the average of arriving work, or for the backlog if that needs more. */
   private batchNeed(now: number): number {
-    const arriving = this.arrivals.rate(now) * this.options.headroom;
+    const arriving = this.batchArrivals.rate(now) * this.options.headroom;
     return Math.max(arriving, this.backlog() / this.options.scaleOutWindow);
   }
 
-  /** Processors on ordinary machines that live services have not taken, those on their way included. */
+  /** CPUs of on-demand machines that are not allocated to live services, including those of booting machines. */
   serviceHeadroom(now: number): number {
     let cpus = 0;
     for (const machine of this.shard.machines.values()) {
@@ -116,46 +118,48 @@
     return cpus;
   }
 
-  /** Room for the services that will arrive while a machine boots, and for one more. */
+  /** CPUs to reserve for the services that are expected to arrive while a machine boots, and for one more. */
   private serviceReserve(now: number): number {
     if (this.lastService === null) return 0;
-    const boots = [...this.machineTypes().values()].map((t) => t.bootSeconds);
+    const bootTimes = [...this.machineTypes().values()].map((t) => t.bootSeconds);
     const { spec, size } = this.lastService;
-    return this.serviceArrivals.rate(now) * Math.min(...boots) + size * spec.cpus;
+    return this.serviceArrivals.rate(now) * Math.min(...bootTimes) + size * spec.cpus;
   }
 
   /**
-   * Machines to be returned: idle for as long as a new one would take to boot, and not needed for
-   * what arrives on the average. The dearest go first.
+   * Cordons machines that may be released, and returns the names of all cordoned idle machines. A machine may be released if
+   * it has been idle for `idleRatio` times its boot time and is not needed for the average of arriving work. The most
+   * expensive machines are cordoned first.
    */
   cordonIdleMachines(now: number, idleRatio: number): string[] {
     const idle = [...this.shard.machines.values()].filter(
       (m) => m.placements.size === 0 && m.isUp && !m.isReassigned,
     );
-    const waits = this.shard.waitingTaskCount > 0;
-    // Worked out once: each that goes takes its own processors out of them.
+    const hasWaitingTasks = this.shard.waitingTaskCount > 0;
+    // Computed once: each cordoned machine's CPUs are subtracted from these values.
     let surplus = this.surplus(now);
-    let liveRoom = this.serviceHeadroom(now);
+    let serviceHeadroom = this.serviceHeadroom(now);
     const reserve = this.serviceReserve(now);
     for (const machine of idle.sort((a, b) => pricePerCpu(b) - pricePerCpu(a))) {
-      if (machine.isCordoned || waits) continue;
+      if (machine.isCordoned || hasWaitingTasks) continue;
       const { cpus } = machine.capacity;
-      if (now - machine.idleSince < longestIdle(machine, idleRatio) || surplus < cpus) continue;
-      if (!machine.spot && liveRoom - cpus < reserve) continue;
+      if (now - machine.idleSince < releaseIdleSeconds(machine, idleRatio) || surplus < cpus)
+        continue;
+      if (!machine.spot && serviceHeadroom - cpus < reserve) continue;
       if (this.countsForBatch(machine, now)) surplus -= cpus;
-      if (!machine.spot && machine.isCapacity(now)) liveRoom -= cpus;
+      if (!machine.spot && machine.isCapacity(now)) serviceHeadroom -= cpus;
       machine.isCordoned = true;
     }
     return idle.filter((m) => m.isCordoned).map((m) => m.name);
   }
 
-  /** Processors beyond what is needed. */
+  /** CPUs beyond the need of batch work. */
   surplus(now: number): number {
     return this.batchCpus(now) - this.batchNeed(now);
   }
 
-  /** Room that should stand ready for live services and does not. */
-  private headroom(now: number): Demand | null {
+  /** Demand for the reserved capacity of live services that is missing; null if none is. */
+  private serviceReserveDemand(now: number): Demand | null {
     const missing = this.serviceReserve(now) - this.serviceHeadroom(now);
     if (this.lastService === null || missing <= 0) return null;
     const { spec, zone } = this.lastService;
@@ -179,33 +183,38 @@
     };
   }
 
-  /** Work that neither machines that are up nor those on their way can hold in good time. */
+  /** Demands for machines, for work that neither running nor booting machines can complete in time. */
   demands(now: number): Demand[] {
-    const rooms = new CapacityByRank(
+    const capacity = new CapacityByRank(
       [...this.shard.machines.values()].filter((machine) => this.countsForBatch(machine, now)),
     );
     const list = new DemandList();
-    const have = this.batchCpus(now);
-    let deficit = Math.max(0, this.batchNeed(now) - have);
-    // What has piled up, and not what arrives on the average, may have machines at their full price.
-    let pressing = Math.max(0, this.backlog() / this.options.onDemandWindow - have);
+    const availableCpus = this.batchCpus(now);
+    let missingCpus = Math.max(0, this.batchNeed(now) - availableCpus);
+    // On-demand machines are justified by the backlog only, not by the average of arriving work.
+    let missingOnDemandCpus = Math.max(
+      0,
+      this.backlog() / this.options.onDemandWindow - availableCpus,
+    );
     for (const chunk of this.shard.queuedChunks()) {
-      if (chunk.failureCount > FAILURES_WITHOUT_DEMAND) continue;
+      if (chunk.failureCount > MAX_FAILURES_FOR_DEMAND) continue;
       const { spec } = chunk;
-      const { left, hasSuitableMachine: hasSuited } = rooms.allocate(chunk);
-      let count = left;
-      if (!spec.isService && hasSuited) {
-        // Short work is through before a machine is up: only what is missing in the long run.
-        count = Math.min(count, Math.ceil(deficit / spec.cpus));
-        deficit -= count * spec.cpus;
+      const { unplaced, hasSuitableMachine } = capacity.allocate(chunk);
+      let count = unplaced;
+      if (!spec.isService && hasSuitableMachine) {
+        // Short tasks end before a new machine has booted, so only the lasting shortage of CPUs counts.
+        count = Math.min(count, Math.ceil(missingCpus / spec.cpus));
+        missingCpus -= count * spec.cpus;
       }
       if (count <= 0) continue;
-      const dear = spec.isService ? 0 : Math.min(count, Math.ceil(pressing / spec.cpus));
-      pressing = Math.max(0, pressing - dear * spec.cpus);
-      list.add(shapeOf(spec, chunk.zone), this.demandOf(chunk, count, dear));
+      const onDemandCount = spec.isService
+        ? 0
+        : Math.min(count, Math.ceil(missingOnDemandCpus / spec.cpus));
+      missingOnDemandCpus = Math.max(0, missingOnDemandCpus - onDemandCount * spec.cpus);
+      list.add(shapeOf(spec, chunk.zone), this.demandOf(chunk, count, onDemandCount));
     }
-    const headroom = this.headroom(now);
-    if (headroom !== null && !list.hasService) list.add('', headroom);
+    const reserveDemand = this.serviceReserveDemand(now);
+    if (reserveDemand !== null && !list.hasService) list.add('', reserveDemand);
     return list.all;
   }
 
@@ -231,17 +240,18 @@
   }
 }
 
-/** Idle time in seconds after which a machine may be returned; that of an unknown type counts as booting in a minute. */
-function longestIdle({ machineType }: Machine, idleRatio: number): number {
-  return (machineType?.bootSeconds ?? UNKNOWN_BOOT_S) * idleRatio;
+/** Idle time in seconds after which a machine may be released. */
+function releaseIdleSeconds({ machineType }: Machine, idleRatio: number): number {
+  return (machineType?.bootSeconds ?? DEFAULT_BOOT_S) * idleRatio;
 }
 
-const UNKNOWN_BOOT_S = 60;
+/** Boot time that is assumed for a machine of an unknown type. */
+const DEFAULT_BOOT_S = 60;
 
 function pricePerCpu({ spot, machineType, capacity }: Machine): number {
   const price = spot ? machineType?.spotPrice : machineType?.price;
   return (price ?? 0) / Math.max(1, capacity.cpus);
 }
 
-/** Chunks that have failed more often ask for no machines: the fault is likely theirs. */
-const FAILURES_WITHOUT_DEMAND = 2;
+/** Chunks that have failed more often create no demand: the fault is probably in the job. */
+const MAX_FAILURES_FOR_DEMAND = 2;
--- a/src/coordination/shard/demandList.ts
+++ b/src/coordination/shard/demandList.ts
@@ -1,11 +1,11 @@
-/** Demands for machines, merged: pure. */
+/** Merges demands for machines. */
 import type { Demand } from '../../protocol/peerMessages.js';
 
-/** One demand for all work that the same machines suit: thousands of tasks may wait. */
+/** Demands of a shard, with one demand for all work that fits the same machines: thousands of tasks may be queued. */
 export class DemandList {
   private readonly demands = new Map<string, Demand>();
 
-  /** All demands. */
+  /** The merged demands. */
   get all(): Demand[] {
     return [...this.demands.values()];
   }
@@ -15,20 +15,20 @@
     return this.all.some((demand) => demand.isService);
   }
 
-  /** Adds a demand for work of a shape to those that are the same but for their counts. */
+  /** Adds a demand for work of a shape, or merges it into an existing one of the same shape, rank and kind. */
   add(shape: string, demand: Demand): void {
-    const { rank, isService: service, count } = demand;
-    const key = `${shape} ${rank} ${String(service)}`;
-    const known = this.demands.get(key);
-    if (known === undefined) {
+    const { rank, isService, count } = demand;
+    const key = `${shape} ${rank} ${String(isService)}`;
+    const merged = this.demands.get(key);
+    if (merged === undefined) {
       this.demands.set(key, demand);
       return;
     }
-    const all = known.count + count;
-    known.expectedRunSeconds =
-      (known.expectedRunSeconds * known.count + demand.expectedRunSeconds * count) / all;
-    known.imageGb = (known.imageGb * known.count + demand.imageGb * count) / all;
-    known.count = all;
-    known.onDemandCount += demand.onDemandCount;
+    const total = merged.count + count;
+    merged.expectedRunSeconds =
+      (merged.expectedRunSeconds * merged.count + demand.expectedRunSeconds * count) / total;
+    merged.imageGb = (merged.imageGb * merged.count + demand.imageGb * count) / total;
+    merged.count = total;
+    merged.onDemandCount += demand.onDemandCount;
   }
 }
--- a/src/coordination/shard/shard.ts
+++ b/src/coordination/shard/shard.ts
@@ -1,6 +1,6 @@
 /**
- * One shard: its machines, its queue and what runs where. No I/O: reports come in, orders and changed
- * records go out, and the clock is passed in.
+ * One shard: its machines, its queue and the attempts on its machines. It does no I/O: heartbeats and the current time are
+ * passed in, and its commands and changed chunks are collected by the callers.
  */
 import { log } from '../../base/log.js';
 import type { Random } from '../../base/random.js';
@@ -23,7 +23,7 @@
 import { singleShardView, TeamUsage, type ClusterView } from '../quota/teamUsage.js';
 import { WaitEstimates } from '../scheduling/waitEstimates.js';
 
-/** Times in seconds, and how many machines a placement samples. */
+/** Options of a shard. Times are in seconds; `sample` is the number of machines that a placement samples. */
 export interface ShardOptions extends DemandOptions {
   workerLease: number;
   heartbeatInterval: number;
@@ -36,24 +36,24 @@
   readonly machines = new Map<string, Machine>();
   readonly chunks = new Map<string, Chunk>();
   private readonly chunksByJob = new Map<string, Set<Chunk>>();
-  /** Chunks that changed and are not stored yet. */
+  /** Chunks with changes that are not stored yet. */
   readonly unsavedChunks = new Set<Chunk>();
-  /** Machines that should be sent orders now. */
+  /** Machines to which commands should be sent now. */
   readonly machinesWithDueCommands = new Set<Machine>();
-  /** Chunks whose tasks are all done or, cancelled, all over. */
+  /** Chunks whose tasks are all done, and cancelled chunks without attempts. */
   readonly finishedChunks = new Set<Chunk>();
-  /** What should be rented for it, and what may be returned. */
+  /** Which machines should be launched for the shard, and which may be released. */
   readonly demand: DemandEstimator;
-  /** What teams' tasks use here. */
+  /** Resources that each team's tasks use here. */
   readonly teamUsage: TeamUsage;
   readonly waitEstimates: WaitEstimates;
   readonly heartbeats: HeartbeatReconciler;
   readonly liveness: MachineLiveness;
   readonly scheduler: Scheduler;
   readonly unknownAttempts = new UnknownAttempts();
-  /** The fencing tokens of the leadership. */
+  /** The fencing tokens of the current leadership. */
   fencingTokens = NO_LEADERSHIP;
-  /** Tasks whose start is held back, as noted in the audit trail. */
+  /** Tasks whose start is withheld, and for which the audit trail has an event. */
   private readonly withheldStarts = new Set<string>();
 
   constructor(
@@ -76,15 +76,15 @@
   // ---- Machines ----
 
   /**
-   * `renewed`: until when another owner may have renewed the worker's lease; `ageWhenSeen`: seconds since the machine was
-   * rented.
+   * Adds a machine, or updates the record of a known one. `leaseRenewedAt`: monotonic time until which another leader may have
+   * renewed the worker's lease; `ageWhenFirstSeen`: seconds since the machine was launched.
    */
   addMachine(
     name: string,
     record: MachineRecord,
     now: number,
-    renewed = now,
-    ageWhenSeen = 0,
+    leaseRenewedAt = now,
+    ageWhenFirstSeen = 0,
   ): Machine {
     const known = this.machines.get(name);
     if (known !== undefined) {
@@ -94,12 +94,12 @@
     }
     const mayStart = (task: string, at: number): boolean => this.mayStart(task, at);
     const { heartbeatInterval } = this.options;
-    const arrival = { ageWhenSeen, heartbeatInterval };
-    const machine = new Machine(name, record, this.machineTypes, now, mayStart, arrival);
-    machine.leaseRenewedAt = renewed;
+    const timing = { ageWhenFirstSeen, heartbeatInterval };
+    const machine = new Machine(name, record, this.machineTypes, now, mayStart, timing);
+    machine.leaseRenewedAt = leaseRenewedAt;
     this.machines.set(name, machine);
     this.waitEstimates.invalidate();
-    // Its attempts here may run, though the records have put it into another shard since they were started.
+    // Its attempts may still run here, although its record has named another shard since they were started.
     if (record.shard !== this.label) this.noteReassigned(machine);
     return machine;
   }
@@ -110,12 +110,12 @@
     this.waitEstimates.invalidate();
     this.machinesWithDueCommands.delete(machine);
     log.error(
-      `shard ${this.label}: ${machine.name} is recorded for shard ${machine.recordedShard}; ` +
-        `what may run there is kept until it is known to be over`,
+      `shard ${this.label}: ${machine.name} is assigned to shard ${machine.recordedShard} by its record; ` +
+        `its attempts here are kept until they are known to have terminated`,
     );
   }
 
-  /** The machine is known to be gone, and everything on it. */
+  /** Removes a machine that is known to be gone, and terminates the attempts on it. */
   removeMachine(name: string, now: number): void {
     const machine = this.machines.get(name);
     if (machine === undefined) return;
@@ -128,7 +128,10 @@
       this.terminateAttempt(machine, placement, termination, now);
   }
 
-  /** Not while another attempt of the task runs on a machine of the shard: then what we know is wrong, and it waits. */
+  /**
+   * Whether a start of the task may be sent. It is withheld while an unknown attempt of the task may run on a machine of the
+   * shard, since then the shard's state is wrong.
+   */
   private mayStart(task: string, now: number): boolean {
     const holder = this.unknownAttempts.findMachine(
       task,
@@ -148,12 +151,15 @@
     return false;
   }
 
-  /** Notes in the audit trail what must not happen (docs/safety.md). */
+  /** Records a violated invariant (docs/safety.md) in the audit trail. */
   reportInvariantViolation(invariant: Invariant, detail: string): void {
     this.audit.note({ event: 'invariant-violated', invariant, shard: this.label, detail });
   }
 
-  /** A copy of a start was carried out though the worker was told to forget the attempt: it is ended as any unknown one. */
+  /**
+   * Reports attempts that are back after their acknowledgement: a copy of their start was executed. They are stopped like any
+   * unknown attempt.
+   */
   noteReturnedAttempts(machine: Machine): void {
     for (const attempt of machine.acknowledgedAttempts.applyReport(machine.reportedAttempts)) {
       this.reportInvariantViolation(
@@ -163,19 +169,19 @@
     }
   }
 
-  /** The chunks of a job that are here; any of them may be at other shards. */
+  /** The chunks of a job that are in this shard; any of its chunks may be in other shards. */
   chunksOf(job: string): Chunk[] {
     return [...(this.chunksByJob.get(job) ?? [])];
   }
 
-  /** Has an attempt stopped, with so many seconds to save a checkpoint. */
+  /** Requests the stop of an attempt; the task gets `gracePeriod` seconds to save a checkpoint. */
   requestStop(machine: Machine, attempt: Attempt, gracePeriod: number): void {
     if (attempt.stop !== null) return;
     attempt.stop = { gracePeriod, sentAt: null };
     this.machinesWithDueCommands.add(machine);
   }
 
-  /** Ends an entry whose attempt is over. */
+  /** Removes an attempt that has terminated, and releases its resources. */
   terminateAttempt(
     machine: Machine,
     { chunk, attempt }: Placement,
@@ -191,7 +197,8 @@
       rule: termination.rule,
       evidenceAge: now - termination.evidenceAt,
     });
-    // A worker forgets what it has shown us only by our acknowledgement, or with its agent epoch; an adopter's acknowledgement has a higher fencing token.
+    // A worker forgets an attempt that it has reported only after an acknowledgement of this leader or with a new agent epoch;
+    // an acknowledgement of a later leader has a higher fencing token.
     const isDeposed = this.fencingTokens.isSurpassedBy(machine.highestFencingToken);
     if (termination.rule === 'absent' && !attempt.isInherited && !isDeposed) {
       this.reportInvariantViolation(
@@ -203,16 +210,18 @@
     machine.removePlacement(chunk.taskName(attempt.task));
     if (machine.placements.size === 0) machine.idleSince = now;
     this.noteChunkChanged(chunk, now);
-    // One of a gang is over before its time: the others can do nothing without it, and start anew with it.
+    // An attempt of a gang terminated before its task was done: the gang's other tasks can't continue without it, so they are
+    // stopped and restarted with it.
     if (!chunk.spec.isGang || chunk.isCancelRequested || chunk.doneTasks.has(attempt.task)) return;
     for (const other of chunk.attempts.values()) {
-      const { checkpointInterval: checkpoint, checkpointDuration: save } = chunk.spec;
-      const on = this.machines.get(other.machine);
-      if (on !== undefined) this.requestStop(on, other, checkpoint > 0 ? save : 0);
+      const { checkpointInterval, checkpointDuration } = chunk.spec;
+      const otherMachine = this.machines.get(other.machine);
+      if (otherMachine !== undefined)
+        this.requestStop(otherMachine, other, checkpointInterval > 0 ? checkpointDuration : 0);
     }
   }
 
-  /** Something of the chunk has changed that has to be stored. */
+  /** Marks the chunk as changed, so that it is stored, or as finished. */
   noteChunkChanged(chunk: Chunk, now: number): void {
     chunk.markChanged(now);
     if (chunk.isComplete || (chunk.isCancelled && chunk.attempts.size === 0))
@@ -220,32 +229,32 @@
     else this.unsavedChunks.add(chunk);
   }
 
-  /** One line for the log. */
+  /** A summary of the shard in one line, for the log. */
   summary(now: number): string {
     const machines = [...this.machines.values()];
     const free = machines.filter((m) => m.isSchedulable(now)).reduce((n, m) => n + m.free.cpus, 0);
-    const silent = machines
+    const machinesNotUp = machines
       .flatMap((m) => (m.isUp ? [] : [m.name]))
       .slice(0, 5)
       .join(' ');
     const count = (test: (m: Machine) => boolean): number => machines.filter(test).length;
     return (
-      `shard ${this.label}: ${machines.length} machines, ${count((m) => !m.isUp)} not up (${silent}), ` +
+      `shard ${this.label}: ${machines.length} machines, ${count((m) => !m.isUp)} not up (${machinesNotUp}), ` +
       `${count((m) => m.isCordoned)} cordoned, ${count((m) => m.preemptionDeadline !== null)} with a preemption notice, ` +
-      `${count((m) => m.quarantinedUntil > now)} quarantined, ${free} CPUs free, ${this.waitingTaskCount} tasks wait`
+      `${count((m) => m.quarantinedUntil > now)} quarantined, ${free} CPUs free, ${this.waitingTaskCount} tasks waiting`
     );
   }
 
   // ---- Chunks ----
 
-  /** Takes a chunk into the queue, whichever way it comes: it is asked here whether its job is being cancelled. */
+  /** Adds a chunk, whatever its origin, and applies a cancellation of its job. */
   addChunk(chunk: Chunk, now: number): void {
     const replaced = this.chunks.get(chunk.id);
     this.chunks.set(chunk.id, chunk);
     const { id: job } = chunk.spec;
-    const ofJob = this.chunksByJob.get(job) ?? new Set<Chunk>();
-    if (replaced !== undefined) ofJob.delete(replaced);
-    this.chunksByJob.set(job, ofJob.add(chunk));
+    const chunksOfJob = this.chunksByJob.get(job) ?? new Set<Chunk>();
+    if (replaced !== undefined) chunksOfJob.delete(replaced);
+    this.chunksByJob.set(job, chunksOfJob.add(chunk));
     chunk.rank = this.rankOf(chunk);
     this.demand.noteArrival(chunk, 1, now);
     if (chunk.isComplete) this.finishedChunks.add(chunk);
@@ -266,7 +275,7 @@
     });
   }
 
-  /** Jobs that need it have come, or are over. */
+  /** Updates the rank of a job's chunks after a dependent job has arrived or finished. */
   updateRank(job: string): void {
     for (const chunk of this.chunksOf(job)) chunk.rank = this.rankOf(chunk);
   }
@@ -275,7 +284,7 @@
     return Math.max(rankOrder[spec.rank], this.cluster.inheritedRank(spec.id));
   }
 
-  /** Takes in a chunk whose job is stored, and which is not yet itself. */
+  /** Adds a chunk that is not stored yet, but whose job is. */
   acceptNewChunk(chunk: Chunk, now: number): void {
     chunk.isJobStored = true;
     this.addChunk(chunk, now);
@@ -283,27 +292,27 @@
     chunk.dirtySince ??= now;
   }
 
-  /** Takes up a stored chunk, with all that its last owner may have started. */
+  /** Adds a chunk from its record, with all attempts that the previous leader may have started. */
   loadChunk(index: number, record: ChunkRecord, fencingToken: number, now: number): Chunk {
     const chunk = Chunk.load(index, record, now);
-    for (const e of record.attempts) {
-      const machine = this.machines.get(e.machine);
-      // No record names it: the last one is deleted only after the machine is gone.
+    for (const stored of record.attempts) {
+      const machine = this.machines.get(stored.machine);
+      // The machine has no record: a machine's last record is deleted only after the machine is gone.
       if (machine === undefined) continue;
       const attempt: Attempt = {
-        ...e,
+        ...stored,
         chunkVersion: 0,
         wasReported: false,
         isInherited: true,
         state: 'fetching',
         placedAt: now,
         runningSince: null,
-        // Whatever the last owner sent is settled once the worker has seen our fencing token.
+        // Commands of the previous leader are refused once the worker has seen this leader's fencing token.
         startCommands: new StartCommands(fencingToken - 1),
         startSentInAnswer: false,
         stop: null,
       };
-      chunk.attempts.set(e.task, attempt);
+      chunk.attempts.set(stored.task, attempt);
       this.teamUsage.add(chunk.spec, 1);
       machine.place({ chunk, attempt });
       this.waitEstimates.invalidate();
@@ -313,20 +322,21 @@
     return chunk;
   }
 
-  /** It goes to another shard, and so does the work that had arrived with it. */
+  /** Drops a chunk that has migrated to another shard, and subtracts its work from the arrival rate. */
   migrateAway(chunk: Chunk, now: number): void {
     this.demand.noteArrival(chunk, -1, now);
     this.dropChunk(chunk);
   }
 
-  /** The chunk is no longer of this shard. */
+  /** Removes a chunk that is no longer in this shard. */
   dropChunk(chunk: Chunk): void {
     if (!chunk.isDropped) this.teamUsage.add(chunk.spec, -chunk.attempts.size);
     chunk.isDropped = true;
     chunk.bucket?.remove(chunk);
     this.chunks.delete(chunk.id);
-    const ofJob = this.chunksByJob.get(chunk.spec.id);
-    if (ofJob?.delete(chunk) === true && ofJob.size === 0) this.chunksByJob.delete(chunk.spec.id);
+    const chunksOfJob = this.chunksByJob.get(chunk.spec.id);
+    if (chunksOfJob?.delete(chunk) === true && chunksOfJob.size === 0)
+      this.chunksByJob.delete(chunk.spec.id);
     this.unsavedChunks.delete(chunk);
     this.finishedChunks.delete(chunk);
     for (const attempt of chunk.attempts.values()) {
@@ -335,15 +345,15 @@
   }
 
   /**
-   * Its home has counted it as over. An adopter may have taken it up from a record that did not say so
-   * yet; what it has started of it meanwhile is of no use.
+   * Discards a chunk that its home shard has recorded as finished. This shard's leader may have loaded it from a record without
+   * that state; the results of attempts that it has started since are not needed.
    */
   discardFinishedChunk(chunk: Chunk, now: number): void {
     if (chunk.isComplete || chunk.attempts.size === 0) this.dropChunk(chunk);
     else this.cancel(chunk, now);
   }
 
-  /** Its job's cancellation is stored. */
+  /** Cancels a chunk once the cancellation of its job is stored. */
   cancel(chunk: Chunk, now: number): void {
     if (chunk.isCancelled) return;
     chunk.isCancelled = true;
@@ -352,8 +362,9 @@
   }
 
   /**
-   * Its user has asked to cancel it, and that is about to be stored: nothing of it starts or runs from now
-   * on. This must not wait for the record, which may be stored where this node can't read it any more.
+   * Prepares the cancellation of a chunk whose user has requested it, before that is stored: from now on none of its tasks
+   * starts, and the running ones are stopped. This must not wait for the record, which may be stored while this node can't
+   * read it.
    */
   prepareCancel(chunk: Chunk, now: number): void {
     if (chunk.cancellationPreparedAt === null && !chunk.isCancelled)
@@ -361,7 +372,7 @@
     chunk.cancellationPreparedAt = now;
   }
 
-  /** The cancellation did not come about. */
+  /** Resumes a chunk whose prepared cancellation was not stored. */
   abandonCancellation(chunk: Chunk): void {
     chunk.cancellationPreparedAt = null;
   }
@@ -378,9 +389,9 @@
     }
   }
 
-  // ---- Decisions ----
+  // ---- Queue and capacity ----
 
-  /** What waits, in the order in which it is looked at. */
+  /** Chunks with pending tasks in queue order, with chunks within their team's guarantee first within a rank. */
   queuedChunks(): Chunk[] {
     const waiting = [...this.chunks.values()].filter((c) => c.pendingCount > 0);
     const entitled = new Set(waiting.filter((c) => this.teamUsage.isEntitled(c.spec)));
@@ -392,31 +403,31 @@
     );
   }
 
-  /** Tasks that neither run nor are done. */
+  /** Number of tasks that are neither placed nor done. */
   get waitingTaskCount(): number {
     let count = 0;
     for (const chunk of this.chunks.values()) count += chunk.pendingCount;
     return count;
   }
 
-  /** The share of the processors of its machines that is in use, of those that respond; 1 without any. */
+  /** Share of the CPUs of responsive machines that is allocated; 1 without such machines. */
   get utilisation(): number {
-    let all = 0;
-    let used = 0;
+    let total = 0;
+    let allocated = 0;
     for (const machine of this.machines.values()) {
       if (!machine.isUp || machine.isUnresponsive) continue;
-      all += machine.capacity.cpus;
-      used += machine.allocatedCpus;
+      total += machine.capacity.cpus;
+      allocated += machine.allocatedCpus;
     }
-    return all === 0 ? 1 : used / all;
+    return total === 0 ? 1 : allocated / total;
   }
 
-  /** Processors of all of its machines but those that are lost or don't respond. */
+  /** CPUs of all machines that are neither lost nor unresponsive. */
   get cpus(): number {
-    let all = 0;
+    let total = 0;
     for (const machine of this.machines.values()) {
-      if (!machine.isLost && !machine.isUnresponsive) all += machine.capacity.cpus;
+      if (!machine.isLost && !machine.isUnresponsive) total += machine.capacity.cpus;
     }
-    return all;
+    return total;
   }
 }
