--- a/src/coordination/migration/migrationContext.ts
+++ b/src/coordination/migration/migrationContext.ts
@@ -1,4 +1,4 @@
-/** What job migration uses of its controller. */
+/** The interface of the controller that job migration uses. */
 import type { Clock } from '../../base/clock.js';
 import type { Settings, Tuning } from '../../protocol/settings.js';
 import type { StateCache } from '../../storage/stateCache.js';
@@ -8,7 +8,7 @@
 import type { PeerRegistry } from '../peers/peerRegistry.js';
 import type { JobPersistence } from '../persistence/jobPersistence.js';
 
-/** The parts of a controller that job migration works with; `Controller` is one. */
+/** The part of a controller that job migration uses; `Controller` implements it. */
 export interface MigrationContext {
   readonly clock: Clock;
   readonly settings: Pick<Settings, 'objectives' | 'heartbeatInterval'>;
@@ -19,6 +19,6 @@
   readonly peers: Pick<PeerRegistry, 'requestEstimates'>;
   readonly persistence: Pick<JobPersistence, 'move'>;
   readonly ownedShards: ReadonlyMap<string, OwnedShard>;
-  /** The zone that each shard's machines are in, by the shard's label. */
+  /** The zone of each shard's machines, by the shard's label. */
   readonly zoneOf: ReadonlyMap<string, string>;
 }
--- a/src/coordination/migration/migrationInitiator.ts
+++ b/src/coordination/migration/migrationInitiator.ts
@@ -1,4 +1,4 @@
-/** Sender-initiated job migration (PAPER, III.A.1), for new chunks and for those that are blocked. */
+/** Sender-initiated job migration (PAPER, III.A.1) of new chunks and of blocked chunks. */
 import { describeError, log } from '../../base/log.js';
 import { rankName, type JobSpec } from '../../protocol/job.js';
 import type { TurnaroundEstimate } from '../../protocol/peerMessages.js';
@@ -8,25 +8,25 @@
 import type { MigrationContext } from './migrationContext.js';
 import { chooseShard, turnaround } from './migrationPolicy.js';
 
-/** The heartbeat interval divided by the peers' time to answer at a submission. */
+/** The heartbeat interval divided by the timeout of the peers' answers at a submission. */
 const SUBMISSION_TIMEOUT_DIVISOR = 40;
 
 /**
- * Chunks of a shard that a review asks the peers about. A few at a time: many senders that read the same
- * answers would flood one idle peer.
+ * Number of a shard's chunks that each review asks the peers about. It is small, since many controllers that act on the same
+ * answers would overload one idle peer.
  */
 const CHUNKS_PER_REVIEW = 2;
 
 /** Chooses the shard for each chunk, and migrates chunks that would start sooner elsewhere. */
 export class MigrationInitiator {
-  /** Chunks about which the peers are being asked. */
-  private readonly asking = new Set<Chunk>();
+  /** Chunks with a pending request to the peers. */
+  private readonly pendingChunks = new Set<Chunk>();
 
   constructor(private readonly node: MigrationContext) {}
 
-  /** The wait in seconds up to which a job stays home without the peers being asked. */
+  /** Wait in seconds below which a job stays in its home shard without a request to the peers. */
   private threshold(spec: JobSpec): number {
-    // A live service's users wait for a second or so, not for ten: its objective says how long.
+    // Users of a live service accept a wait of about a second, not of ten: the wait objective of its class sets the limit.
     const objectives = this.node.settings.objectives
       .filter(({ kind, jobClass }) => kind === 'wait' && jobClass === spec.jobClass)
       .map(({ within }) => within);
@@ -34,9 +34,9 @@
   }
 
   /**
-   * The shard that a chunk goes to: home while the wait there is below the threshold or within the factor
-   * of the best; otherwise the peer with the shortest turnaround (DESIGN). A chunk tied to a zone starts
-   * from a shard there. `queued` is the chunk where it is in the queue already.
+   * Chooses the shard for a chunk: the home shard while the wait there is below the threshold, or its turnaround within the
+   * factor of the shortest one; otherwise the shard with the shortest turnaround (DESIGN). A chunk that is bound to a zone is
+   * started by a shard in that zone. `queued` is the chunk if it is in the queue already.
    */
   async chooseShard(
     homeShard: OwnedShard,
@@ -64,17 +64,17 @@
       ({ shard }) => shard !== label,
     );
     const shard = chooseShard(home, [...answers, ...local], tuning);
-    noteChoice(homeShard, spec, home, [...answers, ...local], shard);
+    auditChoice(homeShard, spec, home, [...answers, ...local], shard);
     const hasLeader = stateCache.get(keys.leader(shard)) !== undefined;
     if (shard !== label && hasLeader) return shard;
-    // No shard has such machines yet: they will be launched for a shard in the zone.
+    // No shard has suitable machines yet; they will be launched for a shard in the zone.
     if (zone === null || Number.isFinite(wait)) return label;
     return this.leastUsedPeerIn(zone, label, answers) ?? label;
   }
 
   /**
-   * Seconds for the peers' answers. At a submission a user waits, and slow peers are left out; once the
-   * job is stored the peers are asked again with the full timeout.
+   * Timeout in seconds of the peers' answers. At a submission a user is waiting, so slow peers are ignored; once the job is
+   * stored, the peers are asked again with the full timeout.
    */
   private peerTimeout(isQueued: boolean): number {
     const { tuning, settings } = this.node;
@@ -82,7 +82,7 @@
     return Math.min(tuning.peerTimeout, settings.heartbeatInterval / SUBMISSION_TIMEOUT_DIVISOR);
   }
 
-  /** The peers' least used shard in the zone; undefined if home is there itself, or none answered. */
+  /** The peers' shard with the lowest utilisation in the zone; undefined if the home shard is in the zone, or no peer answered for it. */
   private leastUsedPeerIn(
     zone: string,
     home: string,
@@ -95,7 +95,7 @@
     return inZone[0]?.shard;
   }
 
-  /** Answers to a peer's question: an estimate for each shard that this controller leads. */
+  /** Answers a peer's request: an estimate for each shard that this controller leads. */
   estimateTurnarounds(spec: JobSpec, zone: string | null, tasks: number): TurnaroundEstimate[] {
     if (!this.node.leadership.isLeaseValid) return [];
     const now = this.node.clock.now();
@@ -112,14 +112,14 @@
   }
 
   /**
-   * Asks the peers again about blocked chunks of which nothing runs. DESIGN lets queued jobs stay where
-   * they are; but machines are launched and released here, and a job would wait beside an idle peer.
+   * Asks the peers again about blocked chunks without attempts. In DESIGN queued jobs stay where they are; here machines are
+   * launched and released, and a job could be left waiting while a peer is idle.
    */
   reviewBlockedChunks(): void {
     const { node } = this;
     if (!node.leadership.isLeaseValid || !node.tuning.migrate) return;
     const now = node.clock.now();
-    // A migration costs changes at the state service, which users and starts wait for.
+    // Each migration needs writes to the state service, which delay users' requests and starts.
     if (node.stateClient.writeDelay('later') > node.settings.heartbeatInterval / 4) return;
     for (const ownedShard of node.ownedShards.values()) {
       const chunks = ownedShard.shard.chunks.values();
@@ -133,7 +133,7 @@
     }
   }
 
-  /** Whether the peers should be asked about the chunk: newly released, or blocked for long. */
+  /** Whether the peers should be asked about the chunk: it is newly released, or has been blocked for long enough. */
   private isDue(chunk: Chunk, now: number): boolean {
     const threshold = this.threshold(chunk.spec);
     if (!chunk.isNewlyReleased) {
@@ -141,30 +141,30 @@
       const pause = Math.max(threshold, this.node.settings.heartbeatInterval);
       if (now - chunk.peersAskedAt < pause) return false;
     }
-    return chunk.isMigratable && !this.asking.has(chunk);
+    return chunk.isMigratable && !this.pendingChunks.has(chunk);
   }
 
   private async migrateIfBetter(ownedShard: OwnedShard, chunk: Chunk): Promise<void> {
     const { node } = this;
-    this.asking.add(chunk);
+    this.pendingChunks.add(chunk);
     try {
       const zone = chunk.zone ?? chunk.spec.zone;
       const spec: JobSpec = { ...chunk.spec, rank: rankName(chunk.rank) };
       const shard = await this.chooseShard(ownedShard, spec, zone, chunk.pendingCount, chunk);
       if (shard === ownedShard.shard.label || !ownedShard.isOwned || chunk.isDropped) return;
       if (!chunk.isMigratable) return;
-      log.info(`sending ${chunk.id} from ${ownedShard.shard.label} to ${shard}`);
+      log.info(`migrating chunk ${chunk.id} from shard ${ownedShard.shard.label} to ${shard}`);
       await node.persistence.move(ownedShard, chunk, shard);
     } catch (error) {
-      log.debug(`sending ${chunk.id}: ${describeError(error)}`);
+      log.debug(`migrating chunk ${chunk.id} failed: ${describeError(error)}`);
     } finally {
-      this.asking.delete(chunk);
+      this.pendingChunks.delete(chunk);
     }
   }
 }
 
-/** Notes on which estimates work stays or goes. */
-function noteChoice(
+/** Records in the audit trail the estimates on which a shard was chosen. */
+function auditChoice(
   { shard: { audit } }: OwnedShard,
   { id }: JobSpec,
   home: TurnaroundEstimate,
@@ -183,14 +183,14 @@
 }
 
 /**
- * The first `most` chunks that are due, by rank and then by when the peers were last asked: otherwise the
- * first few would be asked about again and again, and those behind them never.
+ * The first `limit` chunks that are due, by rank and then by the time of the last request to the peers: otherwise the requests
+ * would always be for the first few chunks, and never for those behind them.
  */
 export function nextMigrationCandidates(
   chunks: Iterable<Chunk>,
-  most: number,
+  limit: number,
   isDue: (chunk: Chunk) => boolean,
 ): Chunk[] {
   const due = [...chunks].filter(isDue);
-  return due.sort((a, b) => b.rank - a.rank || a.peersAskedAt - b.peersAskedAt).slice(0, most);
+  return due.sort((a, b) => b.rank - a.rank || a.peersAskedAt - b.peersAskedAt).slice(0, limit);
 }
--- a/src/coordination/migration/migrationPolicy.ts
+++ b/src/coordination/migration/migrationPolicy.ts
@@ -1,21 +1,21 @@
-/** The paper's sender-initiated choice (PAPER, III.A.1), with DESIGN's changes. */
+/** The policy of sender-initiated migration (PAPER, III.A.1), with the changes of DESIGN. */
 import type { TurnaroundEstimate } from '../../protocol/peerMessages.js';
 
-/** Turnaround in seconds: the longer of wait and image fetch, plus the run; there is no output transfer. */
+/** Turnaround in seconds: the longer of wait and image fetch, plus the run time. There is no output transfer. */
 export const turnaround = (wait: number, fetch: number, run: number): number =>
   Math.max(wait, fetch) + run;
 
-/** Parameters of the choice. */
+/** Parameters of the migration policy. */
 export interface MigrationPolicyOptions {
-  /** Home is kept while its turnaround is at most this many times the shortest. */
+  /** The home shard is kept while its turnaround is at most this many times the shortest. */
   readonly factor: number;
-  /** Answers within this share above the shortest turnaround count as equal. */
+  /** Turnarounds that exceed the shortest by at most this ratio count as equal to it. */
   readonly tolerance: number;
 }
 
 /**
- * The home shard, while its turnaround is within `factor` of the shortest; otherwise the shard with the
- * shortest turnaround, where answers within `tolerance` count as equal and the least used one wins.
+ * Chooses the home shard while its turnaround is within `factor` of the shortest; otherwise the shard with the shortest
+ * turnaround. Turnarounds within `tolerance` count as equal, and of these shards the one with the lowest utilisation wins.
  */
 export function chooseShard(
   home: TurnaroundEstimate,
--- a/src/coordination/quota/clusterTotals.ts
+++ b/src/coordination/quota/clusterTotals.ts
@@ -1,20 +1,20 @@
-/** Sums over all shards: those led here by their own counts, the others by their leaders' last gossip. */
+/** Totals over all shards: of the shards that this controller leads by their own state, of the others by their leaders' last gossip. */
 import type { Clock } from '../../base/clock.js';
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { OwnedQuotaShard } from './quotaContext.js';
 import type { TeamResources, StarvedJob } from './teamUsage.js';
 
-/** Usage, starved jobs and headroom of the whole cluster. */
+/** Resource usage, starved jobs and headroom of the whole cluster. */
 export class ClusterTotals {
   constructor(
     private readonly ownedShards: ReadonlyMap<string, OwnedQuotaShard>,
     private readonly peers: { gossips(): Gossip[] },
-    /** The zone of each shard. */
+    /** The zone of each shard, by the shard's label. */
     private readonly zoneOf: ReadonlyMap<string, string>,
     private readonly clock: Pick<Clock, 'now'>,
   ) {}
 
-  /** What a team's tasks use at all shards but one. */
+  /** Resources that a team's tasks use in all shards but `except`. */
   usedElsewhere(team: string, except: string): TeamResources {
     const used = { cpus: 0, gpus: 0 };
     const add = (amount: TeamResources): void => {
@@ -30,32 +30,32 @@
     return used;
   }
 
-  /** The first in queue order of a team's starved jobs, of all shards but one; null: there is none. */
+  /** The first in queue order of a team's starved jobs in all shards but `except`; null if there is none. */
   starvedElsewhere(team: string, except: string): StarvedJob | null {
-    const here = [...this.ownedShards.values()].flatMap(({ shard }) =>
+    const led = [...this.ownedShards.values()].flatMap(({ shard }) =>
       shard.label === except ? [] : [...shard.scheduler.starvedJobs.values()],
     );
-    const there = this.peers.gossips().flatMap((gossip) => gossip.starvedJobs);
+    const remote = this.peers.gossips().flatMap((gossip) => gossip.starvedJobs);
     let first: StarvedJob | null = null;
-    for (const candidate of [...here, ...there]) {
+    for (const candidate of [...led, ...remote]) {
       if (candidate.team !== team) continue;
       if (first === null || isAhead(candidate, first)) first = candidate;
     }
     return first;
   }
 
-  /** CPUs for live services in the shards of a zone. */
+  /** CPUs that are available to live services in the shards of a zone. */
   serviceHeadroomIn(zone: string): number {
-    const isThere = (shard: string): boolean => this.zoneOf.get(shard) === zone;
+    const isInZone = (shard: string): boolean => this.zoneOf.get(shard) === zone;
     const now = this.clock.now();
     let cpus = 0;
     for (const { shard } of this.ownedShards.values()) {
-      if (isThere(shard.label)) cpus += shard.demand.serviceHeadroom(now);
+      if (isInZone(shard.label)) cpus += shard.demand.serviceHeadroom(now);
     }
     for (const gossip of this.peers.gossips()) {
-      for (const announced of gossip.shards) {
-        if (isThere(announced.shard) && !this.ownedShards.has(announced.shard))
-          cpus += announced.serviceHeadroom;
+      for (const gossiped of gossip.shards) {
+        if (isInZone(gossiped.shard) && !this.ownedShards.has(gossiped.shard))
+          cpus += gossiped.serviceHeadroom;
       }
     }
     return cpus;
--- a/src/coordination/quota/quotaContext.ts
+++ b/src/coordination/quota/quotaContext.ts
@@ -1,4 +1,4 @@
-/** What team quotas use of a shard and of the controller that leads it. */
+/** The interfaces of a shard, and of the controller that leads it, that team quotas use. */
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { Settings } from '../../protocol/settings.js';
 import type { Transaction } from '../../protocol/stateProtocol.js';
@@ -6,7 +6,7 @@
 import type { StateClient, TransactionResult } from '../../storage/stateClient.js';
 import type { StarvedJob, TeamResources, TeamUsage } from './teamUsage.js';
 
-/** A shard as quotas see it. */
+/** The part of a shard that quotas use. */
 export interface QuotaShard {
   readonly label: string;
   readonly teamUsage: Pick<TeamUsage, 'usedBy'>;
@@ -14,7 +14,7 @@
     readonly starvedJobs: ReadonlyMap<string, StarvedJob>;
     pendingDemand(team: string): TeamResources;
   };
-  /** Processors for live services that the shard has or expects. */
+  /** `serviceHeadroom`: CPUs for live services that the shard has or expects. */
   readonly demand: { serviceHeadroom(now: number): number };
 }
 
@@ -24,8 +24,8 @@
 }
 
 /**
- * The parts of a controller that quota shares work with; `Controller` is one. `Owned` is what the
- * controller keeps for each shard that it leads, and is handed back to `persistence` as it is.
+ * The part of a controller that quota shares use; `Controller` implements it. `Owned` is the controller's own type for a
+ * shard that it leads; it is passed back to `persistence` unchanged.
  */
 export interface QuotaContext<Owned extends OwnedQuotaShard = OwnedQuotaShard> {
   readonly settings: Pick<Settings, 'teams'>;
--- a/src/coordination/quota/quotaShares.ts
+++ b/src/coordination/quota/quotaShares.ts
@@ -1,6 +1,6 @@
 /**
- * Team limits across shards: each shard has a stored share of each limit, and the sum of the shares never
- * exceeds the limit. A shard uses no more than its share, including what may still run.
+ * Team limits across shards: each shard has a stored share of each limit, and the sum of the shares never exceeds the limit.
+ * A shard uses no more than its share, counting attempts that may still run.
  */
 import { describeError, log } from '../../base/log.js';
 import type { Team } from '../../protocol/settings.js';
@@ -9,19 +9,19 @@
 import type { OwnedQuotaShard, QuotaContext } from './quotaContext.js';
 import { zeroTeamResources, type TeamResources } from './teamUsage.js';
 
-const LIMITS = ['cpus', 'gpus'] as const;
+const RESOURCE_KINDS = ['cpus', 'gpus'] as const;
 
-/** 0 in the settings means that there is no limit. */
+/** A team's limit from its settings, where 0 means no limit. */
 export const limitOf = (team: Team): TeamResources => ({
   cpus: team.cpusMax > 0 ? team.cpusMax : Infinity,
   gpus: team.gpusMax > 0 ? team.gpusMax : Infinity,
 });
 
 /**
- * The shares after one shard has taken what it wants of what no shard has. Its usage may exceed its share:
- * after a failover the new leader counts tasks whose ends the last one had not stored. A share raised to that
- * usage could exceed the limit together with the others' once the ends are known. A pure function, so that
- * the sum can be tested.
+ * The shares after one shard has taken what it wants of the unallocated part of the limit. Its usage may exceed its share:
+ * after a failover the new leader counts tasks whose ends the previous leader had not stored. Once those ends are known, a
+ * share raised to that usage could make the tasks of all shards exceed the limit. This is a pure function, so that the sum
+ * can be tested.
  */
 export function rebalanceShares(
   shares: QuotaRecord,
@@ -31,38 +31,38 @@
   limit: TeamResources,
 ): QuotaRecord {
   const before = shares[shard] ?? zeroTeamResources();
-  const mine = zeroTeamResources();
-  for (const kind of LIMITS) {
+  const newShare = zeroTeamResources();
+  for (const kind of RESOURCE_KINDS) {
     if (!Number.isFinite(limit[kind])) continue;
     let others = 0;
     for (const [label, share] of Object.entries(shares)) if (label !== shard) others += share[kind];
     const kept = Math.min(used[kind], before[kind]);
-    mine[kind] = Math.max(kept, Math.min(limit[kind] - others, used[kind] + want[kind]));
+    newShare[kind] = Math.max(kept, Math.min(limit[kind] - others, used[kind] + want[kind]));
   }
-  return { ...shares, [shard]: mine };
+  return { ...shares, [shard]: newShare };
 }
 
-/** A reduced share that may be stored already: it binds until the record has a revision above `revision`. */
+/** A reduced share that may be stored already: it is in force until the record's revision exceeds `revision`. */
 interface PendingReduction {
   share: TeamResources;
   revision: number;
 }
 
-/** Usable shares of this controller's shards, and their rebalancing. */
+/** The usable quota shares of the shards that this controller leads, and their rebalancing. */
 export class QuotaShares<Owned extends OwnedQuotaShard = OwnedQuotaShard> {
-  private isBalancing = false;
-  /** By shard and team. */
+  private isRebalancing = false;
+  /** By `reductionKey`. */
   private readonly reductions = new Map<string, PendingReduction>();
 
   constructor(private readonly node: QuotaContext<Owned>) {}
 
-  /** How much of a team's limit a shard may use; null: there is no limit. */
-  allowance(shard: string, name: string): TeamResources | null {
-    const team = this.node.settings.teams.find(({ name: other }) => other === name);
+  /** Resources that a shard may use of a team's limit; null if the team has no limit. */
+  allowance(shard: string, teamName: string): TeamResources | null {
+    const team = this.node.settings.teams.find(({ name }) => name === teamName);
     if (team === undefined) return null;
     const limit = limitOf(team);
     if (!isLimited(limit)) return null;
-    const share = this.usableShare(shard, name);
+    const share = this.usableShare(shard, teamName);
     return {
       cpus: Number.isFinite(limit.cpus) ? share.cpus : Infinity,
       gpus: Number.isFinite(limit.gpus) ? share.gpus : Infinity,
@@ -75,28 +75,28 @@
     const share = (stored?.value as QuotaRecord | undefined)?.[shard] ?? zeroTeamResources();
     const reduction = this.reductions.get(reductionKey(shard, team));
     if (reduction === undefined || (stored?.revision ?? 0) > reduction.revision) return share;
-    return smaller(share, reduction.share);
+    return minimum(share, reduction.share);
   }
 
-  /** Takes shares for work that is queued here, and gives back what other shards are short of. */
+  /** Increases shares for work that is queued here, and reduces those that other shards need. */
   async rebalance(): Promise<void> {
-    if (this.isBalancing || !this.node.leadership.isLeaseValid) return;
-    this.isBalancing = true;
+    if (this.isRebalancing || !this.node.leadership.isLeaseValid) return;
+    this.isRebalancing = true;
     try {
       for (const team of this.node.settings.teams) {
         const limit = limitOf(team);
         if (!isLimited(limit)) continue;
         for (const label of this.node.ownedShards.keys())
-          await this.balanceTeam(team, label, limit);
+          await this.rebalanceTeam(team, label, limit);
       }
     } catch (error) {
-      log.debug(`quotas: ${describeError(error)}`);
+      log.debug(`rebalancing quota shares failed: ${describeError(error)}`);
     } finally {
-      this.isBalancing = false;
+      this.isRebalancing = false;
     }
   }
 
-  private async balanceTeam(team: Team, label: string, limit: TeamResources): Promise<void> {
+  private async rebalanceTeam(team: Team, label: string, limit: TeamResources): Promise<void> {
     const ownedShard = this.node.ownedShards.get(label);
     if (ownedShard === undefined) return;
     const { teamUsage, scheduler } = ownedShard.shard;
@@ -116,15 +116,15 @@
     const after = newShares[label] ?? before;
     const mayReduce = isBelow(after, before) && this.isThrottledElsewhere(team.name);
     if (!isBelow(before, after) && !mayReduce) return;
-    // A reduction binds at once, before it is stored; an increase only once it is stored.
+    // A reduction takes effect at once, before it is stored; an increase only once it is stored.
     this.reductions.set(reductionKey(label, team.name), {
-      share: smaller(before, after),
+      share: minimum(before, after),
       revision,
     });
     await this.store(ownedShard, key, newShares, revision);
   }
 
-  /** Stores new shares if nobody has changed them; otherwise reads them again. */
+  /** Stores new shares if the record is unchanged; otherwise reads it again. */
   private async store(
     ownedShard: Owned,
     key: string,
@@ -154,13 +154,13 @@
 const isLimited = (limit: TeamResources): boolean =>
   Number.isFinite(limit.cpus) || Number.isFinite(limit.gpus);
 
-/** Whether one amount is below the other in either resource. */
+/** Whether one amount is below the other in at least one resource. */
 const isBelow = (one: TeamResources, other: TeamResources): boolean =>
   one.cpus < other.cpus || one.gpus < other.gpus;
 
 const reductionKey = (shard: string, team: string): string => `${shard} ${team}`;
 
-const smaller = (one: TeamResources, other: TeamResources): TeamResources => ({
+const minimum = (one: TeamResources, other: TeamResources): TeamResources => ({
   cpus: Math.min(one.cpus, other.cpus),
   gpus: Math.min(one.gpus, other.gpus),
 });
--- a/src/coordination/quota/teamUsage.ts
+++ b/src/coordination/quota/teamUsage.ts
@@ -1,46 +1,46 @@
-/** What teams' tasks use of a shard, against their limits and guarantees. */
+/** Resources that teams' tasks use in a shard, compared with the teams' limits and guarantees. */
 import type { JobSpec } from '../../protocol/job.js';
 
-/** CPUs and accelerators. */
+/** Amounts of CPUs and accelerators. */
 export interface TeamResources {
   cpus: number;
   gpus: number;
 }
 
-/** What a shard has to know of the rest of the cluster. */
+/** What a shard knows about the rest of the cluster. */
 export interface ClusterView {
-  /** How much of a team's limit this shard may use; null: no limit. */
+  /** Resources that this shard may use of a team's limit; null if the team has no limit. */
   allowance(team: string): TeamResources | null;
-  /** What a team is guaranteed; 0: nothing. */
+  /** A team's guaranteed resources; 0 for a resource without a guarantee. */
   guarantee(team: string): TeamResources;
-  /** What a team's tasks use at the other shards, by the last gossip. */
+  /** Resources that a team's tasks use in the other shards, according to the last gossip. */
   usedElsewhere(team: string): TeamResources;
-  /** The first of a team's jobs that is starved by the team's limit at another shard; null: none is. */
+  /** The first of a team's jobs that the team's limit starves at another shard; null if there is none. */
   starvedElsewhere(team: string): StarvedJob | null;
-  /** The highest rank of the jobs that depend on a job; below every rank when none does. */
+  /** The highest rank of the jobs that depend on a job; below every rank if there are none. */
   inheritedRank(job: string): number;
-  /** Whether a job is cancelled, or is about to be. */
+  /** Whether a job is cancelled, or about to be cancelled. */
   cancellationOf(job: string): JobCancellationState;
 }
 
 /**
- * `announced`: all nodes have been told that it is about to be cancelled, and nothing of it may start; `stored`: its record says
- * that it is cancelled.
+ * State of a job's cancellation. `announced`: all nodes have been told that the job is about to be cancelled, and none of its
+ * tasks may start; `stored`: the job's record says that it is cancelled.
  */
 export type JobCancellationState = 'none' | 'announced' | 'stored';
 
-/** A job that has long been kept waiting by its team's limit. */
+/** A job that its team's limit has blocked for a long time. */
 export interface StarvedJob {
   team: string;
-  /** Time of day of its submission, and its rank: the order of the queue. */
+  /** Wall-clock time of its submission, which with its rank gives its place in queue order. */
   submittedAt: number;
   rank: number;
 }
 
-/** Nothing of both; a new object each time. */
+/** A new object with an amount of 0 for each resource. */
 export const zeroTeamResources = (): TeamResources => ({ cpus: 0, gpus: 0 });
 
-/** The view of a shard that is the only one. */
+/** The view of a shard that is the only one in its cluster. */
 export const singleShardView: ClusterView = {
   allowance: () => null,
   guarantee: zeroTeamResources,
@@ -50,17 +50,17 @@
   cancellationOf: () => 'none',
 };
 
-/** Room for rounding where amounts are added and taken away again. */
+/** Tolerance for rounding errors when amounts are added and subtracted. */
 const EPSILON = 1e-6;
 
-/** What each team's tasks use of one shard. */
+/** Resources that each team's tasks use in one shard. */
 export class TeamUsage {
-  /** Kept up to date, since each decision asks for it. */
+  /** By team. Updated with each change rather than computed, since each placement decision reads it. */
   private readonly used = new Map<string, TeamResources>();
 
   constructor(private readonly cluster: ClusterView) {}
 
-  /** Whether so many more tasks of the job stay within this shard's share of its team's limit. */
+  /** Whether this many more tasks of the job stay within the shard's share of the team's limit. */
   withinAllowance(spec: JobSpec, tasks = 1): boolean {
     const allowance = this.cluster.allowance(spec.team);
     if (allowance === null) return true;
@@ -71,13 +71,14 @@
     );
   }
 
+  /** Resources that a team's tasks use in all shards. */
   private total(team: string): TeamResources {
-    const here = this.usedBy(team);
-    const there = this.cluster.usedElsewhere(team);
-    return { cpus: here.cpus + there.cpus, gpus: here.gpus + there.gpus };
+    const local = this.usedBy(team);
+    const elsewhere = this.cluster.usedElsewhere(team);
+    return { cpus: local.cpus + elsewhere.cpus, gpus: local.gpus + elsewhere.gpus };
   }
 
-  /** Whether one more task of the job stays within its team's guarantee. */
+  /** Whether one more task of the job stays within the team's guarantee. */
   isEntitled(spec: JobSpec): boolean {
     const guarantee = this.cluster.guarantee(spec.team);
     if (guarantee.cpus === 0 && guarantee.gpus === 0) return false;
@@ -88,19 +89,19 @@
     );
   }
 
-  /** What a team runs beyond its guarantee. */
+  /** Resources that a team uses beyond its guarantee; negative if it uses less. */
   borrowed(team: string): TeamResources {
     const guarantee = this.cluster.guarantee(team);
     const used = this.total(team);
     return { cpus: used.cpus - guarantee.cpus, gpus: used.gpus - guarantee.gpus };
   }
 
-  /** What a team's tasks use here, including those that may still run. */
+  /** Resources that a team's tasks use in this shard, including tasks that may still run. */
   usedBy(team: string): Readonly<TeamResources> {
     return this.used.get(team) ?? zeroTeamResources();
   }
 
-  /** Counts tasks that have been placed here, or, below zero, have ended. */
+  /** Adds the resources of tasks that have been placed here or, with a negative count, have ended. */
   add(spec: JobSpec, tasks: number): void {
     const used = this.used.get(spec.team) ?? zeroTeamResources();
     this.used.set(spec.team, used);
