--- a/src/coordination/model/bucket.ts
+++ b/src/coordination/model/bucket.ts
@@ -25,7 +25,7 @@
    * on it is stored in another bucket. The record is not written again, and removed once all of them are stored elsewhere.
    */
   private readonly retired = new Map<Chunk, number>();
-  /** Whether it has been checked that the record can't grow beyond the size limit. */
+  /** Whether it has been checked if the record may grow beyond the size limit. */
   isSizeChecked = false;
 
   constructor(
@@ -77,7 +77,7 @@
     return false;
   }
 
-  /** Removes a chunk that is to be stored in another bucket; its copy in this record counts until its current version is stored. */
+  /** Removes a chunk that is to be stored in another bucket; the record keeps its copy until its current version is stored there. */
   retire(chunk: Chunk): void {
     this.remove(chunk);
     this.retired.set(chunk, chunk.version);
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -22,7 +22,7 @@
 }
 
 /** Machines with a higher `slowness` are avoided while others have room. */
-export const SLOW_MACHINE = 1.5;
+export const SLOWNESS_LIMIT = 1.5;
 
 /**
  * Penalties of `bestFit`, in CPUs left over. Each one exceeds what the weaker criteria can add up to.
@@ -109,7 +109,7 @@
   const onDemand = spec.allowsSpot && !machine.spot ? ON_DEMAND_PENALTY : 0;
   const services = spec.isService ? serviceSpreadPenalty(machine) : 0;
   const image = machine.hasImage(spec.image) ? 0 : MISSING_IMAGE_PENALTY;
-  const isSlow = machine.slowness > SLOW_MACHINE;
+  const isSlow = machine.slowness > SLOWNESS_LIMIT;
   const slowness = isSlow ? SLOW_MACHINE_PENALTY * machine.slowness : 0;
   return leftOver + onDemand + services + image + slowness;
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -10,7 +10,7 @@
 import {
   satisfiesConstraints,
   shapeOf,
-  SLOW_MACHINE,
+  SLOWNESS_LIMIT,
   selectVictims,
   type Victim,
 } from './placement.js';
@@ -221,7 +221,7 @@
         machine.isSchedulable(now) &&
         satisfiesConstraints(spec, zone, machine) &&
         machine.hasImage(spec.image) &&
-        machine.slowness <= SLOW_MACHINE,
+        machine.slowness <= SLOWNESS_LIMIT,
     );
   }
 
--- a/src/coordination/scheduling/quotaThrottle.ts
+++ b/src/coordination/scheduling/quotaThrottle.ts
@@ -19,7 +19,7 @@
 export class QuotaThrottle {
   /** Teams with tasks that this shard's share of their quota blocked in the last round. */
   readonly throttledTeams = new Set<string>();
-  /** By team, a job that is starved by the team's quota. */
+  /** By team, the first job in queue order that the team's quota starves. */
   readonly starvedJobs = new Map<string, StarvedJob>();
   /** Teams whose tasks are no longer placed in this round. */
   private readonly blockedTeams = new Set<string>();
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -40,7 +40,7 @@
     return this.throttle.throttledTeams;
   }
 
-  /** By team, a job that is starved by the team's quota. */
+  /** By team, the first job in queue order that the team's quota starves. */
   get starvedJobs(): ReadonlyMap<string, StarvedJob> {
     return this.throttle.starvedJobs;
   }
--- a/src/coordination/shard/demandEstimator.ts
+++ b/src/coordination/shard/demandEstimator.ts
@@ -128,8 +128,8 @@
 
   /**
    * Cordons machines that may be released, and returns the names of all cordoned idle machines. A machine may be released if
-   * it has been idle for `idleRatio` times its boot time and is not needed for the average of arriving work. The most
-   * expensive machines are cordoned first.
+   * no tasks are waiting, it has been idle for `idleRatio` times its boot time, and it is not needed for the average of
+   * arriving work. The most expensive machines are cordoned first.
    */
   cordonIdleMachines(now: number, idleRatio: number): string[] {
     const idle = [...this.shard.machines.values()].filter(
--- a/test/migration/migrationInitiator.test.ts
+++ b/test/migration/migrationInitiator.test.ts
@@ -1,17 +1,17 @@
-/** Which blocked chunks the peers are asked about. */
+/** Selection of the blocked chunks about which the peers are asked. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { nextMigrationCandidates } from '../../src/coordination/migration/migrationInitiator.js';
 import { Chunk } from '../../src/coordination/model/chunk.js';
 import { spec } from '../support/spec.js';
 
-test('all that waits is asked for in turn, live services first', () => {
+test('the peers are asked about each blocked chunk in turn, about live services first', () => {
   const chunks = [1, 2, 3, 4, 5, 6, 7].map((n) => {
-    const of = spec({ id: `wk-${n}`, rank: n === 6 ? 'prod' : 'normal' });
-    return new Chunk(of, 0, 'p', 0, 0, 1, null, 0);
+    const job = spec({ id: `wk-${n}`, rank: n === 6 ? 'prod' : 'normal' });
+    return new Chunk(job, 0, 'p', 0, 0, 1, null, 0);
   });
   const asked: string[] = [];
-  // Rounds come three times as often as one of them may be asked for again.
+  // Reviews run three times as often as the peers may be asked about one chunk.
   for (let now = 0; now < 8; now++) {
     for (const chunk of nextMigrationCandidates(chunks, 2, (c) => now - c.peersAskedAt >= 3)) {
       chunk.peersAskedAt = now;
@@ -19,5 +19,5 @@
     }
   }
   assert.equal(asked[0], 'wk-6');
-  assert.equal(new Set(asked).size, 7, 'some were never asked for');
+  assert.equal(new Set(asked).size, 7, 'the peers were asked about every chunk');
 });
--- a/test/model/availability.test.ts
+++ b/test/model/availability.test.ts
@@ -1,4 +1,4 @@
-/** Whether work may count on a machine, and by which evidence. */
+/** Availability of machines, and the evidence for it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -9,144 +9,150 @@
 import type { Machine } from '../../src/coordination/model/machine.js';
 import { ShardFixture } from '../support/shardFixture.js';
 
-/** Boot time of the type, and time between heartbeats, in seconds: those of `Bench`. */
+/** Boot time of the machine type and heartbeat interval in seconds, as in `ShardFixture`. */
 const BOOT_S = 30;
 const HEARTBEAT_S = 3;
 
 interface Case {
   name: string;
-  /** The machine has been reached. */
-  heard: boolean;
+  /** Whether the machine has been reached. */
+  isReached: boolean;
   change?: (machine: Machine, now: number) => void;
   after?: number;
   state: AvailabilityState;
-  counts: boolean;
+  hasCapacity: boolean;
 }
 
 const cases: Case[] = [
-  { name: 'it has been heard', heard: true, state: 'ready', counts: true },
-  { name: 'it may still boot', heard: false, after: BOOT_S, state: 'booting', counts: true },
+  { name: 'it has been reached', isReached: true, state: 'ready', hasCapacity: true },
   {
-    name: 'it boots late',
-    heard: false,
+    name: 'it may still be booting',
+    isReached: false,
+    after: BOOT_S,
+    state: 'booting',
+    hasCapacity: true,
+  },
+  {
+    name: 'its boot is late',
+    isReached: false,
     after: BOOT_S * 1.6 + HEARTBEAT_S * 2,
     state: 'booting',
-    counts: true,
+    hasCapacity: true,
   },
   {
-    name: 'it has not come long after its boot',
-    heard: false,
+    name: 'it has not been reached long after its boot time',
+    isReached: false,
     after: BOOT_S * 1.6 + HEARTBEAT_S * 2 + 1,
     state: 'overdue',
-    counts: false,
+    hasCapacity: false,
   },
   {
-    name: 'it has left one probe unanswered',
-    heard: true,
+    name: 'it has missed one probe',
+    isReached: true,
     change: (machine, now) => {
       machine.reachability.noteMissedProbe(now);
     },
     state: 'ready',
-    counts: true,
+    hasCapacity: true,
   },
   {
-    name: 'it has been heard and leaves probes unanswered',
-    heard: true,
-    change: leaveProbesUnanswered,
+    name: 'it has been reached and misses probes',
+    isReached: true,
+    change: missTwoProbes,
     state: 'unresponsive',
-    counts: false,
+    hasCapacity: false,
   },
   {
-    name: 'it was never heard and leaves probes unanswered',
-    heard: false,
-    change: leaveProbesUnanswered,
+    name: 'it was never reached and misses probes',
+    isReached: false,
+    change: missTwoProbes,
     state: 'unresponsive',
-    counts: false,
+    hasCapacity: false,
   },
   {
-    name: 'its worker reaches nobody',
-    heard: true,
+    name: 'its worker reaches no controller',
+    isReached: true,
     change: (machine) => {
       machine.reachability.isPartitioned = true;
     },
     state: 'partitioned',
-    counts: false,
+    hasCapacity: false,
   },
   {
-    name: 'the cloud takes it soon',
-    heard: true,
+    name: 'the cloud is about to preempt it',
+    isReached: true,
     change: (machine, now) => {
       machine.preemptionDeadline = now + 20;
     },
     state: 'preempted',
-    counts: false,
+    hasCapacity: false,
   },
   {
-    name: 'it is offered back',
-    heard: true,
+    name: 'it is to be released',
+    isReached: true,
     change: (machine) => {
       machine.isCordoned = true;
     },
     state: 'cordoned',
-    counts: false,
+    hasCapacity: false,
   },
   {
-    name: 'its lease has ended',
-    heard: true,
+    name: 'the lease of its worker has expired',
+    isReached: true,
     change: (machine) => {
       machine.isLost = true;
     },
     state: 'lost',
-    counts: false,
+    hasCapacity: false,
   },
   {
-    name: 'tasks have failed there',
-    heard: true,
+    name: 'tasks have failed on it',
+    isReached: true,
     change: (machine, now) => {
       machine.quarantinedUntil = now + 5;
     },
     state: 'quarantined',
-    counts: true,
+    hasCapacity: true,
   },
 ];
 
-function leaveProbesUnanswered(machine: Machine, now: number): void {
+function missTwoProbes(machine: Machine, now: number): void {
   machine.reachability.noteMissedProbe(now);
   machine.reachability.noteMissedProbe(now);
 }
 
-for (const { name, heard, change, after = 0, state, counts } of cases) {
-  test(`what work may count on: ${name}`, () => {
-    const b = new ShardFixture();
-    const machine = b.machine('n-1', heard);
-    b.now += after;
-    change?.(machine, b.now);
-    const found = availabilityOf(machine, b.now);
+for (const { name, isReached, change, after = 0, state, hasCapacity } of cases) {
+  test(`availability of a machine: ${name}`, () => {
+    const fixture = new ShardFixture();
+    const machine = fixture.machine('n-1', isReached);
+    fixture.now += after;
+    change?.(machine, fixture.now);
+    const found = availabilityOf(machine, fixture.now);
     assert.equal(found.state, state);
-    assert.equal(isCapacity(found.state), counts);
-    assert.equal(machine.isSchedulable(b.now), state === 'ready');
+    assert.equal(isCapacity(found.state), hasCapacity);
+    assert.equal(machine.isSchedulable(fixture.now), state === 'ready');
   });
 }
 
-test('a machine that is heard counts again at once, whatever was thought of it', () => {
-  for (const doubt of [leaveProbesUnanswered, (): void => undefined]) {
-    const b = new ShardFixture();
-    const machine = b.machine('n-1', false);
-    b.now += 1000;
-    doubt(machine, b.now);
-    assert.equal(isCapacity(machine.availability(b.now)), false);
-    b.report(machine, []);
-    assert.equal(machine.availability(b.now), 'ready');
+test('a machine is ready again as soon as a heartbeat is received, whatever its state was before', () => {
+  for (const degrade of [missTwoProbes, (): void => undefined]) {
+    const fixture = new ShardFixture();
+    const machine = fixture.machine('n-1', false);
+    fixture.now += 1000;
+    degrade(machine, fixture.now);
+    assert.equal(isCapacity(machine.availability(fixture.now)), false);
+    fixture.report(machine, []);
+    assert.equal(machine.availability(fixture.now), 'ready');
   }
 });
 
-test("after a takeover a machine's boot counts from its launch, and its worker has time to find us", () => {
-  const b = new ShardFixture();
+test("after a takeover a machine's boot time counts from its launch, and its worker has time to find the new leader", () => {
+  const fixture = new ShardFixture();
   const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
-  const old = b.shard.addMachine('n-1', record, b.now, b.now, 1000);
-  assert.equal(old.availability(b.now + HEARTBEAT_S * 5), 'booting');
-  assert.equal(old.availability(b.now + HEARTBEAT_S * 5 + 1), 'overdue');
-  const young = b.shard.addMachine('n-2', record, b.now, b.now, 40);
-  assert.equal(young.availability(b.now + HEARTBEAT_S * 5), 'booting');
-  assert.equal(young.availability(b.now + HEARTBEAT_S * 5 + 1), 'overdue');
+  const old = fixture.shard.addMachine('n-1', record, fixture.now, fixture.now, 1000);
+  assert.equal(old.availability(fixture.now + HEARTBEAT_S * 5), 'booting');
+  assert.equal(old.availability(fixture.now + HEARTBEAT_S * 5 + 1), 'overdue');
+  const young = fixture.shard.addMachine('n-2', record, fixture.now, fixture.now, 40);
+  assert.equal(young.availability(fixture.now + HEARTBEAT_S * 5), 'booting');
+  assert.equal(young.availability(fixture.now + HEARTBEAT_S * 5 + 1), 'overdue');
 });
--- a/test/quota/quotaShares.test.ts
+++ b/test/quota/quotaShares.test.ts
@@ -1,4 +1,4 @@
-/** Team limits across parts: what may run at once never passes the limit, whatever fails between two steps. */
+/** Team limits across shards: the tasks that may run at once never exceed the limit, whatever fails between two steps. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../src/base/random.js';
@@ -14,11 +14,11 @@
 const KEY = keys.quota('crew');
 const LIMIT: TeamResources = { cpus: 40, gpus: 10 };
 
-/** One node that hosts parts, and its copy of the shares, which is as old as the test leaves it. */
-class SharingNode {
-  readonly ownedParts = new Map<string, OwnedShard>();
+/** A node that leads shards, with a cached copy of the quota record that is updated only by `sync` and its own writes. */
+class QuotaTestNode {
+  readonly ownedShards = new Map<string, OwnedShard>();
   readonly quotas: QuotaShares;
-  throttledElsewhere = true;
+  isThrottledElsewhere = true;
   private readonly copies = new Map<string, { value: unknown; revision: number }>();
 
   constructor(
@@ -28,10 +28,10 @@
     const team = { name: 'crew', cpus: 0, gpus: 0, cpusMax: limit.cpus, gpusMax: limit.gpus };
     const node: QuotaContext = {
       settings: { teams: [team] },
-      ownedShards: this.ownedParts,
+      ownedShards: this.ownedShards,
       leadership: { isLeaseValid: true },
       peers: {
-        gossips: () => (this.throttledElsewhere ? [{ throttledTeams: ['crew'] }] : []),
+        gossips: () => (this.isThrottledElsewhere ? [{ throttledTeams: ['crew'] }] : []),
       },
       stateCache: {
         get: (key) => this.copies.get(key),
@@ -46,21 +46,21 @@
     this.quotas = new QuotaShares(node);
   }
 
-  host(label: string, used: TeamResources = { cpus: 0, gpus: 0 }): OwnedShard {
-    const host = createOwnedShard(emptyShard(3), { fencingToken: 1, revision: 1 }, 0);
-    this.ownedParts.set(label, host);
+  lead(label: string, used: TeamResources = { cpus: 0, gpus: 0 }): OwnedShard {
+    const ownedShard = createOwnedShard(emptyShard(3), { fencingToken: 1, revision: 1 }, 0);
+    this.ownedShards.set(label, ownedShard);
     this.use(label, used);
-    return host;
+    return ownedShard;
   }
 
-  /** Tasks with so much in all are placed, or, below zero, are over. */
+  /** Counts placed tasks with these resources in total or, with negative amounts, ended ones. */
   use(label: string, { cpus, gpus }: TeamResources): void {
-    this.ownedParts.get(label)?.shard.teamUsage.add(spec({ team: 'crew', cpus, gpus }), 1);
+    this.ownedShards.get(label)?.shard.teamUsage.add(spec({ team: 'crew', cpus, gpus }), 1);
   }
 
-  /** A job that wants so much waits there. */
+  /** Simulates a queued job with this demand. */
   want(label: string, { cpus, gpus }: TeamResources): void {
-    const scheduler = this.ownedParts.get(label)?.shard.scheduler;
+    const scheduler = this.ownedShards.get(label)?.shard.scheduler;
     if (scheduler !== undefined) scheduler.pendingDemand = () => ({ cpus, gpus });
   }
 
@@ -68,14 +68,14 @@
     return this.quotas.allowance(label, 'crew') ?? { cpus: Infinity, gpus: Infinity };
   }
 
-  /** The copy follows the store. */
+  /** Updates the cached copy from the store. */
   sync(): void {
     const item = this.store.rows.get(KEY);
     if (item !== undefined) this.copies.set(KEY, { value: item.value, revision: item.revision });
   }
 }
 
-/** A store in which the parts have these shares. */
+/** A store in which the shards have these quota shares. */
 function storeWith(shares: QuotaRecord): MemoryStore {
   const store = new MemoryStore();
   store.epoch = 1;
@@ -86,75 +86,80 @@
 const stored = (store: MemoryStore): QuotaRecord =>
   (store.rows.get(KEY)?.value ?? {}) as QuotaRecord;
 
-test('an adopter that still counts tasks which are over takes no share beyond the limit for them', () => {
-  // The owner gave back what had ended, and a peer took it. Then the owner crashed, before the ends were
-  // stored: its adopter loads all twenty.
+test('a new leader that still counts tasks that have ended takes no share beyond the limit for them', () => {
+  // The leader reduced the share by the ended tasks, and a peer took the rest. Then the leader crashed before the ends were
+  // stored, so the new leader loads all twenty tasks.
   const shares = { a: { cpus: 12, gpus: 0 }, b: { cpus: 28, gpus: 0 } };
-  const loaded = { cpus: 20, gpus: 0 };
-  const after = rebalanceShares(shares, 'a', loaded, { cpus: 30, gpus: 0 }, LIMIT);
-  assert.equal(after['a']?.cpus, 12, 'with 20, eight more could start once the ends are known');
+  const loadedUse = { cpus: 20, gpus: 0 };
+  const after = rebalanceShares(shares, 'a', loadedUse, { cpus: 30, gpus: 0 }, LIMIT);
+  assert.equal(
+    after['a']?.cpus,
+    12,
+    'with a share of 20, eight more tasks could start once the ends are known',
+  );
 });
 
-test('a share is not taken below what runs, also where the shares were beyond the limit already', () => {
+test('a share is not reduced below the use, even if the shares exceeded the limit before', () => {
   const shares = { a: { cpus: 20, gpus: 0 }, b: { cpus: 28, gpus: 0 } };
   const after = rebalanceShares(shares, 'a', { cpus: 16, gpus: 0 }, { cpus: 9, gpus: 0 }, LIMIT);
   assert.equal(after['a']?.cpus, 16);
 });
 
-test('what is really on machines stays within the limit while owners crash and are adopted', () => {
+test('the tasks on machines stay within the limit while leaders crash and others take over', () => {
   const random = seededRandom(11);
   const draw = (below: number): number => Math.floor(random() * below);
   const labels = ['a', 'b', 'c'];
   let shares: QuotaRecord = {};
-  // What is on machines, and the more that its owner believes may be there.
-  const real: Record<string, number> = { a: 0, b: 0, c: 0 };
+  // `running`: tasks on machines; `unknownEnds`: ended tasks that the leader still counts; `unstoredEnds`: ends that the leader
+  // knows, but has not stored.
+  const running: Record<string, number> = { a: 0, b: 0, c: 0 };
   const unknownEnds: Record<string, number> = { a: 0, b: 0, c: 0 };
   const unstoredEnds: Record<string, number> = { a: 0, b: 0, c: 0 };
   for (let step = 0; step < 100_000; step++) {
-    const part = labels[draw(3)] ?? 'a';
-    const of = (counts: Record<string, number>): number => counts[part] ?? 0;
-    const used = of(real) + of(unknownEnds);
-    const share = shares[part]?.cpus ?? 0;
+    const shard = labels[draw(3)] ?? 'a';
+    const of = (counts: Record<string, number>): number => counts[shard] ?? 0;
+    const used = of(running) + of(unknownEnds);
+    const share = shares[shard]?.cpus ?? 0;
     switch (draw(5)) {
       case 0: {
-        const ended = draw(Math.min(6, of(real)) + 1);
-        real[part] = of(real) - ended;
-        unstoredEnds[part] = of(unstoredEnds) + ended;
+        const ended = draw(Math.min(6, of(running)) + 1);
+        running[shard] = of(running) - ended;
+        unstoredEnds[shard] = of(unstoredEnds) + ended;
         break;
       }
-      case 1: // A crash: the adopter loads what was stored.
-        unknownEnds[part] = of(unknownEnds) + of(unstoredEnds);
-        unstoredEnds[part] = 0;
+      case 1: // The leader crashes, and the new leader loads the stored state.
+        unknownEnds[shard] = of(unknownEnds) + of(unstoredEnds);
+        unstoredEnds[shard] = 0;
         break;
-      case 2: // Workers report.
-        unknownEnds[part] = 0;
+      case 2: // Workers send heartbeats.
+        unknownEnds[shard] = 0;
         break;
-      case 3: // Placements, whose storing stores the ends as well.
+      case 3: // Tasks are placed; the write of the placements also stores the ends.
         if (used < share) {
-          real[part] = of(real) + share - used;
-          unstoredEnds[part] = 0;
+          running[shard] = of(running) + share - used;
+          unstoredEnds[shard] = 0;
         }
         break;
       default:
         shares = rebalanceShares(
           shares,
-          part,
+          shard,
           { cpus: used, gpus: 0 },
           { cpus: draw(30), gpus: 0 },
           LIMIT,
         );
     }
-    const all = labels.reduce((sum, label) => sum + (real[label] ?? 0), 0);
-    assert.ok(all <= LIMIT.cpus, `${all} processors in step ${step}`);
+    const all = labels.reduce((sum, label) => sum + (running[label] ?? 0), 0);
+    assert.ok(all <= LIMIT.cpus, `${all} CPUs in use in step ${step}`);
   }
 });
 
-test('a share that grows in processors while it shrinks in accelerators is used only once it is stored', async () => {
+test('a share that grows in CPUs and shrinks in accelerators: the growth is usable only once it is stored', async () => {
   for (const outcome of ['refused', 'lost'] as const) {
     const store = storeWith({ a: { cpus: 10, gpus: 5 } });
-    const node = new SharingNode(store);
+    const node = new QuotaTestNode(store);
     node.sync();
-    node.host('a', { cpus: 10, gpus: 0 });
+    node.lead('a', { cpus: 10, gpus: 0 });
     node.want('a', { cpus: 20, gpus: 0 });
     if (outcome === 'refused') store.refuseNext = 1;
     else store.loseNext = true;
@@ -163,15 +168,19 @@
   }
 });
 
-test('a share that was given back without an answer binds until the record has changed', async () => {
+test('a reduction without an answer stays in force until the record has changed', async () => {
   const store = storeWith({ a: { cpus: 30, gpus: 0 } });
-  const node = new SharingNode(store);
+  const node = new QuotaTestNode(store);
   node.sync();
-  node.host('a', { cpus: 5, gpus: 0 });
+  node.lead('a', { cpus: 5, gpus: 0 });
   node.want('a', { cpus: 0, gpus: 0 });
   store.loseNext = true;
   await node.quotas.rebalance();
-  assert.equal(node.allowance('a').cpus, 5, 'it may be stored, and a peer may take the rest');
+  assert.equal(
+    node.allowance('a').cpus,
+    5,
+    'the reduction may be stored, and a peer may take the rest',
+  );
   assert.equal(store.late().kind, 'applied');
   node.sync();
   assert.equal(node.allowance('a').cpus, 5);
@@ -180,11 +189,11 @@
   assert.equal(node.allowance('a').cpus, 40);
 });
 
-test('a share that could not be given back can be taken up again', async () => {
+test('a share whose reduction was refused can be used again', async () => {
   const store = storeWith({ a: { cpus: 30, gpus: 0 } });
-  const node = new SharingNode(store);
+  const node = new QuotaTestNode(store);
   node.sync();
-  node.host('a', { cpus: 5, gpus: 0 });
+  node.lead('a', { cpus: 5, gpus: 0 });
   node.want('a', { cpus: 0, gpus: 0 });
   store.refuseNext = 1;
   await node.quotas.rebalance();
@@ -193,18 +202,18 @@
   assert.equal(node.allowance('a').cpus, 30);
 });
 
-test('what a part gives back is not written for it by a node that has handed it over meanwhile', async () => {
+test('a pending reduction is not written by a node that has lost the shard in the meantime', async () => {
   const store = storeWith({ a: { cpus: 30, gpus: 0 }, b: { cpus: 10, gpus: 0 } });
-  const node = new SharingNode(store);
+  const node = new QuotaTestNode(store);
   node.sync();
-  node.host('a', { cpus: 5, gpus: 0 });
-  node.host('b', { cpus: 10, gpus: 0 });
+  node.lead('a', { cpus: 5, gpus: 0 });
+  node.lead('b', { cpus: 10, gpus: 0 });
   node.want('a', { cpus: 0, gpus: 0 });
   node.want('b', { cpus: 0, gpus: 0 });
   store.refuseNext = 1;
   await node.quotas.rebalance();
-  // Its own node, which has it again, goes by the stored share and fills it.
-  node.ownedParts.delete('a');
+  // The shard's next leader relies on the stored share and uses all of it.
+  node.ownedShards.delete('a');
   node.want('b', { cpus: 20, gpus: 0 });
   await node.quotas.rebalance();
   assert.equal(stored(store)['a']?.cpus, 30);
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -1,4 +1,4 @@
-/** Constraints, best fit and victims of preemption, with numbers worked out by hand. */
+/** Constraints, best fit and the victims of preemption, with numbers calculated by hand. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../src/base/random.js';
@@ -16,7 +16,7 @@
   memoryGb: memory,
 });
 
-test('what a job allows', () => {
+test('constraints of a job allow or exclude a machine', () => {
   const machine = { type: 'm8', zone: 'a', spot: true };
   const cases: [Parameters<typeof spec>[0], string | null, boolean][] = [
     [{ allowsSpot: true }, null, true],
@@ -35,8 +35,8 @@
   }
 });
 
-test('best fit: the image first, then the least left over; slow machines last', () => {
-  const machine = (name: string, cpus: number, image: boolean, slowness = 1) => ({
+test('best fit prefers a cached image, then the fewest resources left over; slow machines come last', () => {
+  const machine = (name: string, cpus: number, hasImage: boolean, slowness = 1) => ({
     name,
     type: 'm8',
     zone: 'a',
@@ -44,26 +44,29 @@
     free: room(cpus),
     slowness,
     serviceCpus: 0,
-    hasImage: () => image,
+    hasImage: () => hasImage,
   });
-  const pick = (...hosts: ReturnType<typeof machine>[]): string | undefined =>
-    bestFit(hosts, spec({ cpus: 2 }))?.name;
+  const pick = (...machines: ReturnType<typeof machine>[]): string | undefined =>
+    bestFit(machines, spec({ cpus: 2 }))?.name;
   assert.equal(pick(machine('a', 8, true), machine('b', 4, true)), 'b');
   assert.equal(pick(machine('a', 8, true), machine('b', 4, false)), 'a');
   assert.equal(pick(machine('a', 8, true, 3), machine('b', 8, false)), 'b');
   assert.equal(pick(), undefined);
-  // Replicas: apart from each other, but not on a machine that could be returned without them.
-  const live = (name: string, cpus: number) => ({ ...machine(name, 8, true), serviceCpus: cpus });
+  // Replicas are spread, but not onto a machine that could be released if it stays without services.
+  const withServices = (name: string, serviceCpus: number) => ({
+    ...machine(name, 8, true),
+    serviceCpus,
+  });
   const replica = spec({ cpus: 2, isService: true });
-  assert.equal(bestFit([live('a', 4), live('b', 2)], replica)?.name, 'b');
-  assert.equal(bestFit([live('a', 0), live('b', 6)], replica)?.name, 'b');
+  assert.equal(bestFit([withServices('a', 4), withServices('b', 2)], replica)?.name, 'b');
+  assert.equal(bestFit([withServices('a', 0), withServices('b', 6)], replica)?.name, 'b');
   const many = Array.from({ length: 20 }, (_, i) => machine(`m${i}`, 8, i === 13));
   const sampled = sampleCandidates(many, 'img', 3, seededRandom(1));
   assert.equal(sampled.length, 4);
-  assert.ok(sampled.some((h) => h.name === 'm13'));
+  assert.ok(sampled.some((m) => m.name === 'm13'));
 });
 
-test('only lower ranks make room, the cheapest first', () => {
+test('victims have a lower rank, and those of the lowest rank and loss are selected first', () => {
   const running = [
     { rank: 1, resources: room(4, 1), loss: 20 },
     { rank: 1, resources: room(4, 1), loss: 5 },
--- a/test/scheduling/schedulingRounds.test.ts
+++ b/test/scheduling/schedulingRounds.test.ts
@@ -1,31 +1,31 @@
-/** When rounds of decisions take place. */
+/** The times at which scheduling rounds run. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SchedulingRounds } from '../../src/coordination/scheduling/schedulingRounds.js';
 
-const REPORT_S = 4;
+const HEARTBEAT_S = 4;
 
-for (const { name, took, rest } of [
-  { name: 'a short one', took: 0.1, rest: 0.3 },
-  { name: 'one in which the process stood still', took: 14, rest: 2 },
+for (const { name, duration, pause } of [
+  { name: 'a short round', duration: 0.1, pause: 0.3 },
+  { name: 'a round during which the process was suspended', duration: 14, pause: 2 },
 ]) {
-  test(`after a round there is a rest, but never a long one: ${name}`, async (t) => {
+  test(`a pause of limited length follows a scheduling round: ${name}`, async (t) => {
     t.mock.timers.enable({ apis: ['setTimeout'] });
     let now = 0;
-    let rounds = 0;
+    let roundCount = 0;
     const clock = { now: () => now, wall: () => now };
-    const decisions = new SchedulingRounds(clock, REPORT_S, () => {
-      rounds++;
-      if (rounds === 1) now += took;
+    const schedulingRounds = new SchedulingRounds(clock, HEARTBEAT_S, () => {
+      roundCount++;
+      if (roundCount === 1) now += duration;
     });
-    decisions.request();
+    schedulingRounds.request();
     t.mock.timers.tick(1000);
-    assert.equal(rounds, 1);
-    decisions.request();
-    t.mock.timers.tick(rest * 1000 - 10);
-    assert.equal(rounds, 1, 'reports and users get their turn');
+    assert.equal(roundCount, 1);
+    schedulingRounds.request();
+    t.mock.timers.tick(pause * 1000 - 10);
+    assert.equal(roundCount, 1, 'heartbeats and requests of users are handled during the pause');
     t.mock.timers.tick(20);
-    assert.equal(rounds, 2);
+    assert.equal(roundCount, 2);
     await Promise.resolve();
   });
 }
--- a/test/scheduling/waitEstimates.test.ts
+++ b/test/scheduling/waitEstimates.test.ts
@@ -1,6 +1,6 @@
 /**
- * Wait estimates rest only on machines that work may count on. Guards against jobs that stay for ever, since a machine that
- * is gone seems to be free in a moment.
+ * Wait estimates are based on available machines only. Guards against jobs that are never migrated because a machine that is
+ * gone seems about to be free.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -10,99 +10,102 @@
 
 const job = spec({ taskCount: 1, expectedRunSeconds: 10 });
 
-const waitAt = (b: ShardFixture): number =>
-  b.shard.waitEstimates.estimateWait({ spec: job, zone: null, count: 1, run: 10 }, b.now);
+const waitAt = (fixture: ShardFixture): number =>
+  fixture.shard.waitEstimates.estimateWait(
+    { spec: job, zone: null, count: 1, run: 10 },
+    fixture.now,
+  );
 
 interface Case {
   name: string;
-  heard: boolean;
-  trouble: (b: ShardFixture, machine: Machine) => void;
+  isReached: boolean;
+  degrade: (fixture: ShardFixture, machine: Machine) => void;
   wait: number;
 }
 
 const cases: Case[] = [
   {
-    name: 'was heard and does not respond any more',
-    heard: true,
-    trouble: (b, machine) => {
-      b.missTwoProbes(machine);
+    name: 'was reached and no longer responds',
+    isReached: true,
+    degrade: (fixture, machine) => {
+      fixture.missTwoProbes(machine);
     },
     wait: Infinity,
   },
   {
-    name: 'was never heard and does not respond',
-    heard: false,
-    trouble: (b, machine) => {
-      b.missTwoProbes(machine);
+    name: 'was never reached and does not respond',
+    isReached: false,
+    degrade: (fixture, machine) => {
+      fixture.missTwoProbes(machine);
     },
     wait: Infinity,
   },
   {
-    name: 'never came',
-    heard: false,
-    trouble: (b) => {
-      b.now += 1000;
+    name: 'never booted',
+    isReached: false,
+    degrade: (fixture) => {
+      fixture.now += 1000;
     },
     wait: Infinity,
   },
   {
-    name: 'has a worker that reaches nobody',
-    heard: true,
-    trouble: (_b, machine) => {
+    name: 'has a worker that reaches no controller',
+    isReached: true,
+    degrade: (_fixture, machine) => {
       machine.reachability.isPartitioned = true;
     },
     wait: Infinity,
   },
   {
-    name: 'is about to be taken by the cloud',
-    heard: true,
-    trouble: (b, machine) => {
-      machine.preemptionDeadline = b.now + 20;
+    name: 'is about to be preempted by the cloud',
+    isReached: true,
+    degrade: (fixture, machine) => {
+      machine.preemptionDeadline = fixture.now + 20;
     },
     wait: Infinity,
   },
   {
-    name: 'boots',
-    heard: false,
-    trouble: (b) => {
-      b.now += 10;
+    name: 'is booting',
+    isReached: false,
+    degrade: (fixture) => {
+      fixture.now += 10;
     },
     wait: 20,
   },
   {
-    name: 'is late: it may take as long again',
-    heard: false,
-    trouble: (b) => {
-      b.now += 42;
+    name: 'boots late: it may take as long again',
+    isReached: false,
+    degrade: (fixture) => {
+      fixture.now += 42;
     },
     wait: 12,
   },
 ];
 
-for (const { name, heard, trouble, wait } of cases) {
-  test(`the wait at a shard whose only machine ${name}`, () => {
-    const b = new ShardFixture();
-    trouble(b, b.machine('n-1', heard));
-    assert.equal(waitAt(b), wait);
+for (const { name, isReached, degrade, wait } of cases) {
+  test(`the estimated wait at a shard whose only machine ${name}`, () => {
+    const fixture = new ShardFixture();
+    degrade(fixture, fixture.machine('n-1', isReached));
+    assert.equal(waitAt(fixture), wait);
   });
 }
 
-test('after a restart a machine that ran long before is expected at once, not after another boot', () => {
-  const b = new ShardFixture();
+test('after a restart of the controller, a machine launched long ago is expected at once, not after another boot', () => {
+  const fixture = new ShardFixture();
   const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
-  b.shard.addMachine('n-1', record, b.now, b.now, 1000);
-  assert.equal(waitAt(b), 1);
-  b.now += 8;
-  assert.equal(waitAt(b), 8);
+  fixture.shard.addMachine('n-1', record, fixture.now, fixture.now, 1000);
+  assert.equal(waitAt(fixture), 1);
+  fixture.now += 8;
+  assert.equal(waitAt(fixture), 8);
 });
 
-test('demands and the room for services leave out a machine that never came', () => {
-  const b = new ShardFixture();
-  b.machine('n-1', false);
-  b.chunk({ taskCount: 1 });
-  assert.equal(b.shard.demand.demands(b.now).length, 0);
-  assert.equal(b.shard.demand.serviceHeadroom(b.now), 8);
-  b.now += 1000;
-  assert.equal(b.shard.demand.demands(b.now)[0]?.count, 1);
-  assert.equal(b.shard.demand.serviceHeadroom(b.now), 0);
+test('demands and the headroom for services exclude a machine that never booted', () => {
+  const fixture = new ShardFixture();
+  fixture.machine('n-1', false);
+  fixture.chunk({ taskCount: 1 });
+  assert.equal(fixture.shard.demand.demands(fixture.now).length, 0);
+  assert.equal(fixture.shard.demand.serviceHeadroom(fixture.now), 8);
+  fixture.now += 1000;
+  assert.equal(fixture.shard.demand.demands(fixture.now)[0]?.count, 1);
+  assert.equal(fixture.shard.demand.serviceHeadroom(fixture.now), 0);
 });
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -1,4 +1,4 @@
-/** A part: starts once they are stored, cancellations, adoption. */
+/** Shards: starts of stored attempts, cancellations, and chunks and machines that other shards take over. */
 import { dueCommands, unconditionalStops } from '../../src/coordination/model/dueCommands.js';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -8,115 +8,125 @@
 import { ShardFixture } from '../support/shardFixture.js';
 import { spec } from '../support/spec.js';
 
-test('a start goes out only after its placement is stored, and only while it may', () => {
-  const b = new ShardFixture();
-  const machine = b.machine();
-  const chunk = b.chunk();
-  b.runSchedulingRound();
-  assert.deepEqual(b.dueCommandNames(machine), []);
-  b.store(chunk);
+test('a start is sent only after its placement is stored, and not while it is withheld', () => {
+  const fixture = new ShardFixture();
+  const machine = fixture.machine();
+  const chunk = fixture.chunk();
+  fixture.runSchedulingRound();
+  assert.deepEqual(fixture.dueCommandNames(machine), []);
+  fixture.store(chunk);
   const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
   const withheld = new Machine(
     machine.name,
     record,
-    () => b.types,
-    b.now,
+    () => fixture.types,
+    fixture.now,
     () => false,
   );
   for (const placement of machine.placements.values()) withheld.place(placement);
   assert.equal(withheld.placements.size, 1);
-  assert.deepEqual(dueCommands(withheld, b.now, 4), []);
-  assert.deepEqual(b.dueCommandNames(machine), ['start wk-1/0 1']);
+  assert.deepEqual(dueCommands(withheld, fixture.now, 4), []);
+  assert.deepEqual(fixture.dueCommandNames(machine), ['start wk-1/0 1']);
 });
 
-test("a job's chunks are found, whichever of them are at other parts", () => {
-  // The third was passed over where the second had gone: a cancellation of the job neither ended nor confirmed it.
-  for (const here of [[0, 1, 2], [0, 2], [1], [3], [0, 3, 5], []]) {
-    const b = new ShardFixture();
+test("a job's chunks are found, whichever of them are in other shards", () => {
+  // Guards against a lookup that missed the third chunk after the second had migrated: a cancellation of the job then neither
+  // stopped the third chunk nor reported it as cancelled.
+  for (const indexes of [[0, 1, 2], [0, 2], [1], [3], [0, 3, 5], []]) {
+    const fixture = new ShardFixture();
     const job = spec({ taskCount: 6 });
-    const chunks = here.map((k) => new Chunk(job, k, 'p', b.now, k, k + 1, null, b.now));
-    for (const chunk of chunks) b.shard.acceptNewChunk(chunk, b.now);
-    b.chunk({ id: 'wk-2' });
-    assert.deepEqual(b.shard.chunksOf(job.id), chunks);
-    for (const chunk of chunks) b.shard.dropChunk(chunk);
-    assert.deepEqual(b.shard.chunksOf(job.id), []);
+    const chunks = indexes.map(
+      (k) => new Chunk(job, k, 'p', fixture.now, k, k + 1, null, fixture.now),
+    );
+    for (const chunk of chunks) fixture.shard.acceptNewChunk(chunk, fixture.now);
+    fixture.chunk({ id: 'wk-2' });
+    assert.deepEqual(fixture.shard.chunksOf(job.id), chunks);
+    for (const chunk of chunks) fixture.shard.dropChunk(chunk);
+    assert.deepEqual(fixture.shard.chunksOf(job.id), []);
   }
 });
 
-test('a machine that is known to be gone frees its tasks at once', () => {
-  const b = new ShardFixture();
-  b.machine();
-  const chunk = b.chunk();
-  b.runSchedulingRound();
-  b.shard.removeMachine('n-1', b.now);
+test('attempts on a machine that is known to be gone terminate at once', () => {
+  const fixture = new ShardFixture();
+  fixture.machine();
+  const chunk = fixture.chunk();
+  fixture.runSchedulingRound();
+  fixture.shard.removeMachine('n-1', fixture.now);
   assert.equal(chunk.attempts.size, 0);
 });
 
-test('a chunk that its home has counted as over is not run again by an adopter', () => {
-  const b = new ShardFixture();
-  const machine = b.machine();
-  const chunk = b.createRunningChunk(machine, { taskCount: 2 });
-  b.shard.discardFinishedChunk(chunk, b.now);
-  assert.deepEqual(b.dueCommandNames(machine), ['stop wk-1/0 1']);
-  b.report(machine, [{ state: 'ended', cause: 'halted' }]);
-  b.runSchedulingRound();
+test('a chunk that its home shard has recorded as finished is not run again by a new leader', () => {
+  const fixture = new ShardFixture();
+  const machine = fixture.machine();
+  const chunk = fixture.createRunningChunk(machine, { taskCount: 2 });
+  fixture.shard.discardFinishedChunk(chunk, fixture.now);
+  assert.deepEqual(fixture.dueCommandNames(machine), ['stop wk-1/0 1']);
+  fixture.report(machine, [{ state: 'ended', cause: 'halted' }]);
+  fixture.runSchedulingRound();
   assert.equal(chunk.attempts.size, 0);
-  assert.ok(b.shard.finishedChunks.has(chunk));
+  assert.ok(fixture.shard.finishedChunks.has(chunk));
 });
 
-/** Each look at a machine's size asks for its type, so the questions count the visits. */
-
-test('what its user has asked to cancel starts nothing, and ends with every answer, until it is resumed', () => {
-  const b = new ShardFixture();
-  const machine = b.machine();
-  const other = b.machine('n-2');
-  const [runs, waits] = [b.chunk({ id: 'wk-1' }), b.chunk({ id: 'wk-2', cpus: 8 })];
-  b.runSchedulingRound();
-  b.store(runs, waits);
-  const on = runs.attempts.get(0)?.machine === machine.name ? machine : other;
-  b.report(on, [{}]);
-  assert.deepEqual(unconditionalStops(on), []);
-  b.shard.prepareCancel(runs, b.now);
-  b.shard.prepareCancel(waits, b.now);
-  const halt = { verb: 'stop', task: 'wk-1/0', attemptNumber: 1, gracePeriod: 0 };
-  // With every answer: one of them may be lost, and the next would renew the lease.
-  assert.deepEqual([unconditionalStops(on), unconditionalStops(on)], [[halt], [halt]]);
-  assert.deepEqual(waits.attempts.size, 0, 'its start was never sent, so nothing can come of it');
-  b.report(on, [{ state: 'ended', cause: 'halted' }]);
-  b.runSchedulingRound();
-  assert.deepEqual([runs.attempts.size, waits.attempts.size], [0, 0]);
-  b.shard.abandonCancellation(runs);
-  b.shard.abandonCancellation(waits);
-  b.runSchedulingRound();
-  assert.deepEqual([runs.attempts.size, waits.attempts.size], [1, 1]);
+test('a chunk with a prepared cancellation starts nothing, and each answer stops its attempts, until the cancellation is abandoned', () => {
+  const fixture = new ShardFixture();
+  const machine = fixture.machine();
+  const other = fixture.machine('n-2');
+  const [running, queued] = [fixture.chunk({ id: 'wk-1' }), fixture.chunk({ id: 'wk-2', cpus: 8 })];
+  fixture.runSchedulingRound();
+  fixture.store(running, queued);
+  const host = running.attempts.get(0)?.machine === machine.name ? machine : other;
+  fixture.report(host, [{}]);
+  assert.deepEqual(unconditionalStops(host), []);
+  fixture.shard.prepareCancel(running, fixture.now);
+  fixture.shard.prepareCancel(queued, fixture.now);
+  const stop = { verb: 'stop', task: 'wk-1/0', attemptNumber: 1, gracePeriod: 0 };
+  // Each answer contains the stop: an answer may be lost, and a later one without it would renew the worker's lease.
+  assert.deepEqual([unconditionalStops(host), unconditionalStops(host)], [[stop], [stop]]);
+  assert.deepEqual(
+    queued.attempts.size,
+    0,
+    'its start was never sent, so its attempt can be removed',
+  );
+  fixture.report(host, [{ state: 'ended', cause: 'halted' }]);
+  fixture.runSchedulingRound();
+  assert.deepEqual([running.attempts.size, queued.attempts.size], [0, 0]);
+  fixture.shard.abandonCancellation(running);
+  fixture.shard.abandonCancellation(queued);
+  fixture.runSchedulingRound();
+  assert.deepEqual([running.attempts.size, queued.attempts.size], [1, 1]);
 });
 
-test('a machine that the records put into another shard keeps its attempts, and gets no work or command', () => {
-  // Its lease was taken for over while the other leader renewed it, and its task was started on another machine too.
-  const b = new ShardFixture();
-  const machine = b.machine();
-  const chunk = b.createRunningChunk(machine);
+test('a machine that its record assigns to another shard keeps its attempts, and gets no work or command', () => {
+  // Guards against a second start of its task on another machine: this shard presumed the worker's lease expired, while the
+  // other shard's leader renewed it.
+  const fixture = new ShardFixture();
+  const machine = fixture.machine();
+  const chunk = fixture.createRunningChunk(machine);
   const record = { shard: 'q', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
-  b.shard.addMachine('n-1', record, b.now);
-  b.now += 1000;
-  b.machine('n-2');
-  b.shard.liveness.sweep(b.now);
+  fixture.shard.addMachine('n-1', record, fixture.now);
+  fixture.now += 1000;
+  fixture.machine('n-2');
+  fixture.shard.liveness.sweep(fixture.now);
   assert.equal(chunk.attempts.get(0)?.machine, 'n-1');
-  const other = b.chunk({ id: 'wk-2', cpus: 8 });
-  b.runSchedulingRound();
+  const other = fixture.chunk({ id: 'wk-2', cpus: 8 });
+  fixture.runSchedulingRound();
   assert.equal(other.attempts.get(0)?.machine, 'n-2');
   assert.deepEqual(
-    b.shard.liveness.lostMachines(b.now, () => 30, 0),
+    fixture.shard.liveness.lostMachines(fixture.now, () => 30, 0),
     [],
   );
-  b.shard.addMachine('n-1', { ...record, shard: 'p' }, b.now);
-  b.shard.liveness.sweep(b.now);
-  assert.equal(chunk.attempts.size, 1, 'who answered its worker meanwhile is not known');
+  fixture.shard.addMachine('n-1', { ...record, shard: 'p' }, fixture.now);
+  fixture.shard.liveness.sweep(fixture.now);
+  assert.equal(
+    chunk.attempts.size,
+    1,
+    'another leader may have renewed the lease of its worker meanwhile',
+  );
   assert.deepEqual(
-    b.shard.liveness.lostMachines(b.now, () => 30, 0),
+    fixture.shard.liveness.lostMachines(fixture.now, () => 30, 0),
     ['n-1'],
   );
-  b.shard.removeMachine('n-1', b.now);
+  fixture.shard.removeMachine('n-1', fixture.now);
   assert.equal(chunk.attempts.size, 0);
 });
 
@@ -124,30 +134,30 @@
   { name: 'with a valid lease', isLeaseValid: true },
   { name: 'without one', isLeaseValid: false },
 ]) {
-  const stopsOn = (b: ShardFixture, machine: Machine): Command[] =>
-    isLeaseValid ? dueCommands(machine, b.now, 6) : unconditionalStops(machine);
+  const stopsOn = (fixture: ShardFixture, machine: Machine): Command[] =>
+    isLeaseValid ? dueCommands(machine, fixture.now, 6) : unconditionalStops(machine);
   const stop = { verb: 'stop', task: 'wk-1/0', attemptNumber: 1, gracePeriod: 0 };
 
-  test(`a task that saves before a preemption is ended once its job is cancelled, ${name}`, () => {
-    const b = new ShardFixture();
-    const machine = b.machine();
-    const chunk = b.createRunningChunk(machine, {
+  test(`a task that saves a checkpoint before a preemption is stopped once its job is cancelled, ${name}`, () => {
+    const fixture = new ShardFixture();
+    const machine = fixture.machine();
+    const chunk = fixture.createRunningChunk(machine, {
       checkpointInterval: 20,
       checkpointDuration: 300,
     });
     const attempt = chunk.attempts.get(0) ?? assert.fail();
-    b.shard.requestStop(machine, attempt, 300);
-    dueCommands(machine, b.now, 6);
-    b.report(machine, [{ state: 'saving' }]);
-    assert.deepEqual(dueCommands(machine, b.now, 6), []);
-    b.shard.prepareCancel(chunk, b.now);
-    assert.deepEqual(stopsOn(b, machine), [stop]);
+    fixture.shard.requestStop(machine, attempt, 300);
+    dueCommands(machine, fixture.now, 6);
+    fixture.report(machine, [{ state: 'saving' }]);
+    assert.deepEqual(dueCommands(machine, fixture.now, 6), []);
+    fixture.shard.prepareCancel(chunk, fixture.now);
+    assert.deepEqual(stopsOn(fixture, machine), [stop]);
   });
 
   test(`an attempt that the shard does not know is stopped, ${name}`, () => {
-    const b = new ShardFixture();
-    const machine = b.machine();
-    b.report(machine, [{}]);
-    assert.deepEqual(stopsOn(b, machine), [stop]);
+    const fixture = new ShardFixture();
+    const machine = fixture.machine();
+    fixture.report(machine, [{}]);
+    assert.deepEqual(stopsOn(fixture, machine), [stop]);
   });
 }
