--- a/src/coordination/migration/migrationInitiator.ts
+++ b/src/coordination/migration/migrationInitiator.ts
@@ -82,7 +82,10 @@
     return Math.min(tuning.peerTimeout, settings.heartbeatInterval / SUBMISSION_TIMEOUT_DIVISOR);
   }
 
-  /** The peers' shard with the lowest utilisation in the zone; undefined if the home shard is in the zone, or no peer answered for it. */
+  /**
+   * The peers' shard with the lowest utilisation in the zone; undefined if the home shard is in the zone, or no peer answered
+   * for it.
+   */
   private leastUsedPeerIn(
     zone: string,
     home: string,
--- a/src/coordination/model/bucket.ts
+++ b/src/coordination/model/bucket.ts
@@ -77,7 +77,10 @@
     return false;
   }
 
-  /** Removes a chunk that is to be stored in another bucket; the record keeps its copy until its current version is stored there. */
+  /**
+   * Removes a chunk that is to be stored in another bucket; the record keeps its copy until the current version of the chunk is
+   * stored there.
+   */
   retire(chunk: Chunk): void {
     this.remove(chunk);
     this.retired.set(chunk, chunk.version);
--- a/src/coordination/quota/clusterTotals.ts
+++ b/src/coordination/quota/clusterTotals.ts
@@ -1,4 +1,7 @@
-/** Totals over all shards: of the shards that this controller leads by their own state, of the others by their leaders' last gossip. */
+/**
+ * Totals over all shards. The shards that this controller leads contribute their own state, the others their leaders' last
+ * gossip.
+ */
 import type { Clock } from '../../base/clock.js';
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { OwnedQuotaShard } from './quotaContext.js';
--- a/test/scheduling/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -351,7 +351,7 @@
   });
 }
 
-test('a job that inherits the rank of a dependent job goes first and is not preempted for a lower one, but preempts nothing', () => {
+test('an inherited rank lets a job go first and protects it from preemption, but preempts nothing', () => {
   const inherited = new Map<string, number>();
   const view = {
     ...singleShardView,
--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -67,7 +67,7 @@
   assert.ok(fixture.shard.finishedChunks.has(chunk));
 });
 
-test('a chunk with a prepared cancellation starts nothing, and each answer stops its attempts, until the cancellation is abandoned', () => {
+test('while a cancellation is prepared, a chunk starts nothing and each answer stops its attempts', () => {
   const fixture = new ShardFixture();
   const machine = fixture.machine();
   const other = fixture.machine('n-2');
