--- a/packages/rollout/src/operations.ts
+++ b/packages/rollout/src/operations.ts
@@ -97,7 +97,7 @@
 /** Plans an operation and stores the resulting version. */
 export async function operate(
   store: RecordStore,
-  cache: Pick<RecordCache, 'note'>,
+  cache: Pick<RecordCache, 'applyPut'>,
   cluster: OperationContext,
   operation: Operation,
   features: FeatureTable,
--- a/packages/rollout/src/store.ts
+++ b/packages/rollout/src/store.ts
@@ -12,7 +12,7 @@
   get(key: string): StoredRecord | undefined;
   entriesWithPrefix(prefix: string): Iterable<[string, StoredRecord]>;
   /** Applies a change that this node made itself, before the watch delivers it. */
-  note(key: string, value: unknown, revision: number): void;
+  applyPut(key: string, value: unknown, revision: number): void;
 }
 
 /** A key and the revision that its record must have; 0 means that the key must not exist. */
@@ -50,12 +50,12 @@
 /** Executes a transaction and, if it is applied, updates the cache. */
 export async function applyChange(
   store: RecordStore,
-  cache: Pick<RecordCache, 'note'>,
+  cache: Pick<RecordCache, 'applyPut'>,
   change: RecordChange,
 ): Promise<ChangeOutcome> {
   const outcome = await store.transact(change);
   if (outcome.kind === 'applied') {
-    for (const { key, value } of change.puts) cache.note(key, value, outcome.revision);
+    for (const { key, value } of change.puts) cache.applyPut(key, value, outcome.revision);
   }
   return outcome;
 }
--- a/packages/rollout/src/versionCoordinator.ts
+++ b/packages/rollout/src/versionCoordinator.ts
@@ -42,7 +42,7 @@
 
   constructor(
     private readonly store: RecordStore,
-    private readonly cache: Pick<RecordCache, 'note'>,
+    private readonly cache: Pick<RecordCache, 'applyPut'>,
     private readonly lease: LeaderLease,
     private readonly snapshot: () => ClusterSnapshot,
     private readonly options: CoordinatorOptions,
--- a/packages/rollout/test/support/simulatedCluster.ts
+++ b/packages/rollout/test/support/simulatedCluster.ts
@@ -206,7 +206,7 @@
     });
     if (outcome.kind !== 'applied') return;
     // A leader must have loaded all records first; a build without a cluster version fails to do so at the barrier.
-    this.cache.note(key, value, outcome.revision);
+    this.cache.applyPut(key, value, outcome.revision);
     if (!this.isVersioned && store.rows.has(BARRIER)) return;
     this.cache.sync();
     if (!this.isRefused) this.leaderships.set(key, { revision: outcome.revision, token });
@@ -230,7 +230,7 @@
         deletes: [],
       });
       if (outcome.kind !== 'applied') return Promise.resolve(false);
-      this.cache.note(key, value, outcome.revision);
+      this.cache.applyPut(key, value, outcome.revision);
       this.leaderships.set(key, { revision: outcome.revision, token });
     }
     return Promise.resolve(true);
@@ -258,7 +258,7 @@
       deletes: [],
     };
     const outcome = await this.cluster.store.transact(change);
-    if (outcome.kind === 'applied') this.cache.note(key, value, outcome.revision);
+    if (outcome.kind === 'applied') this.cache.applyPut(key, value, outcome.revision);
   }
 
   async migrate(): Promise<void> {
@@ -303,7 +303,7 @@
       deletes: [],
     });
     if (outcome.kind !== 'applied') return { kind: 'deferred' };
-    this.cache.note(key, value, outcome.revision);
+    this.cache.applyPut(key, value, outcome.revision);
     return { kind: 'converted' };
   }
 
--- a/packages/rollout/test/support/simulatedStore.ts
+++ b/packages/rollout/test/support/simulatedStore.ts
@@ -102,7 +102,7 @@
     for (const row of this.rows) if (row[0].startsWith(prefix)) yield row;
   }
 
-  note(key: string, value: unknown, revision: number): void {
+  applyPut(key: string, value: unknown, revision: number): void {
     if (revision <= (this.rows.get(key)?.revision ?? 0)) return;
     this.rows.set(key, { value, revision });
     this.onChange();
--- a/src/coordination/autoscaling/autoscaler.ts
+++ b/src/coordination/autoscaling/autoscaler.ts
@@ -85,7 +85,7 @@
     const now = clock.now();
     if (this.cloud.isPaused) return;
     // A request sent during a partition may be executed after it has ended, when nobody wants it any more.
-    if (now - stateClient.lastServed > stateLeaseTtl / 2) return;
+    if (now - stateClient.lastServedAt > stateLeaseTtl / 2) return;
     void this.storeTypes();
     void this.inventorySync.readIfDue(now);
     this.scaleOut.continueOpen(now);
@@ -109,7 +109,7 @@
       const puts = [{ key: keys.machineTypes, value: machineTypes }];
       const result = await state.transact({ conditions, puts, deletes: [] });
       if (result.kind === 'applied')
-        stateCache.note(keys.machineTypes, machineTypes, result.revision);
+        stateCache.applyPut(keys.machineTypes, machineTypes, result.revision);
     } finally {
       this.isStoringTypes = false;
     }
--- a/src/coordination/autoscaling/autoscalingContext.ts
+++ b/src/coordination/autoscaling/autoscalingContext.ts
@@ -15,10 +15,10 @@
   readonly clock: Clock;
   readonly settings: Settings;
   readonly links: { readonly services: Pick<HttpClient, 'call'> };
-  readonly stateClient: Pick<StateClient, 'transact' | 'get' | 'operations' | 'lastServed'>;
+  readonly stateClient: Pick<StateClient, 'transact' | 'get' | 'operations' | 'lastServedAt'>;
   /** Seconds for which a lease at the state service is valid. */
   readonly stateLeaseTtl: number;
-  readonly stateCache: Pick<StateCache, 'get' | 'note' | 'noteRemoved'>;
+  readonly stateCache: Pick<StateCache, 'get' | 'applyPut' | 'applyRemoval'>;
   readonly inventory: Pick<
     MachineInventory,
     | 'get'
@@ -28,7 +28,7 @@
     | 'entries'
     | 'groupsOf'
     | 'contested'
-    | 'isIntention'
+    | 'isPendingRental'
     | 'countsOf'
   >;
   readonly leadership: Pick<ShardLeadership, 'get' | 'isLeaseValid' | 'verifyLeadership'>;
--- a/src/coordination/autoscaling/machineGroupStore.ts
+++ b/src/coordination/autoscaling/machineGroupStore.ts
@@ -65,7 +65,7 @@
       { conditions, puts, deletes: [] },
       'rental',
     );
-    if (result.kind === 'applied') this.node.stateCache.note(key, group, result.revision);
+    if (result.kind === 'applied') this.node.stateCache.applyPut(key, group, result.revision);
     return result;
   }
 
@@ -96,7 +96,7 @@
     const key = keys.machineGroup(name);
     const item = await node.stateClient.get(key).catch(() => undefined);
     if (item === undefined) return false;
-    if (item !== null) node.stateCache.note(key, item.value, item.revision);
+    if (item !== null) node.stateCache.applyPut(key, item.value, item.revision);
     // The record does not exist, so the leadership has changed: a new autoscaler will find the machines.
     else await node.leadership.verifyLeadership(AUTOSCALER_ROLE).catch(() => undefined);
     return true;
@@ -121,8 +121,8 @@
     }
     const result = await state.transact({ conditions, puts, deletes }, priority);
     if (result.kind === 'applied') {
-      for (const put of puts) stateCache.note(put.key, put.value, result.revision);
-      for (const key of deletes) stateCache.noteRemoved(key, result.revision);
+      for (const put of puts) stateCache.applyPut(put.key, put.value, result.revision);
+      for (const key of deletes) stateCache.applyRemoval(key, result.revision);
     }
     return result;
   }
@@ -132,8 +132,8 @@
     const { stateCache, stateClient: state } = this.node;
     const key = keys.machineGroup(name);
     const item = await state.get(key);
-    if (item === null) stateCache.noteRemoved(key, Infinity);
-    else stateCache.note(key, item.value, item.revision);
+    if (item === null) stateCache.applyRemoval(key, Infinity);
+    else stateCache.applyPut(key, item.value, item.revision);
   }
 
   /** Removes machines from their groups after the cloud has confirmed their release: what ran there has ended. */
--- a/src/coordination/autoscaling/scaleOut.ts
+++ b/src/coordination/autoscaling/scaleOut.ts
@@ -73,7 +73,7 @@
 
   /** Whether the scale-out is in progress, or recorded and not answered yet. */
   isOpen(name: string): boolean {
-    return this.inProgress.has(name) || this.node.inventory.isIntention(name);
+    return this.inProgress.has(name) || this.node.inventory.isPendingRental(name);
   }
 
   /** Sends the launch requests of all recorded scale-outs again, also those of an earlier autoscaler. */
--- a/src/coordination/commands/commandDispatcher.ts
+++ b/src/coordination/commands/commandDispatcher.ts
@@ -36,7 +36,7 @@
 /** The parts of a controller that the command dispatcher uses. */
 export interface CommandDispatcherContext extends MachineProberContext {
   leadership: Pick<ShardLeadership, 'isLeaseValid' | 'advanceFencingToken' | 'leaseExpiresAt'>;
-  authority: Pick<Authority, 'mayAct' | 'mayEnd'>;
+  authority: Pick<Authority, 'mayAct' | 'mayStopCancelledTasks'>;
   audit: AuditTrail;
 }
 
@@ -97,7 +97,7 @@
 
   /** Without a valid lease only stops that can't be wrong may be sent. */
   private isDue(ownedShard: OwnedShard, machine: Machine): boolean {
-    if (!this.node.authority.mayEnd(ownedShard)) return false;
+    if (!this.node.authority.mayStopCancelledTasks(ownedShard)) return false;
     if (!this.node.authority.mayAct(ownedShard)) return unconditionalStops(machine).length > 0;
     return hasDueCommand(machine, this.node.clock.now(), this.resendAfter);
   }
@@ -164,7 +164,7 @@
     const body = commandsRequest(token, agentEpoch, commands);
     const startsWork = commands.some(({ verb }) => verb === 'start');
     const maySend = (): boolean =>
-      startsWork ? authority.mayAct(ownedShard) : authority.mayEnd(ownedShard);
+      startsWork ? authority.mayAct(ownedShard) : authority.mayStopCancelledTasks(ownedShard);
     const target = workerPaths.commands;
     try {
       const timeout = settings.heartbeatInterval / 2;
--- a/src/coordination/controller/wiring.ts
+++ b/src/coordination/controller/wiring.ts
@@ -53,7 +53,7 @@
     endpoint: settings.stateEndpoint,
     rate: settings.stateRequestRate,
     writeRate: settings.stateWriteRate,
-    sharers: node.shards.length,
+    nodeCount: node.shards.length,
     // Long enough for a slow service: a request that times out is retried, which slows the service down further.
     timeout: stateLeaseTtl(settings) / 2,
   };
@@ -146,7 +146,7 @@
     },
     isLeaseValid: () => node.leadership.isLeaseValid,
     verifyLeadership: (shard: string) => node.leadership.verifyLeadership(shard),
-    stored: (...[ownedShard, chunks]: Parameters<CommandDispatcher['queueStarts']>) => {
+    onChunksStored: (...[ownedShard, chunks]: Parameters<CommandDispatcher['queueStarts']>) => {
       node.commands.queueStarts(ownedShard, chunks);
     },
   };
--- a/src/coordination/jobs/cancellationPreparations.ts
+++ b/src/coordination/jobs/cancellationPreparations.ts
@@ -25,7 +25,7 @@
   readonly settings: Pick<Settings, 'heartbeatInterval' | 'workerLease' | 'cancellationTimeout'>;
   readonly clock: Pick<Clock, 'now'>;
   readonly ownedShards: ReadonlyMap<string, OwnedShard>;
-  readonly stateCache: Pick<StateCache, 'get' | 'note' | 'syncedAt' | 'revision'>;
+  readonly stateCache: Pick<StateCache, 'get' | 'applyPut' | 'syncedAt' | 'revision'>;
   readonly stateClient: Pick<StateClient, 'get'>;
   readonly leadership: Pick<ShardLeadership, 'advanceFencingToken' | 'isLeaseValid'>;
   readonly peers: Pick<PeerRegistry, 'prepareCancel'>;
@@ -185,7 +185,7 @@
   private async readLeader(shard: string): Promise<void> {
     try {
       const item = await this.context.stateClient.get(keys.leader(shard));
-      if (item !== null) this.context.stateCache.note(item.key, item.value, item.revision);
+      if (item !== null) this.context.stateCache.applyPut(item.key, item.value, item.revision);
     } catch (error) {
       log.debug(`cannot read the leader record of shard ${shard}: ${describeError(error)}`);
     }
--- a/src/coordination/jobs/jobLookup.ts
+++ b/src/coordination/jobs/jobLookup.ts
@@ -25,7 +25,7 @@
   readonly settings: { readonly label: string };
   readonly clock: JobViewContext['clock'];
   readonly stateClient: Pick<StateClient, 'get'>;
-  readonly stateCache: Pick<StateCache, 'get' | 'note'>;
+  readonly stateCache: Pick<StateCache, 'get' | 'applyPut'>;
   readonly pipelines: Pick<Pipelines, 'waitReason'>;
   /** Whether neither the state service nor any peer can be reached. */
   readonly isIsolated: boolean;
@@ -66,7 +66,7 @@
     const { stateClient, stateCache } = this.context;
     try {
       const item = await stateClient.get(keys.job(id));
-      if (item !== null) stateCache.note(item.key, item.value, item.revision);
+      if (item !== null) stateCache.applyPut(item.key, item.value, item.revision);
       return this.cachedRecord(id) ?? ((item?.value ?? null) as JobRecord | null);
     } catch {
       return undefined;
--- a/src/coordination/jobs/submissionWriter.ts
+++ b/src/coordination/jobs/submissionWriter.ts
@@ -33,12 +33,12 @@
     StateClient,
     'awaitWriteTurn' | 'chargeWrites' | 'get' | 'writeDelay' | 'writeRate' | 'isHealthy'
   >;
-  readonly stateCache: Pick<StateCache, 'get' | 'note'>;
+  readonly stateCache: Pick<StateCache, 'get' | 'applyPut'>;
   readonly leadership: {
     readonly isLeaseValid: boolean;
     verifyLeadership(shard: string): Promise<void>;
   };
-  readonly persistence: Pick<JobPersistence, 'acceptMissing'> & {
+  readonly persistence: Pick<JobPersistence, 'createMissingChunks'> & {
     write(
       ownedShard: OwnedShard,
       transaction: Transaction,
@@ -190,7 +190,7 @@
   private adoptBatch(batch: SubmissionBatch, revision: number): void {
     for (const job of batch.jobs) this.adoptJob(batch.homeShard, job, job.record, revision);
     for (const [key, { value }] of batch.transfers) {
-      this.context.stateCache.note(key, value, revision);
+      this.context.stateCache.applyPut(key, value, revision);
     }
     this.answerStored(batch);
   }
@@ -224,9 +224,9 @@
         if (shard === homeShard.shard.label) homeShard.shard.acceptNewChunk(chunk, clock.now());
       }
     }
-    stateCache.note(keys.job(id), record, revision);
+    stateCache.applyPut(keys.job(id), record, revision);
     // Its dependencies may have been done while it was being stored.
-    if (isOpenHere) persistence.acceptMissing(homeShard, job);
+    if (isOpenHere) persistence.createMissingChunks(homeShard, job);
   }
 
   /** Answers users according to the newest cached record: a job may have ended before the answer of its transaction arrives. */
--- a/src/coordination/leadership/authority.ts
+++ b/src/coordination/leadership/authority.ts
@@ -37,7 +37,7 @@
   }
 
   /** Whether this node may stop cancelled tasks. Stopping them is safe for any leader, so it needs no valid lease. */
-  mayEnd(ownedShard: Pick<OwnedShard, 'isOwned'>): boolean {
+  mayStopCancelledTasks(ownedShard: Pick<OwnedShard, 'isOwned'>): boolean {
     return ownedShard.isOwned;
   }
 
--- a/src/coordination/leadership/leaderRecords.ts
+++ b/src/coordination/leadership/leaderRecords.ts
@@ -42,7 +42,7 @@
 export class LeaderRecords {
   constructor(
     private readonly client: Pick<StateClient, 'get' | 'transact'>,
-    private readonly stateCache: Pick<StateCache, 'note' | 'noteRemoved'>,
+    private readonly stateCache: Pick<StateCache, 'applyPut' | 'applyRemoval'>,
     private readonly clock: Pick<Clock, 'wall'>,
     private readonly lease: Pick<StateLease, 'id'>,
     private readonly options: LeaderRecordsOptions,
@@ -63,7 +63,7 @@
     const beforeRevision = before?.revision ?? 0;
     const leaseId = this.lease.id;
     if (!mayWrite(leader, beforeRevision) || leaseId === null) {
-      if (before !== null) this.stateCache.note(key, before.value, before.revision);
+      if (before !== null) this.stateCache.applyPut(key, before.value, before.revision);
       return null;
     }
     const { label: node, process } = this.options;
@@ -85,7 +85,7 @@
     );
     const revision = await this.writtenRevision(key, record, result);
     if (revision === null) return null;
-    this.stateCache.note(key, record, revision);
+    this.stateCache.applyPut(key, record, revision);
     return { fencingToken, revision, previousLeaderLostAt };
   }
 
@@ -115,7 +115,7 @@
         },
         'ownership',
       );
-      if (result.kind === 'applied') this.stateCache.noteRemoved(key, result.revision);
+      if (result.kind === 'applied') this.stateCache.applyRemoval(key, result.revision);
       if (result.kind === 'applied') return;
       if (result.kind === 'conflict' && result.failed.includes(key)) return;
       await sleep(this.options.leaseTtl / 10);
--- a/src/coordination/leadership/recordFollower.ts
+++ b/src/coordination/leadership/recordFollower.ts
@@ -40,7 +40,7 @@
 export class RecordFollower {
   constructor(
     private readonly node: RecordFollowerContext,
-    private readonly loader: Pick<ShardLoader, 'noteBucket'>,
+    private readonly loader: Pick<ShardLoader, 'onBucketChange'>,
   ) {}
 
   /** Applies one changed record. */
@@ -72,7 +72,7 @@
     this.node.chunkIndex.update(shard, bucket, value, change.revision);
     const ownedShard = this.node.ownedShards.get(shard);
     if (ownedShard !== undefined && value !== null) {
-      this.loader.noteBucket(ownedShard, bucket, value, change.revision);
+      this.loader.onBucketChange(ownedShard, bucket, value, change.revision);
     }
   }
 
--- a/src/coordination/leadership/shardLeadership.ts
+++ b/src/coordination/leadership/shardLeadership.ts
@@ -52,7 +52,7 @@
     private readonly client: Pick<StateClient, 'grantLease' | 'renewLease' | 'get' | 'transact'>,
     private readonly stateCache: Pick<
       StateCache,
-      'get' | 'note' | 'noteRemoved' | 'catchUp' | 'loaded'
+      'get' | 'applyPut' | 'applyRemoval' | 'catchUp' | 'loaded'
     >,
     private readonly clock: Clock,
     private readonly options: ShardLeadershipOptions,
--- a/src/coordination/leadership/shardLoader.ts
+++ b/src/coordination/leadership/shardLoader.ts
@@ -14,14 +14,14 @@
 /** Creates the chunks of jobs. */
 export interface ChunkCreation {
   /** Creates the chunks of a home job that are not stored yet. */
-  acceptMissing(ownedShard: OwnedShard, job: HomeJob): void;
+  createMissingChunks(ownedShard: OwnedShard, job: HomeJob): void;
 }
 
 /** The parts of a node that loading a shard depends on. */
 export interface ShardLoaderContext {
   clock: Clock;
-  inventory: Pick<MachineInventory, 'of' | 'get'>;
-  stateCache: Pick<StateCache, 'get' | 'entriesWithPrefix' | 'noteRemoved'>;
+  inventory: Pick<MachineInventory, 'machinesOf' | 'get'>;
+  stateCache: Pick<StateCache, 'get' | 'entriesWithPrefix' | 'applyRemoval'>;
   stateClient: Pick<StateClient, 'get'>;
   persistence: ChunkCreation;
   recordFormat: RecordFormat;
@@ -42,7 +42,7 @@
     const { label } = shard;
     const ownedShard = createOwnedShard(shard, leadership, now, previousLeaderMayAnswerUntil);
     const wall = node.clock.wall();
-    for (const [name, record] of node.inventory.of(label))
+    for (const [name, record] of node.inventory.machinesOf(label))
       shard.addMachine(
         name,
         record,
@@ -71,7 +71,7 @@
       const id = key.slice(prefix.length);
       const job: HomeJob = { id, record, revision, isWriteInFlight: false };
       ownedShard.jobs.set(id, job);
-      this.node.persistence.acceptMissing(ownedShard, job);
+      this.node.persistence.createMissingChunks(ownedShard, job);
     }
   }
 
@@ -115,7 +115,12 @@
    * Called when a stored bucket has changed. It loads only buckets of chunks that were just migrated here: no leader of
    * this shard can have started any task of those.
    */
-  noteBucket(ownedShard: OwnedShard, name: string, value: BucketRecord, revision: number): void {
+  onBucketChange(
+    ownedShard: OwnedShard,
+    name: string,
+    value: BucketRecord,
+    revision: number,
+  ): void {
     if (ownedShard.buckets.has(name)) return;
     const chunks = Object.values(value.chunks);
     if (!chunks.every((chunk) => chunk.migrationCount > 0 && chunk.attempts.length === 0)) return;
@@ -145,7 +150,7 @@
       const item = await node.stateClient.get(key);
       if (!ownedShard.isOwned || ownedShard.buckets.has(name)) return;
       if (item === null) {
-        node.stateCache.noteRemoved(key, Infinity);
+        node.stateCache.applyRemoval(key, Infinity);
         return;
       }
       log.info(`loading stored bucket ${key}, which the watch missed`);
--- a/src/coordination/migration/migrationContext.ts
+++ b/src/coordination/migration/migrationContext.ts
@@ -17,7 +17,7 @@
   readonly stateCache: Pick<StateCache, 'get'>;
   readonly leadership: Pick<ShardLeadership, 'isLeaseValid'>;
   readonly peers: Pick<PeerRegistry, 'requestEstimates'>;
-  readonly persistence: Pick<JobPersistence, 'move'>;
+  readonly persistence: Pick<JobPersistence, 'migrate'>;
   readonly ownedShards: ReadonlyMap<string, OwnedShard>;
   /** The zone of each shard's machines, by the shard's label. */
   readonly zoneOf: ReadonlyMap<string, string>;
--- a/src/coordination/migration/migrationInitiator.ts
+++ b/src/coordination/migration/migrationInitiator.ts
@@ -157,7 +157,7 @@
       if (shard === ownedShard.shard.label || !ownedShard.isOwned || chunk.isDropped) return;
       if (!chunk.isMigratable) return;
       log.info(`migrating chunk ${chunk.id} from shard ${ownedShard.shard.label} to ${shard}`);
-      await node.persistence.move(ownedShard, chunk, shard);
+      await node.persistence.migrate(ownedShard, chunk, shard);
     } catch (error) {
       log.debug(`migrating chunk ${chunk.id} failed: ${describeError(error)}`);
     } finally {
--- a/src/coordination/peers/gossiper.ts
+++ b/src/coordination/peers/gossiper.ts
@@ -17,7 +17,7 @@
   clock: Clock;
   process: string;
   ownedShards: ReadonlyMap<string, { readonly shard: Shard; readonly fencingToken: number }>;
-  stateClient: Pick<StateClient, 'demand' | 'adoptRateShare' | 'lastServed'>;
+  stateClient: Pick<StateClient, 'demand' | 'updateRateShare' | 'lastServedAt'>;
   stateLeaseTtl: number;
   leadership: { readonly isLeaseValid: boolean };
   peers: Pick<PeerRegistry, 'broadcastGossip' | 'stateDemands'>;
@@ -45,7 +45,7 @@
     const now = clock.now();
     if (now - this.lastSent < settings.heartbeatInterval * INTERVAL) return;
     this.lastSent = now;
-    state.adoptRateShare(peers.stateDemands());
+    state.updateRateShare(peers.stateDemands());
     peers.broadcastGossip(this.composeMessage(now), settings.heartbeatInterval / 2);
   }
 
@@ -111,7 +111,7 @@
     const { clock, settings, stateClient, stateLeaseTtl } = this.node;
     const now = clock.now();
     // Without the state service this controller may be partitioned, and then every machine seems to be lost.
-    if (now - stateClient.lastServed > stateLeaseTtl / 2) return [];
+    if (now - stateClient.lastServedAt > stateLeaseTtl / 2) return [];
     const boot = (machine: Machine): number =>
       machine.machineType?.bootSeconds ?? settings.workerLease;
     return this.shards.flatMap((shard) => shard.liveness.lostMachines(now, boot, clock.wall()));
--- a/src/coordination/persistence/bucketWriter.ts
+++ b/src/coordination/persistence/bucketWriter.ts
@@ -21,7 +21,7 @@
   /** Verifies that this node still leads the shard; called after a condition of a transaction has failed. */
   verifyLeadership(shard: string): Promise<void>;
   /** Called when chunks were stored; the starts of their attempts may be sent. */
-  stored(ownedShard: OwnedShard, chunks: Chunk[]): void;
+  onChunksStored(ownedShard: OwnedShard, chunks: Chunk[]): void;
 }
 
 /** The calls to the state service that the writers of records use. */
@@ -30,7 +30,7 @@
   'transact' | 'get' | 'awaitWriteTurn' | 'writeRate' | 'writeDelay' | 'writeLoad' | 'operations'
 >;
 /** The calls to the state cache that the writers of records use. */
-export type StateCacheAccess = Pick<StateCache, 'get' | 'note' | 'noteRemoved'>;
+export type StateCacheAccess = Pick<StateCache, 'get' | 'applyPut' | 'applyRemoval'>;
 
 /** Limits of a transaction, and delays in seconds. */
 export interface BucketWriterOptions {
@@ -288,18 +288,18 @@
       if (chunk.version === chunk.storedVersion) ownedShard.shard.unsavedChunks.delete(chunk);
       else chunk.dirtySince ??= this.clock.now();
     }
-    for (const put of puts) this.stateCache.note(put.key, put.value, revision);
+    for (const put of puts) this.stateCache.applyPut(put.key, put.value, revision);
     for (const bucket of buckets) {
       const key = this.keyOf(ownedShard, bucket);
       bucket.clearRetiredChunks();
       if (puts.some((put) => put.key === key)) bucket.revision = revision;
       else {
-        this.stateCache.noteRemoved(key, revision);
+        this.stateCache.applyRemoval(key, revision);
         bucket.revision = 0;
         if (bucket.chunks.size === 0) ownedShard.buckets.delete(bucket.name);
       }
     }
-    this.events.stored(
+    this.events.onChunksStored(
       ownedShard,
       stored.map((entry) => entry.chunk),
     );
@@ -322,8 +322,8 @@
         else chunk.mayHaveMigrated = false;
       }
       bucket.revision = revision;
-      if (item !== null) this.stateCache.note(item.key, item.value, item.revision);
-      else this.stateCache.noteRemoved(this.keyOf(ownedShard, bucket), Infinity);
+      if (item !== null) this.stateCache.applyPut(item.key, item.value, item.revision);
+      else this.stateCache.applyRemoval(this.keyOf(ownedShard, bucket), Infinity);
     }
   }
 
@@ -331,7 +331,7 @@
    * Migrates a chunk without attempts to another shard in one transaction. `extra` holds further changes of that
    * transaction: the home shard records that the chunk has left.
    */
-  async move(
+  async migrate(
     ownedShard: OwnedShard,
     chunk: Chunk,
     targetShard: string,
@@ -371,7 +371,7 @@
       if (result.kind === 'applied') {
         ownedShard.shard.migrateAway(chunk, this.clock.now());
         this.onApplied(ownedShard, [bucket], otherChunks, puts, result.revision);
-        this.stateCache.note(key, value, result.revision);
+        this.stateCache.applyPut(key, value, result.revision);
       } else if (result.kind === 'conflict') await this.resolveConflict(ownedShard, [bucket]);
       // Until its bucket is written again the chunk may have migrated, and none of its tasks can be started.
       else if (result.kind === 'unknown') {
--- a/src/coordination/persistence/jobPersistence.ts
+++ b/src/coordination/persistence/jobPersistence.ts
@@ -55,7 +55,7 @@
     this.jobRecords = new JobRecordWriter(client, stateCache, this.bucketWriter, {
       verifyLeadership: (shard) => context.verifyLeadership(shard),
       onReread: (homeShard, job) => {
-        this.acceptMissing(homeShard, job);
+        this.createMissingChunks(homeShard, job);
       },
       retryDelay: options.retryDelay,
     });
@@ -115,9 +115,9 @@
   }
 
   /** Migrates a chunk without attempts to another shard. */
-  async move(ownedShard: OwnedShard, chunk: Chunk, targetShard: string): Promise<void> {
+  async migrate(ownedShard: OwnedShard, chunk: Chunk, targetShard: string): Promise<void> {
     if (chunk.homeShard !== ownedShard.shard.label) {
-      await this.bucketWriter.move(ownedShard, chunk, targetShard, { conditions: [], puts: [] });
+      await this.bucketWriter.migrate(ownedShard, chunk, targetShard, { conditions: [], puts: [] });
       return;
     }
     const job = ownedShard.jobs.get(chunk.spec.id);
@@ -128,7 +128,7 @@
       const migratedChunks = [...new Set([...job.record.migratedChunks, chunk.index])];
       const value: JobRecord = { ...job.record, migratedChunks };
       const conditions = [{ key, revision: job.revision }];
-      const result = await this.bucketWriter.move(ownedShard, chunk, targetShard, {
+      const result = await this.bucketWriter.migrate(ownedShard, chunk, targetShard, {
         conditions,
         puts: [{ key, value }],
       });
@@ -187,7 +187,7 @@
    * Creates the chunks of a home job that are neither in memory nor stored; no task of them was started. There are such
    * chunks after a shard is loaded, after the write that created a chunk got no answer, and after a job is released.
    */
-  acceptMissing(homeShard: OwnedShard, job: HomeJob): void {
+  createMissingChunks(homeShard: OwnedShard, job: HomeJob): void {
     if (
       !homeShard.isOwned ||
       this.context.isBlockedOnDependencies(job.id) ||
--- a/src/coordination/persistence/jobRecordWriter.ts
+++ b/src/coordination/persistence/jobRecordWriter.ts
@@ -75,8 +75,8 @@
   private async rereadFailedConditions(failed: Transaction['conditions']): Promise<void> {
     for (const { key } of failed) {
       const item = await this.client.get(key);
-      if (item === null) this.stateCache.noteRemoved(key, Infinity);
-      else this.stateCache.note(item.key, item.value, item.revision);
+      if (item === null) this.stateCache.applyRemoval(key, Infinity);
+      else this.stateCache.applyPut(item.key, item.value, item.revision);
     }
   }
 
@@ -99,6 +99,6 @@
     job.revision = revision;
     job.isOutcomeUnknown = false;
     if (record.state !== 'open') homeShard.jobs.delete(job.id);
-    this.stateCache.note(keys.job(job.id), record, revision);
+    this.stateCache.applyPut(keys.job(job.id), record, revision);
   }
 }
--- a/src/coordination/pipelines/pipelines.ts
+++ b/src/coordination/pipelines/pipelines.ts
@@ -23,7 +23,7 @@
   clock: Pick<Clock, 'now'>;
   ownedShards: ReadonlyMap<string, OwnedShard>;
   stateCache: Pick<StateCache, 'get' | 'loaded' | 'syncedAt'>;
-  persistence: Pick<JobPersistence, 'acceptMissing' | 'cancel'>;
+  persistence: Pick<JobPersistence, 'createMissingChunks' | 'cancel'>;
   requestSchedulingRound(): void;
 }
 
@@ -98,7 +98,7 @@
   private release(job: string): void {
     for (const ownedShard of this.context.ownedShards.values()) {
       const homeJob = ownedShard.jobs.get(job);
-      if (homeJob !== undefined) this.context.persistence.acceptMissing(ownedShard, homeJob);
+      if (homeJob !== undefined) this.context.persistence.createMissingChunks(ownedShard, homeJob);
     }
     this.context.requestSchedulingRound();
   }
--- a/src/coordination/quota/quotaContext.ts
+++ b/src/coordination/quota/quotaContext.ts
@@ -32,7 +32,7 @@
   readonly ownedShards: ReadonlyMap<string, Owned>;
   readonly leadership: { readonly isLeaseValid: boolean };
   readonly peers: { gossips(): Pick<Gossip, 'throttledTeams'>[] };
-  readonly stateCache: Pick<StateCache, 'get' | 'note'>;
+  readonly stateCache: Pick<StateCache, 'get' | 'applyPut'>;
   readonly stateClient: Pick<StateClient, 'get'>;
   readonly persistence: {
     /** Applies a transaction if this controller still leads the shard. */
--- a/src/coordination/quota/quotaShares.ts
+++ b/src/coordination/quota/quotaShares.ts
@@ -139,11 +139,11 @@
     };
     const result = await persistence.write(ownedShard, transaction);
     if (result.kind === 'applied') {
-      stateCache.note(key, shares, result.revision);
+      stateCache.applyPut(key, shares, result.revision);
       return;
     }
     const item = await stateClient.get(key);
-    if (item !== null) stateCache.note(key, item.value, item.revision);
+    if (item !== null) stateCache.applyPut(key, item.value, item.revision);
   }
 
   private isThrottledElsewhere(team: string): boolean {
--- a/src/coordination/rollout/driverRecordAccess.ts
+++ b/src/coordination/rollout/driverRecordAccess.ts
@@ -15,7 +15,7 @@
 export class DriverRecordAccess {
   constructor(
     private readonly store: RecordStore,
-    private readonly cache: Pick<RecordCache, 'get' | 'note'>,
+    private readonly cache: Pick<RecordCache, 'get' | 'applyPut'>,
     private readonly label: string,
   ) {}
 
--- a/src/coordination/rollout/migratedShards.ts
+++ b/src/coordination/rollout/migratedShards.ts
@@ -123,7 +123,7 @@
       return { kind: 'failed', reason: 'its conversion is beyond the limits of a transaction' };
     }
     if (result.kind !== 'applied') return { kind: 'deferred' };
-    stateCache.note(key, value, result.revision);
+    stateCache.applyPut(key, value, result.revision);
     return { kind: 'converted' };
   }
 }
--- a/src/coordination/rollout/rolloutContext.ts
+++ b/src/coordination/rollout/rolloutContext.ts
@@ -15,7 +15,7 @@
   shards: string[];
   ownedShards: ReadonlyMap<string, OwnedShard>;
   leadership: Pick<ShardLeadership, 'get' | 'isLeaseValid'>;
-  stateCache: Pick<StateCache, 'get' | 'note'>;
+  stateCache: Pick<StateCache, 'get' | 'applyPut'>;
   stateClient: Pick<StateClient, 'get' | 'transact' | 'keysOfForm' | 'unreadable'>;
   persistence: Pick<JobPersistence, 'rewrite'>;
 }
--- a/src/storage/machineInventory.ts
+++ b/src/storage/machineInventory.ts
@@ -58,7 +58,7 @@
   }
 
   /** Returns the machines of a shard. */
-  *of(shard: string): IterableIterator<[string, MachineRecord]> {
+  *machinesOf(shard: string): IterableIterator<[string, MachineRecord]> {
     for (const [name, { record }] of this.effectiveClaims)
       if (record.shard === shard) yield [name, record];
   }
@@ -72,7 +72,7 @@
   }
 
   /** Whether a group is a rental that the cloud has not answered yet. */
-  isIntention(group: string): boolean {
+  isPendingRental(group: string): boolean {
     return this.groups.get(group)?.requestedCount !== undefined;
   }
 
--- a/src/storage/nodeCapabilities.ts
+++ b/src/storage/nodeCapabilities.ts
@@ -15,7 +15,7 @@
 
   constructor(
     private readonly client: Pick<StateClient, 'transact'>,
-    private readonly stateCache: Pick<StateCache, 'get' | 'note' | 'loaded'>,
+    private readonly stateCache: Pick<StateCache, 'get' | 'applyPut' | 'loaded'>,
     private readonly recordFormat: RecordFormat,
     private readonly label: string,
     /** Labels of all nodes in the settings. */
@@ -56,7 +56,7 @@
         { conditions, puts: [{ key, value }], deletes: [] },
         'urgent',
       );
-      if (result.kind === 'applied') this.stateCache.note(key, value, result.revision);
+      if (result.kind === 'applied') this.stateCache.applyPut(key, value, result.revision);
     } catch (error) {
       log.debug(`publishing this node's capabilities failed: ${describeError(error)}`);
     } finally {
--- a/src/storage/stateCache.ts
+++ b/src/storage/stateCache.ts
@@ -74,7 +74,7 @@
    * Applies a put that this node wrote or read itself, ahead of the watch. The cache is complete up to its revision: a
    * record that is not newer and not cached has been removed since, and the answer that holds it is outdated.
    */
-  note(key: string, value: unknown, revision: number): void {
+  applyPut(key: string, value: unknown, revision: number): void {
     const records = this.recordsOf(key);
     const cached = records.get(key);
     if (
@@ -87,7 +87,7 @@
   }
 
   /** Applies a removal that this node wrote or read itself, ahead of the watch. */
-  noteRemoved(key: string, revision: number): void {
+  applyRemoval(key: string, revision: number): void {
     const records = this.recordsOf(key);
     const cached = records.get(key);
     if (cached === undefined || cached.revision > revision) return;
@@ -117,8 +117,8 @@
   private applyChanges(changeLog: ChangeLog, sentAt: number): void {
     for (const change of changeLog.changes) {
       if (change.revision <= this.syncedRevision) continue;
-      if (change.removed) this.noteRemoved(change.key, change.revision);
-      else this.note(change.key, change.value, change.revision);
+      if (change.removed) this.applyRemoval(change.key, change.revision);
+      else this.applyPut(change.key, change.value, change.revision);
     }
     this.advanceTo(changeLog.revision);
     this.syncedAt = Math.max(this.syncedAt, sentAt);
@@ -139,11 +139,11 @@
     const present = new Set<string>();
     for (const item of items) {
       present.add(item.key);
-      this.note(item.key, item.value, item.revision);
+      this.applyPut(item.key, item.value, item.revision);
     }
     for (const records of this.recordsByKind.values()) {
       for (const [key, stored] of [...records]) {
-        if (!present.has(key) && stored.revision <= revision) this.noteRemoved(key, revision);
+        if (!present.has(key) && stored.revision <= revision) this.applyRemoval(key, revision);
       }
     }
     // Another read, or the watch, may have advanced further meanwhile.
--- a/src/storage/stateClient.ts
+++ b/src/storage/stateClient.ts
@@ -38,7 +38,7 @@
   rate: number;
   writeRate: number;
   /** How many nodes share the rates. */
-  sharers: number;
+  nodeCount: number;
   timeout: number;
 }
 
@@ -63,9 +63,9 @@
   private readonly requests: RateLimiter;
   private readonly writes: RateLimiter;
   /** Monotonic time of the last answer that was not a refusal. */
-  lastServed = -Infinity;
+  lastServedAt = -Infinity;
   /** Monotonic time of the last refusal or failed call. */
-  lastFailed = -Infinity;
+  lastFailedAt = -Infinity;
   /** Number of fragments of each record when it was last read or written, if any. */
   private readonly fragmentCounts = new Map<string, number>();
   /** Forms of the records that are not stored as `plain`, when they were last read or written. */
@@ -79,7 +79,7 @@
     private readonly options: StateClientOptions,
     private readonly recordFormat: RecordFormat,
   ) {
-    const { rate, writeRate, sharers } = options;
+    const { rate, writeRate, nodeCount: sharers } = options;
     this.requests = new RateLimiter(clock, rate / sharers, rate / sharers);
     this.writes = new RateLimiter(clock, writeRate / sharers, writeRate / sharers);
   }
@@ -90,8 +90,8 @@
   }
 
   /** Sets this node's share of the rates; `needs` are the recently reported demands of other nodes. */
-  adoptRateShare(needs: { requests: number; writes: number }[]): void {
-    const { rate, writeRate, sharers } = this.options;
+  updateRateShare(needs: { requests: number; writes: number }[]): void {
+    const { rate, writeRate, nodeCount: sharers } = this.options;
     const requests = needs.map((n) => n.requests);
     const writes = needs.map((n) => n.writes);
     this.requests.setRate(rateShareOf(rate * RATE_SAFETY_FACTOR, sharers, requests));
@@ -120,7 +120,7 @@
 
   /** Whether the last call was answered and not refused. */
   get isHealthy(): boolean {
-    return this.lastServed > this.lastFailed;
+    return this.lastServedAt > this.lastFailedAt;
   }
 
   private async call(
@@ -131,11 +131,11 @@
   ): Promise<Response> {
     try {
       const response = await this.http.call(this.options.endpoint, method, target, body, timeout);
-      if (response.status === 503) this.lastFailed = this.clock.now();
-      else this.lastServed = this.clock.now();
+      if (response.status === 503) this.lastFailedAt = this.clock.now();
+      else this.lastServedAt = this.clock.now();
       return response;
     } catch (error) {
-      this.lastFailed = this.clock.now();
+      this.lastFailedAt = this.clock.now();
       throw error;
     }
   }
--- a/test/commands/costs.test.ts
+++ b/test/commands/costs.test.ts
@@ -180,7 +180,7 @@
     clock: { now: () => 1 },
     links: { machines: { call } },
     audit: new AuditTrail('drone-0', () => 0),
-    authority: { mayAct: () => true, mayEnd: () => true },
+    authority: { mayAct: () => true, mayStopCancelledTasks: () => true },
     leadership: {
       isLeaseValid: true,
       leaseExpiresAt: Infinity,
--- a/test/jobs/jobService.test.ts
+++ b/test/jobs/jobService.test.ts
@@ -41,13 +41,17 @@
     Object.defineProperty(this.node.leadership, 'isLeaseValid', { value: true });
     this.node.peers.relay = () => new Promise((resolve) => this.relays.push(resolve));
     this.jobs = new JobService(this.node);
-    if (state !== null) this.node.stateCache.note(keys.job(ID), record(state), 5);
-    this.node.stateCache.note(keys.leader('q'), { node: 'q', fencingToken: 1, process: 'y' }, 1);
+    if (state !== null) this.node.stateCache.applyPut(keys.job(ID), record(state), 5);
+    this.node.stateCache.applyPut(
+      keys.leader('q'),
+      { node: 'q', fencingToken: 1, process: 'y' },
+      1,
+    );
   }
 
   /** Delivers a newer record of the job to this node's cache. */
   deliverRecord(state: JobRecord['state']): void {
-    this.node.stateCache.note(keys.job(ID), record(state), 9);
+    this.node.stateCache.applyPut(keys.job(ID), record(state), 9);
   }
 }
 
--- a/test/jobs/submissionWriter.test.ts
+++ b/test/jobs/submissionWriter.test.ts
@@ -38,13 +38,16 @@
       stateClient: this.store,
       stateCache: {
         get: (key) => this.cache.get(key) ?? rows.get(key),
-        note: (key, value, revision) => {
+        applyPut: (key, value, revision) => {
           if ((this.cache.get(key)?.revision ?? -1) < revision)
             this.cache.set(key, { value, revision });
         },
       },
       leadership: { isLeaseValid: true, verifyLeadership: () => Promise.resolve() },
-      persistence: { write: (_, txn) => this.store.transact(txn), acceptMissing: () => undefined },
+      persistence: {
+        write: (_, txn) => this.store.transact(txn),
+        createMissingChunks: () => undefined,
+      },
       requestSchedulingRound: () => undefined,
     };
     this.writer = new SubmissionWriter(node, (id) =>
--- a/test/leadership/shardLeadership.test.ts
+++ b/test/leadership/shardLeadership.test.ts
@@ -29,8 +29,8 @@
     const stateCache = {
       loaded: true,
       get: (key: string) => this.store.rows.get(key),
-      note: () => undefined,
-      noteRemoved: () => undefined,
+      applyPut: () => undefined,
+      applyRemoval: () => undefined,
       catchUp: () => this.catchUp(),
     };
     this.leadership = new ShardLeadership(
--- a/test/leadership/shardLoader.test.ts
+++ b/test/leadership/shardLoader.test.ts
@@ -54,16 +54,16 @@
   const machine: MachineRecord = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
   return {
     clock: { now: () => 100, wall: () => 100 },
-    inventory: { of: () => new Map([['n-1', machine]]).entries(), get: () => undefined },
+    inventory: { machinesOf: () => new Map([['n-1', machine]]).entries(), get: () => undefined },
     stateCache: {
       get: (key) => rows.get(key),
       *entriesWithPrefix(prefix) {
         for (const row of rows) if (row[0].startsWith(prefix)) yield row;
       },
-      noteRemoved: () => undefined,
+      applyRemoval: () => undefined,
     },
     stateClient: { get: () => Promise.resolve(null) },
-    persistence: { acceptMissing: () => undefined },
+    persistence: { createMissingChunks: () => undefined },
     recordFormat: layoutFor(),
     requestSchedulingRound: () => undefined,
   };
@@ -100,7 +100,7 @@
   const node = nodeWith({});
   const elsewhere = { shard: 'q', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
   node.inventory = {
-    of: () => new Map<string, MachineRecord>().entries(),
+    machinesOf: () => new Map<string, MachineRecord>().entries(),
     get: (name) => (name === 'n-1' ? elsewhere : undefined),
   };
   const shard = emptyShard(3, new Map([['m8', m8]]));
--- a/test/persistence/bucketWriter.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -129,12 +129,12 @@
     const { rows } = this.store;
     this.bucketWriter = new BucketWriter(
       this.store,
-      { get: (key) => rows.get(key), note: () => undefined, noteRemoved: () => undefined },
+      { get: (key) => rows.get(key), applyPut: () => undefined, applyRemoval: () => undefined },
       { now: () => this.now, wall: () => this.now },
       {
         isLeaseValid: () => true,
         verifyLeadership: () => Promise.resolve(),
-        stored: (_, chunks) => {
+        onChunksStored: (_, chunks) => {
           for (const chunk of chunks) {
             for (const attempt of chunk.attempts.values()) {
               const name = `${chunk.taskName(attempt.task)}@${attempt.machine}`;
@@ -191,8 +191,8 @@
     while (this.ownedShard.writesInFlight > 0) await new Promise((r) => setTimeout(r, 1));
   }
 
-  move(chunk: Chunk): ReturnType<BucketWriter['move']> {
-    return this.bucketWriter.move(this.ownedShard, chunk, 'q', { conditions: [], puts: [] });
+  move(chunk: Chunk): ReturnType<BucketWriter['migrate']> {
+    return this.bucketWriter.migrate(this.ownedShard, chunk, 'q', { conditions: [], puts: [] });
   }
 
   /** Migrates the chunk back from the peer, and delivers the change to this shard. */
@@ -209,20 +209,20 @@
     rows.set(key, { key, value, revision });
     const loader = new ShardLoader({
       clock: { now: () => this.now, wall: () => this.now },
-      inventory: { of: () => new Map<string, never>().entries(), get: () => undefined },
+      inventory: { machinesOf: () => new Map<string, never>().entries(), get: () => undefined },
       stateCache: {
         get: (any) => rows.get(any),
         *entriesWithPrefix() {
           // No other records are loaded.
         },
-        noteRemoved: () => undefined,
+        applyRemoval: () => undefined,
       },
       stateClient: this.store,
-      persistence: { acceptMissing: () => undefined },
+      persistence: { createMissingChunks: () => undefined },
       recordFormat: layoutFor(),
       requestSchedulingRound: () => undefined,
     });
-    loader.noteBucket(this.ownedShard, name, value, revision);
+    loader.onBucketChange(this.ownedShard, name, value, revision);
   }
 
   /** Returns the shards whose stored buckets hold the chunk. */
--- a/test/persistence/jobPersistence.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -59,7 +59,7 @@
         hasUnreadableChunks: false,
         isLeaseValid: () => true,
         verifyLeadership: () => Promise.resolve(),
-        stored: () => undefined,
+        onChunksStored: () => undefined,
       },
       { txnOps: 16, recordFormat: layoutFor(), flushDelay: 2, retryDelay: 0.001, process: 'x' },
     );
@@ -222,7 +222,7 @@
     const fixture = new HomeShardFixture(2);
     const key = keys.leader('q');
     fixture.store.rows.set(key, { key, value: {}, revision: 8 });
-    fixture.stateCache.note(key, {}, cachedRevision);
+    fixture.stateCache.applyPut(key, {}, cachedRevision);
     const evidence = CancellationEvidence.acknowledged(
       new Set(chunks),
       new Map([['q', acknowledgedRevision]]),
--- a/test/persistence/recordLimits.test.ts
+++ b/test/persistence/recordLimits.test.ts
@@ -70,18 +70,20 @@
   /** Loads the shard from the stored records, as a new leader would. */
   loadAsNewLeader(): [OwnedShard, BucketWriter] {
     const { rows } = this.store;
-    const persistence: Pick<JobPersistence, 'acceptMissing'> = { acceptMissing: () => undefined };
+    const persistence: Pick<JobPersistence, 'createMissingChunks'> = {
+      createMissingChunks: () => undefined,
+    };
     const machine = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
     const machines = Array.from({ length: REPLICAS }, (_, i) => [`n-${i}`, machine] as const);
     const loader = new ShardLoader({
       clock: { now: () => this.now, wall: () => this.now },
-      inventory: { of: () => new Map(machines).entries(), get: () => undefined },
+      inventory: { machinesOf: () => new Map(machines).entries(), get: () => undefined },
       stateCache: {
         get: (name) => rows.get(name),
         *entriesWithPrefix(prefix) {
           for (const row of rows) if (row[0].startsWith(prefix)) yield row;
         },
-        noteRemoved: () => undefined,
+        applyRemoval: () => undefined,
       },
       stateClient: this.store,
       persistence,
@@ -96,12 +98,12 @@
     );
     this.writer = new BucketWriter(
       this.store,
-      { get: (name) => rows.get(name), note: () => undefined, noteRemoved: () => undefined },
+      { get: (name) => rows.get(name), applyPut: () => undefined, applyRemoval: () => undefined },
       { now: () => this.now, wall: () => this.now },
       {
         isLeaseValid: () => true,
         verifyLeadership: () => Promise.resolve(),
-        stored: () => undefined,
+        onChunksStored: () => undefined,
       },
       {
         ...{ txnOps: TXN_OPS, recordFormat: this.recordFormat, flushDelay: 1, retryDelay: 0.001 },
--- a/test/pipelines/staleCopy.test.ts
+++ b/test/pipelines/staleCopy.test.ts
@@ -20,7 +20,7 @@
     ownedShards: new Map(),
     stateCache: this.stateCache,
     persistence: {
-      acceptMissing: () => undefined,
+      createMissingChunks: () => undefined,
       cancel: () => Promise.resolve({ kind: 'not-stored' as const }),
     },
     requestSchedulingRound: () => undefined,
--- a/test/quota/quotaShares.test.ts
+++ b/test/quota/quotaShares.test.ts
@@ -35,7 +35,7 @@
       },
       stateCache: {
         get: (key) => this.copies.get(key),
-        note: (key, value, revision) => {
+        applyPut: (key, value, revision) => {
           if ((this.copies.get(key)?.revision ?? -1) < revision)
             this.copies.set(key, { value, revision });
         },
--- a/test/storage/compatibility.test.ts
+++ b/test/storage/compatibility.test.ts
@@ -155,7 +155,7 @@
   const stateCache = {
     loaded: false,
     get: (key: string) => store.rows.get(key),
-    note: (key: string, value: unknown) => {
+    applyPut: (key: string, value: unknown) => {
       capabilities.update(key.slice(keys.node('').length), value as { recordFormat: number });
     },
   };
--- a/test/storage/compression.test.ts
+++ b/test/storage/compression.test.ts
@@ -115,7 +115,7 @@
   const state = new StateStandIn();
   try {
     const endpoint = await state.listenFor('x');
-    const options = { endpoint, rate: 1e4, writeRate: 1e4, sharers: 1, timeout: 5 };
+    const options = { endpoint, rate: 1e4, writeRate: 1e4, nodeCount: 1, timeout: 5 };
     const client = new StateClient(new HttpClient(10, 5), systemClock, options, formatWith(true));
     const [good, bad, small] = [keys.job('wk-1'), keys.job('wk-2'), keys.job('wk-3')];
     const puts = [good, bad].map((name) => ({ key: name, value: job(typeNames(300)) }));
--- a/test/storage/fleetRecords.test.ts
+++ b/test/storage/fleetRecords.test.ts
@@ -27,7 +27,9 @@
     counts: ['p', 'q'].map((shard) =>
       [...inventory.countsOf(shard)].filter(([, count]) => count > 0),
     ),
-    ofShards: ['p', 'q'].map((shard) => [...inventory.of(shard)].map(([name]) => name).sort()),
+    ofShards: ['p', 'q'].map((shard) =>
+      [...inventory.machinesOf(shard)].map(([name]) => name).sort(),
+    ),
     contested: inventory.contested().sort(),
   };
 }
--- a/test/storage/fragments.test.ts
+++ b/test/storage/fragments.test.ts
@@ -24,7 +24,7 @@
 });
 
 function client(isCompact = true): StateClient {
-  const options = { endpoint, rate: 1e4, writeRate: 1e4, sharers: 1, timeout: 5 };
+  const options = { endpoint, rate: 1e4, writeRate: 1e4, nodeCount: 1, timeout: 5 };
   const recordFormat = layoutFor(LIMITS.valueBytes, LIMITS.txnOps, isCompact);
   return new StateClient(new HttpClient(10, 5), systemClock, options, recordFormat);
 }
--- a/test/storage/stateCache.test.ts
+++ b/test/storage/stateCache.test.ts
@@ -119,9 +119,9 @@
   ]);
   await cache.catchUp(20);
   // The late answer to a read of one record from before its removal.
-  cache.note('b/own/p', {}, 15);
+  cache.applyPut('b/own/p', {}, 15);
   assert.equal(cache.get('b/own/p'), undefined);
-  cache.note('b/own/p', {}, 21);
+  cache.applyPut('b/own/p', {}, 21);
   assert.equal(cache.get('b/own/p')?.revision, 21);
 });
 
@@ -157,8 +157,8 @@
     { revision: 15, changes: [put('b/run/p/1', 15)] },
     { revision: 30, changes: [remove('b/run/p/1', 20), put('b/run/p/1', 30)] },
   ]);
-  cache.note('b/run/p/1', {}, 15);
-  cache.noteRemoved('b/run/p/1', 20);
+  cache.applyPut('b/run/p/1', {}, 15);
+  cache.applyRemoval('b/run/p/1', 20);
   await cache.catchUp(15);
   assert.equal(cache.get('b/run/p/1'), undefined, 'its chunks are at another shard by now');
   await cache.catchUp(30);
--- a/test/support/commandBench.ts
+++ b/test/support/commandBench.ts
@@ -53,7 +53,7 @@
         leaseExpiresAt: Infinity,
         advanceFencingToken: () => Promise.resolve(this.raises.shift() ?? null),
       },
-      authority: { mayAct: () => this.mayAct, mayEnd: () => true },
+      authority: { mayAct: () => this.mayAct, mayStopCancelledTasks: () => true },
       audit: new AuditTrail('drone-0', () => bench.now),
       ownedShards: new Map([['p', this.host]]),
       requestSchedulingRound: () => undefined,
