--- a/src/storage/stateClient.ts
+++ b/src/storage/stateClient.ts
@@ -79,9 +79,9 @@
     private readonly options: StateClientOptions,
     private readonly recordFormat: RecordFormat,
   ) {
-    const { rate, writeRate, nodeCount: sharers } = options;
-    this.requests = new RateLimiter(clock, rate / sharers, rate / sharers);
-    this.writes = new RateLimiter(clock, writeRate / sharers, writeRate / sharers);
+    const { rate, writeRate, nodeCount } = options;
+    this.requests = new RateLimiter(clock, rate / nodeCount, rate / nodeCount);
+    this.writes = new RateLimiter(clock, writeRate / nodeCount, writeRate / nodeCount);
   }
 
   /** This node's demand on the service, per second. */
@@ -91,11 +91,11 @@
 
   /** Sets this node's share of the rates; `needs` are the recently reported demands of other nodes. */
   updateRateShare(needs: { requests: number; writes: number }[]): void {
-    const { rate, writeRate, nodeCount: sharers } = this.options;
+    const { rate, writeRate, nodeCount } = this.options;
     const requests = needs.map((n) => n.requests);
     const writes = needs.map((n) => n.writes);
-    this.requests.setRate(rateShareOf(rate * RATE_SAFETY_FACTOR, sharers, requests));
-    this.writes.setRate(rateShareOf(writeRate * RATE_SAFETY_FACTOR, sharers, writes));
+    this.requests.setRate(rateShareOf(rate * RATE_SAFETY_FACTOR, nodeCount, requests));
+    this.writes.setRate(rateShareOf(writeRate * RATE_SAFETY_FACTOR, nodeCount, writes));
   }
 
   /** This node's current share of the write rate, in writes per second. */
--- a/test/audit/auditTrail.test.ts
+++ b/test/audit/auditTrail.test.ts
@@ -29,19 +29,19 @@
     name: 'its worker reports the end',
     rule: 'ended',
     endAttempt: (fixture: ShardFixture) =>
-      fixture.report(fixture.machineOf('n-1'), [{ state: 'ended', cause: 'halted' }]),
+      fixture.applyHeartbeat(fixture.getMachine('n-1'), [{ state: 'ended', cause: 'halted' }]),
   },
   {
     name: 'it is missing from a heartbeat although its worker has not reported the end',
     rule: 'absent',
     violations: { 'invariant-broken.attempt-vanished': 1 },
-    endAttempt: (fixture: ShardFixture) => fixture.report(fixture.machineOf('n-1'), []),
+    endAttempt: (fixture: ShardFixture) => fixture.applyHeartbeat(fixture.getMachine('n-1'), []),
   },
   {
     name: 'its worker has a newer agent epoch',
     rule: 'new-session',
     endAttempt: (fixture: ShardFixture) =>
-      fixture.report(fixture.machineOf('n-1'), [], { agentEpoch: 2 }),
+      fixture.applyHeartbeat(fixture.getMachine('n-1'), [], { agentEpoch: 2 }),
   },
   {
     name: 'nobody can have renewed the lease',
@@ -61,7 +61,7 @@
 ]) {
   test(`a terminated attempt is counted by the rule of its termination: ${name}`, () => {
     const fixture = new ShardFixture();
-    fixture.createRunningChunk(fixture.machine());
+    fixture.createRunningChunk(fixture.addMachine());
     endAttempt(fixture);
     assert.deepEqual(fixture.shard.audit.counters, { [`attempt-over.${rule}`]: 1, ...violations });
   });
--- a/test/cli/cli.test.ts
+++ b/test/cli/cli.test.ts
@@ -5,7 +5,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { Cluster, submission, until } from '../support/cluster.js';
-import { run } from '../support/commandLine.js';
+import { runProgram } from '../support/commandLine.js';
 
 test('invalid arguments and settings are reported in a single line', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'barrowlb-'));
@@ -28,9 +28,9 @@
   try {
     await Promise.all(
       cases.map(async ([args, code, message]) => {
-        const ran = await run(...args);
+        const ran = await runProgram(...args);
         assert.equal(ran.code, code, args.join(' '));
-        assert.match(code === 0 ? ran.out : ran.err, message, args.join(' '));
+        assert.match(code === 0 ? ran.stdout : ran.stderr, message, args.join(' '));
       }),
     );
   } finally {
@@ -39,7 +39,7 @@
 });
 
 test('why and status show a running service', async () => {
-  const cluster = new Cluster({ nodes: 1, runs: () => Infinity });
+  const cluster = new Cluster({ nodes: 1, taskRunSeconds: () => Infinity });
   try {
     await cluster.start();
     cluster.cloud.capacity = 0;
@@ -48,23 +48,23 @@
       return answer.status < 300;
     });
     const server = cluster.nodes.get('drone-0')?.address ?? '';
-    const why = await run('why', 'wk-000001', '--server', server);
+    const why = await runProgram('why', 'wk-000001', '--server', server);
     assert.match(
-      why.out,
+      why.stdout,
       /^wk-000001: queued, 0 done, 0 running\n3 task\(s\) .*wait for a machine/,
     );
-    const none = await run('why', 'wk-000002', '--server', server);
-    assert.deepEqual([none.code, none.err], [1, 'barrowlb: there is no job wk-000002\n']);
-    const status = await run('status', '--server', server);
-    assert.match(status.out, /^drone-0: served by the state service\npart drone-0: 0 machines/);
-    assert.match(status.out, /queue: 1 open jobs, 0 tasks running, 3 waiting/);
+    const none = await runProgram('why', 'wk-000002', '--server', server);
+    assert.deepEqual([none.code, none.stderr], [1, 'barrowlb: there is no job wk-000002\n']);
+    const status = await runProgram('status', '--server', server);
+    assert.match(status.stdout, /^drone-0: served by the state service\npart drone-0: 0 machines/);
+    assert.match(status.stdout, /queue: 1 open jobs, 0 tasks running, 3 waiting/);
   } finally {
     cluster.close();
   }
 });
 
 test('dependent jobs: `why` names the jobs waited for, and cancelling the first job cancels the others', async () => {
-  const cluster = new Cluster({ nodes: 1, runs: () => Infinity });
+  const cluster = new Cluster({ nodes: 1, taskRunSeconds: () => Infinity });
   try {
     await cluster.start();
     const stages: [string, string[]][] = [
@@ -80,7 +80,7 @@
     }
     const server = cluster.nodes.get('drone-0')?.address ?? '';
     const why = async (id: string): Promise<string> =>
-      (await run('why', id, '--server', server)).out;
+      (await runProgram('why', id, '--server', server)).stdout;
     const second = await why('wk-000002');
     assert.match(
       second,
--- a/test/cli/startup.test.ts
+++ b/test/cli/startup.test.ts
@@ -7,7 +7,7 @@
 import { after, before, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { buildSync } from 'esbuild';
-import { loneSettings } from '../support/commandLine.js';
+import { standaloneSettings } from '../support/commandLine.js';
 
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
 const compiledMain = fileURLToPath(new URL('../../src/main.js', import.meta.url));
@@ -29,7 +29,7 @@
   const flags = heapFlags(scripts['snapshot'] ?? '');
   const build = [...flags, '--snapshot-blob', snapshot, '--build-snapshot', bundle];
   execFileSync(process.execPath, build, { env: { LOG_LEVEL: 'error' }, stdio: 'pipe' });
-  writeFileSync(settingsFile, loneSettings('drone-0'));
+  writeFileSync(settingsFile, standaloneSettings('drone-0'));
 });
 
 after(() => {
--- a/test/cluster/answersToUsers.test.ts
+++ b/test/cluster/answersToUsers.test.ts
@@ -11,7 +11,7 @@
 import type { Response } from '../../src/transport/httpClient.js';
 import type { Cluster } from '../support/cluster.js';
 import { pause, submission, until } from '../support/cluster.js';
-import { settled, withCluster } from '../support/users.js';
+import { callUntilServed, withCluster } from '../support/users.js';
 
 /** Jobs have numbers of six digits. */
 const FIRST_JOB = 100_041;
@@ -33,7 +33,7 @@
 
   constructor(cluster: Cluster, node: string, job: string, passed: number) {
     let left = passed;
-    cluster.state.holdAnswer = (client, request) => {
+    cluster.state.beforeAnswer = (client, request) => {
       if (client !== node || !isReadOf(job, request) || left-- > 0) return Promise.resolve();
       this.count++;
       return this.released;
@@ -62,19 +62,19 @@
 
 /** A node hears of no change from now on, but those that it makes, and leads its own shard. */
 async function deafen(cluster: Cluster, node: string): Promise<void> {
-  cluster.state.unwatched.delete(node);
+  cluster.state.stalledWatchClients.delete(node);
   await until(`${node} leads its own shard`, () => {
     const controller = cluster.nodes.get(node)?.controller;
     return controller?.ownedShards.has(node) === true && controller.leadership.isLeaseValid;
   });
-  cluster.state.unwatched.add(node);
+  cluster.state.stalledWatchClients.add(node);
 }
 
 /** A job that was accepted at drone-0, and whose submission is repeated at drone-1: what that reads of the job is held. */
 async function repeatAtDeafNode(cluster: Cluster, job: string): Promise<HeldRepetition | null> {
   const body = submission(job, { Pieces: 1 });
   await deafen(cluster, 'drone-1');
-  await settled(cluster, 'drone-0', 'POST', '/v1/jobs', body);
+  await callUntilServed(cluster, 'drone-0', 'POST', '/v1/jobs', body);
   // The first read finds out why the job could not be stored; the second is what the user is told.
   const reads = new HeldReads(cluster, 'drone-1', job, 1);
   const answer = cluster.call('drone-1', 'POST', '/v1/jobs', body);
@@ -102,10 +102,10 @@
 }
 
 test('a submission that is repeated after the cancellation was confirmed is not answered by what was read before', () =>
-  withCluster({ nodes: 3, runs: () => 60 }, async (cluster) => {
+  withCluster({ nodes: 3, taskRunSeconds: () => 60 }, async (cluster) => {
     const { job, body, reads, answer: early } = await heldRepetition(cluster);
     const path = `/v1/jobs/${job}/withdraw`;
-    const cancelled = await settled(cluster, 'drone-0', 'POST', path);
+    const cancelled = await callUntilServed(cluster, 'drone-0', 'POST', path);
     assert.equal(statusOf(cancelled), 'cancelled');
     const late = cluster.call('drone-1', 'POST', '/v1/jobs', body);
     await pause(REQUEST_TRAVEL_S);
--- a/test/cluster/cancelledTasks.test.ts
+++ b/test/cluster/cancelledTasks.test.ts
@@ -3,12 +3,12 @@
 import { test } from 'node:test';
 import { decodeJob } from '../../src/storage/compactRecords.js';
 import { keys, type JobRecord } from '../../src/storage/records.js';
-import { accept, settled, withCluster } from '../support/users.js';
+import { submitUntilAccepted, callUntilServed, withCluster } from '../support/users.js';
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
 import {
-  replicasAwayFromHome,
+  storeMigratedService,
   runningTasks,
-  serviceInManyChunks,
+  storeServiceInManyChunks,
 } from '../support/storedServices.js';
 
 const ID = 'wk-000201';
@@ -22,7 +22,7 @@
 /** What the settings of the test clusters give a cancellation, in seconds. */
 const CANCELLATION_TIMEOUT_S = 5;
 
-type Transaction = Parameters<NonNullable<Cluster['state']['swallow']>>[0];
+type Transaction = Parameters<NonNullable<Cluster['state']['withholds']>>[0];
 
 /** The job's record as a transaction would store it; undefined where it does not change it. */
 function storedBy({ Then = [] }: Transaction, job: string): JobRecord | undefined {
@@ -35,14 +35,14 @@
 
 /** All transactions that cancel the job get no answer from now on, and are not carried out before `deliverLate`. */
 function holdCancellations({ state }: Cluster): void {
-  state.swallow = isCancellation;
+  state.withholds = isCancellation;
 }
 
 /** The first held transaction reaches the store, and later ones are held no more. */
 function deliverLate({ state }: Cluster): void {
-  const [first] = state.late;
+  const [first] = state.withheldTransactions;
   assert.ok(first !== undefined, 'a cancellation was sent');
-  state.swallow = null;
+  state.withholds = null;
   state.apply(first);
 }
 
@@ -51,19 +51,22 @@
  * job stands, refuses everybody. Was it called cancelled, no task is on any machine once the time for that is over.
  */
 async function assertKeptWhenDeliveredLate(cluster: Cluster): Promise<void> {
-  cluster.state.refused.add('drone-0');
+  cluster.state.refusedClients.add('drone-0');
   deliverLate(cluster);
-  const told = await settled(cluster, 'drone-1', 'GET', `/v1/jobs/${ID}`);
-  assert.ok(cluster.state.refused.has('drone-0'), 'the leader is refused before anybody is told');
-  cluster.state.refused.add('*');
+  const told = await callUntilServed(cluster, 'drone-1', 'GET', `/v1/jobs/${ID}`);
+  assert.ok(
+    cluster.state.refusedClients.has('drone-0'),
+    'the leader is refused before anybody is told',
+  );
+  cluster.state.refusedClients.add('*');
   if ((told.body as { Status: string }).Status !== 'cancelled') return;
   await pause(CANCELLATION_TIMEOUT_S);
   assert.deepEqual(runningTasks(cluster, ID), [], 'tasks of a cancelled job run on');
 }
 
 test('a cancellation that reaches the store after its leaders have resumed the job is not confirmed', () =>
-  withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
-    await replicasAwayFromHome(cluster, ID);
+  withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
+    await storeMigratedService(cluster, ID);
     holdCancellations(cluster);
     const answer = await cluster.call('drone-1', 'POST', `/v1/jobs/${ID}/withdraw`);
     assert.equal(answer.status, 503);
@@ -73,11 +76,11 @@
   }));
 
 test('a cancellation that a leader acknowledged before it restarted is not confirmed after that', () =>
-  withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
-    await replicasAwayFromHome(cluster, ID);
+  withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
+    await storeMigratedService(cluster, ID);
     holdCancellations(cluster);
     const answer = cluster.call('drone-1', 'POST', `/v1/jobs/${ID}/withdraw`);
-    await until('a cancellation is sent', () => cluster.state.late.length > 0);
+    await until('a cancellation is sent', () => cluster.state.withheldTransactions.length > 0);
     cluster.crash('drone-0');
     await cluster.boot('drone-0');
     await answer;
@@ -91,11 +94,11 @@
 
 test('a cancellation that reaches the store after its job was released by the jobs before it is not confirmed', () =>
   withCluster(
-    { nodes: 2, runs: (task) => (task.startsWith(FIRST) ? 9 : Infinity) },
+    { nodes: 2, taskRunSeconds: (task) => (task.startsWith(FIRST) ? 9 : Infinity) },
     async (cluster) => {
       const body = { Pieces: 1, Rank: 'high' };
-      await accept(cluster, 'drone-0', submission(FIRST, body));
-      await accept(cluster, 'drone-0', submission(ID, { ...body, WaitsOn: [FIRST] }));
+      await submitUntilAccepted(cluster, 'drone-0', submission(FIRST, body));
+      await submitUntilAccepted(cluster, 'drone-0', submission(ID, { ...body, WaitsOn: [FIRST] }));
       holdCancellations(cluster);
       const answer = await cluster.call('drone-0', 'POST', `/v1/jobs/${ID}/withdraw`);
       assert.equal(answer.status, 503);
@@ -105,26 +108,26 @@
   ));
 
 test('a chunk whose creation is being stored while its job is cancelled starts nothing', () =>
-  withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
+  withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
     const { state } = cluster;
     let release = (): void => undefined;
     const released = new Promise<void>((resolve) => (release = resolve));
     let isHeld = false;
-    state.holdAnswer = (_, { target, body }) => {
+    state.beforeAnswer = (_, { target, body }) => {
       if (target !== '/multi') return Promise.resolve();
       const job = storedBy(JSON.parse(body) as Transaction, ID);
       if (job?.state !== 'open' || job.createdChunks < LAST_CREATED) return Promise.resolve();
       isHeld = true;
       return released;
     };
-    await serviceInManyChunks(cluster, ID);
+    await storeServiceInManyChunks(cluster, ID);
     await until('the creation of a chunk is stored', () => isHeld);
     holdCancellations(cluster);
     const answer = cluster.call('drone-0', 'POST', `/v1/jobs/${ID}/withdraw`);
     const { cancellationPreparations } = cluster.nodes.get('drone-0')?.controller ?? assert.fail();
     await until('it is announced', () => cancellationPreparations.stateOf(ID) === 'announced');
     release();
-    await until('a cancellation is sent', () => state.late.length > 0);
+    await until('a cancellation is sent', () => state.withheldTransactions.length > 0);
     await answer;
     assert.deepEqual(runningTasks(cluster, ID), [], 'started after the cancellation was announced');
   }));
--- a/test/cluster/cluster.test.ts
+++ b/test/cluster/cluster.test.ts
@@ -2,34 +2,34 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { submission, until } from '../support/cluster.js';
-import { spec as jobSpec } from '../support/spec.js';
+import { jobSpec as jobSpec } from '../support/jobSpec.js';
 import {
-  accept,
-  service,
-  settled,
-  status,
-  watchUse,
+  submitUntilAccepted,
+  serviceFields,
+  callUntilServed,
+  jobStatus,
+  trackPeakCpus,
   withCluster,
-  type Answer,
+  type JobAnswer,
 } from '../support/users.js';
 
 const forever = (): number => Infinity;
 const brief = (): number => 0.3;
 
 test('a job runs to done, and every node says so', () =>
-  withCluster({ nodes: 3, runs: brief }, async (cluster) => {
+  withCluster({ nodes: 3, taskRunSeconds: brief }, async (cluster) => {
     const job = submission('wk-000001');
-    const first = await settled(cluster, 'drone-0', 'POST', '/v1/jobs', job);
+    const first = await callUntilServed(cluster, 'drone-0', 'POST', '/v1/jobs', job);
     assert.ok(first.status === 201 || first.status === 200, String(first.status));
-    const again = await settled(cluster, 'drone-1', 'POST', '/v1/jobs', job);
+    const again = await callUntilServed(cluster, 'drone-1', 'POST', '/v1/jobs', job);
     assert.equal(again.status, 200);
     for (const label of cluster.nodes.keys()) {
       await until(`${label} says done`, async () => {
-        return (await status(cluster, label, 'wk-000001')).Status === 'done';
+        return (await jobStatus(cluster, label, 'wk-000001')).Status === 'done';
       });
     }
     assert.deepEqual(
-      [...cluster.cloud.starts].sort(),
+      [...cluster.cloud.startedTasks].sort(),
       [0, 1, 2].map((n) => `wk-000001/${n}`),
     );
     const unknown = await cluster.call('drone-2', 'GET', '/v1/jobs/wk-999999');
@@ -37,42 +37,46 @@
   }));
 
 test('a cancelled job stays cancelled at every node, and its tasks go', () =>
-  withCluster({ nodes: 2, runs: forever }, async (cluster) => {
-    await accept(cluster, 'drone-0', submission('wk-000002', service));
+  withCluster({ nodes: 2, taskRunSeconds: forever }, async (cluster) => {
+    await submitUntilAccepted(cluster, 'drone-0', submission('wk-000002', serviceFields));
     await until('it runs', async () => {
-      return (await status(cluster, 'drone-0', 'wk-000002')).running === 2;
+      return (await jobStatus(cluster, 'drone-0', 'wk-000002')).running === 2;
     });
-    const answer = await settled(cluster, 'drone-1', 'POST', '/v1/jobs/wk-000002/withdraw');
+    const answer = await callUntilServed(cluster, 'drone-1', 'POST', '/v1/jobs/wk-000002/withdraw');
     assert.equal(answer.status, 200);
-    assert.equal((answer.body as Answer).Status, 'cancelled');
+    assert.equal((answer.body as JobAnswer).Status, 'cancelled');
     for (const label of cluster.nodes.keys()) {
-      assert.equal((await status(cluster, label, 'wk-000002')).Status, 'cancelled');
+      assert.equal((await jobStatus(cluster, label, 'wk-000002')).Status, 'cancelled');
     }
     await until('no task is left', () =>
       [...cluster.cloud.workers.values()].every((w) => w.tasks.length === 0),
     );
-    const retry = await settled(
+    const retry = await callUntilServed(
       cluster,
       'drone-1',
       'POST',
       '/v1/jobs',
-      submission('wk-000002', service),
+      submission('wk-000002', serviceFields),
     );
-    assert.deepEqual([retry.status, (retry.body as Answer).Status], [200, 'cancelled']);
+    assert.deepEqual([retry.status, (retry.body as JobAnswer).Status], [200, 'cancelled']);
   }));
 
 test('a node that the state service refuses passes users on to one that is served', () =>
-  withCluster({ nodes: 2, runs: brief }, async (cluster) => {
-    cluster.state.refused.add('drone-1');
-    await accept(cluster, 'drone-1', submission('wk-000031'));
+  withCluster({ nodes: 2, taskRunSeconds: brief }, async (cluster) => {
+    cluster.state.refusedClients.add('drone-1');
+    await submitUntilAccepted(cluster, 'drone-1', submission('wk-000031'));
     await until('done at the refused node', async () => {
-      return (await status(cluster, 'drone-1', 'wk-000031')).Status === 'done';
+      return (await jobStatus(cluster, 'drone-1', 'wk-000031')).Status === 'done';
     });
   }));
 
 test('tasks of a hanging machine start elsewhere only once they are over there', () =>
-  withCluster({ nodes: 2, runs: forever }, async (cluster) => {
-    await accept(cluster, 'drone-0', submission('wk-000041', { ...service, Pieces: 1 }));
+  withCluster({ nodes: 2, taskRunSeconds: forever }, async (cluster) => {
+    await submitUntilAccepted(
+      cluster,
+      'drone-0',
+      submission('wk-000041', { ...serviceFields, Pieces: 1 }),
+    );
     const on = (): string | undefined =>
       [...cluster.cloud.workers.values()].find((w) => w.tasks.includes('wk-000041/0'))?.name;
     await until('it runs', () => on() !== undefined);
@@ -80,56 +84,62 @@
     const worker = cluster.cloud.workers.get(first);
     if (worker !== undefined) worker.hanging = true;
     await until('it runs on another machine', () => on() !== undefined && on() !== first);
-    assert.ok(cluster.cloud.released.includes(first), 'the silent machine was not ended first');
+    assert.ok(
+      cluster.cloud.releasedMachines.includes(first),
+      'the silent machine was not ended first',
+    );
   }));
 
 test('a team limit holds across shards', () => {
   const teams = '[[settings.teams]]\nname = "crew"\ncpus_max = 4.0';
-  return withCluster({ nodes: 3, runs: brief, teams }, async (cluster) => {
-    const stopWatching = watchUse(cluster);
+  return withCluster({ nodes: 3, taskRunSeconds: brief, teams }, async (cluster) => {
+    const stopWatching = trackPeakCpus(cluster);
     for (const [i, label] of [...cluster.nodes.keys()].entries()) {
-      await accept(cluster, label, submission(`wk-00005${i}`));
+      await submitUntilAccepted(cluster, label, submission(`wk-00005${i}`));
     }
     await until('all are done', async () => {
       for (const i of [0, 1, 2]) {
-        if ((await status(cluster, 'drone-0', `wk-00005${i}`)).Status !== 'done') return false;
+        if ((await jobStatus(cluster, 'drone-0', `wk-00005${i}`)).Status !== 'done') return false;
       }
       return true;
     });
     const most = stopWatching();
     assert.ok(most <= 4, `${most} processors were in use`);
-    const tooLarge = submission('wk-000059', { ...service, Pieces: 3 });
-    assert.equal((await settled(cluster, 'drone-0', 'POST', '/v1/jobs', tooLarge)).status, 422);
+    const tooLarge = submission('wk-000059', { ...serviceFields, Pieces: 3 });
+    assert.equal(
+      (await callUntilServed(cluster, 'drone-0', 'POST', '/v1/jobs', tooLarge)).status,
+      422,
+    );
   });
 });
 
 test('a waiting job says why', () =>
-  withCluster({ nodes: 1, runs: forever }, async (cluster) => {
+  withCluster({ nodes: 1, taskRunSeconds: forever }, async (cluster) => {
     cluster.cloud.capacity = 0;
-    await accept(cluster, 'drone-0', submission('wk-000061'));
-    const { Reason } = await status(cluster, 'drone-0', 'wk-000061');
+    await submitUntilAccepted(cluster, 'drone-0', submission('wk-000061'));
+    const { Reason } = await jobStatus(cluster, 'drone-0', 'wk-000061');
     assert.match(Reason ?? '', /3 task\(s\) of 2 CPUs and 4 GB wait for a machine/);
     assert.match(Reason ?? '', /Nothing is ahead of it/);
   }));
 
 test('a job whose storing got no answer is accepted once, also when it is applied late', () =>
-  withCluster({ nodes: 1, runs: brief }, async (cluster) => {
+  withCluster({ nodes: 1, taskRunSeconds: brief }, async (cluster) => {
     const isJob = (body: { Then?: { Put?: string }[] }): boolean =>
       (body.Then ?? []).some((op) => op.Put === 'b/job/wk-000071');
     let kept = 0;
-    cluster.state.swallow = (body) => isJob(body) && kept++ === 0;
-    await accept(cluster, 'drone-0', submission('wk-000071'));
-    for (const body of cluster.state.late) {
+    cluster.state.withholds = (body) => isJob(body) && kept++ === 0;
+    await submitUntilAccepted(cluster, 'drone-0', submission('wk-000071'));
+    for (const body of cluster.state.withheldTransactions) {
       assert.equal(cluster.state.apply(body).status, 409, 'the late copy was applied too');
     }
     await until('done', async () => {
-      return (await status(cluster, 'drone-0', 'wk-000071')).Status === 'done';
+      return (await jobStatus(cluster, 'drone-0', 'wk-000071')).Status === 'done';
     });
-    assert.equal(cluster.cloud.starts.length, 3);
+    assert.equal(cluster.cloud.startedTasks.length, 3);
   }));
 
 test('a bucket that its leader missed is taken up', () =>
-  withCluster({ nodes: 1, runs: brief }, async (cluster) => {
+  withCluster({ nodes: 1, taskRunSeconds: brief }, async (cluster) => {
     const spec = jobSpec({ id: 'wk-000081', taskCount: 2 });
     const shared = { spec, homeShard: 'drone-0', submittedAt: 1 };
     const job = {
@@ -150,42 +160,46 @@
       ],
     });
     assert.equal(answer.status, 200);
-    await until('its tasks have run', () => cluster.cloud.starts.length === 2);
+    await until('its tasks have run', () => cluster.cloud.startedTasks.length === 2);
   }));
 
 test('while the end of a job is stored without an answer, its leader speaks by the store alone', () =>
-  withCluster({ nodes: 1, runs: brief }, async (cluster) => {
+  withCluster({ nodes: 1, taskRunSeconds: brief }, async (cluster) => {
     // Others may have read the record and told users that the job is done.
     let lose = true;
-    cluster.state.swallow = (body) =>
+    cluster.state.withholds = (body) =>
       lose &&
       ((body.Then ?? []) as { Put?: string; Value?: { state?: string } }[]).some(
         (op) => op.Put === 'b/job/wk-000075' && op.Value?.state === 'done',
       );
-    await accept(cluster, 'drone-0', submission('wk-000075'));
+    await submitUntilAccepted(cluster, 'drone-0', submission('wk-000075'));
     const job = (): boolean | undefined =>
       cluster.nodes.get('drone-0')?.controller.ownedShards.get('drone-0')?.jobs.get('wk-000075')
         ?.isOutcomeUnknown;
     await until('its end got no answer', () => job() === true);
-    cluster.state.refused.add('drone-0');
+    cluster.state.refusedClients.add('drone-0');
     assert.equal((await cluster.call('drone-0', 'GET', '/v1/jobs/wk-000075')).status, 503);
     lose = false;
-    cluster.state.refused.clear();
+    cluster.state.refusedClients.clear();
     await until('done', async () => {
-      return (await status(cluster, 'drone-0', 'wk-000075')).Status === 'done';
+      return (await jobStatus(cluster, 'drone-0', 'wk-000075')).Status === 'done';
     });
   }));
 
 test('rentals and releases that were carried out without an answer are repeated, to the same effect', () =>
-  withCluster({ nodes: 2, runs: forever }, async (cluster) => {
+  withCluster({ nodes: 2, taskRunSeconds: forever }, async (cluster) => {
     const { cloud } = cluster;
     const lost: string[] = [];
-    cloud.lose = (path) => {
+    cloud.losesAnswer = (path) => {
       const first = path.startsWith('POST /rentals') && !lost.includes(path);
       if (first) lost.push(path);
       return first;
     };
-    await accept(cluster, 'drone-0', submission('wk-000301', { ...service, Pieces: 1 }));
+    await submitUntilAccepted(
+      cluster,
+      'drone-0',
+      submission('wk-000301', { ...serviceFields, Pieces: 1 }),
+    );
     const on = (): string | undefined =>
       [...cloud.workers.values()].find((w) => w.tasks.includes('wk-000301/0'))?.name;
     await until('it runs', () => on() !== undefined);
@@ -212,21 +226,21 @@
   ['it fits no machine', submission('wk-000403', { Cores: 64 }), 422],
   ['it fits no allowed machine', submission('wk-000404', { Flavours: ['m9'] }), 422],
   ['no machine is in its zone', submission('wk-000405', { Yard: 'z' }), 422],
-  ['a service above its limit', submission('wk-000406', { ...service, Pieces: 9 }), 422],
+  ['a service above its limit', submission('wk-000406', { ...serviceFields, Pieces: 9 }), 422],
   ['a task above its limit', submission('wk-000407', { Cores: 7 }), 422],
 ];
 test('unusual requests get the same answers at each node, also after a restart', () => {
   const teams = '[[settings.teams]]\nname = "crew"\ncpus_max = 6.0';
-  return withCluster({ nodes: 2, runs: brief, teams }, async (cluster) => {
+  return withCluster({ nodes: 2, taskRunSeconds: brief, teams }, async (cluster) => {
     const ask = async (at: string, method: string, path: string, body?: unknown) => {
-      const { status: code, body: said } = await settled(cluster, at, method, path, body);
-      return [code, (said as Partial<Answer>).Status];
+      const { status: code, body: said } = await callUntilServed(cluster, at, method, path, body);
+      return [code, (said as Partial<JobAnswer>).Status];
     };
     const over = submission('wk-000411');
-    await accept(cluster, 'drone-0', over);
+    await submitUntilAccepted(cluster, 'drone-0', over);
     await until(
       'done',
-      async () => (await status(cluster, 'drone-0', 'wk-000411')).Status === 'done',
+      async () => (await jobStatus(cluster, 'drone-0', 'wk-000411')).Status === 'done',
     );
     for (const restarted of [false, true]) {
       if (restarted) {
@@ -245,7 +259,7 @@
       }
     }
     // What can't be asked is not denied.
-    cluster.state.refused.add('*');
+    cluster.state.refusedClients.add('*');
     const unknown = await cluster.call('drone-1', 'GET', '/v1/jobs/wk-000499');
     assert.equal(unknown.status, 503);
   });
--- a/test/cluster/copiedStarts.test.ts
+++ b/test/cluster/copiedStarts.test.ts
@@ -3,13 +3,18 @@
 import { test } from 'node:test';
 import { submission, until, type Cluster } from '../support/cluster.js';
 import type { WorkerStandIn } from '../support/fleet.js';
-import { accept, service, takenOver, withCluster } from '../support/users.js';
+import {
+  submitUntilAccepted,
+  serviceFields,
+  waitForTakeover,
+  withCluster,
+} from '../support/users.js';
 
 const JOB = 'wk-000801';
 const TASK = `${JOB}/0`;
 
 /** One task, which runs until it is stopped unless the case says otherwise. */
-const replica = { ...service, Pieces: 1 };
+const replica = { ...serviceFields, Pieces: 1 };
 
 const holder = (cluster: Cluster, task = TASK): WorkerStandIn | undefined =>
   [...cluster.cloud.workers.values()].find((worker) => worker.tasks.includes(task));
@@ -35,8 +40,8 @@
     isMoved: true,
     end: (_, worker) => {
       // Its successor goes elsewhere.
-      worker.refusal = 'no_room';
-      worker.fail(TASK);
+      worker.refusalCause = 'no_room';
+      worker.failTask(TASK);
     },
   },
   {
@@ -44,7 +49,7 @@
     job: { Loaners: true },
     isMoved: true,
     end: (_, worker) => {
-      worker.giveNotice(30);
+      worker.givePreemptionNotice(30);
     },
   },
   { name: 'of a task that was cancelled', isMoved: false, end: cancel },
@@ -71,7 +76,7 @@
       name: 'its shard has another leader for a while',
       play: async (cluster) => {
         cluster.crash('drone-0');
-        await takenOver(cluster, 'drone-0');
+        await waitForTakeover(cluster, 'drone-0');
         await cluster.boot('drone-0');
       },
     },
@@ -86,21 +91,25 @@
   ];
 
 async function assertNotRepeated(cluster: Cluster, worker: WorkerStandIn): Promise<void> {
-  await until('the worker was told to forget it', () => !worker.holds(TASK, 1));
-  const starts = cluster.cloud.starts.length;
-  const statuses = worker.repeatStart(TASK, 1);
+  await until('the worker was told to forget it', () => !worker.reportsAttempt(TASK, 1));
+  const starts = cluster.cloud.startedTasks.length;
+  const statuses = worker.deliverDuplicateStarts(TASK, 1);
   assert.ok(statuses.length > 0, 'its start was a command');
   assert.deepEqual(new Set(statuses), new Set([409]), 'the worker itself refuses each copy');
-  assert.equal(cluster.cloud.starts.length, starts);
+  assert.equal(cluster.cloud.startedTasks.length, starts);
 }
 
 for (const ending of endings) {
   for (const event of events) {
     test(`a copied start does not run again: ${ending.name}, and ${event.name}`, () =>
       withCluster(
-        { nodes: 2, runs: () => (ending.job?.['Shape'] === 'sweep' ? 0.8 : Infinity) },
+        { nodes: 2, taskRunSeconds: () => (ending.job?.['Shape'] === 'sweep' ? 0.8 : Infinity) },
         async (cluster) => {
-          await accept(cluster, 'drone-0', submission(JOB, { ...replica, ...ending.job }));
+          await submitUntilAccepted(
+            cluster,
+            'drone-0',
+            submission(JOB, { ...replica, ...ending.job }),
+          );
           await until('it runs', () => holder(cluster) !== undefined);
           const worker = holder(cluster);
           assert.ok(worker);
@@ -120,19 +129,23 @@
 
 for (const cause of ['no_room', 'busy', 'unknown']) {
   test(`a copied start does not run again: one that was refused with ${cause}`, () =>
-    withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
-      await accept(cluster, 'drone-0', submission('wk-000802', { ...service, Pieces: 1 }));
+    withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
+      await submitUntilAccepted(
+        cluster,
+        'drone-0',
+        submission('wk-000802', { ...serviceFields, Pieces: 1 }),
+      );
       await until('a machine is up', () => holder(cluster, 'wk-000802/0') !== undefined);
       const workers = [...cluster.cloud.workers.values()];
-      for (const worker of workers) worker.refusal = cause;
-      await accept(cluster, 'drone-0', submission(JOB, replica));
+      for (const worker of workers) worker.refusalCause = cause;
+      await submitUntilAccepted(cluster, 'drone-0', submission(JOB, replica));
       const refusing = (): WorkerStandIn | undefined =>
-        workers.find((worker) => worker.holds(TASK, 1));
+        workers.find((worker) => worker.reportsAttempt(TASK, 1));
       await until('it is refused', () => refusing() !== undefined);
       const worker = refusing();
       assert.ok(worker);
-      await until('the worker was told to forget it', () => !worker.holds(TASK, 1));
-      for (const each of workers) each.refusal = null;
-      assert.deepEqual(new Set(worker.repeatStart(TASK, 1)), new Set([409]));
+      await until('the worker was told to forget it', () => !worker.reportsAttempt(TASK, 1));
+      for (const each of workers) each.refusalCause = null;
+      assert.deepEqual(new Set(worker.deliverDuplicateStarts(TASK, 1)), new Set([409]));
     }));
 }
--- a/test/cluster/machineInTwoGroups.test.ts
+++ b/test/cluster/machineInTwoGroups.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { submission, until, type Cluster } from '../support/cluster.js';
-import { accept, status, withCluster } from '../support/users.js';
+import { submitUntilAccepted, jobStatus, withCluster } from '../support/users.js';
 
 /** Seconds between two looks at the stored groups. */
 const LOOK_INTERVAL_S = 0.01;
@@ -29,14 +29,18 @@
   { name: 'the next autoscaler', autoscalerCrashes: true },
 ]) {
   test(`a rental whose answer is lost for longer than the list lags, concluded by ${name}`, () =>
-    withCluster({ nodes: 2, runs: () => 0.3 }, async (cluster) => {
+    withCluster({ nodes: 2, taskRunSeconds: () => 0.3 }, async (cluster) => {
       const found = new Set<string>();
       const watch = setInterval(() => {
         for (const machine of inTwoGroups(cluster)) found.add(machine);
       }, LOOK_INTERVAL_S * 1000);
       try {
-        cluster.cloud.lose = (path) => path === 'POST /rentals';
-        await accept(cluster, 'drone-0', submission('wk-000001', { Pieces: 3, Cores: 8 }));
+        cluster.cloud.losesAnswer = (path) => path === 'POST /rentals';
+        await submitUntilAccepted(
+          cluster,
+          'drone-0',
+          submission('wk-000001', { Pieces: 3, Cores: 8 }),
+        );
         await until('machines were rented', () => cluster.cloud.workers.size > 0);
         await until('they are recorded by the list', () =>
           [...cluster.state.rows].some(
@@ -50,9 +54,9 @@
           await cluster.boot('drone-0');
           await cluster.boot('drone-1');
         }
-        cluster.cloud.lose = null;
+        cluster.cloud.losesAnswer = null;
         const isOver = async (): Promise<boolean> =>
-          (await status(cluster, 'drone-0', 'wk-000001')).Status === 'done';
+          (await jobStatus(cluster, 'drone-0', 'wk-000001')).Status === 'done';
         await until('the job is done', isOver, 60);
         await until('no rental is open', () => !rentalIsOpen(cluster));
         assert.deepEqual([...found], []);
@@ -70,9 +74,9 @@
 }
 
 test('a task on a machine that two stored groups put into different shards does not run twice', () =>
-  withCluster({ nodes: 2, runs: () => 5 }, async (cluster) => {
+  withCluster({ nodes: 2, taskRunSeconds: () => 5 }, async (cluster) => {
     const job = submission('wk-000001', { Pieces: 1, Cores: 8 });
-    await accept(cluster, 'drone-0', job);
+    await submitUntilAccepted(cluster, 'drone-0', job);
     const name = await runningMachine(cluster);
     cluster.crash('drone-0');
     cluster.crash('drone-1');
@@ -87,9 +91,9 @@
     await cluster.boot('drone-0');
     await cluster.boot('drone-1');
     const isOver = async (): Promise<boolean> =>
-      (await status(cluster, 'drone-0', 'wk-000001')).Status === 'done';
+      (await jobStatus(cluster, 'drone-0', 'wk-000001')).Status === 'done';
     await until('the job is done', isOver, 60);
-    assert.deepEqual(cluster.cloud.twice, []);
+    assert.deepEqual(cluster.cloud.concurrentStarts, []);
     await until('no two groups name a machine', () => inTwoGroups(cluster).length === 0);
   }));
 
--- a/test/cluster/machinesTakenAway.test.ts
+++ b/test/cluster/machinesTakenAway.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
-import { accept, service, status, withCluster } from '../support/users.js';
+import { submitUntilAccepted, serviceFields, jobStatus, withCluster } from '../support/users.js';
 
 /** A job of a user may wait as long beside a machine that is free for it, in seconds. */
 const LONGEST_WAIT_S = 90;
@@ -17,7 +17,7 @@
 const LONG_JOB = 'wk-000004';
 
 const isDone = (cluster: Cluster, node: string, job: string) => async (): Promise<boolean> =>
-  (await status(cluster, node, job)).Status === 'done';
+  (await jobStatus(cluster, node, job)).Status === 'done';
 
 interface Case {
   name: string;
@@ -61,7 +61,7 @@
     name: 'while their leader is down and the cloud answers nobody',
     trouble: async (cluster, take) => {
       cluster.crash('drone-0');
-      cluster.cloud.lose = () => true;
+      cluster.cloud.losesAnswer = () => true;
       take();
       await cluster.boot('drone-0');
     },
@@ -94,27 +94,31 @@
     if (task.startsWith(SERVICE)) return Infinity;
     return task.startsWith(LONG_JOB) && !isGone ? Infinity : 0.3;
   };
-  await withCluster({ nodes: 2, runs }, async (cluster) => {
-    await accept(cluster, 'drone-1', submission(SERVICE, { ...service, Pieces: 1 }));
+  await withCluster({ nodes: 2, taskRunSeconds: runs }, async (cluster) => {
+    await submitUntilAccepted(
+      cluster,
+      'drone-1',
+      submission(SERVICE, { ...serviceFields, Pieces: 1 }),
+    );
     await until('the peer has a machine', async () => {
-      return (await status(cluster, 'drone-1', SERVICE)).running === 1;
+      return (await jobStatus(cluster, 'drone-1', SERVICE)).running === 1;
     });
     const ofPeer = new Set(cluster.cloud.workers.keys());
-    await accept(cluster, 'drone-0', submission('wk-000002', { Pieces: 6, Cores: 8 }));
+    await submitUntilAccepted(cluster, 'drone-0', submission('wk-000002', { Pieces: 6, Cores: 8 }));
     await until('its tasks are over', isDone(cluster, 'drone-0', 'wk-000002'));
     if (running) await startLongJob(cluster);
     const take = (count = Infinity): void => {
       const names = [...cluster.cloud.workers.keys()].filter((machine) => !ofPeer.has(machine));
       for (const machine of names.slice(0, count)) {
         const worker = cluster.cloud.workers.get(machine);
-        if (worker !== undefined) cluster.cloud.take(worker);
+        if (worker !== undefined) cluster.cloud.reclaim(worker);
       }
     };
     assert.ok(cluster.cloud.workers.size >= 3, `${cluster.cloud.workers.size} machines`);
     cluster.cloud.capacity = 0;
     isGone = true;
     await trouble(cluster, take);
-    await accept(cluster, node, submission('wk-000003', { Pieces: 1 }));
+    await submitUntilAccepted(cluster, node, submission('wk-000003', { Pieces: 1 }));
     await until('the job is done', isDone(cluster, node, 'wk-000003'), LONGEST_WAIT_S);
     if (running) await until('it ran again', isDone(cluster, node, LONG_JOB), LONGEST_WAIT_S);
   });
@@ -122,9 +126,9 @@
 
 /** A job that needs most of a machine, and so does not fit beside the service. */
 async function startLongJob(cluster: Cluster): Promise<void> {
-  await accept(cluster, 'drone-0', submission(LONG_JOB, { Pieces: 1, Cores: 6 }));
+  await submitUntilAccepted(cluster, 'drone-0', submission(LONG_JOB, { Pieces: 1, Cores: 6 }));
   await until('its task runs', async () => {
-    return (await status(cluster, 'drone-0', LONG_JOB)).running === 1;
+    return (await jobStatus(cluster, 'drone-0', LONG_JOB)).running === 1;
   });
 }
 
@@ -140,10 +144,10 @@
 );
 
 test('records of machines that are gone are removed, though all of a shard are silent', () =>
-  withCluster({ nodes: 2, runs: () => 0.3 }, async (cluster) => {
+  withCluster({ nodes: 2, taskRunSeconds: () => 0.3 }, async (cluster) => {
     const recorded = (): string =>
       JSON.stringify([...cluster.state.rows].filter(([key]) => key.startsWith('b/fleet/')));
-    await accept(cluster, 'drone-0', submission('wk-000001', { Pieces: 4, Cores: 8 }));
+    await submitUntilAccepted(cluster, 'drone-0', submission('wk-000001', { Pieces: 4, Cores: 8 }));
     await until('its tasks are over', isDone(cluster, 'drone-0', 'wk-000001'));
     const taken = [...cluster.cloud.workers.values()];
     assert.ok(taken.length >= 2, `${taken.length} machines`);
@@ -152,7 +156,7 @@
       taken.every(({ address }) => recorded().includes(address)),
     );
     cluster.crash('drone-0');
-    for (const worker of taken) cluster.cloud.take(worker);
+    for (const worker of taken) cluster.cloud.reclaim(worker);
     cluster.cloud.capacity = 0;
     await cluster.boot('drone-0');
     const isRecorded = (): boolean => taken.some(({ name }) => recorded().includes(name));
--- a/test/cluster/outages.test.ts
+++ b/test/cluster/outages.test.ts
@@ -2,7 +2,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
-import { accept, service, status, takenOver, withCluster } from '../support/users.js';
+import {
+  submitUntilAccepted,
+  serviceFields,
+  jobStatus,
+  waitForTakeover,
+  withCluster,
+} from '../support/users.js';
 
 const outages: {
   name: string;
@@ -39,21 +45,21 @@
   },
   {
     name: 'the state service refuses one node alone, for good',
-    inject: (c) => void c.state.refused.add('drone-0'),
+    inject: (c) => void c.state.refusedClients.add('drone-0'),
   },
   {
     name: 'the state service refuses everybody for a while',
-    inject: (c) => void c.state.refused.add('*'),
+    inject: (c) => void c.state.refusedClients.add('*'),
     mend: async (c) => {
       await pause(1.2);
-      c.state.refused.clear();
+      c.state.refusedClients.clear();
     },
   },
   {
     name: 'a node loses the state service and its peers, but not its workers',
     inject: async (c) => {
-      c.state.refused.add('drone-0');
-      c.apart.add('drone-0');
+      c.state.refusedClients.add('drone-0');
+      c.isolatedNodes.add('drone-0');
       await until('it says that it is cut off, at once and when to come back', async () => {
         const answer = await c.call('drone-0', 'POST', '/v1/jobs', submission('wk-000025'));
         return answer.status === 503 && answer.retryAfter !== null;
@@ -61,26 +67,26 @@
       await until('the load balancer is told', async () => {
         return (await c.call('drone-0', 'GET', '/ready')).status === 503;
       });
-      await takenOver(c, 'drone-0');
+      await waitForTakeover(c, 'drone-0');
     },
     mend: (c) => {
-      c.state.refused.clear();
-      c.apart.clear();
+      c.state.refusedClients.clear();
+      c.isolatedNodes.clear();
     },
   },
   {
     name: 'all nodes, the state service and a cut, one after the other',
     inject: async (c) => {
-      c.apart.add('drone-1');
-      c.state.refused.add('*');
+      c.isolatedNodes.add('drone-1');
+      c.state.refusedClients.add('*');
       for (const label of [...c.nodes.keys()]) c.crash(label);
       for (const label of ['drone-0', 'drone-1', 'drone-2']) await c.boot(label);
       await pause(0.5);
     },
     mend: async (c) => {
-      c.state.refused.clear();
+      c.state.refusedClients.clear();
       await pause(0.5);
-      c.apart.clear();
+      c.isolatedNodes.clear();
     },
   },
   {
@@ -98,34 +104,38 @@
 for (const { name, inject, mend } of outages) {
   test(`replicas run on, new work is taken, nothing runs twice: ${name}`, () =>
     withCluster(
-      { nodes: 3, runs: (task) => (task.startsWith('wk-00001') ? Infinity : 0.3) },
+      { nodes: 3, taskRunSeconds: (task) => (task.startsWith('wk-00001') ? Infinity : 0.3) },
       async (cluster) => {
-        await accept(cluster, 'drone-0', submission('wk-000011', service));
+        await submitUntilAccepted(cluster, 'drone-0', submission('wk-000011', serviceFields));
         await until('it runs', async () => {
-          return (await status(cluster, 'drone-0', 'wk-000011')).running === 2;
+          return (await jobStatus(cluster, 'drone-0', 'wk-000011')).running === 2;
         });
-        await accept(cluster, 'drone-0', submission('wk-000021', { Pieces: 6 }));
+        await submitUntilAccepted(cluster, 'drone-0', submission('wk-000021', { Pieces: 6 }));
         await inject(cluster);
         await mend?.(cluster);
         await until('the batch job is done', async () => {
-          return (await status(cluster, 'drone-1', 'wk-000021')).Status === 'done';
+          return (await jobStatus(cluster, 'drone-1', 'wk-000021')).Status === 'done';
         });
-        await accept(cluster, 'drone-1', submission('wk-000022'));
+        await submitUntilAccepted(cluster, 'drone-1', submission('wk-000022'));
         await until('a new job is done', async () => {
-          return (await status(cluster, 'drone-2', 'wk-000022')).Status === 'done';
+          return (await jobStatus(cluster, 'drone-2', 'wk-000022')).Status === 'done';
         });
         await until('replicas run', async () => {
-          return (await status(cluster, 'drone-2', 'wk-000011')).running === 2;
+          return (await jobStatus(cluster, 'drone-2', 'wk-000011')).running === 2;
         });
-        const starts = cluster.cloud.starts.filter((t) => t.startsWith('wk-000011'));
+        const starts = cluster.cloud.startedTasks.filter((t) => t.startsWith('wk-000011'));
         assert.equal(starts.length, 2, 'healthy replicas were started anew');
       },
     ));
 }
 
 test('a machine that sends heartbeats but gets no answer is released, and its replicas go elsewhere', () =>
-  withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
-    await accept(cluster, 'drone-0', submission('wk-000091', { ...service, Pieces: 1 }));
+  withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
+    await submitUntilAccepted(
+      cluster,
+      'drone-0',
+      submission('wk-000091', { ...serviceFields, Pieces: 1 }),
+    );
     const on = (): string | undefined =>
       [...cluster.cloud.workers.values()].find((w) => w.tasks.includes('wk-000091/0'))?.name;
     await until('it runs', () => on() !== undefined);
@@ -133,17 +143,24 @@
     const worker = cluster.cloud.workers.get(first);
     if (worker !== undefined) worker.deaf = true;
     await until('it runs on another machine', () => on() !== undefined && on() !== first);
-    assert.ok(cluster.cloud.released.includes(first), 'the deaf machine was not ended first');
+    assert.ok(
+      cluster.cloud.releasedMachines.includes(first),
+      'the deaf machine was not ended first',
+    );
   }));
 
 test('late copies of heartbeats change nothing, also after a restart and a release', () =>
-  withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
-    await accept(cluster, 'drone-0', submission('wk-000095', { ...service, Pieces: 3 }));
+  withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
+    await submitUntilAccepted(
+      cluster,
+      'drone-0',
+      submission('wk-000095', { ...serviceFields, Pieces: 3 }),
+    );
     await until('it runs', async () => {
-      return (await status(cluster, 'drone-0', 'wk-000095')).running === 3;
+      return (await jobStatus(cluster, 'drone-0', 'wk-000095')).running === 3;
     });
     const { cloud } = cluster;
-    const copies = [...cloud.workers.values()].flatMap((w) => w.sent);
+    const copies = [...cloud.workers.values()].flatMap((w) => w.sentHeartbeats);
     const [gone] = cloud.workers.keys();
     const tell = async (): Promise<void> => {
       for (const copy of copies) {
@@ -162,16 +179,16 @@
     });
     await tell();
     await until('it still runs', async () => {
-      return (await status(cluster, 'drone-1', 'wk-000095')).running === 3;
+      return (await jobStatus(cluster, 'drone-1', 'wk-000095')).running === 3;
     });
     // On a busy machine a worker may be taken for a silent one and ended; else nothing is started anew.
-    if (cloud.released.length === 0) {
-      assert.equal(cloud.starts.length, 3, 'a copy had a task started anew');
+    if (cloud.releasedMachines.length === 0) {
+      assert.equal(cloud.startedTasks.length, 3, 'a copy had a task started anew');
     }
     // A machine is taken; what it said once must not bring it back.
     const worker = cloud.workers.get(gone ?? '');
     if (worker !== undefined) worker.hanging = true;
-    await until('it is ended', () => cloud.released.includes(gone ?? ''));
+    await until('it is ended', () => cloud.releasedMachines.includes(gone ?? ''));
     await until('every node knows that it has gone', () =>
       [...cluster.nodes.values()].every(
         (n) => n.controller.inventory.get(gone ?? '') === undefined,
@@ -182,15 +199,19 @@
       assert.equal(node.controller.inventory.get(gone ?? ''), undefined, 'the machine came back');
     }
     await until('all run', async () => {
-      return (await status(cluster, 'drone-1', 'wk-000095')).running === 3;
+      return (await jobStatus(cluster, 'drone-1', 'wk-000095')).running === 3;
     });
   }));
 
 test('a heartbeat that was overtaken by an answer still keeps its machine from being given up', () =>
-  withCluster({ nodes: 1, runs: () => Infinity }, async (cluster) => {
-    await accept(cluster, 'drone-0', submission('wk-000098', { ...service, Pieces: 1 }));
+  withCluster({ nodes: 1, taskRunSeconds: () => Infinity }, async (cluster) => {
+    await submitUntilAccepted(
+      cluster,
+      'drone-0',
+      submission('wk-000098', { ...serviceFields, Pieces: 1 }),
+    );
     await until('it runs', async () => {
-      return (await status(cluster, 'drone-0', 'wk-000098')).running === 1;
+      return (await jobStatus(cluster, 'drone-0', 'wk-000098')).running === 1;
     });
     const [worker] = cluster.cloud.workers.values();
     const shard = cluster.nodes.get('drone-0')?.controller.ownedShards.get('drone-0')?.shard;
@@ -199,7 +220,7 @@
     worker.hanging = true;
     await pause(0.5);
     machine.leaseRenewedAt = 0;
-    const copy = JSON.parse(worker.sent[0] ?? '') as unknown;
+    const copy = JSON.parse(worker.sentHeartbeats[0] ?? '') as unknown;
     const answer = await cluster.call('drone-0', 'POST', '/hello', copy);
     // Its sender's lease may count from it, so the machine's tasks are not over before that.
     assert.equal(answer.status, 200);
--- a/test/cluster/vanishedMachines.test.ts
+++ b/test/cluster/vanishedMachines.test.ts
@@ -8,13 +8,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { submission, until, type Cluster } from '../support/cluster.js';
-import { accept, service, status, withCluster } from '../support/users.js';
+import { submitUntilAccepted, serviceFields, jobStatus, withCluster } from '../support/users.js';
 
 /** A job of a user may wait as long beside a machine that is free for it, in seconds. */
 const LONGEST_WAIT_S = 90;
 
 const isDone = (cluster: Cluster, node: string, job: string) => async (): Promise<boolean> =>
-  (await status(cluster, node, job)).Status === 'done';
+  (await jobStatus(cluster, node, job)).Status === 'done';
 
 /** The machines that were rented since these were. */
 const newMachines = (cluster: Cluster, before: readonly string[]): string[] =>
@@ -23,21 +23,25 @@
 function take(cluster: Cluster, names: readonly string[]): void {
   for (const name of names) {
     const worker = cluster.cloud.workers.get(name);
-    if (worker !== undefined) cluster.cloud.take(worker);
+    if (worker !== undefined) cluster.cloud.reclaim(worker);
   }
 }
 
 test("a job does not wait at a shard whose machines are all gone, beside a peer's free machine", () =>
   withCluster(
-    { nodes: 2, runs: (task) => (task.startsWith('wk-000001/') ? Infinity : 0.3) },
+    { nodes: 2, taskRunSeconds: (task) => (task.startsWith('wk-000001/') ? Infinity : 0.3) },
     async (cluster) => {
-      await accept(cluster, 'drone-1', submission('wk-000001', { ...service, Pieces: 1 }));
+      await submitUntilAccepted(
+        cluster,
+        'drone-1',
+        submission('wk-000001', { ...serviceFields, Pieces: 1 }),
+      );
       await until('the peer has a machine', async () => {
-        return (await status(cluster, 'drone-1', 'wk-000001')).running === 1;
+        return (await jobStatus(cluster, 'drone-1', 'wk-000001')).running === 1;
       });
       const ofPeer = [...cluster.cloud.workers.keys()];
       const pieces = { Pieces: 8, Cores: 8 };
-      await accept(cluster, 'drone-0', submission('wk-000002', pieces));
+      await submitUntilAccepted(cluster, 'drone-0', submission('wk-000002', pieces));
       await until('its tasks are over', isDone(cluster, 'drone-0', 'wk-000002'));
       const gone = newMachines(cluster, ofPeer);
       assert.ok(gone.length >= 2, `${gone.length} machines were rented for it`);
@@ -46,7 +50,7 @@
       // Nothing more is to be had: the job has to go to the machine that there is.
       cluster.cloud.capacity = cluster.cloud.workers.size;
       await cluster.boot('drone-0');
-      await accept(cluster, 'drone-0', submission('wk-000003', { Pieces: 1 }));
+      await submitUntilAccepted(cluster, 'drone-0', submission('wk-000003', { Pieces: 1 }));
       const runs = isDone(cluster, 'drone-0', 'wk-000003');
       await until('the job is done', runs, LONGEST_WAIT_S);
     },
--- a/test/commands/cancelledTaskMonitor.test.ts
+++ b/test/commands/cancelledTaskMonitor.test.ts
@@ -23,7 +23,7 @@
   ownedShard: OwnedShard;
 } {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
+  const machine = fixture.addMachine();
   const chunk = fixture.createRunningChunk(machine);
   fixture.shard.prepareCancel(chunk, fixture.now);
   return {
--- a/test/commands/commandDispatcher.test.ts
+++ b/test/commands/commandDispatcher.test.ts
@@ -15,7 +15,7 @@
 import { HttpCallError, type Response } from '../../src/transport/httpClient.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
 import { emptyShard } from '../support/emptyShard.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
 const MAX_SOCKETS = 120;
 
@@ -109,7 +109,7 @@
   // Before the leases granted by the previous leader have expired.
   clock.at = 1;
   for (const machine of shard.machines.values()) machine.reachability.lastReachedAt = null;
-  const serviceSpec = spec({ id: 'wk-1', taskCount: 1, isService: true });
+  const serviceSpec = jobSpec({ id: 'wk-1', taskCount: 1, isService: true });
   const record = new Chunk(serviceSpec, 0, 'p', 0, 0, 1, null, 0).toRecord();
   const attempts = [{ task: 0, attemptNumber: 1, machine: 'n-999', agentEpoch: 1 }];
   shard.loadChunk(0, { ...record, attempts }, 1, 0);
@@ -161,7 +161,7 @@
     () => new Promise(() => undefined),
   );
   leadership.isLeaseValid = false;
-  const record = new Chunk(spec({ taskCount: 2 }), 0, 'p', 0, 0, 2, null, 0).toRecord();
+  const record = new Chunk(jobSpec({ taskCount: 2 }), 0, 'p', 0, 0, 2, null, 0).toRecord();
   const attempts = [0, 1].map((n) => ({
     task: n,
     attemptNumber: 1,
@@ -172,7 +172,7 @@
   const chunks = attempts.map((entry, n) => {
     const chunkRecord = {
       ...record,
-      spec: spec({ id: ids[n] ?? '', taskCount: 2 }),
+      spec: jobSpec({ id: ids[n] ?? '', taskCount: 2 }),
       attempts: [entry],
     };
     return shard.loadChunk(0, chunkRecord, 1, 0);
--- a/test/commands/costs.test.ts
+++ b/test/commands/costs.test.ts
@@ -17,8 +17,8 @@
 import { TurnQueue } from '../../src/transport/turnQueue.js';
 import { submission, until } from '../support/cluster.js';
 import { emptyShard, m8 } from '../support/emptyShard.js';
-import { spec } from '../support/spec.js';
-import { accept, settled, withCluster } from '../support/users.js';
+import { jobSpec } from '../support/jobSpec.js';
+import { submitUntilAccepted, callUntilServed, withCluster } from '../support/users.js';
 
 const HEARTBEAT_INTERVAL = 4;
 const RESEND_AFTER = HEARTBEAT_INTERVAL * 1.5;
@@ -43,7 +43,7 @@
 
 function addChunk(shard: Shard, id: string, memory = 4): Chunk {
   const chunk = new Chunk(
-    spec({ id, taskCount: 1, cpus: 8, memoryGb: memory }),
+    jobSpec({ id, taskCount: 1, cpus: 8, memoryGb: memory }),
     0,
     'p',
     0,
@@ -230,7 +230,7 @@
   const { shard, machines } = createShard(200);
   // The queue is not empty, so every estimate needs a replay of the queue.
   addChunk(shard, 'wk-0', 1000);
-  const request = { spec: spec({ id: 'wk-x', cpus: 8 }), zone: null, count: 200, run: 20 };
+  const request = { spec: jobSpec({ id: 'wk-x', cpus: 8 }), zone: null, count: 200, run: 20 };
   const estimate = (now: number): number => shard.waitEstimates.estimateWait(request, now);
   const visits = countFree(() => {
     for (let i = 0; i < 30; i++) assert.equal(estimate(1 + i / 1000), 0);
@@ -255,7 +255,7 @@
 });
 
 test('a job of many chunks is estimated once for each chunk size', () =>
-  withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
+  withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
     const controller = cluster.nodes.get('drone-0')?.controller;
     if (controller === undefined) throw new Error('no node');
     const accept = (id: string, pieces: number): Promise<void> =>
@@ -283,19 +283,19 @@
   }));
 
 test('a job is stored by one request, without reading first', () =>
-  withCluster({ nodes: 1, runs: () => Infinity }, async (cluster) => {
+  withCluster({ nodes: 1, taskRunSeconds: () => Infinity }, async (cluster) => {
     const state = cluster.nodes.get('drone-0')?.controller.stateClient;
     if (state === undefined) throw new Error('no node');
     // On a busy machine a late answer of the simulated state service may look like an outage.
     Object.defineProperty(state, 'isHealthy', { value: true });
-    await accept(cluster, 'drone-0', submission('wk-000711'));
+    await submitUntilAccepted(cluster, 'drone-0', submission('wk-000711'));
     assert.deepEqual(
-      cluster.state.reads.filter((key) => key === 'b/job/wk-000711'),
+      cluster.state.readKeys.filter((key) => key === 'b/job/wk-000711'),
       [],
     );
     // A refused job is read: it may have been accepted before.
     const tooLarge = submission('wk-000712', { Cores: 64 });
-    const refused = await settled(cluster, 'drone-0', 'POST', '/v1/jobs', tooLarge);
+    const refused = await callUntilServed(cluster, 'drone-0', 'POST', '/v1/jobs', tooLarge);
     assert.equal(refused.status, 422);
-    assert.ok(cluster.state.reads.includes('b/job/wk-000712'));
+    assert.ok(cluster.state.readKeys.includes('b/job/wk-000712'));
   }));
--- a/test/jobs/cancellationPreparations.test.ts
+++ b/test/jobs/cancellationPreparations.test.ts
@@ -6,17 +6,17 @@
 import { CancellationPreparations } from '../../src/coordination/jobs/cancellationPreparations.js';
 import type { PreparedChunk } from '../../src/protocol/peerMessages.js';
 import { keys, type JobRecord } from '../../src/storage/records.js';
-import { replicasAwayFromHome, runningTasks } from '../support/storedServices.js';
+import { storeMigratedService, runningTasks } from '../support/storedServices.js';
 import { until, type Cluster } from '../support/cluster.js';
 import { emptyShard } from '../support/emptyShard.js';
-import { spec as jobSpec } from '../support/spec.js';
-import { status, withCluster, type Answer } from '../support/users.js';
+import { jobSpec as jobSpec } from '../support/jobSpec.js';
+import { jobStatus, withCluster, type JobAnswer } from '../support/users.js';
 
 const ID = 'wk-000201';
 
 const running = (cluster: Cluster): string[] => runningTasks(cluster, ID);
 
-const awayFromHome = (cluster: Cluster): Promise<void> => replicasAwayFromHome(cluster, ID);
+const awayFromHome = (cluster: Cluster): Promise<void> => storeMigratedService(cluster, ID);
 
 async function cancel(
   cluster: Cluster,
@@ -24,7 +24,7 @@
 ): Promise<{ status: number; state: string | undefined }> {
   const answer = await cluster.call(label, 'POST', `/v1/jobs/${ID}/withdraw`);
   if (answer.status === 503) assert.notEqual(answer.retryAfter, null);
-  return { status: answer.status, state: (answer.body as Partial<Answer>).Status };
+  return { status: answer.status, state: (answer.body as Partial<JobAnswer>).Status };
 }
 
 const awaitNoTasks = (cluster: Cluster): Promise<void> =>
@@ -68,24 +68,24 @@
 for (const { name, before, after } of failureCases) {
   // The leader of the machines' shard cannot read the stored cancellation, and would answer its workers during the outage.
   test(`a job is cancelled at another node while the state service refuses the leader, then all nodes: ${name}`, () =>
-    withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
+    withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
       await awayFromHome(cluster);
       before?.(cluster);
-      cluster.state.refused.add('drone-0');
+      cluster.state.refusedClients.add('drone-0');
       assert.deepEqual(await cancel(cluster, 'drone-1'), { status: 200, state: 'cancelled' });
-      cluster.state.refused.add('*');
+      cluster.state.refusedClients.add('*');
       await after?.(cluster);
       await awaitNoTasks(cluster);
     }));
 }
 
 test('a cancellation is not confirmed while a leader of tasks of the job can be neither reached nor replaced', () =>
-  withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
+  withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
     await awayFromHome(cluster);
-    cluster.apart.add('drone-0');
+    cluster.isolatedNodes.add('drone-0');
     assert.equal((await cancel(cluster, 'drone-1')).status, 503);
-    assert.notEqual((await status(cluster, 'drone-1', ID)).Status, 'cancelled');
-    cluster.apart.clear();
+    assert.notEqual((await jobStatus(cluster, 'drone-1', ID)).Status, 'cancelled');
+    cluster.isolatedNodes.clear();
     await until(
       'the job is cancelled',
       async () => (await cancel(cluster, 'drone-1')).status === 200,
@@ -94,9 +94,9 @@
   }));
 
 test('a job resumes after its announced cancellation could not be stored', () =>
-  withCluster({ nodes: 2, runs: () => Infinity }, async (cluster) => {
+  withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
     await awayFromHome(cluster);
-    cluster.state.refused.add('drone-1');
+    cluster.state.refusedClients.add('drone-1');
     const node = cluster.nodes.get('drone-0')?.controller;
     // As announced by the home shard's leader, which crashes before it has stored anything.
     assert.equal(node?.cancellationPreparations.prepare(ID).length, 1);
--- a/test/jobs/jobAnswers.test.ts
+++ b/test/jobs/jobAnswers.test.ts
@@ -18,7 +18,7 @@
 import { keys, type JobRecord } from '../../src/storage/records.js';
 import { replyAtSending, type Reply } from '../../src/transport/httpServer.js';
 import { emptyShard } from '../support/emptyShard.js';
-import { jobRecord } from '../support/spec.js';
+import { jobRecord } from '../support/jobSpec.js';
 
 const JOB = 'wk-000077';
 const RECEIVED_AT = 10;
--- a/test/jobs/jobService.test.ts
+++ b/test/jobs/jobService.test.ts
@@ -12,7 +12,7 @@
 import { replyAtSending, type Reply } from '../../src/transport/httpServer.js';
 import { submission } from '../support/cluster.js';
 import { settingsText } from '../support/settings.js';
-import { jobRecord } from '../support/spec.js';
+import { jobRecord } from '../support/jobSpec.js';
 
 const ID = 'wk-000901';
 
--- a/test/jobs/submissionWriter.test.ts
+++ b/test/jobs/submissionWriter.test.ts
@@ -9,10 +9,10 @@
 import { createOwnedShard, type OwnedShard } from '../../src/coordination/leadership/ownedShard.js';
 import { keys, type JobRecord, type BucketRecord } from '../../src/storage/records.js';
 import type { Reply } from '../../src/transport/httpServer.js';
-import { layoutFor } from '../support/layout.js';
+import { recordFormatFor } from '../support/recordFormat.js';
 import { emptyShard } from '../support/emptyShard.js';
-import { spec } from '../support/spec.js';
-import { MemoryStore } from '../support/store.js';
+import { jobSpec } from '../support/jobSpec.js';
+import { MemoryStore } from '../support/memoryStore.js';
 
 class WriterFixture {
   now = 0;
@@ -33,7 +33,7 @@
       process: 'x',
       shards: ['p', 'q'],
       settings: { txnOps: 16 },
-      recordFormat: layoutFor(this.store.limits.value),
+      recordFormat: recordFormatFor(this.store.limits.value),
       clock: { now: () => this.now, wall: () => this.now },
       stateClient: this.store,
       stateCache: {
@@ -61,7 +61,7 @@
 
   /** Submits a job of two chunks, the second of which is placed at the peer's shard. */
   submit(id: string, timeoutSeconds = 4, at = this.now): Promise<void> {
-    const s = spec({ id, taskCount: 4 });
+    const s = jobSpec({ id, taskCount: 4 });
     const chunk = (k: number): Chunk => new Chunk(s, k, 'p', at, 2 * k, 2 * k + 2, null, this.now);
     const initialChunks = [
       { shard: 'p', chunk: chunk(0) },
@@ -109,20 +109,20 @@
     assert.ok(fixture.homeShard.shard.chunks.has(`${id}/0`));
     assert.ok(!fixture.homeShard.shard.chunks.has(`${id}/1`));
   }
-  assert.ok(fixture.store.changes < 2 * ids.length, `${fixture.store.changes} changes`);
+  assert.ok(fixture.store.changeCount < 2 * ids.length, `${fixture.store.changeCount} changes`);
 });
 
 test('a batch with an unanswered transaction is retried and stored once, whether that is applied early or late', async () => {
   for (const early of [true, false]) {
     const fixture = new WriterFixture();
-    fixture.store.loseNext = true;
+    fixture.store.withholdNext = true;
     const submitted = fixture.submit('wk-1');
-    while (!fixture.store.lost) await new Promise((resolve) => setTimeout(resolve, 1));
-    if (early) fixture.store.late();
+    while (!fixture.store.hasWithheld) await new Promise((resolve) => setTimeout(resolve, 1));
+    if (early) fixture.store.applyWithheld();
     await submitted;
     assert.equal(fixture.status('wk-1'), 201);
     assert.equal(fixture.transferCount('wk-1'), 1);
-    if (!early) assert.equal(fixture.store.late().kind, 'conflict');
+    if (!early) assert.equal(fixture.store.applyWithheld().kind, 'conflict');
     assert.equal(fixture.homeShard.jobs.size, 1);
   }
 });
@@ -175,9 +175,9 @@
 
 test('after an unanswered transaction an outage does not end the batch', async () => {
   const fixture = new WriterFixture();
-  fixture.store.loseNext = true;
+  fixture.store.withholdNext = true;
   const submitted = fixture.submit('wk-1');
-  while (!fixture.store.lost) await new Promise((resolve) => setTimeout(resolve, 1));
+  while (!fixture.store.hasWithheld) await new Promise((resolve) => setTimeout(resolve, 1));
   // The batch may be stored, so the writer retries until that is known.
   fixture.store.isHealthy = false;
   fixture.store.refuseNext = 1;
@@ -199,10 +199,10 @@
 test('a transaction is unanswered and the shard is lost: the state that the next leader stored is not reverted', async () => {
   for (const state of ['cancelled', 'done'] as const) {
     const fixture = new WriterFixture();
-    fixture.store.loseNext = true;
+    fixture.store.withholdNext = true;
     const submitted = fixture.submit('wk-1');
-    while (!fixture.store.lost) await new Promise((resolve) => setTimeout(resolve, 1));
-    fixture.store.late();
+    while (!fixture.store.hasWithheld) await new Promise((resolve) => setTimeout(resolve, 1));
+    fixture.store.applyWithheld();
     const key = keys.job('wk-1');
     const read = fixture.store.get.bind(fixture.store);
     // The second attempt fails since the job exists; before its record is read, the job ends at the next leader.
@@ -225,10 +225,10 @@
 
 test('each job of a batch that was stored without an answer is kept with the revision of its own record', async () => {
   const fixture = new WriterFixture();
-  fixture.store.loseNext = true;
+  fixture.store.withholdNext = true;
   const submitted = [fixture.submit('wk-1'), fixture.submit('wk-2')];
-  while (!fixture.store.lost) await new Promise((resolve) => setTimeout(resolve, 1));
-  fixture.store.late();
+  while (!fixture.store.hasWithheld) await new Promise((resolve) => setTimeout(resolve, 1));
+  fixture.store.applyWithheld();
   const first = fixture.store.rows.get(keys.job('wk-1'));
   if (first !== undefined) fixture.store.rows.set(first.key, { ...first, revision: 60 });
   await Promise.all(submitted);
--- a/test/knownRed/knownRed.ts
+++ b/test/knownRed/knownRed.ts
@@ -14,7 +14,7 @@
 const ISSUE_NUMBER = /^\d+$/;
 
 /** The file may not hold more: a longer list hides what is new. */
-export const MOST_LISTED = 3;
+export const MAX_LISTED_TESTS = 3;
 
 export interface ListedTest {
   /** As `FILE: NAME`, where FILE is the test file without its ending. */
@@ -47,9 +47,9 @@
     if (line.trim() === '' || line.startsWith('#')) continue;
     listed.push(parseLine(line));
   }
-  if (listed.length > MOST_LISTED) {
+  if (listed.length > MAX_LISTED_TESTS) {
     throw new MalformedListError(
-      `${listed.length} tests are listed, at most ${MOST_LISTED} may be`,
+      `${listed.length} tests are listed, at most ${MAX_LISTED_TESTS} may be`,
     );
   }
   return listed;
@@ -64,7 +64,7 @@
   return { test, command, seen, issue };
 }
 
-export function judge(outcomes: readonly Outcome[], listed: readonly ListedTest[]): Verdict {
+export function evaluate(outcomes: readonly Outcome[], listed: readonly ListedTest[]): Verdict {
   const lines: string[] = [];
   let passed = true;
   const known = new Set(listed.map(({ test }) => test));
--- a/test/knownRed/main.ts
+++ b/test/knownRed/main.ts
@@ -4,7 +4,7 @@
 import { run } from 'node:test';
 import { tap } from 'node:test/reporters';
 import {
-  judge,
+  evaluate,
   MalformedListError,
   parseKnownRed,
   type ListedTest,
@@ -56,7 +56,7 @@
 });
 stream.compose(tap).pipe(process.stdout);
 stream.on('end', () => {
-  const { lines, passed } = judge(outcomes, listed);
+  const { lines, passed } = evaluate(outcomes, listed);
   // After the closing lines of the reporter.
   setImmediate(() => {
     process.stdout.write(`${lines.map((line) => `# ${line}\n`).join('')}`);
--- a/test/leadership/shardLeadership.test.ts
+++ b/test/leadership/shardLeadership.test.ts
@@ -4,7 +4,7 @@
 import { ShardLeadership } from '../../src/coordination/leadership/shardLeadership.js';
 import { keys } from '../../src/storage/records.js';
 import { until } from '../support/cluster.js';
-import { MemoryStore } from '../support/store.js';
+import { MemoryStore } from '../support/memoryStore.js';
 
 const LEASE_SECONDS = 4;
 
--- a/test/leadership/shardLoader.test.ts
+++ b/test/leadership/shardLoader.test.ts
@@ -12,15 +12,15 @@
   type MachineRecord,
 } from '../../src/storage/records.js';
 import type { CachedRecord } from '../../src/storage/stateCache.js';
-import { layoutFor } from '../support/layout.js';
+import { recordFormatFor } from '../support/recordFormat.js';
 import { emptyShard, m8 } from '../support/emptyShard.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
 const LEADERSHIP = { fencingToken: 7, revision: 9, previousLeaderLostAt: 0 };
 
 /** A node with the records of a shard with one machine and one chunk of two tasks, one of which a leader has started. */
 function nodeWith(job: Partial<JobRecord>): ShardLoaderContext {
-  const task = spec({ id: 'wk-1', taskCount: 2 });
+  const task = jobSpec({ id: 'wk-1', taskCount: 2 });
   const open: JobRecord = {
     spec: task,
     homeShard: 'p',
@@ -64,7 +64,7 @@
     },
     stateClient: { get: () => Promise.resolve(null) },
     persistence: { createMissingChunks: () => undefined },
-    recordFormat: layoutFor(),
+    recordFormat: recordFormatFor(),
     requestSchedulingRound: () => undefined,
   };
 }
--- a/test/migration/migrationInitiator.test.ts
+++ b/test/migration/migrationInitiator.test.ts
@@ -3,11 +3,11 @@
 import { test } from 'node:test';
 import { nextMigrationCandidates } from '../../src/coordination/migration/migrationInitiator.js';
 import { Chunk } from '../../src/coordination/model/chunk.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
 test('the peers are asked about each blocked chunk in turn, about live services first', () => {
   const chunks = [1, 2, 3, 4, 5, 6, 7].map((n) => {
-    const job = spec({ id: `wk-${n}`, rank: n === 6 ? 'prod' : 'normal' });
+    const job = jobSpec({ id: `wk-${n}`, rank: n === 6 ? 'prod' : 'normal' });
     return new Chunk(job, 0, 'p', 0, 0, 1, null, 0);
   });
   const asked: string[] = [];
--- a/test/mixed/main.ts
+++ b/test/mixed/main.ts
@@ -5,18 +5,18 @@
  * are submitted. Prints what broke, and exits with 1 if anything did.
  */
 import { setLogLevel } from '../../src/base/log.js';
-import { playSeeds } from '../trials/playSeeds.js';
-import { runMixed } from './mixedTrial.js';
+import { runSeeds } from '../trials/runSeeds.js';
+import { runMixedTrial } from './mixedTrial.js';
 import { buildProduction } from './productionBuild.js';
 
 setLogLevel('error');
 const compiled = buildProduction();
 
-await playSeeds({
-  what: 'mixed clusters',
-  usualCount: 5,
-  run: (seed) => runMixed(seed, compiled),
-  describe: ({ history, jobs, unfinished, malformed }) =>
+await runSeeds({
+  pluralName: 'mixed clusters',
+  defaultCount: 5,
+  run: (seed) => runMixedTrial(seed, compiled),
+  describeResult: ({ history, submittedCount: jobs, unfinished, malformedCount: malformed }) =>
     `${jobs} jobs, ${history.violations.length} violations, ` +
     `${history.overtaken.length} overtaken answers, ${unfinished.length} unfinished, ${malformed} malformed changes`,
 });
--- a/test/mixed/measureRollout.ts
+++ b/test/mixed/measureRollout.ts
@@ -5,7 +5,7 @@
 import { performance } from 'node:perf_hooks';
 import { rolloutPath } from '../../src/protocol/routes.js';
 import { buildWithFeatures, pause, submission, until } from '../support/cluster.js';
-import { FEATURES, LABELS, LARGE, RolloutCluster } from '../support/rolloutCluster.js';
+import { FEATURES, LABELS, LARGE_JOB, RolloutCluster } from '../support/rolloutCluster.js';
 
 const REPETITIONS = 3;
 const PROBE_S = 0.02;
@@ -74,14 +74,14 @@
   for (let i = 0; i < REPETITIONS; i++) {
     const rollout = new RolloutCluster(build);
     const started: number[] = [];
-    rollout.cluster.cloud.watch = {
-      started: () => started.push(performance.now()),
-      left: () => undefined,
-      done: () => undefined,
+    rollout.cluster.cloud.taskObserver = {
+      onTaskStarted: () => started.push(performance.now()),
+      onTaskTerminated: () => undefined,
+      onTaskCompleted: () => undefined,
     };
     try {
       await rollout.start();
-      await rollout.untilLevel(3);
+      await rollout.waitForLevel(3);
       const probe = new Probe(rollout, `r${i}`);
       await pause(4);
       for (const label of LABELS) {
@@ -110,7 +110,7 @@
 }
 
 async function measureMigration(jobs: number): Promise<void> {
-  const rollout = new RolloutCluster(build, { stateWrites: 400 });
+  const rollout = new RolloutCluster(build, { stateWriteRate: 400 });
   const { cluster } = rollout;
   try {
     cluster.builds.set('drone-2', buildWithFeatures([]));
@@ -126,7 +126,7 @@
     const submitter = async (): Promise<void> => {
       while (sent < jobs) {
         const id = `wk-m-${sent++}`;
-        const body = submission(id, { ...LARGE, Pieces: 2 });
+        const body = submission(id, { ...LARGE_JOB, Pieces: 2 });
         await until(`${id} is accepted`, async () => {
           const { status } = await cluster.call(LABELS[sent % 3], 'POST', '/v1/jobs', body);
           return status === 201 || status === 200;
@@ -138,16 +138,16 @@
     const quiet = new Probe(rollout, 'quiet');
     await pause(5);
     await quiet.stop();
-    const { fragments } = rollout.forms;
-    const writes = cluster.state.writes;
+    const { fragments } = rollout.recordCounts;
+    const writes = cluster.state.writeCount;
     const began = performance.now();
     const probe = new Probe(rollout, 'busy');
     await cluster.call('drone-0', 'POST', `${rolloutPath}/finalize`, {});
-    await rollout.untilLevel(3, 'drone-0', 400);
+    await rollout.waitForLevel(3, 'drone-0', 400);
     const seconds = (performance.now() - began) / 1000;
     await probe.stop();
-    const { compressed } = rollout.forms;
-    const changes = cluster.state.writes - writes;
+    const { compressed } = rollout.recordCounts;
+    const changes = cluster.state.writeCount - writes;
     console.log(
       `migration with ${jobs} jobs: ${fragments} fragments before, ${compressed} compressed records after`,
     );
--- a/test/mixed/mixedTrial.ts
+++ b/test/mixed/mixedTrial.ts
@@ -1,8 +1,8 @@
 /** One cluster that is upgraded while it serves: production at first, this version at the end. */
 import { systemClock } from '../../src/base/clock.js';
 import { seededRandom } from '../../src/base/random.js';
-import { pause, presentBuild, type Build, type BuiltNode } from '../support/cluster.js';
-import { FAULTS, FAULTS_WITHOUT_COPIES, NODES, restart } from '../trials/faults.js';
+import { pause, currentBuild, type Build, type BuiltNode } from '../support/cluster.js';
+import { FAULTS, FAULTS_WITHOUT_DUPLICATES, NODE_COUNT, restart } from '../trials/faults.js';
 import { Trial, type TrialResult } from '../trials/trial.js';
 import { loadModule } from './productionBuild.js';
 
@@ -18,7 +18,7 @@
 
 export interface MixedResult extends TrialResult {
   /** Changes that the state service called malformed after its limits had fallen. */
-  malformed: number;
+  malformedCount: number;
 }
 
 /** The gateway of the version in production, by the names that it had there. */
@@ -38,7 +38,7 @@
 }
 
 /** Controllers of an earlier version, from its compiled modules. */
-export async function earlierBuild(compiled: string): Promise<Build> {
+export async function loadEarlierBuild(compiled: string): Promise<Build> {
   const modules: ProductionModules = {
     settings: await loadModule(compiled, 'protocol/settings.js'),
     controller: await loadModule(compiled, 'coordination/controller.js'),
@@ -70,18 +70,18 @@
 
 class MixedTrial extends Trial {
   constructor(seed: number, production: Build) {
-    super(seed, { nextLimits: NEXT_LIMITS });
-    for (const label of this.labels) this.cluster.builds.set(label, production);
+    super(seed, { nextStateLimits: NEXT_LIMITS });
+    for (const label of this.nodeLabels) this.cluster.builds.set(label, production);
   }
 
   get malformed(): number {
-    return this.cluster.state.malformed;
+    return this.cluster.state.malformedCount;
   }
 
   /** Pipelines come only when every node has the new version. */
-  protected override async play(): Promise<void> {
-    const mixedFor = OLD_S + STEP_S * NODES;
-    const faults = this.injectFaults(mixedFor, FAULTS_WITHOUT_COPIES);
+  protected override async runScenario(): Promise<void> {
+    const mixedFor = OLD_S + STEP_S * NODE_COUNT;
+    const faults = this.injectFaults(mixedFor, FAULTS_WITHOUT_DUPLICATES);
     const upgrade = this.upgradeAll();
     await this.submitFor(mixedFor, 0);
     await Promise.all([faults, upgrade]);
@@ -94,16 +94,16 @@
 
   private async upgradeAll(): Promise<void> {
     await pause(OLD_S);
-    for (const label of this.labels) {
-      this.cluster.builds.set(label, presentBuild);
+    for (const label of this.nodeLabels) {
+      this.cluster.builds.set(label, currentBuild);
       await restart(this.cluster, label, 0.1 + this.random() * 0.5);
       await pause(STEP_S);
     }
   }
 }
 
-export async function runMixed(seed: number, compiled: string): Promise<MixedResult> {
-  const trial = new MixedTrial(seed, await earlierBuild(compiled));
+export async function runMixedTrial(seed: number, compiled: string): Promise<MixedResult> {
+  const trial = new MixedTrial(seed, await loadEarlierBuild(compiled));
   const result = await trial.run();
-  return { ...result, malformed: trial.malformed };
+  return { ...result, malformedCount: trial.malformed };
 }
--- a/test/mixed/productionBuild.ts
+++ b/test/mixed/productionBuild.ts
@@ -20,7 +20,7 @@
 }
 
 /** The last commit of version 0.3.0, which knows of node capabilities and nothing of a cluster version. */
-export const RELEASE_0_3 = '2bcbffccdca50e61d611d72b09f6c0c0294edcd7';
+export const RELEASE_0_3_COMMIT = '2bcbffccdca50e61d611d72b09f6c0c0294edcd7';
 
 export const buildProduction = (): string => buildCommit(productionCommit());
 
--- a/test/mixed/rolloutTrial.ts
+++ b/test/mixed/rolloutTrial.ts
@@ -6,8 +6,8 @@
 import type { RolloutStatus } from '@barrowlb/rollout';
 import { rolloutPath } from '../../src/protocol/routes.js';
 import { buildWithFeatures, pause, until, type Build } from '../support/cluster.js';
-import { FEATURES, LARGE } from '../support/rolloutCluster.js';
-import { FAULTS_WITHOUT_COPIES, restart } from '../trials/faults.js';
+import { FEATURES, LARGE_JOB } from '../support/rolloutCluster.js';
+import { FAULTS_WITHOUT_DUPLICATES, restart } from '../trials/faults.js';
 import { Trial, type TrialResult } from '../trials/trial.js';
 
 /** Seconds with the earlier version alone, between two replacements, and afterwards. */
@@ -24,7 +24,7 @@
 
 export type RolloutKind = 'rolled back' | 'returned old' | 'upgraded';
 
-export const kindOf = (seed: number): RolloutKind =>
+export const rolloutKindOf = (seed: number): RolloutKind =>
   seed % 3 === 0 ? 'rolled back' : seed % 2 === 0 ? 'returned old' : 'upgraded';
 
 export class RolloutTrial extends Trial {
@@ -35,17 +35,17 @@
     seed: number,
     private readonly earlier: Build,
   ) {
-    super(seed, { nextLimits: NEXT_LIMITS }, LARGE);
-    for (const label of this.labels) this.cluster.builds.set(label, earlier);
+    super(seed, { nextStateLimits: NEXT_LIMITS }, LARGE_JOB);
+    for (const label of this.nodeLabels) this.cluster.builds.set(label, earlier);
   }
 
-  protected override async play(): Promise<void> {
-    const duration = OLD_S + STEP_S * this.labels.length + NEW_S;
+  protected override async runScenario(): Promise<void> {
+    const duration = OLD_S + STEP_S * this.nodeLabels.length + NEW_S;
     const users = this.submitFor(duration, 0);
     await pause(OLD_S);
-    const faults = this.injectFaults(STEP_S * this.labels.length, FAULTS_WITHOUT_COPIES);
+    const faults = this.injectFaults(STEP_S * this.nodeLabels.length, FAULTS_WITHOUT_DUPLICATES);
     const isBack = this.kind === 'rolled back';
-    const replaced = isBack ? this.labels.slice(0, -1) : this.labels;
+    const replaced = isBack ? this.nodeLabels.slice(0, -1) : this.nodeLabels;
     for (const label of replaced) await this.replace(label, this.present);
     if (isBack) for (const label of replaced.reverse()) await this.replace(label, this.earlier);
     await faults;
@@ -67,7 +67,7 @@
   private async changeLevels(): Promise<void> {
     await this.untilLevel(3);
     if (this.kind !== 'returned old') return;
-    const last = this.labels[this.labels.length - 1];
+    const last = this.nodeLabels[this.nodeLabels.length - 1];
     this.cluster.builds.set(last, this.earlier);
     await restart(this.cluster, last, 0.05);
     await pause(STEP_S * 2);
@@ -94,5 +94,5 @@
   }
 }
 
-export const runRollout = (seed: number, earlier: Build): Promise<TrialResult> =>
-  new RolloutTrial(kindOf(seed), seed, earlier).run();
+export const runRolloutTrial = (seed: number, earlier: Build): Promise<TrialResult> =>
+  new RolloutTrial(rolloutKindOf(seed), seed, earlier).run();
--- a/test/model/availability.test.ts
+++ b/test/model/availability.test.ts
@@ -124,7 +124,7 @@
 for (const { name, isReached, change, after = 0, state, hasCapacity } of cases) {
   test(`availability of a machine: ${name}`, () => {
     const fixture = new ShardFixture();
-    const machine = fixture.machine('n-1', isReached);
+    const machine = fixture.addMachine('n-1', isReached);
     fixture.now += after;
     change?.(machine, fixture.now);
     const found = availabilityOf(machine, fixture.now);
@@ -137,11 +137,11 @@
 test('a machine is ready again as soon as a heartbeat is received, whatever its state was before', () => {
   for (const degrade of [missTwoProbes, (): void => undefined]) {
     const fixture = new ShardFixture();
-    const machine = fixture.machine('n-1', false);
+    const machine = fixture.addMachine('n-1', false);
     fixture.now += 1000;
     degrade(machine, fixture.now);
     assert.equal(isCapacity(machine.availability(fixture.now)), false);
-    fixture.report(machine, []);
+    fixture.applyHeartbeat(machine, []);
     assert.equal(machine.availability(fixture.now), 'ready');
   }
 });
--- a/test/model/chunking.test.ts
+++ b/test/model/chunking.test.ts
@@ -9,14 +9,14 @@
   zonesFor,
 } from '../../src/coordination/model/chunking.js';
 import type { JobRecord } from '../../src/storage/records.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
 test('chunks cover each task once, and a spread job has at most half of its tasks in a zone', () => {
   for (const tasks of [1, 2, 3, 5, 9, 100]) {
     for (const size of [1, 2, 3, 50, 200]) {
       for (const zones of [[], ['a'], ['a', 'b']]) {
         const ranges = chunkRanges(tasks, size, zones);
-        const record = { spec: spec({ taskCount: tasks }), chunkSize: size, zones } as JobRecord;
+        const record = { spec: jobSpec({ taskCount: tasks }), chunkSize: size, zones } as JobRecord;
         assert.equal(totalChunks(record), ranges.length);
         const covered = ranges.flatMap((r) =>
           Array.from({ length: r.endTask - r.firstTask }, (_, i) => r.firstTask + i),
@@ -35,7 +35,7 @@
 });
 
 test('zones that jobs are bound to', () => {
-  const cases: [Parameters<typeof spec>[0], string[], string[]][] = [
+  const cases: [Parameters<typeof jobSpec>[0], string[], string[]][] = [
     [{}, ['a', 'b'], []],
     [{ spreadZones: true }, ['b', 'a'], ['b', 'a']],
     [{ sameZone: true }, ['b', 'a'], ['b']],
@@ -44,13 +44,13 @@
     [{ spreadZones: true }, ['a'], ['a', 'a']],
   ];
   for (const [changes, zonesByRoom, expected] of cases) {
-    assert.deepEqual(zonesFor(spec(changes), zonesByRoom), expected, JSON.stringify(changes));
+    assert.deepEqual(zonesFor(jobSpec(changes), zonesByRoom), expected, JSON.stringify(changes));
   }
 });
 
 test('the second half of a spread job in one zone waits for the first', () => {
   const record = (doneChunks: number[]): JobRecord => ({
-    spec: spec({ taskCount: 5, spreadZones: true }),
+    spec: jobSpec({ taskCount: 5, spreadZones: true }),
     homeShard: 'p',
     state: 'open',
     taskCount: 5,
@@ -79,7 +79,7 @@
   ];
   for (const [name, cpus, tasks, shardCpus, maxTasks, shards, size] of cases) {
     assert.equal(
-      chunkSize(spec({ cpus, taskCount: tasks }), shardCpus, maxTasks, shards),
+      chunkSize(jobSpec({ cpus, taskCount: tasks }), shardCpus, maxTasks, shards),
       size,
       name,
     );
--- a/test/peers/peerRegistry.test.ts
+++ b/test/peers/peerRegistry.test.ts
@@ -15,7 +15,7 @@
 import type { StateCache } from '../../src/storage/stateCache.js';
 import type { StateClient } from '../../src/storage/stateClient.js';
 import { PeerClient } from '../../src/transport/peerLink.js';
-import { MemoryStore } from '../support/store.js';
+import { MemoryStore } from '../support/memoryStore.js';
 
 const GOSSIP_VALIDITY = 4;
 const CLOCK_SKEW = 0.1;
@@ -163,8 +163,8 @@
     loaded: true,
     get: (key: string) => store.rows.get(key),
     catchUp: () => Promise.resolve(),
-    note: () => undefined,
-    noteRemoved: () => undefined,
+    applyPut: () => undefined,
+    applyRemoval: () => undefined,
   };
   return new ShardLeadership(
     client as unknown as StateClient,
--- a/test/persistence/bucketWriter.test.ts
+++ b/test/persistence/bucketWriter.test.ts
@@ -10,10 +10,10 @@
 import { MachineInventory } from '../../src/storage/machineInventory.js';
 import { keys, type MachineGroupRecord, type BucketRecord } from '../../src/storage/records.js';
 import { ChunkIndex } from '../../src/storage/chunkIndex.js';
-import { layoutFor } from '../support/layout.js';
+import { recordFormatFor } from '../support/recordFormat.js';
 import { emptyShard, m8 } from '../support/emptyShard.js';
-import { spec } from '../support/spec.js';
-import { MemoryStore } from '../support/store.js';
+import { jobSpec } from '../support/jobSpec.js';
+import { MemoryStore } from '../support/memoryStore.js';
 
 const group = (shard: string, ...names: string[]): MachineGroupRecord => ({
   shard,
@@ -62,7 +62,7 @@
 
 test('the index finds a chunk in the bucket in which it was last stored', () => {
   const buckets = new ChunkIndex();
-  const chunk = new Chunk(spec(), 0, 'p', 1, 0, 4, null, 0);
+  const chunk = new Chunk(jobSpec(), 0, 'p', 1, 0, 4, null, 0);
   const record = { chunks: { 'wk-1/0': chunk.toRecord() } };
   buckets.update('p', 's1', record, 1);
   assert.equal(buckets.find('wk-1/0')?.shard, 'p');
@@ -143,7 +143,13 @@
           }
         },
       },
-      { txnOps: 16, recordFormat: layoutFor(), flushDelay: 2, retryDelay: 0.001, process: 'x' },
+      {
+        txnOps: 16,
+        recordFormat: recordFormatFor(),
+        flushDelay: 2,
+        retryDelay: 0.001,
+        process: 'x',
+      },
     );
   }
 
@@ -170,7 +176,7 @@
 
   addJob(id: string, tasks = 1): Chunk {
     const chunk = new Chunk(
-      spec({ id, taskCount: tasks }),
+      jobSpec({ id, taskCount: tasks }),
       0,
       'p',
       this.now,
@@ -205,7 +211,7 @@
     const sent = { ...chunk.toRecord(), migrationCount: 2 };
     const value: BucketRecord = { chunks: { [chunk.id]: sent } };
     const key = keys.bucket('p', name);
-    const revision = ++this.store.epoch;
+    const revision = ++this.store.revision;
     rows.set(key, { key, value, revision });
     const loader = new ShardLoader({
       clock: { now: () => this.now, wall: () => this.now },
@@ -219,7 +225,7 @@
       },
       stateClient: this.store,
       persistence: { createMissingChunks: () => undefined },
-      recordFormat: layoutFor(),
+      recordFormat: recordFormatFor(),
       requestSchedulingRound: () => undefined,
     });
     loader.onBucketChange(this.ownedShard, name, value, revision);
@@ -240,20 +246,20 @@
   fixture.addMachine('n-1');
   const chunks = ['wk-1', 'wk-2', 'wk-3', 'wk-4'].map((id) => fixture.addJob(id));
   await fixture.runRound();
-  assert.equal(fixture.store.changes, 1);
+  assert.equal(fixture.store.changeCount, 1);
   assert.equal(fixture.started.length, 4);
   const [first] = chunks;
   if (first === undefined) throw new Error('no chunks');
   fixture.ownedShard.shard.dropChunk(first);
   await fixture.runRound();
   assert.equal(
-    fixture.store.changes,
+    fixture.store.changeCount,
     1,
     'the removal of a finished chunk is not written by itself',
   );
   const next = fixture.addJob('wk-5');
   await fixture.runRound();
-  assert.equal(fixture.store.changes, 2);
+  assert.equal(fixture.store.changeCount, 2);
   assert.deepEqual(fixture.shardsStoring(first), []);
   assert.deepEqual(fixture.shardsStoring(next), ['p']);
 });
@@ -266,22 +272,22 @@
     await fixture.runRound();
     fixture.ownedShard.shard.dropChunk(first);
     if (removal !== 'none') {
-      fixture.store.loseNext = true;
+      fixture.store.withholdNext = true;
       await fixture.runRound();
-      if (removal === 'applied') assert.equal(fixture.store.late().kind, 'applied');
+      if (removal === 'applied') assert.equal(fixture.store.applyWithheld().kind, 'applied');
     }
-    const before = fixture.store.changes;
+    const before = fixture.store.changeCount;
     const next = fixture.addJob('wk-2');
     await fixture.runRound();
     await fixture.runRound();
-    if (removal === 'late') assert.equal(fixture.store.late().kind, 'conflict');
+    if (removal === 'late') assert.equal(fixture.store.applyWithheld().kind, 'conflict');
     assert.deepEqual(
       [fixture.shardsStoring(first), fixture.shardsStoring(next)],
       [[], ['p']],
       removal,
     );
     assert.ok(fixture.started.includes('wk-2/0@n-1'), removal);
-    assert.equal(fixture.store.changes, before + 1, `${removal}: one write, no removal`);
+    assert.equal(fixture.store.changeCount, before + 1, `${removal}: one write, no removal`);
   }
 });
 
@@ -290,15 +296,16 @@
     const fixture = new WriterFixture();
     fixture.addMachine('n-1');
     const chunk = fixture.addJob('wk-1');
-    fixture.store.loseNext = true;
+    fixture.store.withholdNext = true;
     await fixture.runRound();
     assert.deepEqual(fixture.started, [], 'started before the write was answered');
-    if (applied) fixture.store.late();
+    if (applied) fixture.store.applyWithheld();
     await fixture.runRound();
     await fixture.runRound();
     assert.deepEqual(fixture.started, ['wk-1/0@n-1']);
     assert.deepEqual(fixture.shardsStoring(chunk), ['p']);
-    if (!applied) assert.equal(fixture.store.late().kind, 'conflict', 'a late copy was applied');
+    if (!applied)
+      assert.equal(fixture.store.applyWithheld().kind, 'conflict', 'a late copy was applied');
   }
 });
 
@@ -308,14 +315,14 @@
     const chunk = fixture.addJob('wk-1');
     const other = fixture.addJob('wk-2');
     await fixture.runRound();
-    fixture.store.loseNext = true;
+    fixture.store.withholdNext = true;
     assert.equal((await fixture.move(chunk)).kind, 'unknown');
-    if (early) assert.equal(fixture.store.late().kind, 'applied');
+    if (early) assert.equal(fixture.store.applyWithheld().kind, 'applied');
     // A machine becomes available here meanwhile, and both chunks are placed.
     fixture.addMachine('n-1');
     await fixture.runRound();
     await fixture.runRound();
-    if (!early) assert.equal(fixture.store.late().kind, 'conflict');
+    if (!early) assert.equal(fixture.store.applyWithheld().kind, 'conflict');
     assert.deepEqual(fixture.shardsStoring(chunk), [early ? 'q' : 'p']);
     assert.deepEqual(fixture.shardsStoring(other), ['p']);
     const startedHere = fixture.started.filter((name) => name.startsWith('wk-1/'));
@@ -328,7 +335,7 @@
   for (const leave of ['moved', 'dropped before it was stored'] as const) {
     const fixture = new WriterFixture();
     const chunk = fixture.addJob('wk-1');
-    fixture.store.loseNext = true;
+    fixture.store.withholdNext = true;
     await fixture.runRound();
     if (leave === 'moved') {
       await fixture.runRound();
@@ -337,7 +344,7 @@
     await fixture.runRound();
     await fixture.runRound();
     // The late copy is conditional on the absence of the record: it would be applied if the record had been removed.
-    assert.equal(fixture.store.late().kind, 'conflict');
+    assert.equal(fixture.store.applyWithheld().kind, 'conflict');
     assert.deepEqual(fixture.shardsStoring(chunk), leave === 'moved' ? ['q'] : []);
     // The bucket is reused for the next chunk.
     const next = fixture.addJob('wk-2');
@@ -351,9 +358,9 @@
   const fixture = new WriterFixture();
   const chunk = fixture.addJob('wk-1');
   await fixture.runRound();
-  fixture.store.loseNext = true;
+  fixture.store.withholdNext = true;
   assert.equal((await fixture.move(chunk)).kind, 'unknown');
-  assert.equal(fixture.store.late().kind, 'applied');
+  assert.equal(fixture.store.applyWithheld().kind, 'applied');
   fixture.migrateBack(chunk);
   await fixture.runRound();
   fixture.addMachine('n-1');
@@ -371,7 +378,7 @@
     else fixture.ownedShard.shard.dropChunk(chunk);
     await fixture.runRound();
     await fixture.runRound();
-    assert.deepEqual(new Set(fixture.store.repeatAnswered()), new Set(['conflict']), leave);
+    assert.deepEqual(new Set(fixture.store.applyDuplicates()), new Set(['conflict']), leave);
     assert.deepEqual(fixture.shardsStoring(chunk), leave === 'moved' ? ['q'] : []);
   }
 });
--- a/test/persistence/jobPersistence.test.ts
+++ b/test/persistence/jobPersistence.test.ts
@@ -12,10 +12,10 @@
 import { ChunkIndex } from '../../src/storage/chunkIndex.js';
 import { keys, type JobRecord } from '../../src/storage/records.js';
 import { StateCache } from '../../src/storage/stateCache.js';
-import { layoutFor } from '../support/layout.js';
+import { recordFormatFor } from '../support/recordFormat.js';
 import { emptyShard } from '../support/emptyShard.js';
-import { spec } from '../support/spec.js';
-import { MemoryStore } from '../support/store.js';
+import { jobSpec } from '../support/jobSpec.js';
+import { MemoryStore } from '../support/memoryStore.js';
 
 const ID = 'wk-1';
 const KEY = keys.job(ID);
@@ -61,10 +61,16 @@
         verifyLeadership: () => Promise.resolve(),
         onChunksStored: () => undefined,
       },
-      { txnOps: 16, recordFormat: layoutFor(), flushDelay: 2, retryDelay: 0.001, process: 'x' },
+      {
+        txnOps: 16,
+        recordFormat: recordFormatFor(),
+        flushDelay: 2,
+        retryDelay: 0.001,
+        process: 'x',
+      },
     );
     const record: JobRecord = {
-      spec: spec({ id: ID, taskCount: 24 }),
+      spec: jobSpec({ id: ID, taskCount: 24 }),
       homeShard: 'p',
       state: 'open',
       taskCount: 24,
@@ -76,7 +82,7 @@
       migratedChunks: [],
     };
     this.store.rows.set(KEY, { key: KEY, value: record, revision: 3 });
-    this.store.epoch = 3;
+    this.store.revision = 3;
     this.job = { id: ID, record, revision: 3, isWriteInFlight: false };
     this.ownedShard.jobs.set(ID, this.job);
     for (let index = 0; index < createdChunks; index++) this.accept(index);
@@ -85,7 +91,7 @@
   private accept(index: number): void {
     const from = index * 8;
     const chunk = new Chunk(
-      spec({ id: ID, taskCount: 24 }),
+      jobSpec({ id: ID, taskCount: 24 }),
       index,
       'p',
       1,
@@ -139,11 +145,11 @@
 
 test('a chunk whose creation was applied without an answer is created in memory by the next conflict', async () => {
   const fixture = new HomeShardFixture(1);
-  fixture.store.loseNext = true;
+  fixture.store.withholdNext = true;
   fixture.persistence.reconcileJobs();
-  while (!fixture.store.lost) await new Promise((resolve) => setTimeout(resolve, 1));
+  while (!fixture.store.hasWithheld) await new Promise((resolve) => setTimeout(resolve, 1));
   await new Promise((resolve) => setTimeout(resolve, 5));
-  assert.equal(fixture.store.late().kind, 'applied');
+  assert.equal(fixture.store.applyWithheld().kind, 'applied');
   fixture.complete(0);
   await fixture.runPasses(4);
   assert.equal(fixture.stored.createdChunks, 2);
--- a/test/persistence/recordLimits.test.ts
+++ b/test/persistence/recordLimits.test.ts
@@ -16,10 +16,10 @@
   type JobRecord,
   type FencingTokenRecord,
 } from '../../src/storage/records.js';
-import { layoutFor } from '../support/layout.js';
+import { recordFormatFor } from '../support/recordFormat.js';
 import { emptyShard, m8 } from '../support/emptyShard.js';
-import { spec } from '../support/spec.js';
-import { MemoryStore } from '../support/store.js';
+import { jobSpec } from '../support/jobSpec.js';
+import { MemoryStore } from '../support/memoryStore.js';
 
 const LIMITS = { value: 2048, txn: 64 * 1024 };
 const TXN_OPS = 5;
@@ -28,7 +28,7 @@
 
 const service = (id: string): ChunkRecord => ({
   ...{
-    spec: spec({ id, isService: true, rank: 'prod', taskCount: REPLICAS }),
+    spec: jobSpec({ id, isService: true, rank: 'prod', taskCount: REPLICAS }),
     homeShard: 'p',
     submittedAt: 5,
   },
@@ -49,7 +49,7 @@
 class LoweredLimitsFixture {
   now = 100;
   readonly store = new MemoryStore();
-  readonly recordFormat: RecordFormat = layoutFor(LIMITS.value, TXN_OPS, true);
+  readonly recordFormat: RecordFormat = recordFormatFor(LIMITS.value, TXN_OPS, true);
   ownedShard: OwnedShard;
   private writer: BucketWriter;
   private processes = 0;
@@ -60,8 +60,8 @@
     rows.set(keys.leader('q'), { key: keys.leader('q'), value: {}, revision: 2 });
     const key = keys.bucket('p', 'old');
     rows.set(key, { key, value: { chunks }, revision: 3 });
-    this.store.epoch = 3;
-    this.store.layout = this.recordFormat;
+    this.store.revision = 3;
+    this.store.recordFormat = this.recordFormat;
     this.store.limits = LIMITS;
     this.store.txnOps = TXN_OPS;
     [this.ownedShard, this.writer] = this.loadAsNewLeader();
@@ -229,7 +229,7 @@
 });
 
 test('the largest records at about 4,000 machines stay within 2 KiB, or a transaction of five', () => {
-  const recordFormat = layoutFor(LIMITS.value, TXN_OPS, true);
+  const recordFormat = recordFormatFor(LIMITS.value, TXN_OPS, true);
   const machines = Array.from({ length: groupLimit(LIMITS.value) }, (_, i) => [
     `n-${String(i).padStart(9, '0')}`,
     { launchedAt: 1764637200.123, address: '10.255.255.255:65535' },
@@ -245,7 +245,7 @@
   const shares = Object.fromEntries(labels.map((label) => [label, { cpus: 123456.5, gpus: 123 }]));
   const job: JobRecord = {
     ...{
-      spec: spec({ taskCount: 100_000 }),
+      spec: jobSpec({ taskCount: 100_000 }),
       homeShard: 'drone-11',
       state: 'open',
       taskCount: 100_000,
--- a/test/persistence/recordSizes.test.ts
+++ b/test/persistence/recordSizes.test.ts
@@ -7,10 +7,10 @@
 import type { JobSpec } from '../../src/protocol/job.js';
 import { Chunk } from '../../src/coordination/model/chunk.js';
 import { keys, type BucketRecord } from '../../src/storage/records.js';
-import { layoutFor } from '../support/layout.js';
+import { recordFormatFor } from '../support/recordFormat.js';
 import { submission, until } from '../support/cluster.js';
-import { spec } from '../support/spec.js';
-import { accept, status, withCluster } from '../support/users.js';
+import { jobSpec } from '../support/jobSpec.js';
+import { submitUntilAccepted, jobStatus, withCluster } from '../support/users.js';
 
 for (const [nodes, zones] of [
   [1, ['a']],
@@ -18,19 +18,23 @@
 ] as [number, string[]][]) {
   test(`${nodes} controller(s) in ${zones.length} zone(s): a spread service and an array job run`, () =>
     withCluster(
-      { nodes, zones, runs: (task) => (task.startsWith('wk-000001') ? Infinity : 0.3) },
+      { nodes, zones, taskRunSeconds: (task) => (task.startsWith('wk-000001') ? Infinity : 0.3) },
       async (cluster) => {
         const last = `drone-${nodes - 1}`;
         // In a single zone only half of a spread service may run.
         const replicas = zones.length > 1 ? 4 : 2;
         const service = { Shape: 'daemon', Rank: 'prod', Pieces: 4, Apart: true, Loaners: false };
-        await accept(cluster, 'drone-0', submission('wk-000001', { ...service, ExpectS: 0 }));
-        await accept(cluster, last, submission('wk-000002', { Pieces: 40 }));
+        await submitUntilAccepted(
+          cluster,
+          'drone-0',
+          submission('wk-000001', { ...service, ExpectS: 0 }),
+        );
+        await submitUntilAccepted(cluster, last, submission('wk-000002', { Pieces: 40 }));
         await until('the array job is done', async () => {
-          return (await status(cluster, 'drone-0', 'wk-000002')).Status === 'done';
+          return (await jobStatus(cluster, 'drone-0', 'wk-000002')).Status === 'done';
         });
         await until('the replicas run', async () => {
-          return (await status(cluster, last, 'wk-000001')).running === replicas;
+          return (await jobStatus(cluster, last, 'wk-000001')).running === replicas;
         });
       },
     ));
@@ -62,7 +66,7 @@
   ...[2, 4, 16, 32, 64].map((size) => [size, true] as const),
 ]) {
   const value = kilobytes * 1024;
-  const recordFormat = layoutFor(value, 16, isCompact);
+  const recordFormat = recordFormatFor(value, 16, isCompact);
   test(`records stay within values of ${kilobytes} KiB, format ${isCompact ? 2 : 1}`, () => {
     assert.ok(groupLimit(value) >= 1 && groupLimit(value) <= MAX_RENTAL_COUNT);
     const machine = { 'n-000000000': { at: 1764637200.123, address: '10.255.255.255:65535' } };
@@ -70,7 +74,7 @@
     for (const shardCount of [1, 3, 12]) {
       for (const cpus of [0, 8, 64, 8000]) {
         for (const tasks of [1, 120, 5000]) {
-          const job = spec({ taskCount: tasks, cpus: 4 });
+          const job = jobSpec({ taskCount: tasks, cpus: 4 });
           const size = chunkSize(job, cpus, recordFormat.maxTasksPerChunk(job), shardCount);
           const ranges = chunkRanges(tasks, size, []);
           assert.equal(
--- a/test/pipelines/pipelines.test.ts
+++ b/test/pipelines/pipelines.test.ts
@@ -2,12 +2,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
-import { accept, service, settled, status, takenOver, withCluster } from '../support/users.js';
+import {
+  submitUntilAccepted,
+  serviceFields,
+  callUntilServed,
+  jobStatus,
+  waitForTakeover,
+  withCluster,
+} from '../support/users.js';
 
 const [FIRST, SECOND, THIRD] = ['wk-000901', 'wk-000902', 'wk-000903'];
 
 const startsOf = (cluster: Cluster, id: string): number =>
-  cluster.cloud.starts.filter((task) => task.startsWith(`${id}/`)).length;
+  cluster.cloud.startedTasks.filter((task) => task.startsWith(`${id}/`)).length;
 
 /** A node's answer about a job: its state, or the HTTP status of an answer without a state. */
 async function answerOf(cluster: Cluster, label: string, id: string): Promise<string | number> {
@@ -23,22 +30,26 @@
 
 /** Submits three stages, each at another node and dependent on the one before. */
 async function submitChain(cluster: Cluster): Promise<void> {
-  await accept(cluster, 'drone-0', submission(FIRST, { Pieces: 2 }));
-  await accept(cluster, 'drone-1', submission(SECOND, { WaitsOn: [FIRST] }));
-  await accept(cluster, 'drone-2', submission(THIRD, { WaitsOn: [SECOND, FIRST, SECOND] }));
+  await submitUntilAccepted(cluster, 'drone-0', submission(FIRST, { Pieces: 2 }));
+  await submitUntilAccepted(cluster, 'drone-1', submission(SECOND, { WaitsOn: [FIRST] }));
+  await submitUntilAccepted(
+    cluster,
+    'drone-2',
+    submission(THIRD, { WaitsOn: [SECOND, FIRST, SECOND] }),
+  );
 }
 
 const endless = (task: string): number => (task.startsWith(FIRST) ? Infinity : 0.2);
 
 test('stages run one after another, regardless of the nodes they were submitted at', () =>
-  withCluster({ nodes: 3, runs: () => 0.5 }, async (cluster) => {
+  withCluster({ nodes: 3, taskRunSeconds: () => 0.5 }, async (cluster) => {
     const order: string[] = [];
-    cluster.cloud.watch = {
-      started: (task) => order.push(`${task} starts`),
-      left: (task) => order.push(`${task} ends`),
+    cluster.cloud.taskObserver = {
+      onTaskStarted: (task) => order.push(`${task} starts`),
+      onTaskTerminated: (task) => order.push(`${task} ends`),
     };
     await submitChain(cluster);
-    const waiting = await status(cluster, 'drone-2', THIRD);
+    const waiting = await jobStatus(cluster, 'drone-2', THIRD);
     assert.equal(waiting.Status, 'queued');
     assert.match(waiting.Reason ?? '', /waits for \d job\(s\) to be done first: .*wk-00090/);
     for (const label of cluster.nodes.keys()) {
@@ -55,7 +66,11 @@
       assert.ok(lastEnd < firstStart, `${after} after ${before}: ${order.join(', ')}`);
     }
     // Jobs that have ended may be named as dependencies, too.
-    await accept(cluster, 'drone-1', submission('wk-000904', { WaitsOn: [FIRST, THIRD] }));
+    await submitUntilAccepted(
+      cluster,
+      'drone-1',
+      submission('wk-000904', { WaitsOn: [FIRST, THIRD] }),
+    );
     await until(
       'the job runs immediately',
       async () => (await answerOf(cluster, 'drone-0', 'wk-000904')) === 'done',
@@ -63,7 +78,7 @@
   }));
 
 test('a cancelled job cancels all that depend on it, including jobs submitted later', () =>
-  withCluster({ nodes: 3, runs: endless }, async (cluster) => {
+  withCluster({ nodes: 3, taskRunSeconds: endless }, async (cluster) => {
     await submitChain(cluster);
     await cancel(cluster, 'drone-1', FIRST);
     for (const id of [SECOND, THIRD]) {
@@ -74,7 +89,7 @@
       }
     }
     const late = submission('wk-000904', { WaitsOn: [SECOND] });
-    const answer = await settled(cluster, 'drone-0', 'POST', '/v1/jobs', late);
+    const answer = await callUntilServed(cluster, 'drone-0', 'POST', '/v1/jobs', late);
     assert.ok(answer.status === 201 || answer.status === 200);
     await until('the late job is cancelled, too', async () => {
       return (await answerOf(cluster, 'drone-2', 'wk-000904')) === 'cancelled';
@@ -83,8 +98,8 @@
   }));
 
 test('a job with a dependency that can never be done is refused, but an accepted job never is', () =>
-  withCluster({ nodes: 3, runs: endless }, async (cluster) => {
-    await accept(cluster, 'drone-0', submission('wk-000911', service));
+  withCluster({ nodes: 3, taskRunSeconds: endless }, async (cluster) => {
+    await submitUntilAccepted(cluster, 'drone-0', submission('wk-000911', serviceFields));
     await submitChain(cluster);
     const cases: [string, unknown, number][] = [
       ['an unknown job', ['wk-999999'], 422],
@@ -96,7 +111,7 @@
     for (const [name, WaitsOn, expected] of cases) {
       const body = submission('wk-000912', { WaitsOn });
       assert.equal(
-        (await settled(cluster, 'drone-1', 'POST', '/v1/jobs', body)).status,
+        (await callUntilServed(cluster, 'drone-1', 'POST', '/v1/jobs', body)).status,
         expected,
         name,
       );
@@ -104,20 +119,20 @@
     // A repetition of an accepted submission is answered as such, whichever dependencies it names.
     for (const label of cluster.nodes.keys()) {
       const again = submission(SECOND, { WaitsOn: ['wk-999999'] });
-      assert.equal((await settled(cluster, label, 'POST', '/v1/jobs', again)).status, 200);
+      assert.equal((await callUntilServed(cluster, label, 'POST', '/v1/jobs', again)).status, 200);
     }
     // A node that does not know the dependency yet asks the state service.
-    cluster.state.unwatched.add('drone-2');
-    await accept(cluster, 'drone-0', submission('wk-000913'));
+    cluster.state.stalledWatchClients.add('drone-2');
+    await submitUntilAccepted(cluster, 'drone-0', submission('wk-000913'));
     const next = submission('wk-000914', { WaitsOn: ['wk-000913'] });
-    const named = await settled(cluster, 'drone-2', 'POST', '/v1/jobs', next);
+    const named = await callUntilServed(cluster, 'drone-2', 'POST', '/v1/jobs', next);
     assert.equal(named.status, 201);
     const repeated = submission('wk-000913', { WaitsOn: ['wk-999999'] });
-    const known = await settled(cluster, 'drone-2', 'POST', '/v1/jobs', repeated);
+    const known = await callUntilServed(cluster, 'drone-2', 'POST', '/v1/jobs', repeated);
     assert.equal(known.status, 200);
-    cluster.state.unwatched.clear();
+    cluster.state.stalledWatchClients.clear();
     // Without the state service, a node cannot tell that a job was never accepted.
-    cluster.state.refused.add('*');
+    cluster.state.refusedClients.add('*');
     const answer = await cluster.call(
       'drone-1',
       'POST',
@@ -125,18 +140,18 @@
       submission('wk-000912', { WaitsOn: ['wk-999999'] }),
     );
     assert.equal(answer.status, 503);
-    cluster.state.refused.clear();
+    cluster.state.refusedClients.clear();
   }));
 
 test('a waiting job runs although the leader of its home shard crashes when its dependency is done', () =>
-  withCluster({ nodes: 3, runs: () => 0.8 }, async (cluster) => {
+  withCluster({ nodes: 3, taskRunSeconds: () => 0.8 }, async (cluster) => {
     await submitChain(cluster);
     await until(
       'the first is done',
       async () => (await answerOf(cluster, 'drone-0', FIRST)) === 'done',
     );
     cluster.crash('drone-1');
-    await takenOver(cluster, 'drone-1');
+    await waitForTakeover(cluster, 'drone-1');
     await until(
       'the last is done',
       async () => (await answerOf(cluster, 'drone-0', THIRD)) === 'done',
@@ -151,20 +166,23 @@
   before?: (cluster: Cluster) => void;
   after?: (cluster: Cluster) => void;
 }[] = [
-  { name: 'the state service refuses all nodes', after: (c) => void c.state.refused.add('*') },
+  {
+    name: 'the state service refuses all nodes',
+    after: (c) => void c.state.refusedClients.add('*'),
+  },
   {
     name: "the state service refuses the leader of the next job's home shard",
-    before: (c) => void c.state.refused.add('drone-1'),
+    before: (c) => void c.state.refusedClients.add('drone-1'),
   },
   {
     name: "the watch of the leader of the next job's home shard is stalled",
-    before: (c) => void c.state.unwatched.add('drone-1'),
+    before: (c) => void c.state.stalledWatchClients.add('drone-1'),
   },
 ];
 
 for (const { name, before, after } of failures) {
   test(`a job is cancelled, and ${name}: no node reports the next one as open for long`, () =>
-    withCluster({ nodes: 3, runs: endless }, async (cluster) => {
+    withCluster({ nodes: 3, taskRunSeconds: endless }, async (cluster) => {
       await submitChain(cluster);
       await until('the first runs', () => startsOf(cluster, FIRST) === 2);
       before?.(cluster);
@@ -181,8 +199,8 @@
         }
         await pause(0.2);
       }
-      cluster.state.refused.clear();
-      cluster.state.unwatched.clear();
+      cluster.state.refusedClients.clear();
+      cluster.state.stalledWatchClients.clear();
       for (const id of [SECOND, THIRD]) {
         await until(
           `${id} is cancelled`,
@@ -194,11 +212,11 @@
 }
 
 test('a job that is submitted while its dependency is being cancelled is cancelled, too', () =>
-  withCluster({ nodes: 3, runs: endless }, async (cluster) => {
-    await accept(cluster, 'drone-0', submission(FIRST, { Pieces: 2 }));
+  withCluster({ nodes: 3, taskRunSeconds: endless }, async (cluster) => {
+    await submitUntilAccepted(cluster, 'drone-0', submission(FIRST, { Pieces: 2 }));
     const ids = Array.from({ length: 6 }, (_, i) => `wk-00092${i}`);
     const submitted = ids.map((id, i) =>
-      accept(cluster, `drone-${i % 3}`, submission(id, { WaitsOn: [FIRST] })),
+      submitUntilAccepted(cluster, `drone-${i % 3}`, submission(id, { WaitsOn: [FIRST] })),
     );
     await Promise.all([cancel(cluster, 'drone-1', FIRST), ...submitted]);
     for (const id of ids) {
@@ -210,15 +228,19 @@
   }));
 
 test('a cancellation at the end of a job: the job is done and the next one runs, or both are cancelled', () =>
-  withCluster({ nodes: 3, runs: () => 0.4 }, async (cluster) => {
+  withCluster({ nodes: 3, taskRunSeconds: () => 0.4 }, async (cluster) => {
     const pairs = Array.from({ length: 5 }, (_, i) => [`wk-00093${i}`, `wk-00094${i}`]);
     for (const [i, [first, next]] of pairs.entries()) {
-      await accept(cluster, 'drone-0', submission(first, { Pieces: 1 }));
-      await accept(cluster, 'drone-1', submission(next, { Pieces: 1, WaitsOn: [first] }));
+      await submitUntilAccepted(cluster, 'drone-0', submission(first, { Pieces: 1 }));
+      await submitUntilAccepted(
+        cluster,
+        'drone-1',
+        submission(next, { Pieces: 1, WaitsOn: [first] }),
+      );
       // Cancels before, around and after the time at which the end of the job is stored.
       await pause(0.3 * i);
       const path = `/v1/jobs/${first}/withdraw`;
-      const answer = await settled(cluster, 'drone-2', 'POST', path);
+      const answer = await callUntilServed(cluster, 'drone-2', 'POST', path);
       const end = (answer.body as { Status: string }).Status;
       await until(
         `${next} is ${end}`,
@@ -229,16 +251,16 @@
   }));
 
 test('stages on both sides of a partition: the next one starts once the end of the previous one is stored', () =>
-  withCluster({ nodes: 2, zones: ['a', 'b'], runs: () => 0.6 }, async (cluster) => {
-    await accept(cluster, 'drone-1', submission(FIRST, { Pieces: 2, Yard: 'b' }));
-    await accept(
+  withCluster({ nodes: 2, zones: ['a', 'b'], taskRunSeconds: () => 0.6 }, async (cluster) => {
+    await submitUntilAccepted(cluster, 'drone-1', submission(FIRST, { Pieces: 2, Yard: 'b' }));
+    await submitUntilAccepted(
       cluster,
       'drone-0',
       submission(SECOND, { Pieces: 2, Yard: 'a', WaitsOn: [FIRST] }),
     );
     await until('the first runs', () => startsOf(cluster, FIRST) === 2);
-    cluster.apart.add('drone-1');
-    cluster.state.refused.add('drone-1');
+    cluster.isolatedNodes.add('drone-1');
+    cluster.state.refusedClients.add('drone-1');
     const isStored = (): boolean => {
       const record = cluster.state.rows.get(`b/job/${FIRST}`)?.value as { state?: string };
       return record.state === 'done';
@@ -250,8 +272,8 @@
       );
       await pause(0.05);
     }
-    cluster.apart.clear();
-    cluster.state.refused.clear();
+    cluster.isolatedNodes.clear();
+    cluster.state.refusedClients.clear();
     await until(
       'both are done',
       async () => (await answerOf(cluster, 'drone-0', SECOND)) === 'done',
--- a/test/pipelines/staleCopy.test.ts
+++ b/test/pipelines/staleCopy.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Pipelines } from '../../src/coordination/pipelines/pipelines.js';
 import { keys, type JobRecord } from '../../src/storage/records.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
 const CANCELLATION_TIMEOUT_S = 60;
 
@@ -30,7 +30,7 @@
   /** Delivers a record to the cache, which then shows everything stored until now. */
   deliverRecord(id: string, state: 'open' | 'cancelled', dependencies: string[] = []): void {
     const open = {
-      ...{ spec: spec({ id, dependencies }), homeShard: 'p', state: 'open', taskCount: 1 },
+      ...{ spec: jobSpec({ id, dependencies }), homeShard: 'p', state: 'open', taskCount: 1 },
       ...{ submittedAt: 1, chunkSize: 8, zones: [], createdChunks: 1 },
       ...{ doneChunks: [], migratedChunks: [] },
     } as const;
--- a/test/quota/quotaShares.test.ts
+++ b/test/quota/quotaShares.test.ts
@@ -8,8 +8,8 @@
 import type { TeamResources } from '../../src/coordination/quota/teamUsage.js';
 import { keys, type QuotaRecord } from '../../src/storage/records.js';
 import { emptyShard } from '../support/emptyShard.js';
-import { spec } from '../support/spec.js';
-import { MemoryStore } from '../support/store.js';
+import { jobSpec } from '../support/jobSpec.js';
+import { MemoryStore } from '../support/memoryStore.js';
 
 const KEY = keys.quota('crew');
 const LIMIT: TeamResources = { cpus: 40, gpus: 10 };
@@ -55,7 +55,7 @@
 
   /** Counts placed tasks with these resources in total or, with negative amounts, ended ones. */
   use(label: string, { cpus, gpus }: TeamResources): void {
-    this.ownedShards.get(label)?.shard.teamUsage.add(spec({ team: 'crew', cpus, gpus }), 1);
+    this.ownedShards.get(label)?.shard.teamUsage.add(jobSpec({ team: 'crew', cpus, gpus }), 1);
   }
 
   /** Simulates a queued job with this demand. */
@@ -78,7 +78,7 @@
 /** A store in which the shards have these quota shares. */
 function storeWith(shares: QuotaRecord): MemoryStore {
   const store = new MemoryStore();
-  store.epoch = 1;
+  store.revision = 1;
   store.rows.set(KEY, { key: KEY, value: shares, revision: 1 });
   return store;
 }
@@ -162,7 +162,7 @@
     node.lead('a', { cpus: 10, gpus: 0 });
     node.want('a', { cpus: 20, gpus: 0 });
     if (outcome === 'refused') store.refuseNext = 1;
-    else store.loseNext = true;
+    else store.withholdNext = true;
     await node.quotas.rebalance();
     assert.deepEqual(node.allowance('a'), { cpus: 10, gpus: 0 }, outcome);
   }
@@ -174,14 +174,14 @@
   node.sync();
   node.lead('a', { cpus: 5, gpus: 0 });
   node.want('a', { cpus: 0, gpus: 0 });
-  store.loseNext = true;
+  store.withholdNext = true;
   await node.quotas.rebalance();
   assert.equal(
     node.allowance('a').cpus,
     5,
     'the reduction may be stored, and a peer may take the rest',
   );
-  assert.equal(store.late().kind, 'applied');
+  assert.equal(store.applyWithheld().kind, 'applied');
   node.sync();
   assert.equal(node.allowance('a').cpus, 5);
   node.want('a', { cpus: 50, gpus: 0 });
--- a/test/reconciliation/heartbeatReconciler.test.ts
+++ b/test/reconciliation/heartbeatReconciler.test.ts
@@ -4,29 +4,32 @@
 import type { HeartbeatOrigin } from '../../src/coordination/reconciliation/heartbeatReconciler.js';
 import type { JobSpec } from '../../src/protocol/job.js';
 import type { Heartbeat, ReportedAttempt } from '../../src/protocol/workerProtocol.js';
-import { ShardFixture, TOKEN } from '../support/shardFixture.js';
-import { startedRecord } from '../support/spec.js';
+import { ShardFixture, FENCING_TOKEN } from '../support/shardFixture.js';
+import { startedChunkRecord } from '../support/jobSpec.js';
 
 test('the end of a task is stored before it is acknowledged', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
+  const machine = fixture.addMachine();
   const chunk = fixture.createRunningChunk(machine);
-  fixture.report(machine, [{ state: 'ended', cause: 'done' }]);
+  fixture.applyHeartbeat(machine, [{ state: 'ended', cause: 'done' }]);
   assert.ok(chunk.isComplete);
   assert.deepEqual(fixture.dueCommandNames(machine), []);
-  fixture.store(chunk);
+  fixture.markStored(chunk);
   assert.deepEqual(fixture.dueCommandNames(machine), ['acknowledge wk-1/0 1']);
 });
 
 test('older heartbeats change nothing', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
-  const chunk = fixture.chunk();
+  const machine = fixture.addMachine();
+  const chunk = fixture.addChunk();
   fixture.runSchedulingRound();
-  fixture.store(chunk);
-  fixture.report(machine, [{}], { heartbeatSequence: 50 });
-  assert.equal(fixture.report(machine, [], { heartbeatSequence: 49 }), false);
-  assert.equal(fixture.report(machine, [], { heartbeatSequence: 90, agentEpoch: 0 }), false);
+  fixture.markStored(chunk);
+  fixture.applyHeartbeat(machine, [{}], { heartbeatSequence: 50 });
+  assert.equal(fixture.applyHeartbeat(machine, [], { heartbeatSequence: 49 }), false);
+  assert.equal(
+    fixture.applyHeartbeat(machine, [], { heartbeatSequence: 90, agentEpoch: 0 }),
+    false,
+  );
   assert.equal(chunk.attempts.size, 1);
 });
 
@@ -47,21 +50,21 @@
   {
     name: 'reported before, now absent, but a copy of the start may still arrive',
     wasReported: true,
-    unansweredToken: TOKEN,
+    unansweredToken: FENCING_TOKEN,
     heartbeat: {},
     hasTerminated: false,
   },
   {
     name: 'the worker has shown a higher fencing token',
     wasReported: true,
-    unansweredToken: TOKEN,
-    heartbeat: { highestFencingToken: TOKEN + 1 },
+    unansweredToken: FENCING_TOKEN,
+    heartbeat: { highestFencingToken: FENCING_TOKEN + 1 },
     hasTerminated: true,
   },
   {
     name: 'a new agent epoch terminates all attempts',
     wasReported: false,
-    unansweredToken: TOKEN,
+    unansweredToken: FENCING_TOKEN,
     heartbeat: { agentEpoch: 2 },
     hasTerminated: true,
   },
@@ -69,16 +72,16 @@
 for (const { name, wasReported, unansweredToken, heartbeat, hasTerminated } of attemptCases) {
   test(`whether an attempt has terminated: ${name}`, () => {
     const fixture = new ShardFixture();
-    const machine = fixture.machine();
-    const chunk = fixture.chunk();
+    const machine = fixture.addMachine();
+    const chunk = fixture.addChunk();
     fixture.runSchedulingRound();
-    fixture.store(chunk);
-    if (wasReported) fixture.report(machine, [{}]);
+    fixture.markStored(chunk);
+    if (wasReported) fixture.applyHeartbeat(machine, [{}]);
     const attempt = chunk.attempts.get(0);
     assert.ok(attempt);
     if (unansweredToken !== undefined)
       attempt.startCommands.noteOutcome(unansweredToken, 'unanswered');
-    fixture.report(machine, [], heartbeat);
+    fixture.applyHeartbeat(machine, [], heartbeat);
     assert.equal(chunk.attempts.size, hasTerminated ? 0 : 1);
     if (hasTerminated) {
       fixture.runSchedulingRound();
@@ -89,28 +92,28 @@
 
 test('a start that may still be executed is neither acknowledged nor terminated when its job is cancelled', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
-  const chunk = fixture.chunk();
+  const machine = fixture.addMachine();
+  const chunk = fixture.addChunk();
   fixture.runSchedulingRound();
-  fixture.store(chunk);
+  fixture.markStored(chunk);
   const attempt = chunk.attempts.get(0);
   assert.ok(attempt);
-  attempt.startCommands.noteOutcome(TOKEN, 'unanswered');
+  attempt.startCommands.noteOutcome(FENCING_TOKEN, 'unanswered');
   fixture.shard.cancel(chunk, fixture.now);
-  fixture.report(machine, []);
+  fixture.applyHeartbeat(machine, []);
   assert.equal(chunk.attempts.size, 1, 'the start may still be executed');
-  fixture.report(machine, [{}]);
+  fixture.applyHeartbeat(machine, [{}]);
   assert.deepEqual(fixture.dueCommandNames(machine), ['stop wk-1/0 1']);
-  fixture.report(machine, [{ state: 'ended', cause: 'halted' }]);
+  fixture.applyHeartbeat(machine, [{ state: 'ended', cause: 'halted' }]);
   assert.deepEqual(
     fixture.dueCommandNames(machine),
     [],
     'a late copy of the start would run it once more',
   );
-  fixture.report(machine, [{ state: 'ended', cause: 'halted' }], {
-    highestFencingToken: TOKEN + 1,
+  fixture.applyHeartbeat(machine, [{ state: 'ended', cause: 'halted' }], {
+    highestFencingToken: FENCING_TOKEN + 1,
   });
-  fixture.store(chunk);
+  fixture.markStored(chunk);
   assert.deepEqual(fixture.dueCommandNames(machine), ['acknowledge wk-1/0 1']);
 });
 
@@ -118,14 +121,14 @@
   const cases: [string, Partial<ReportedAttempt>[], Partial<Heartbeat>, number][] = [
     ['it runs: kept', [{}], { highestFencingToken: 3 }, 1],
     ['absent, new token not seen: kept', [], { highestFencingToken: 3 }, 1],
-    ['absent after the new token: restarted', [], { highestFencingToken: TOKEN }, 0],
+    ['absent after the new token: restarted', [], { highestFencingToken: FENCING_TOKEN }, 0],
   ];
   for (const [name, tasks, heartbeat, attemptCount] of cases) {
     const fixture = new ShardFixture();
-    const machine = fixture.machine('n-1', false);
-    const chunk = fixture.shard.loadChunk(0, startedRecord(), TOKEN, fixture.now);
+    const machine = fixture.addMachine('n-1', false);
+    const chunk = fixture.shard.loadChunk(0, startedChunkRecord(), FENCING_TOKEN, fixture.now);
     // The attempt was stored before its start was sent; whether the start was sent is not known.
-    fixture.report(machine, tasks, heartbeat);
+    fixture.applyHeartbeat(machine, tasks, heartbeat);
     const attempt = chunk.attempts.get(0);
     if (attemptCount === 0 && attempt !== undefined) {
       assert.ok(!attempt.startCommands.mayStillExecute(machine.highestFencingToken), name);
@@ -136,17 +139,17 @@
 
 test('a job that fails everywhere does not quarantine machines; a machine on which several jobs fail is quarantined', () => {
   const fixture = new ShardFixture();
-  const machines = [1, 2, 3, 4].map((n) => fixture.machine(`n-${n}`));
-  const chunk = fixture.chunk();
+  const machines = [1, 2, 3, 4].map((n) => fixture.addMachine(`n-${n}`));
+  const chunk = fixture.addChunk();
   for (let i = 0; i < 3; i++) {
     fixture.now += 100;
     fixture.runSchedulingRound();
-    fixture.store(chunk);
+    fixture.markStored(chunk);
     const attempt = chunk.attempts.get(0);
     assert.ok(attempt, `try ${i}`);
     const machine = fixture.shard.machines.get(attempt.machine);
     assert.ok(machine);
-    fixture.report(machine, [
+    fixture.applyHeartbeat(machine, [
       { attemptNumber: attempt.attemptNumber, state: 'ended', cause: 'error' },
     ]);
   }
@@ -155,12 +158,12 @@
   assert.ok(chunk.retryNotBefore > fixture.now, 'the job waits before its next try');
 
   const secondFixture = new ShardFixture();
-  const faulty = secondFixture.machine();
+  const faulty = secondFixture.addMachine();
   for (const id of ['wk-1', 'wk-2']) {
-    const failing = secondFixture.chunk({ id });
+    const failing = secondFixture.addChunk({ id });
     secondFixture.runSchedulingRound();
-    secondFixture.store(failing);
-    secondFixture.report(faulty, [{ task: `${id}/0`, state: 'ended', cause: 'error' }]);
+    secondFixture.markStored(failing);
+    secondFixture.applyHeartbeat(faulty, [{ task: `${id}/0`, state: 'ended', cause: 'error' }]);
   }
   assert.ok(!faulty.isSchedulable(secondFixture.now), 'two jobs failed on it');
 });
@@ -184,9 +187,9 @@
   ];
   for (const [name, changes, preemptionWarning, commands] of cases) {
     const fixture = new ShardFixture();
-    const machine = fixture.machine();
+    const machine = fixture.addMachine();
     fixture.createRunningChunk(machine, changes);
-    fixture.report(machine, [{}], { preemptionWarning });
+    fixture.applyHeartbeat(machine, [{}], { preemptionWarning });
     assert.deepEqual(fixture.dueCommandNames(machine), commands, name);
     assert.ok(!machine.isSchedulable(fixture.now), name);
   }
@@ -215,11 +218,11 @@
 for (const { name, isLost = false, origins, takesWork } of reachabilityCases) {
   test(`an unsolicited heartbeat does not make a machine reachable: ${name}`, () => {
     const fixture = new ShardFixture();
-    const machine = fixture.machine();
+    const machine = fixture.addMachine();
     if (isLost) machine.isLost = true;
     else fixture.missTwoProbes(machine);
-    for (const origin of origins) fixture.report(machine, [], {}, origin);
-    const chunk = fixture.chunk();
+    for (const origin of origins) fixture.applyHeartbeat(machine, [], {}, origin);
+    const chunk = fixture.addChunk();
     fixture.runSchedulingRound();
     assert.equal(chunk.attempts.size, takesWork ? 1 : 0);
     assert.equal(machine.isSchedulable(fixture.now), takesWork);
@@ -257,8 +260,8 @@
       address: '127.0.0.1:1',
     };
     const machine = fixture.shard.addMachine('n-1', record, fixture.now, fixture.now + 36);
-    const chunk = fixture.shard.loadChunk(0, startedRecord(), TOKEN, fixture.now);
-    fixture.report(
+    const chunk = fixture.shard.loadChunk(0, startedChunkRecord(), FENCING_TOKEN, fixture.now);
+    fixture.applyHeartbeat(
       machine,
       tasks,
       { heartbeatSequence: 3, address: '127.0.0.9:9', ...copy },
@@ -270,7 +273,7 @@
     fixture.runSchedulingRound();
     assert.equal(chunk.nextAttemptNumber, 2);
     // The late copy does not hide what the worker reports next.
-    fixture.report(machine, [{}], { heartbeatSequence: 40 }, 'response');
+    fixture.applyHeartbeat(machine, [{}], { heartbeatSequence: 40 }, 'response');
     assert.equal(machine.isUp, true);
     assert.equal(chunk.attempts.get(0)?.state, 'running');
   });
@@ -278,12 +281,16 @@
 
 test('a heartbeat without news is recognised, so that it triggers no scheduling round', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine('n-1', false);
-  const chunk = fixture.chunk();
+  const machine = fixture.addMachine('n-1', false);
+  const chunk = fixture.addChunk();
   const task = { task: 'wk-1/0', attemptNumber: 1, cause: null, hasCheckpoint: false };
   const heartbeat = {
     ...{ machine: 'n-1', address: '127.0.0.1:1', type: 'm8', zone: 'a', spot: false },
-    ...{ agentEpoch: 1, highestFencingToken: TOKEN, preemptionWarning: null as number | null },
+    ...{
+      agentEpoch: 1,
+      highestFencingToken: FENCING_TOKEN,
+      preemptionWarning: null as number | null,
+    },
   };
   const heartbeats: [string, number, 'fetching' | 'running' | null, number | null, string][] = [
     ['the first one: the machine has room now', 1, null, null, 'changed'],
@@ -310,18 +317,18 @@
     );
     if (heartbeatSequence === 2) {
       fixture.runSchedulingRound();
-      fixture.store(chunk);
+      fixture.markStored(chunk);
     }
   }
 });
 
 test('a machine that comes up long after its launch is given work at once', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine('n-1', false);
+  const machine = fixture.addMachine('n-1', false);
   fixture.now += 60;
   fixture.shard.liveness.sweep(fixture.now);
-  const chunk = fixture.chunk();
-  fixture.report(machine, []);
+  const chunk = fixture.addChunk();
+  fixture.applyHeartbeat(machine, []);
   fixture.runSchedulingRound();
   assert.equal(chunk.attempts.size, 1);
 });
@@ -332,12 +339,12 @@
     { name: 'it is not', tasks: [], entries: 0 },
   ]) {
     const fixture = new ShardFixture();
-    const machine = fixture.machine('n-1', false);
-    const chunk = fixture.shard.loadChunk(0, startedRecord(), TOKEN, fixture.now);
-    fixture.report(machine, tasks, { highestFencingToken: TOKEN - 1 });
+    const machine = fixture.addMachine('n-1', false);
+    const chunk = fixture.shard.loadChunk(0, startedChunkRecord(), FENCING_TOKEN, fixture.now);
+    fixture.applyHeartbeat(machine, tasks, { highestFencingToken: FENCING_TOKEN - 1 });
     assert.equal(chunk.attempts.size, 1, `${name}: the previous leader's start may still arrive`);
     assert.deepEqual(fixture.dueCommandNames(machine), [], name);
-    fixture.report(machine, tasks, { highestFencingToken: TOKEN });
+    fixture.applyHeartbeat(machine, tasks, { highestFencingToken: FENCING_TOKEN });
     assert.equal(chunk.attempts.size, entries, name);
     assert.equal(fixture.shard.teamUsage.usedBy('crew').cpus, entries * 2, name);
     assert.deepEqual(fixture.dueCommandNames(machine), [], name);
--- a/test/reconciliation/machineLiveness.test.ts
+++ b/test/reconciliation/machineLiveness.test.ts
@@ -5,7 +5,7 @@
 
 test('a silent machine keeps its tasks until nobody can have renewed its lease', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
+  const machine = fixture.addMachine();
   const chunk = fixture.createRunningChunk(machine);
   machine.leaseRenewedAt = fixture.now;
   fixture.shard.liveness.sweep(fixture.now + 18);
@@ -23,13 +23,13 @@
   ];
   for (const [name, others, seconds, lost] of cases) {
     const fixture = new ShardFixture();
-    const machine = fixture.machine('n-1');
-    const otherMachines = others === 'none' ? [] : ['n-2', 'n-3'].map((n) => fixture.machine(n));
+    const machine = fixture.addMachine('n-1');
+    const otherMachines = others === 'none' ? [] : ['n-2', 'n-3'].map((n) => fixture.addMachine(n));
     fixture.now += 1;
     for (const m of [machine, ...(others === 'silent' ? otherMachines : [])])
       fixture.missTwoProbes(m);
     fixture.now += 1;
-    if (others === 'answers') for (const m of otherMachines) fixture.report(m, []);
+    if (others === 'answers') for (const m of otherMachines) fixture.applyHeartbeat(m, []);
     fixture.now += seconds - 2;
     assert.deepEqual(
       fixture.shard.liveness.lostMachines(fixture.now, () => 30, 1000),
@@ -41,7 +41,7 @@
 
 test('machines that never come up are released, but not right after a takeover', () => {
   const fixture = new ShardFixture();
-  fixture.machine('n-1', false);
+  fixture.addMachine('n-1', false);
   const bootSecondsOf = (): number => 30;
   assert.deepEqual(
     fixture.shard.liveness.lostMachines(fixture.now + 5, bootSecondsOf, 1000),
@@ -61,14 +61,14 @@
 test('after a restart a silent machine is lost too, but not when all are silent', () => {
   const lostMachines = (othersAnswer: boolean): string[] => {
     const fixture = new ShardFixture();
-    const machine = fixture.machine('n-1', false);
-    const otherMachines = ['n-2', 'n-3'].map((n) => fixture.machine(n, false));
+    const machine = fixture.addMachine('n-1', false);
+    const otherMachines = ['n-2', 'n-3'].map((n) => fixture.addMachine(n, false));
     for (const m of othersAnswer ? [machine] : [machine, ...otherMachines]) {
       m.reachability.missedProbes = 3;
       m.reachability.firstMissedProbeAt = fixture.now;
     }
     fixture.now += 12;
-    if (othersAnswer) for (const m of otherMachines) fixture.report(m, []);
+    if (othersAnswer) for (const m of otherMachines) fixture.applyHeartbeat(m, []);
     return fixture.shard.liveness.lostMachines(fixture.now, () => 30, 100);
   };
   assert.deepEqual(lostMachines(true), ['n-1']);
@@ -86,11 +86,11 @@
     address: '127.0.0.1:1',
   };
   const inheritedMachine = fixture.shard.addMachine('n-1', record, fixture.now, fixture.now + 36);
-  const other = fixture.machine('n-2', false);
+  const other = fixture.addMachine('n-2', false);
   inheritedMachine.reachability.missedProbes = 3;
   inheritedMachine.reachability.firstMissedProbeAt = fixture.now;
   fixture.now += 12;
-  fixture.report(other, []);
+  fixture.applyHeartbeat(other, []);
   assert.deepEqual(
     fixture.shard.liveness.lostMachines(fixture.now, () => 30, 100),
     [],
@@ -103,16 +103,16 @@
 
 test('a machine that sends heartbeats but responds to no probe is released, and its replicas move to another machine', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
+  const machine = fixture.addMachine();
   const chunk = fixture.createRunningChunk(machine, { isService: true, rank: 'prod' });
-  const other = fixture.machine('n-2');
+  const other = fixture.addMachine('n-2');
   const since = fixture.now;
   for (let n = 0; n < 3; n++) {
     fixture.now += 3;
     machine.reachability.missedProbes++;
     machine.reachability.firstMissedProbeAt ??= since + 1;
-    fixture.report(machine, [{}], {}, 'unsolicited');
-    fixture.report(other, []);
+    fixture.applyHeartbeat(machine, [{}], {}, 'unsolicited');
+    fixture.applyHeartbeat(other, []);
   }
   assert.deepEqual(
     fixture.shard.liveness.lostMachines(fixture.now, () => 30, 1000),
@@ -127,7 +127,7 @@
 
 test('when a partition ends, machines that have not been probed since are not lost', () => {
   const fixture = new ShardFixture();
-  const machines = [1, 2, 3, 4].map((n) => fixture.machine(`n-${n}`));
+  const machines = [1, 2, 3, 4].map((n) => fixture.addMachine(`n-${n}`));
   const lost = (): string[] => fixture.shard.liveness.lostMachines(fixture.now, () => 30, 1000);
   for (const machine of machines) {
     machine.reachability.missedProbes = 3;
@@ -136,7 +136,7 @@
   fixture.now += 20;
   assert.deepEqual(lost(), []);
   fixture.now += 1;
-  for (const machine of machines.slice(1)) fixture.report(machine, [], {}, 'response');
+  for (const machine of machines.slice(1)) fixture.applyHeartbeat(machine, [], {}, 'response');
   assert.deepEqual(lost(), [], 'it was last probed during the partition');
   const [silent] = machines;
   if (silent === undefined) throw new Error('no machine');
@@ -165,12 +165,12 @@
   // Responses to probes do not renew a lease: tasks started there would be killed again and again.
   test(`whether a machine that responds to probes is given work: ${name}`, () => {
     const fixture = new ShardFixture();
-    const machine = fixture.machine('n-1', false);
-    fixture.report(machine, [], {}, report ? 'follow-up' : 'response');
+    const machine = fixture.addMachine('n-1', false);
+    fixture.applyHeartbeat(machine, [], {}, report ? 'follow-up' : 'response');
     fixture.now += after;
-    fixture.report(machine, [], {}, 'response');
+    fixture.applyHeartbeat(machine, [], {}, 'response');
     fixture.shard.liveness.sweep(fixture.now);
-    const chunk = fixture.chunk();
+    const chunk = fixture.addChunk();
     fixture.runSchedulingRound();
     assert.equal(chunk.attempts.size, takesWork ? 1 : 0);
   });
@@ -179,15 +179,15 @@
 test('the lease of a worker that only responds to probes counts from the first response of its agent epoch', () => {
   for (const isFirstEpoch of [true, false]) {
     const fixture = new ShardFixture();
-    const machine = fixture.machine('n-1', false);
-    if (!isFirstEpoch) fixture.report(machine, []);
+    const machine = fixture.addMachine('n-1', false);
+    if (!isFirstEpoch) fixture.applyHeartbeat(machine, []);
     fixture.now += 8;
     if (!isFirstEpoch) fixture.agentEpoch++;
-    fixture.report(machine, [], {}, 'response');
-    const chunk = fixture.chunk();
+    fixture.applyHeartbeat(machine, [], {}, 'response');
+    const chunk = fixture.addChunk();
     fixture.runSchedulingRound();
-    fixture.store(chunk);
-    fixture.report(machine, [{}], {}, 'response');
+    fixture.markStored(chunk);
+    fixture.applyHeartbeat(machine, [{}], {}, 'response');
     assert.equal(chunk.attempts.size, 1);
     fixture.shard.liveness.sweep(fixture.now + 17);
     assert.equal(chunk.attempts.size, 1, 'the agent epoch may have begun just before the response');
--- a/test/reconciliation/startCommands.test.ts
+++ b/test/reconciliation/startCommands.test.ts
@@ -9,9 +9,9 @@
 import type { Machine } from '../../src/coordination/model/machine.js';
 import { StartCommands } from '../../src/coordination/model/startCommands.js';
 import type { ReportedAttempt } from '../../src/protocol/workerProtocol.js';
-import { ShardFixture, TOKEN } from '../support/shardFixture.js';
-import { CommandBench, type Passage } from '../support/commandBench.js';
-import { startedRecord } from '../support/spec.js';
+import { ShardFixture, FENCING_TOKEN } from '../support/shardFixture.js';
+import { CommandHarness, type DeliveryOutcome } from '../support/commandHarness.js';
+import { startedChunkRecord } from '../support/jobSpec.js';
 
 const TASK = 'wk-1/0';
 
@@ -19,82 +19,82 @@
 const SECOND_ATTEMPT = [{ task: 0, attemptNumber: 2, machine: 'n-1', agentEpoch: 1 }];
 
 /** Lets the first attempt of `TASK` fail on a machine, whose worker reports it. */
-function failFirstAttempt(fixture: CommandBench, machine: Machine): void {
+function failFirstAttempt(fixture: CommandHarness, machine: Machine): void {
   const attempt = fixture.worker(machine).find(TASK, 1);
   assert.ok(attempt, 'it was started');
-  fixture.worker(machine).end(attempt, 'error');
-  fixture.hello(machine);
+  fixture.worker(machine).terminate(attempt, 'error');
+  fixture.sendHeartbeat(machine);
 }
 
 /** Outcomes of the second command with the same start, while the first is held by the network. */
-const repeats: Passage[] = ['no socket', 'connection refused'];
+const repeats: DeliveryOutcome[] = ['no socket', 'connection refused'];
 
 test('a held start may still be executed when its repeat was never sent', async () => {
   for (const repeat of repeats) {
-    const fixture = new CommandBench();
-    const first = fixture.machine('n-1');
-    const chunk = fixture.bench.chunk();
-    fixture.place(chunk);
-    fixture.passages.push('held', repeat);
-    await fixture.send(first);
-    await fixture.send(first);
+    const fixture = new CommandHarness();
+    const first = fixture.addMachine('n-1');
+    const chunk = fixture.fixture.addChunk();
+    fixture.placeAndStore(chunk);
+    fixture.deliveryOutcomes.push('held', repeat);
+    await fixture.sendCommands(first);
+    await fixture.sendCommands(first);
     // The user requests the cancellation of the job; the record can't be stored, and the job continues.
-    fixture.bench.shard.prepareCancel(chunk, fixture.bench.now);
-    fixture.bench.shard.abandonCancellation(chunk);
-    fixture.bench.missTwoProbes(first);
-    const second = fixture.machine('n-2');
-    fixture.place(chunk);
-    await fixture.send(second);
-    fixture.deliverHeld();
-    assert.deepEqual(fixture.ranTwice, [], repeat);
+    fixture.fixture.shard.prepareCancel(chunk, fixture.fixture.now);
+    fixture.fixture.shard.abandonCancellation(chunk);
+    fixture.fixture.missTwoProbes(first);
+    const second = fixture.addMachine('n-2');
+    fixture.placeAndStore(chunk);
+    await fixture.sendCommands(second);
+    fixture.deliverHeldCommands();
+    assert.deepEqual(fixture.concurrentStarts, [], repeat);
     assert.equal(fixture.worker(first).running.length, 1, `${repeat}: the held start was executed`);
   }
 });
 
 test('a held start may still be executed when its repeat was executed', async () => {
-  const fixture = new CommandBench();
-  const first = fixture.machine('n-1');
-  const chunk = fixture.bench.chunk();
-  fixture.place(chunk);
-  fixture.passages.push('held', 'arrives');
-  await fixture.send(first);
-  await fixture.send(first);
+  const fixture = new CommandHarness();
+  const first = fixture.addMachine('n-1');
+  const chunk = fixture.fixture.addChunk();
+  fixture.placeAndStore(chunk);
+  fixture.deliveryOutcomes.push('held', 'arrives');
+  await fixture.sendCommands(first);
+  await fixture.sendCommands(first);
   const attempt = chunk.attempts.get(0);
   assert.ok(attempt?.wasReported, 'the repeat has started the task');
-  fixture.bench.shard.requestStop(first, attempt, 0);
-  await fixture.send(first);
+  fixture.fixture.shard.requestStop(first, attempt, 0);
+  await fixture.sendCommands(first);
   assert.equal(chunk.attempts.size, 0, 'the attempt was stopped');
   first.isCordoned = true;
-  const second = fixture.machine('n-2');
-  fixture.place(chunk);
-  fixture.helloForOrders(first);
-  await fixture.send(second);
+  const second = fixture.addMachine('n-2');
+  fixture.placeAndStore(chunk);
+  fixture.sendHeartbeatForCommands(first);
+  await fixture.sendCommands(second);
   assert.equal(fixture.worker(second).running.length, 1, 'the task continues on another machine');
   assert.equal(
     fixture.worker(first).find(TASK, 1),
     undefined,
     'its worker was told to forget the attempt',
   );
-  fixture.deliverHeld();
-  assert.deepEqual(new Set(fixture.deliverCopies()), new Set([409, 200]));
-  assert.deepEqual(fixture.ranTwice, []);
+  fixture.deliverHeldCommands();
+  assert.deepEqual(new Set(fixture.deliverDuplicates()), new Set([409, 200]));
+  assert.deepEqual(fixture.concurrentStarts, []);
   assert.equal(fixture.worker(first).find(TASK, 1), undefined, 'a late start is refused');
 });
 
 /**
  * A machine whose worker was told to forget the first attempt of `TASK`, and has forgotten it; `wk-2/0` runs there as well.
  */
-async function acknowledgedAttempt(): Promise<{ fixture: CommandBench; machine: Machine }> {
-  const fixture = new CommandBench();
-  const machine = fixture.machine('n-1');
-  const chunk = fixture.bench.chunk();
-  const other = fixture.bench.chunk({ id: 'wk-2' });
-  fixture.place(chunk);
-  fixture.bench.store(other);
-  await fixture.send(machine);
+async function acknowledgedAttempt(): Promise<{ fixture: CommandHarness; machine: Machine }> {
+  const fixture = new CommandHarness();
+  const machine = fixture.addMachine('n-1');
+  const chunk = fixture.fixture.addChunk();
+  const other = fixture.fixture.addChunk({ id: 'wk-2' });
+  fixture.placeAndStore(chunk);
+  fixture.fixture.markStored(other);
+  await fixture.sendCommands(machine);
   failFirstAttempt(fixture, machine);
-  fixture.bench.store(chunk);
-  fixture.helloForOrders(machine);
+  fixture.fixture.markStored(chunk);
+  fixture.sendHeartbeatForCommands(machine);
   assert.equal(
     fixture.worker(machine).find(TASK, 1),
     undefined,
@@ -105,28 +105,28 @@
 
 test('a copy of an answered start is refused once the attempt was acknowledged, and other work continues', async () => {
   const { fixture, machine } = await acknowledgedAttempt();
-  assert.deepEqual(new Set(fixture.deliverCopies()), new Set([409]));
+  assert.deepEqual(new Set(fixture.deliverDuplicates()), new Set([409]));
   assert.equal(fixture.worker(machine).find('wk-2/0', 1)?.state, 'running');
-  assert.deepEqual(fixture.bench.shard.audit.counters, { 'attempt-over.ended': 1 });
+  assert.deepEqual(fixture.fixture.shard.audit.counters, { 'attempt-over.ended': 1 });
 });
 
 test('a worker that has lost its highest fencing token refuses copies from the first answer on', async () => {
   const { fixture, machine } = await acknowledgedAttempt();
-  fixture.worker(machine).token = 0;
-  fixture.helloForOrders(machine);
-  assert.deepEqual(new Set(fixture.deliverCopies()), new Set([409]));
+  fixture.worker(machine).highestFencingToken = 0;
+  fixture.sendHeartbeatForCommands(machine);
+  assert.deepEqual(new Set(fixture.deliverDuplicates()), new Set([409]));
 });
 
 test('an attempt that its worker had forgotten and reports again is a violation, and is stopped', async () => {
   const { fixture, machine } = await acknowledgedAttempt();
   machine.acknowledgedAttempts.noteAcknowledged(TASK, 1);
-  fixture.hello(machine);
+  fixture.sendHeartbeat(machine);
   // Simulates a worker that has lost its highest fencing token.
-  fixture.worker(machine).token = 0;
-  fixture.deliverCopies();
-  fixture.hello(machine);
+  fixture.worker(machine).highestFencingToken = 0;
+  fixture.deliverDuplicates();
+  fixture.sendHeartbeat(machine);
   assert.equal(
-    fixture.bench.shard.audit.counters['invariant-broken.acknowledged-attempt-returned'],
+    fixture.fixture.shard.audit.counters['invariant-broken.acknowledged-attempt-returned'],
     1,
   );
   assert.deepEqual(
@@ -137,31 +137,31 @@
 
 test('two attempts of a task in one heartbeat are told apart, in whichever order they are listed', async () => {
   for (const order of ['oldest first', 'newest first'] as const) {
-    const fixture = new CommandBench();
-    const first = fixture.machine('n-1', order);
-    const chunk = fixture.bench.chunk();
-    fixture.place(chunk);
-    fixture.passages.push('held', 'arrives');
-    await fixture.send(first);
-    await fixture.send(first);
+    const fixture = new CommandHarness();
+    const first = fixture.addMachine('n-1', order);
+    const chunk = fixture.fixture.addChunk();
+    fixture.placeAndStore(chunk);
+    fixture.deliveryOutcomes.push('held', 'arrives');
+    await fixture.sendCommands(first);
+    await fixture.sendCommands(first);
     const attempt = chunk.attempts.get(0);
     assert.ok(attempt, order);
-    fixture.bench.shard.requestStop(first, attempt, 0);
-    await fixture.send(first);
+    fixture.fixture.shard.requestStop(first, attempt, 0);
+    await fixture.sendCommands(first);
     // The second attempt goes to the same machine, which still reports the first.
-    fixture.place(chunk);
-    await fixture.send(first);
+    fixture.placeAndStore(chunk);
+    await fixture.sendCommands(first);
     fixture.worker(first).reportOrder = 'oldest first';
-    fixture.hello(first);
+    fixture.sendHeartbeat(first);
     assert.equal(chunk.attempts.get(0)?.state, 'running', order);
     fixture.worker(first).reportOrder = order;
-    fixture.deliverHeld();
-    fixture.hello(first);
-    const second = fixture.machine('n-2');
+    fixture.deliverHeldCommands();
+    fixture.sendHeartbeat(first);
+    const second = fixture.addMachine('n-2');
     first.isCordoned = true;
-    fixture.place(chunk);
-    await fixture.send(second);
-    assert.deepEqual(fixture.ranTwice, [], order);
+    fixture.placeAndStore(chunk);
+    await fixture.sendCommands(second);
+    assert.deepEqual(fixture.concurrentStarts, [], order);
     assert.equal(
       chunk.attempts.get(0)?.attemptNumber,
       2,
@@ -258,72 +258,76 @@
 }
 
 test('an attempt whose start got no answer terminates once its worker has shown a higher token, without a write', async () => {
-  const fixture = new CommandBench();
-  const machine = fixture.machine('n-1');
-  const chunk = fixture.bench.chunk();
-  fixture.place(chunk);
-  fixture.passages.push('held');
-  await fixture.send(machine);
+  const fixture = new CommandHarness();
+  const machine = fixture.addMachine('n-1');
+  const chunk = fixture.fixture.addChunk();
+  fixture.placeAndStore(chunk);
+  fixture.deliveryOutcomes.push('held');
+  await fixture.sendCommands(machine);
   // The token is not raised while nothing depends on it: a held start may arrive late and be executed.
-  fixture.orders.sweep();
-  fixture.helloForOrders(machine);
-  assert.equal(fixture.worker(machine).token, TOKEN);
+  fixture.dispatcher.sweep();
+  fixture.sendHeartbeatForCommands(machine);
+  assert.equal(fixture.worker(machine).highestFencingToken, FENCING_TOKEN);
   const attempt = chunk.attempts.get(0);
   assert.ok(attempt);
-  fixture.bench.shard.requestStop(machine, attempt, 0);
-  fixture.bench.shard.cancel(chunk, fixture.bench.now);
-  fixture.orders.sweep();
-  fixture.helloForOrders(machine);
+  fixture.fixture.shard.requestStop(machine, attempt, 0);
+  fixture.fixture.shard.cancel(chunk, fixture.fixture.now);
+  fixture.dispatcher.sweep();
+  fixture.sendHeartbeatForCommands(machine);
   assert.equal(chunk.attempts.size, 1, 'its worker has not shown the higher token yet');
-  fixture.hello(machine);
+  fixture.sendHeartbeat(machine);
   assert.equal(chunk.attempts.size, 0);
-  fixture.deliverHeld();
+  fixture.deliverHeldCommands();
   assert.equal(fixture.worker(machine).running.length, 0, 'the held start is refused');
-  assert.equal(fixture.raises.length, 0);
+  assert.equal(fixture.tokenAdvanceResults.length, 0);
 });
 
 test('a leadership that has used up its tokens for a machine acknowledges nothing there before it has stored more', async () => {
-  const fixture = new CommandBench();
-  const machine = fixture.machine('n-1');
-  const chunk = fixture.bench.chunk();
-  const { last } = fixture.host.shard.fencingTokens;
-  fixture.worker(machine).token = last;
-  fixture.hello(machine);
-  fixture.place(chunk);
-  await fixture.send(machine);
+  const fixture = new CommandHarness();
+  const machine = fixture.addMachine('n-1');
+  const chunk = fixture.fixture.addChunk();
+  const { last } = fixture.ownedShard.shard.fencingTokens;
+  fixture.worker(machine).highestFencingToken = last;
+  fixture.sendHeartbeat(machine);
+  fixture.placeAndStore(chunk);
+  await fixture.sendCommands(machine);
   failFirstAttempt(fixture, machine);
-  fixture.bench.store(chunk);
-  fixture.helloForOrders(machine);
+  fixture.fixture.markStored(chunk);
+  fixture.sendHeartbeatForCommands(machine);
   assert.ok(fixture.worker(machine).find(TASK, 1), 'a copy of its start would not be refused');
-  fixture.bench.now += 7;
-  fixture.raises.push({ fencingToken: last + 1, revision: 2, previousLeaderLostAt: 0 });
-  fixture.orders.sweep();
+  fixture.fixture.now += 7;
+  fixture.tokenAdvanceResults.push({
+    fencingToken: last + 1,
+    revision: 2,
+    previousLeaderLostAt: 0,
+  });
+  fixture.dispatcher.sweep();
   await new Promise((resolve) => setImmediate(resolve));
-  fixture.helloForOrders(machine);
+  fixture.sendHeartbeatForCommands(machine);
   assert.equal(fixture.worker(machine).find(TASK, 1), undefined);
-  assert.equal(fixture.worker(machine).token, last + 1);
+  assert.equal(fixture.worker(machine).highestFencingToken, last + 1);
 });
 
 test('an end first shown in the response to a command is acknowledged once a heartbeat has settled the start', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
-  const chunk = fixture.chunk();
+  const machine = fixture.addMachine();
+  const chunk = fixture.addChunk();
   fixture.runSchedulingRound();
-  fixture.store(chunk);
+  fixture.markStored(chunk);
   const attempt = chunk.attempts.get(0);
   assert.ok(attempt);
   // The start is sent in the answer to a heartbeat; the response to a command overtakes the next heartbeat.
   attempt.startSentInAnswer = true;
   const refused = [{ state: 'ended', cause: 'no_room' }] as const;
-  fixture.report(machine, [...refused], {}, 'response');
-  fixture.store(chunk);
+  fixture.applyHeartbeat(machine, [...refused], {}, 'response');
+  fixture.markStored(chunk);
   assert.equal(chunk.attempts.size, 0);
   assert.deepEqual(
     fixture.dueCommandNames(machine),
     [],
     'the answer with the start may still be on its way',
   );
-  fixture.report(machine, [...refused], {}, 'follow-up');
+  fixture.applyHeartbeat(machine, [...refused], {}, 'follow-up');
   assert.deepEqual(fixture.dueCommandNames(machine), ['acknowledge wk-1/0 1']);
 });
 
@@ -344,15 +348,15 @@
   ];
   for (const [name, tasks, commands] of cases) {
     const fixture = new ShardFixture();
-    const machine = fixture.machine();
+    const machine = fixture.addMachine();
     const chunk = fixture.shard.loadChunk(
       0,
-      { ...startedRecord(), nextAttemptNumber: 3, attempts: SECOND_ATTEMPT },
-      TOKEN,
+      { ...startedChunkRecord(), nextAttemptNumber: 3, attempts: SECOND_ATTEMPT },
+      FENCING_TOKEN,
       1,
     );
-    fixture.report(machine, [{ attemptNumber: 2 }]);
-    fixture.report(machine, tasks);
+    fixture.applyHeartbeat(machine, [{ attemptNumber: 2 }]);
+    fixture.applyHeartbeat(machine, tasks);
     assert.equal(chunk.attempts.get(0)?.attemptNumber, 2, name);
     assert.equal(chunk.attempts.get(0)?.state, 'running', name);
     assert.deepEqual(fixture.dueCommandNames(machine), commands, name);
@@ -360,73 +364,84 @@
 });
 
 test('a start waits while another attempt of its task runs on a machine of the shard', async () => {
-  const fixture = new CommandBench();
-  const first = fixture.machine('n-1');
-  const second = fixture.machine('n-2');
+  const fixture = new CommandHarness();
+  const first = fixture.addMachine('n-1');
+  const second = fixture.addMachine('n-2');
   first.isCordoned = true;
-  const chunk = fixture.bench.chunk();
-  fixture.place(chunk);
+  const chunk = fixture.fixture.addChunk();
+  fixture.placeAndStore(chunk);
   // An unknown attempt is stopped at once, and the shard starts its own attempt only after seeing the end.
-  fixture.worker(first).command({
-    Baton: TOKEN,
+  fixture.worker(first).handleCommand({
+    Baton: FENCING_TOKEN,
     Shift: 1,
     Orders: [{ Verb: 'start', Piece: TASK, Try: 7 }],
   });
-  fixture.hello(first);
-  await fixture.send(second);
+  fixture.sendHeartbeat(first);
+  await fixture.sendCommands(second);
   assert.equal(fixture.worker(second).running.length, 0);
-  assert.equal(fixture.bench.shard.audit.counters['invariant-broken.start-beside-live-attempt'], 1);
-  await fixture.send(first);
-  await fixture.send(second);
+  assert.equal(
+    fixture.fixture.shard.audit.counters['invariant-broken.start-beside-live-attempt'],
+    1,
+  );
+  await fixture.sendCommands(first);
+  await fixture.sendCommands(second);
   assert.equal(
     fixture.worker(second).running.length,
     1,
     'the end of the unknown attempt was reported',
   );
-  assert.deepEqual(fixture.ranTwice, []);
+  assert.deepEqual(fixture.concurrentStarts, []);
 });
 
 test('a start waits no longer than the lease of a machine with another attempt', async () => {
-  const fixture = new CommandBench();
-  const first = fixture.machine('n-1');
-  const second = fixture.machine('n-2');
+  const fixture = new CommandHarness();
+  const first = fixture.addMachine('n-1');
+  const second = fixture.addMachine('n-2');
   first.isCordoned = true;
-  const chunk = fixture.bench.chunk();
-  fixture.place(chunk);
-  fixture.bench.report(first, [{ attemptNumber: 7 }], { heartbeatSequence: 50 });
-  await fixture.send(second);
+  const chunk = fixture.fixture.addChunk();
+  fixture.placeAndStore(chunk);
+  fixture.fixture.applyHeartbeat(first, [{ attemptNumber: 7 }], { heartbeatSequence: 50 });
+  await fixture.sendCommands(second);
   assert.equal(fixture.worker(second).running.length, 0);
-  fixture.bench.now += 30;
-  await fixture.send(second);
+  fixture.fixture.now += 30;
+  await fixture.sendCommands(second);
   assert.equal(fixture.worker(second).running.length, 1);
 });
 
 test('an attempt acknowledged by a new leader has not vanished for the previous leader that was paused meanwhile', () => {
   for (const [token, violations] of [
-    [TOKEN + TOKENS_PER_LEADERSHIP - 1, 1],
-    [TOKEN + TOKENS_PER_LEADERSHIP, undefined],
+    [FENCING_TOKEN + TOKENS_PER_LEADERSHIP - 1, 1],
+    [FENCING_TOKEN + TOKENS_PER_LEADERSHIP, undefined],
   ] as const) {
     const fixture = new ShardFixture();
-    createOwnedShard(fixture.shard, { fencingToken: TOKEN, revision: 1 }, fixture.now);
-    const machine = fixture.machine();
+    createOwnedShard(fixture.shard, { fencingToken: FENCING_TOKEN, revision: 1 }, fixture.now);
+    const machine = fixture.addMachine();
     fixture.createRunningChunk(machine);
-    fixture.report(machine, [], { highestFencingToken: token });
+    fixture.applyHeartbeat(machine, [], { highestFencingToken: token });
     assert.equal(fixture.shard.audit.counters['invariant-broken.attempt-vanished'], violations);
   }
 });
 
 test('an answer raises no token while a command is in flight', async () => {
-  const fixture = new CommandBench();
-  const machine = fixture.machine('n-1');
-  const chunk = fixture.bench.chunk();
-  fixture.place(chunk);
-  await fixture.send(machine);
+  const fixture = new CommandHarness();
+  const machine = fixture.addMachine('n-1');
+  const chunk = fixture.fixture.addChunk();
+  fixture.placeAndStore(chunk);
+  await fixture.sendCommands(machine);
   const commands = [{ verb: 'acknowledge', task: TASK, attemptNumber: 1 }] as const;
-  const { fencingTokens: tokens } = fixture.host.shard;
+  const { fencingTokens: tokens } = fixture.ownedShard.shard;
   const seal = (mayRaise: boolean): unknown =>
-    machine.commandTokens.assignToken(commands, tokens, { seenToken: TOKEN, mayRaise });
-  assert.deepEqual(seal(false), { token: TOKEN, commands: [], startToken: TOKEN });
-  assert.deepEqual(seal(true), { token: TOKEN + 1, commands: [...commands], startToken: TOKEN });
+    machine.commandTokens.assignToken(commands, tokens, { seenToken: FENCING_TOKEN, mayRaise });
+  assert.deepEqual(seal(false), { token: FENCING_TOKEN, commands: [], startToken: FENCING_TOKEN });
+  assert.deepEqual(seal(true), {
+    token: FENCING_TOKEN + 1,
+    commands: [...commands],
+    startToken: FENCING_TOKEN,
+  });
   // Nothing was started under the new token: the next message needs no higher one.
-  assert.deepEqual(seal(false), { token: TOKEN + 1, commands: [...commands], startToken: TOKEN });
+  assert.deepEqual(seal(false), {
+    token: FENCING_TOKEN + 1,
+    commands: [...commands],
+    startToken: FENCING_TOKEN,
+  });
 });
--- a/test/regression/comparison.ts
+++ b/test/regression/comparison.ts
@@ -25,10 +25,10 @@
   aims: [string, number][];
 }
 
-export interface Fall {
-  what: string;
+export interface Regression {
+  figure: string;
   before: number;
-  now: number;
+  after: number;
 }
 
 /** `wait calendar 1 s: 0.916 (aim 0.92)`: the name of the aim and its figure. */
@@ -40,7 +40,7 @@
 const isBetterWhenLower = (aim: string): boolean => /^(price|node_restarts)/.test(aim);
 
 /** All figures of a score by their names; larger is better. */
-export function figuresOf({ score, days }: ScoreEntry): Map<string, number> {
+export function figuresByName({ score, days }: ScoreEntry): Map<string, number> {
   const figures = new Map<string, number>();
   if (score !== null) figures.set('score', score);
   for (const day of days) {
@@ -57,14 +57,14 @@
 }
 
 /** Figures that fell by more than the tolerance below the lowest that was recorded. */
-export function fallsOf(recorded: ScoreEntry[], now: ScoreEntry): Fall[] {
-  const before = recorded.map(figuresOf);
-  const falls: Fall[] = [];
-  for (const [what, figure] of figuresOf(now)) {
+export function findRegressions(recorded: ScoreEntry[], now: ScoreEntry): Regression[] {
+  const before = recorded.map(figuresByName);
+  const falls: Regression[] = [];
+  for (const [what, figure] of figuresByName(now)) {
     const known = before.flatMap((figures) => figures.get(what) ?? []);
     const lowest = Math.min(...known);
     if (known.length > 0 && figure < lowest - TOLERANCE) {
-      falls.push({ what, before: Math.abs(lowest), now: Math.abs(figure) });
+      falls.push({ figure: what, before: Math.abs(lowest), after: Math.abs(figure) });
     }
   }
   return falls;
@@ -74,7 +74,7 @@
   days.flatMap(({ name, rules }) => Object.keys(rules).map((rule) => `${name}: ${rule}`));
 
 /** The runs of the last sources that were scored: one alone says little, since processor time is measured. */
-export function lastRecorded(entries: ScoreEntry[], site: string): ScoreEntry[] {
+export function entriesOfLastSources(entries: ScoreEntry[], site: string): ScoreEntry[] {
   const scored = entries.filter((e) => e.cmd === 'score' && e.site === site && e.ok);
   const last = scored[scored.length - 1];
   if (last === undefined) return [];
--- a/test/regression/main.ts
+++ b/test/regression/main.ts
@@ -6,7 +6,12 @@
 import { spawnSync } from 'node:child_process';
 import { readdirSync, readFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
-import { brokenRules, fallsOf, lastRecorded, type ScoreEntry } from './comparison.js';
+import {
+  brokenRules,
+  findRegressions,
+  entriesOfLastSources,
+  type ScoreEntry,
+} from './comparison.js';
 
 const ROOT = resolve(import.meta.dirname, '../../../..');
 const JOURNAL = join(ROOT, 'journal');
@@ -43,11 +48,11 @@
     return false;
   }
   const broken = brokenRules(now);
-  const falls = fallsOf(recorded, now);
+  const falls = findRegressions(recorded, now);
   const against = recorded.map(({ id }) => id).join(', ') || 'nothing recorded';
   console.log(`${site}: ${now.score?.toFixed(3) ?? '-'} against ${against}`);
   for (const rule of broken) console.log(`  rule broken on ${rule}`);
-  for (const { what, before, now: after } of falls) {
+  for (const { figure: what, before, after: after } of falls) {
     console.log(`  ${what}: ${after} after ${before} at the least`);
   }
   return broken.length + falls.length === 0;
@@ -67,6 +72,6 @@
 const verdicts = SITES.map((path) => {
   const site = path.slice(path.indexOf('/') + 1);
   const now = fresh.find((entry) => entry.site === site);
-  return report(site, lastRecorded(old, site), now);
+  return report(site, entriesOfLastSources(old, site), now);
 });
 process.exit(verdicts.every(Boolean) ? 0 : 1);
--- a/test/rollout/rollout.test.ts
+++ b/test/rollout/rollout.test.ts
@@ -4,7 +4,7 @@
 import { rolloutPath } from '../../src/protocol/routes.js';
 import { keys } from '../../src/storage/records.js';
 import type { StoredLeaderRecord } from '../../src/storage/storedRecords.js';
-import { buildWithFeatures, pause, presentBuild, until } from '../support/cluster.js';
+import { buildWithFeatures, pause, currentBuild, until } from '../support/cluster.js';
 import { FEATURES, LABELS, RolloutCluster } from '../support/rolloutCluster.js';
 
 const withFeatures = buildWithFeatures(FEATURES);
@@ -13,14 +13,14 @@
   const rollout = new RolloutCluster();
   try {
     await rollout.start();
-    const users = rollout.submit();
-    await until('large records are stored in fragments', () => rollout.forms.fragments > 0);
-    assert.deepEqual(rollout.forms.compressed, 0);
+    const users = rollout.submitJobs();
+    await until('large records are stored in fragments', () => rollout.recordCounts.fragments > 0);
+    assert.deepEqual(rollout.recordCounts.compressed, 0);
     for (const label of LABELS) await rollout.replace(label, withFeatures);
-    await rollout.untilLevel(3);
-    assert.equal(rollout.forms.hasBarrier, true);
-    assert.equal(rollout.forms.fragments, 0);
-    assert.ok(rollout.forms.compressed > 0);
+    await rollout.waitForLevel(3);
+    assert.equal(rollout.recordCounts.hasBarrier, true);
+    assert.equal(rollout.recordCounts.fragments, 0);
+    assert.ok(rollout.recordCounts.compressed > 0);
     const body = { to: 2, by: 'anna', confirm: true };
     await until('the lowering is accepted', async () => {
       // The node answers 503 while its cache lags; the operator's command retries in the same way.
@@ -32,13 +32,13 @@
       );
       return status === 200;
     });
-    await rollout.untilLevel(2);
-    assert.equal(rollout.forms.hasBarrier, false);
-    assert.equal(rollout.forms.compressed, 0);
-    await rollout.finish();
+    await rollout.waitForLevel(2);
+    assert.equal(rollout.recordCounts.hasBarrier, false);
+    assert.equal(rollout.recordCounts.compressed, 0);
+    await rollout.finishJobs();
     await users;
     assert.deepEqual(rollout.users.history.violations, []);
-    assert.deepEqual(rollout.cluster.cloud.twice, []);
+    assert.deepEqual(rollout.cluster.cloud.concurrentStarts, []);
   } finally {
     await rollout.close();
   }
@@ -48,17 +48,17 @@
   const rollout = new RolloutCluster();
   try {
     await rollout.start();
-    const users = rollout.submit();
+    const users = rollout.submitJobs();
     for (const label of ['drone-0', 'drone-1']) await rollout.replace(label, withFeatures);
     await until('the blocker of the raise is reported', async () => {
       const { blockers } = await rollout.status();
       return blockers.some((b) => b.subject === 'drone-2' && b.cause === 'publishes-no-levels');
     });
-    for (const label of ['drone-1', 'drone-0']) await rollout.replace(label, presentBuild);
-    await rollout.finish();
+    for (const label of ['drone-1', 'drone-0']) await rollout.replace(label, currentBuild);
+    await rollout.finishJobs();
     await users;
-    assert.equal(rollout.forms.hasBarrier, false);
-    assert.equal(rollout.forms.compressed, 0);
+    assert.equal(rollout.recordCounts.hasBarrier, false);
+    assert.equal(rollout.recordCounts.compressed, 0);
     assert.deepEqual(rollout.users.history.violations, []);
   } finally {
     await rollout.close();
@@ -72,8 +72,8 @@
   const without = buildWithFeatures([], (why) => (reason = why));
   try {
     await rollout.start();
-    const users = rollout.submit();
-    await rollout.untilLevel(3);
+    const users = rollout.submitJobs();
+    await rollout.waitForLevel(3);
     const before = cluster.state.rows.get(keys.leader('drone-2'))?.value as StoredLeaderRecord;
     cluster.crash('drone-2');
     cluster.builds.set('drone-2', without);
@@ -87,7 +87,7 @@
       return leader !== undefined && leader.node !== 'drone-2' && leader.token > before.token;
     });
     await rollout.restart('drone-2', withFeatures);
-    await rollout.finish();
+    await rollout.finishJobs();
     await users;
     assert.deepEqual(rollout.users.history.violations, []);
   } finally {
@@ -100,7 +100,7 @@
   const { cluster } = rollout;
   try {
     await rollout.start();
-    await rollout.untilLevel(3);
+    await rollout.waitForLevel(3);
     cluster.crash('drone-2');
     const key = keys.leader('drone-2');
     await until('its key is gone', () => {
@@ -136,7 +136,7 @@
     cluster.call('drone-1', 'POST', `${rolloutPath}${name}`, body);
   try {
     // drone-2 starts without rollouts, so that the next level cannot be proposed before the hold is stored.
-    cluster.builds.set('drone-2', presentBuild);
+    cluster.builds.set('drone-2', currentBuild);
     await cluster.start();
     await until('the hold is stored', async () => {
       const { status } = await post('/hold', { by: 'anna', reason: 'one more day' });
@@ -163,7 +163,7 @@
     }
     assert.equal((await rollout.status()).version.level, 2);
     assert.equal((await post('/finalize', {})).status, 200);
-    await rollout.untilLevel(3);
+    await rollout.waitForLevel(3);
   } finally {
     await rollout.close();
   }
@@ -174,7 +174,7 @@
   const { cluster } = rollout;
   try {
     await rollout.start();
-    const users = rollout.submit();
+    const users = rollout.submitJobs();
     const drained = await cluster.call('drone-0', 'POST', `${rolloutPath}/drain`, { token: null });
     assert.equal(drained.status, 200);
     const drain = cluster.nodes.get('drone-0')?.controller.drain;
@@ -184,7 +184,7 @@
     assert.equal(drain?.isDone, true);
     await cluster.call('drone-0', 'POST', `${rolloutPath}/undrain`, {});
     await until('it has its shard back', () => rollout.leadsItsShard('drone-0'));
-    await rollout.finish();
+    await rollout.finishJobs();
     await users;
     assert.deepEqual(rollout.users.history.violations, []);
   } finally {
--- a/test/scheduling/placement.test.ts
+++ b/test/scheduling/placement.test.ts
@@ -8,7 +8,7 @@
   sampleCandidates,
   selectVictims,
 } from '../../src/coordination/scheduling/placement.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
 const room = (cpus: number, memory = 64): { cpus: number; gpus: number; memoryGb: number } => ({
   cpus,
@@ -18,7 +18,7 @@
 
 test('constraints of a job allow or exclude a machine', () => {
   const machine = { type: 'm8', zone: 'a', spot: true };
-  const cases: [Parameters<typeof spec>[0], string | null, boolean][] = [
+  const cases: [Parameters<typeof jobSpec>[0], string | null, boolean][] = [
     [{ allowsSpot: true }, null, true],
     [{ allowsSpot: false }, null, false],
     [{ allowsSpot: true, machineTypes: ['g8'] }, null, false],
@@ -28,7 +28,7 @@
   ];
   for (const [changes, zone, expected] of cases) {
     assert.equal(
-      satisfiesConstraints(spec(changes), zone, machine),
+      satisfiesConstraints(jobSpec(changes), zone, machine),
       expected,
       JSON.stringify([changes, zone]),
     );
@@ -47,7 +47,7 @@
     hasImage: () => hasImage,
   });
   const pick = (...machines: ReturnType<typeof machine>[]): string | undefined =>
-    bestFit(machines, spec({ cpus: 2 }))?.name;
+    bestFit(machines, jobSpec({ cpus: 2 }))?.name;
   assert.equal(pick(machine('a', 8, true), machine('b', 4, true)), 'b');
   assert.equal(pick(machine('a', 8, true), machine('b', 4, false)), 'a');
   assert.equal(pick(machine('a', 8, true, 3), machine('b', 8, false)), 'b');
@@ -57,7 +57,7 @@
     ...machine(name, 8, true),
     serviceCpus,
   });
-  const replica = spec({ cpus: 2, isService: true });
+  const replica = jobSpec({ cpus: 2, isService: true });
   assert.equal(bestFit([withServices('a', 4), withServices('b', 2)], replica)?.name, 'b');
   assert.equal(bestFit([withServices('a', 0), withServices('b', 6)], replica)?.name, 'b');
   const many = Array.from({ length: 20 }, (_, i) => machine(`m${i}`, 8, i === 13));
--- a/test/scheduling/queueReplay.test.ts
+++ b/test/scheduling/queueReplay.test.ts
@@ -6,7 +6,7 @@
   ReplaySnapshot,
   type ReplayMachine,
 } from '../../src/coordination/scheduling/queueReplay.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
 const room = (cpus: number, memory = 64): { cpus: number; gpus: number; memoryGb: number } => ({
   cpus,
@@ -24,7 +24,7 @@
 });
 
 test('the wait is estimated by replaying the queue', () => {
-  const job = spec({ cpus: 4 });
+  const job = jobSpec({ cpus: 4 });
   const item = (count: number, run: number): Parameters<typeof replayQueue>[2] => ({
     spec: job,
     zone: null,
@@ -63,7 +63,7 @@
 });
 
 test('the replay backfills room that earlier work leaves free', () => {
-  const large = { spec: spec({ cpus: 8 }), zone: null, count: 1, run: 10 };
-  const small = { spec: spec({ cpus: 2 }), zone: null, count: 1, run: 1 };
+  const large = { spec: jobSpec({ cpus: 8 }), zone: null, count: 1, run: 10 };
+  const small = { spec: jobSpec({ cpus: 2 }), zone: null, count: 1, run: 1 };
   assert.equal(replayQueue(new ReplaySnapshot([machine(4, [[6, 4]])]), [large], small).wait, 0);
 });
--- a/test/scheduling/scheduler.test.ts
+++ b/test/scheduling/scheduler.test.ts
@@ -10,23 +10,23 @@
 import { singleShardView } from '../../src/coordination/quota/teamUsage.js';
 import { ShardFixture } from '../support/shardFixture.js';
 import { m8 } from '../support/emptyShard.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
 test('higher ranks go first; a live service preempts batch work, and batch work preempts nothing', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
-  const batch = fixture.chunk({ id: 'wk-1', cpus: 8 });
+  const machine = fixture.addMachine();
+  const batch = fixture.addChunk({ id: 'wk-1', cpus: 8 });
   fixture.runSchedulingRound();
-  fixture.store(batch);
-  fixture.report(machine, [{}]);
+  fixture.markStored(batch);
+  fixture.applyHeartbeat(machine, [{}]);
   fixture.now++;
-  const other = fixture.chunk({ id: 'wk-2', cpus: 8 });
+  const other = fixture.addChunk({ id: 'wk-2', cpus: 8 });
   fixture.runSchedulingRound();
   assert.deepEqual(fixture.dueCommandNames(machine), []);
-  const live = fixture.chunk({ id: 'wk-3', rank: 'prod', isService: true });
+  const live = fixture.addChunk({ id: 'wk-3', rank: 'prod', isService: true });
   fixture.runSchedulingRound();
   assert.deepEqual(fixture.dueCommandNames(machine), ['stop wk-1/0 1']);
-  fixture.report(machine, [{ state: 'ended', cause: 'halted' }]);
+  fixture.applyHeartbeat(machine, [{ state: 'ended', cause: 'halted' }]);
   fixture.runSchedulingRound();
   assert.equal(live.attempts.size, 1);
   assert.equal(other.attempts.size + batch.attempts.size, 0, 'there is no room beside the service');
@@ -34,16 +34,16 @@
 
 test('later work is backfilled, but not on the machine that is reserved for the first blocked chunk', () => {
   const fixture = new ShardFixture();
-  const first = fixture.machine('n-1');
-  fixture.machine('n-2');
-  const running = fixture.chunk({ id: 'wk-1', cpus: 6, taskCount: 2 });
+  const first = fixture.addMachine('n-1');
+  fixture.addMachine('n-2');
+  const running = fixture.addChunk({ id: 'wk-1', cpus: 6, taskCount: 2 });
   fixture.runSchedulingRound();
-  fixture.store(running);
-  fixture.report(first, [{ task: 'wk-1/0', attemptNumber: 1 }]);
+  fixture.markStored(running);
+  fixture.applyHeartbeat(first, [{ task: 'wk-1/0', attemptNumber: 1 }]);
   fixture.now++;
-  const large = fixture.chunk({ id: 'wk-2', cpus: 8 });
+  const large = fixture.addChunk({ id: 'wk-2', cpus: 8 });
   fixture.now++;
-  const long = fixture.chunk({ id: 'wk-3', cpus: 2, taskCount: 2, expectedRunSeconds: 500 });
+  const long = fixture.addChunk({ id: 'wk-3', cpus: 2, taskCount: 2, expectedRunSeconds: 500 });
   fixture.runSchedulingRound();
   assert.equal(large.attempts.size, 0);
   assert.equal(long.attempts.size, 1, 'one of two tasks is placed: the other machine is reserved');
@@ -51,8 +51,8 @@
 
 test('the next round continues where a round ran out of time', () => {
   const fixture = new ShardFixture();
-  for (let n = 0; n < 4; n++) fixture.machine(`n-${n}`);
-  const chunks = [1, 2, 3].map((n) => fixture.chunk({ id: `wk-${n}` }));
+  for (let n = 0; n < 4; n++) fixture.addMachine(`n-${n}`);
+  const chunks = [1, 2, 3].map((n) => fixture.addChunk({ id: `wk-${n}` }));
   let timeChecks = 0;
   fixture.shard.scheduler.runRound(fixture.now, () => ++timeChecks > 1);
   assert.deepEqual(
@@ -68,12 +68,12 @@
 
 test('machines that are loaded before the machine types are known get work once the types are known', () => {
   const fixture = new ShardFixture();
-  fixture.types = new Map();
-  fixture.machine();
-  const chunk = fixture.chunk();
+  fixture.machineTypes = new Map();
+  fixture.addMachine();
+  const chunk = fixture.addChunk();
   fixture.runSchedulingRound();
   assert.equal(chunk.attempts.size, 0);
-  fixture.types = new Map([['m8', m8]]);
+  fixture.machineTypes = new Map([['m8', m8]]);
   fixture.runSchedulingRound();
   assert.equal(chunk.attempts.size, 1);
 });
@@ -99,17 +99,23 @@
       guarantee,
       usedElsewhere,
     });
-    const machine = fixture.machine();
-    const large = fixture.chunk({ id: 'wk-1', team: 'large', rank: 'high', cpus: 4, taskCount: 2 });
+    const machine = fixture.addMachine();
+    const large = fixture.addChunk({
+      id: 'wk-1',
+      team: 'large',
+      rank: 'high',
+      cpus: 4,
+      taskCount: 2,
+    });
     fixture.runSchedulingRound();
-    fixture.store(large);
-    fixture.report(machine, [{ task: 'wk-1/0', attemptNumber: 1 }]);
+    fixture.markStored(large);
+    fixture.applyHeartbeat(machine, [{ task: 'wk-1/0', attemptNumber: 1 }]);
     fixture.now += 5;
-    fixture.report(machine, [
+    fixture.applyHeartbeat(machine, [
       { task: 'wk-1/0', attemptNumber: 1 },
       { task: 'wk-1/1', attemptNumber: 2 },
     ]);
-    fixture.chunk({ id: 'wk-2', team: 'small', rank: 'idle' });
+    fixture.addChunk({ id: 'wk-2', team: 'small', rank: 'idle' });
     fixture.runSchedulingRound();
     assert.deepEqual(fixture.dueCommandNames(machine), commands, name);
   }
@@ -117,21 +123,21 @@
 
 test('a replica is placed on the machine with its image, where batch work is preempted for it', () => {
   const fixture = new ShardFixture();
-  const warm = fixture.machine('n-1');
+  const warm = fixture.addMachine('n-1');
   warm.noteImage('live', 1);
-  const batch = fixture.chunk({ id: 'wk-1', cpus: 8 });
+  const batch = fixture.addChunk({ id: 'wk-1', cpus: 8 });
   fixture.runSchedulingRound();
-  fixture.store(batch);
-  fixture.report(warm, [{}]);
-  const cold = fixture.machine('n-2');
-  const live = fixture.chunk({ id: 'wk-2', rank: 'prod', isService: true, image: 'live' });
+  fixture.markStored(batch);
+  fixture.applyHeartbeat(warm, [{}]);
+  const cold = fixture.addMachine('n-2');
+  const live = fixture.addChunk({ id: 'wk-2', rank: 'prod', isService: true, image: 'live' });
   fixture.runSchedulingRound();
   assert.equal(live.attempts.size, 0);
   assert.deepEqual(fixture.dueCommandNames(warm), ['stop wk-1/0 1']);
-  fixture.report(warm, [{ state: 'ended', cause: 'halted' }]);
+  fixture.applyHeartbeat(warm, [{ state: 'ended', cause: 'halted' }]);
   fixture.runSchedulingRound();
   assert.equal(live.attempts.get(0)?.machine, 'n-1');
-  const other = fixture.chunk({ id: 'wk-3', rank: 'prod', isService: true, image: 'unknown' });
+  const other = fixture.addChunk({ id: 'wk-3', rank: 'prod', isService: true, image: 'unknown' });
   fixture.runSchedulingRound();
   assert.equal(other.attempts.size, 1, 'no machine has its image, so it may start on any machine');
   assert.ok(cold.isUp);
@@ -139,24 +145,24 @@
 
 test('a gang starts as a whole, and is stopped as a whole once one of its tasks fails', () => {
   const fixture = new ShardFixture();
-  const first = fixture.machine('n-1');
-  const gang = fixture.chunk({ isGang: true, taskCount: 6, cpus: 2 });
+  const first = fixture.addMachine('n-1');
+  const gang = fixture.addChunk({ isGang: true, taskCount: 6, cpus: 2 });
   fixture.runSchedulingRound();
   assert.equal(gang.attempts.size, 0, 'only four of its six tasks fit');
-  const second = fixture.machine('n-2');
+  const second = fixture.addMachine('n-2');
   fixture.runSchedulingRound();
   assert.equal(gang.attempts.size, 6);
   const attempts = new Set([...gang.attempts.values()].map((e) => e.attemptNumber));
   assert.equal(attempts.size, 1, 'its tasks share a common attempt number');
-  fixture.store(gang);
+  fixture.markStored(gang);
   const reportsOf = (m: Machine): Partial<ReportedAttempt>[] =>
     [...gang.attempts.values()]
       .filter((e) => e.machine === m.name)
       .map((e) => ({ task: `wk-1/${e.task}`, attempt: e.attemptNumber }));
-  fixture.report(first, reportsOf(first));
-  fixture.report(second, reportsOf(second));
+  fixture.applyHeartbeat(first, reportsOf(first));
+  fixture.applyHeartbeat(second, reportsOf(second));
   const [failed, ...others] = reportsOf(first);
-  fixture.report(first, [{ ...failed, state: 'ended', cause: 'error' }, ...others]);
+  fixture.applyHeartbeat(first, [{ ...failed, state: 'ended', cause: 'error' }, ...others]);
   const stops = [...fixture.dueCommandNames(first), ...fixture.dueCommandNames(second)].filter(
     (v) => v.startsWith('stop'),
   );
@@ -168,7 +174,7 @@
 
 test('a large task starts although smaller tasks keep arriving', () => {
   const fixture = new ShardFixture();
-  const machines = [fixture.machine('n-1'), fixture.machine('n-2')];
+  const machines = [fixture.addMachine('n-1'), fixture.addMachine('n-2')];
   const running = new Map<string, { machine: Machine; chunk: Chunk; endsAt: number }>();
   let large: Chunk | null = null;
   let startedAtStep: number | null = null;
@@ -176,14 +182,14 @@
     fixture.now += 1;
     // The load equals the machines' capacity, so that at any time only the room of one small task becomes free.
     if (step < 8 || step % 5 < 2)
-      fixture.chunk({ id: `wk-s${step}`, cpus: 2, expectedRunSeconds: 20 });
-    if (step === 30) large = fixture.chunk({ id: 'wk-large', cpus: 8, expectedRunSeconds: 20 });
+      fixture.addChunk({ id: `wk-s${step}`, cpus: 2, expectedRunSeconds: 20 });
+    if (step === 30) large = fixture.addChunk({ id: 'wk-large', cpus: 8, expectedRunSeconds: 20 });
     for (const [task, { machine, chunk, endsAt }] of running) {
       if (endsAt > fixture.now) continue;
       running.delete(task);
       const attempt = [...chunk.attempts.values()][0];
       const others = [...running].filter(([, r]) => r.machine === machine);
-      fixture.report(machine, [
+      fixture.applyHeartbeat(machine, [
         { task, attemptNumber: attempt?.attemptNumber ?? 1, state: 'ended', cause: 'done' },
         ...others.map(([t]) => ({ task: t })),
       ]);
@@ -196,7 +202,7 @@
         if (chunk === large) startedAtStep = step;
       }
       const here = [...running].filter(([, r]) => r.machine === machine);
-      fixture.report(
+      fixture.applyHeartbeat(
         machine,
         here.map(([task]) => ({ task })),
       );
@@ -216,14 +222,14 @@
     allowance: () => ({ cpus: allowance, gpus: Infinity }),
     starvedElsewhere: () => starved,
   });
-  fixture.machine('n-1');
-  fixture.machine('n-2');
-  const small = fixture.chunk({ id: 'wk-1', cpus: 2 });
+  fixture.addMachine('n-1');
+  fixture.addMachine('n-2');
+  const small = fixture.addChunk({ id: 'wk-1', cpus: 2 });
   fixture.runSchedulingRound();
   fixture.now += 1;
-  const large = fixture.chunk({ id: 'wk-2', cpus: 4 });
+  const large = fixture.addChunk({ id: 'wk-2', cpus: 4 });
   fixture.now += 1;
-  const later = fixture.chunk({ id: 'wk-3', cpus: 2 });
+  const later = fixture.addChunk({ id: 'wk-3', cpus: 2 });
   fixture.runSchedulingRound();
   assert.deepEqual(
     [small, large, later].map((c) => c.attempts.size),
@@ -246,7 +252,7 @@
   // A job of the team at another shard was submitted earlier and is starved: younger work here yields to it.
   starved = { team: 'crew', submittedAt: fixture.now, rank: 1 };
   fixture.now += 1;
-  const younger = fixture.chunk({ id: 'wk-4', cpus: 2 });
+  const younger = fixture.addChunk({ id: 'wk-4', cpus: 2 });
   allowance = 100;
   fixture.runSchedulingRound();
   assert.equal(younger.attempts.size, 0);
@@ -281,7 +287,7 @@
       name: 'a wait estimate for a peer',
       maxVisits: 12,
       run: (shard, now) => {
-        const requested = spec({ taskCount: 20 });
+        const requested = jobSpec({ taskCount: 20 });
         shard.waitEstimates.estimateWait({ spec: requested, zone: null, count: 20, run: 20 }, now);
       },
     },
@@ -291,11 +297,11 @@
     test(`2,000 machines, ${waiting} queued jobs: visits of machines are linear in machines plus jobs: ${name}`, () => {
       const fixture = new ShardFixture();
       for (let i = 0; i < 2000; i++) {
-        const machine = fixture.machine(`n-${i}`);
+        const machine = fixture.addMachine(`n-${i}`);
         machine.idleSince = fixture.now - 1000;
       }
       for (let i = 0; i < waiting; i++) {
-        const s = spec({ id: `wk-${i}`, taskCount: 40, cpus: 4, image: `img-${i % 12}` });
+        const s = jobSpec({ id: `wk-${i}`, taskCount: 40, cpus: 4, image: `img-${i % 12}` });
         fixture.shard.acceptNewChunk(
           new Chunk(s, 0, 'p', fixture.now, 0, 40, null, fixture.now),
           fixture.now,
@@ -305,7 +311,7 @@
       fixture.now += 1;
       // Each read of a machine's capacity looks up its type, so the lookups count the visits.
       let visits = 0;
-      const types = new Map(fixture.types);
+      const types = new Map(fixture.machineTypes);
       const countingTypes = {
         get: (key: string) => {
           visits++;
@@ -313,7 +319,7 @@
         },
         values: () => types.values(),
       };
-      fixture.types = countingTypes as unknown as Map<string, MachineType>;
+      fixture.machineTypes = countingTypes as unknown as Map<string, MachineType>;
       run(fixture.shard, fixture.now);
       assert.ok(visits <= maxVisits * (2000 + waiting), `${visits} visits`);
     });
@@ -338,8 +344,12 @@
 for (const { name, tasks, service = false, needsOnDemand } of backlogs) {
   test(`on-demand machines for batch work: ${name}`, () => {
     const fixture = new ShardFixture();
-    fixture.machine();
-    fixture.chunk({ taskCount: tasks, isService: service, expectedRunSeconds: service ? 0 : 20 });
+    fixture.addMachine();
+    fixture.addChunk({
+      taskCount: tasks,
+      isService: service,
+      expectedRunSeconds: service ? 0 : 20,
+    });
     fixture.runSchedulingRound();
     const demands = fixture.shard.demand.demands(fixture.now);
     assert.equal(
@@ -358,23 +368,23 @@
     inheritedRank: (job: string) => inherited.get(job) ?? -Infinity,
   };
   const fixture = new ShardFixture(view);
-  const machine = fixture.machine();
+  const machine = fixture.addMachine();
   const ordinary = fixture.createRunningChunk(machine, { id: 'wk-1', taskCount: 1, cpus: 5 });
-  const other = fixture.chunk({ id: 'wk-2', cpus: 5 });
+  const other = fixture.addChunk({ id: 'wk-2', cpus: 5 });
   fixture.now += 1;
-  const stage = fixture.chunk({ id: 'wk-3', rank: 'idle', cpus: 5 });
+  const stage = fixture.addChunk({ id: 'wk-3', rank: 'idle', cpus: 5 });
   inherited.set('wk-3', rankOrder.high);
   fixture.shard.updateRank('wk-3');
   assert.deepEqual(fixture.shard.queuedChunks(), [stage, other]);
   fixture.runSchedulingRound();
   assert.deepEqual(fixture.dueCommandNames(machine), [], 'running tasks are not preempted');
-  fixture.report(machine, [{ task: 'wk-1/0', state: 'ended', cause: 'done' }]);
+  fixture.applyHeartbeat(machine, [{ task: 'wk-1/0', state: 'ended', cause: 'done' }]);
   assert.ok(ordinary.isComplete);
   fixture.runSchedulingRound();
   assert.equal(stage.attempts.size, 1);
-  fixture.store(stage);
-  fixture.report(machine, [{ task: 'wk-3/0' }]);
-  const urgent = fixture.chunk({ id: 'wk-4', rank: 'high', cpus: 5 });
+  fixture.markStored(stage);
+  fixture.applyHeartbeat(machine, [{ task: 'wk-3/0' }]);
+  const urgent = fixture.addChunk({ id: 'wk-4', rank: 'high', cpus: 5 });
   fixture.runSchedulingRound();
   assert.equal(stage.attempts.get(0)?.stop, null, 'it has the rank of the job that depends on it');
   assert.equal(urgent.attempts.size, 0);
--- a/test/scheduling/waitEstimates.test.ts
+++ b/test/scheduling/waitEstimates.test.ts
@@ -6,9 +6,9 @@
 import { test } from 'node:test';
 import type { Machine } from '../../src/coordination/model/machine.js';
 import { ShardFixture } from '../support/shardFixture.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
-const job = spec({ taskCount: 1, expectedRunSeconds: 10 });
+const job = jobSpec({ taskCount: 1, expectedRunSeconds: 10 });
 
 const waitAt = (fixture: ShardFixture): number =>
   fixture.shard.waitEstimates.estimateWait(
@@ -85,7 +85,7 @@
 for (const { name, isReached, degrade, wait } of cases) {
   test(`the estimated wait at a shard whose only machine ${name}`, () => {
     const fixture = new ShardFixture();
-    degrade(fixture, fixture.machine('n-1', isReached));
+    degrade(fixture, fixture.addMachine('n-1', isReached));
     assert.equal(waitAt(fixture), wait);
   });
 }
@@ -101,8 +101,8 @@
 
 test('demands and the headroom for services exclude a machine that never booted', () => {
   const fixture = new ShardFixture();
-  fixture.machine('n-1', false);
-  fixture.chunk({ taskCount: 1 });
+  fixture.addMachine('n-1', false);
+  fixture.addChunk({ taskCount: 1 });
   assert.equal(fixture.shard.demand.demands(fixture.now).length, 0);
   assert.equal(fixture.shard.demand.serviceHeadroom(fixture.now), 8);
   fixture.now += 1000;
