--- a/test/shard/shard.test.ts
+++ b/test/shard/shard.test.ts
@@ -6,20 +6,20 @@
 import { Machine } from '../../src/coordination/model/machine.js';
 import type { Command } from '../../src/protocol/workerProtocol.js';
 import { ShardFixture } from '../support/shardFixture.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
 test('a start is sent only after its placement is stored, and not while it is withheld', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
-  const chunk = fixture.chunk();
+  const machine = fixture.addMachine();
+  const chunk = fixture.addChunk();
   fixture.runSchedulingRound();
   assert.deepEqual(fixture.dueCommandNames(machine), []);
-  fixture.store(chunk);
+  fixture.markStored(chunk);
   const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
   const withheld = new Machine(
     machine.name,
     record,
-    () => fixture.types,
+    () => fixture.machineTypes,
     fixture.now,
     () => false,
   );
@@ -34,12 +34,12 @@
   // stopped the third chunk nor reported it as cancelled.
   for (const indexes of [[0, 1, 2], [0, 2], [1], [3], [0, 3, 5], []]) {
     const fixture = new ShardFixture();
-    const job = spec({ taskCount: 6 });
+    const job = jobSpec({ taskCount: 6 });
     const chunks = indexes.map(
       (k) => new Chunk(job, k, 'p', fixture.now, k, k + 1, null, fixture.now),
     );
     for (const chunk of chunks) fixture.shard.acceptNewChunk(chunk, fixture.now);
-    fixture.chunk({ id: 'wk-2' });
+    fixture.addChunk({ id: 'wk-2' });
     assert.deepEqual(fixture.shard.chunksOf(job.id), chunks);
     for (const chunk of chunks) fixture.shard.dropChunk(chunk);
     assert.deepEqual(fixture.shard.chunksOf(job.id), []);
@@ -48,8 +48,8 @@
 
 test('attempts on a machine that is known to be gone terminate at once', () => {
   const fixture = new ShardFixture();
-  fixture.machine();
-  const chunk = fixture.chunk();
+  fixture.addMachine();
+  const chunk = fixture.addChunk();
   fixture.runSchedulingRound();
   fixture.shard.removeMachine('n-1', fixture.now);
   assert.equal(chunk.attempts.size, 0);
@@ -57,11 +57,11 @@
 
 test('a chunk that its home shard has recorded as finished is not run again by a new leader', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
+  const machine = fixture.addMachine();
   const chunk = fixture.createRunningChunk(machine, { taskCount: 2 });
   fixture.shard.discardFinishedChunk(chunk, fixture.now);
   assert.deepEqual(fixture.dueCommandNames(machine), ['stop wk-1/0 1']);
-  fixture.report(machine, [{ state: 'ended', cause: 'halted' }]);
+  fixture.applyHeartbeat(machine, [{ state: 'ended', cause: 'halted' }]);
   fixture.runSchedulingRound();
   assert.equal(chunk.attempts.size, 0);
   assert.ok(fixture.shard.finishedChunks.has(chunk));
@@ -69,13 +69,16 @@
 
 test('while a cancellation is prepared, a chunk starts nothing and each answer stops its attempts', () => {
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
-  const other = fixture.machine('n-2');
-  const [running, queued] = [fixture.chunk({ id: 'wk-1' }), fixture.chunk({ id: 'wk-2', cpus: 8 })];
+  const machine = fixture.addMachine();
+  const other = fixture.addMachine('n-2');
+  const [running, queued] = [
+    fixture.addChunk({ id: 'wk-1' }),
+    fixture.addChunk({ id: 'wk-2', cpus: 8 }),
+  ];
   fixture.runSchedulingRound();
-  fixture.store(running, queued);
+  fixture.markStored(running, queued);
   const host = running.attempts.get(0)?.machine === machine.name ? machine : other;
-  fixture.report(host, [{}]);
+  fixture.applyHeartbeat(host, [{}]);
   assert.deepEqual(unconditionalStops(host), []);
   fixture.shard.prepareCancel(running, fixture.now);
   fixture.shard.prepareCancel(queued, fixture.now);
@@ -87,7 +90,7 @@
     0,
     'its start was never sent, so its attempt can be removed',
   );
-  fixture.report(host, [{ state: 'ended', cause: 'halted' }]);
+  fixture.applyHeartbeat(host, [{ state: 'ended', cause: 'halted' }]);
   fixture.runSchedulingRound();
   assert.deepEqual([running.attempts.size, queued.attempts.size], [0, 0]);
   fixture.shard.abandonCancellation(running);
@@ -100,15 +103,15 @@
   // Guards against a second start of its task on another machine: this shard presumed the worker's lease expired, while the
   // other shard's leader renewed it.
   const fixture = new ShardFixture();
-  const machine = fixture.machine();
+  const machine = fixture.addMachine();
   const chunk = fixture.createRunningChunk(machine);
   const record = { shard: 'q', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
   fixture.shard.addMachine('n-1', record, fixture.now);
   fixture.now += 1000;
-  fixture.machine('n-2');
+  fixture.addMachine('n-2');
   fixture.shard.liveness.sweep(fixture.now);
   assert.equal(chunk.attempts.get(0)?.machine, 'n-1');
-  const other = fixture.chunk({ id: 'wk-2', cpus: 8 });
+  const other = fixture.addChunk({ id: 'wk-2', cpus: 8 });
   fixture.runSchedulingRound();
   assert.equal(other.attempts.get(0)?.machine, 'n-2');
   assert.deepEqual(
@@ -140,7 +143,7 @@
 
   test(`a task that saves a checkpoint before a preemption is stopped once its job is cancelled, ${name}`, () => {
     const fixture = new ShardFixture();
-    const machine = fixture.machine();
+    const machine = fixture.addMachine();
     const chunk = fixture.createRunningChunk(machine, {
       checkpointInterval: 20,
       checkpointDuration: 300,
@@ -148,7 +151,7 @@
     const attempt = chunk.attempts.get(0) ?? assert.fail();
     fixture.shard.requestStop(machine, attempt, 300);
     dueCommands(machine, fixture.now, 6);
-    fixture.report(machine, [{ state: 'saving' }]);
+    fixture.applyHeartbeat(machine, [{ state: 'saving' }]);
     assert.deepEqual(dueCommands(machine, fixture.now, 6), []);
     fixture.shard.prepareCancel(chunk, fixture.now);
     assert.deepEqual(stopsOn(fixture, machine), [stop]);
@@ -156,8 +159,8 @@
 
   test(`an attempt that the shard does not know is stopped, ${name}`, () => {
     const fixture = new ShardFixture();
-    const machine = fixture.machine();
-    fixture.report(machine, [{}]);
+    const machine = fixture.addMachine();
+    fixture.applyHeartbeat(machine, [{}]);
     assert.deepEqual(stopsOn(fixture, machine), [stop]);
   });
 }
--- a/test/soak/commandLine.ts
+++ b/test/soak/commandLine.ts
@@ -16,8 +16,8 @@
   last: number;
   size: SoakSize;
   jobs: number;
-  keep: string;
-  log: string;
+  outputFolder: string;
+  logLevel: string;
 }
 
 const SIZES: readonly string[] = ['ci', 'usual', 'large'];
@@ -30,7 +30,14 @@
   if (!SIZES.includes(size)) throw new UsageError(`--size: there is no ${size}`);
   if (!LEVELS.includes(log)) throw new UsageError(`--log: there is no ${log}`);
   if (!/^[1-8]$/.test(jobs)) throw new UsageError(`--jobs: ${jobs} is not from 1 to 8`);
-  return { first, last, size: size as SoakSize, jobs: Number(jobs), keep, log };
+  return {
+    first,
+    last,
+    size: size as SoakSize,
+    jobs: Number(jobs),
+    outputFolder: keep,
+    logLevel: log,
+  };
 }
 
 function read(args: string[]): Partial<Record<'seeds' | 'size' | 'jobs' | 'keep' | 'log', string>> {
--- a/test/soak/controllerProcess.ts
+++ b/test/soak/controllerProcess.ts
@@ -7,9 +7,9 @@
 const CLOCK_SKEW = join(import.meta.dirname, 'clockSkew.js');
 
 export interface ControllerEvents {
-  line(label: string, line: string): void;
+  onLogLine(label: string, line: string): void;
   /** It has ended, and nobody had asked it to. */
-  endedUnasked(label: string, how: string): void;
+  onUnexpectedExit(label: string, how: string): void;
 }
 
 export class ControllerProcess {
@@ -26,7 +26,7 @@
     private readonly events: ControllerEvents,
   ) {}
 
-  get isUp(): boolean {
+  get isRunning(): boolean {
     return this.child !== null;
   }
 
@@ -46,7 +46,7 @@
     child.stderr.on('data', (data) => {
       const lines = `${rest}${String(data)}`.split('\n');
       rest = lines.pop() ?? '';
-      for (const line of lines) this.events.line(this.label, line);
+      for (const line of lines) this.events.onLogLine(this.label, line);
     });
     child.on('exit', (code, signal) => {
       if (this.ending.delete(child)) {
@@ -54,7 +54,7 @@
         return;
       }
       this.child = null;
-      this.events.endedUnasked(this.label, signal ?? `exit code ${String(code)}`);
+      this.events.onUnexpectedExit(this.label, signal ?? `exit code ${String(code)}`);
     });
   }
 
@@ -72,7 +72,7 @@
     this.child?.kill('SIGSTOP');
   }
 
-  wake(): void {
+  resume(): void {
     this.child?.kill('SIGCONT');
   }
 }
--- a/test/soak/faultInjection.ts
+++ b/test/soak/faultInjection.ts
@@ -27,7 +27,7 @@
   ) {}
 
   /** All faults of the plan, each at its time; resolves when the last one has ended and everything is up. */
-  async play(): Promise<void> {
+  async injectAll(): Promise<void> {
     const began = performance.now();
     const running: Promise<void>[] = [];
     for (const { at, fault } of this.plan.faults) {
@@ -71,14 +71,14 @@
       case 'cancelled-then-refused':
         return this.cancelThenRefuse(fault);
       case 'state-slow':
-        await state.ask({ kind: 'slow', client: fault.node, seconds: fault.delay });
+        await state.request({ kind: 'slow', client: fault.node, seconds: fault.delay });
         await pause(fault.seconds);
-        await state.ask({ kind: 'slow', client: fault.node, seconds: 0 });
+        await state.request({ kind: 'slow', client: fault.node, seconds: 0 });
         return;
       case 'answers-late':
-        await state.ask({ kind: 'late-answers', client: fault.node, most: fault.most });
+        await state.request({ kind: 'late-answers', client: fault.node, maxDelay: fault.most });
         await pause(fault.seconds);
-        await state.ask({ kind: 'late-answers', client: fault.node, most: 0 });
+        await state.request({ kind: 'late-answers', client: fault.node, maxDelay: 0 });
         return;
       case 'answers-lost':
         return this.loseAnswers(fault.share, AT_ONCE_SHARE, fault.seconds);
@@ -100,9 +100,14 @@
       case 'machines':
         return this.injectMachineFault(fault);
       case 'messages':
-        await fleet.ask({ ...fault, kind: 'message-faults', mostLate });
+        await fleet.request({ ...fault, kind: 'message-faults', mostLate });
         await pause(fault.seconds);
-        await fleet.ask({ kind: 'message-faults', lateCommands: 0, copiedReports: 0, mostLate });
+        await fleet.request({
+          kind: 'message-faults',
+          lateCommands: 0,
+          copiedReports: 0,
+          mostLate,
+        });
         return;
       case 'copies':
         await this.copyAnswered(fault.share);
@@ -110,10 +115,10 @@
         await this.copyAnswered(0);
         return;
       case 'taken':
-        await fleet.ask({ kind: 'take', share: fault.share });
+        await fleet.request({ kind: 'take', share: fault.share });
         return;
       case 'notice':
-        await fleet.ask(fault);
+        await fleet.request(fault);
         await pause(fault.seconds);
         return;
       case 'cloud-refuses':
@@ -127,22 +132,22 @@
 
   private async refuse(client: string, seconds: number): Promise<void> {
     const { state } = this.cluster;
-    await state.ask({ kind: 'refuse', client, isOn: true });
+    await state.request({ kind: 'refuse', client, isOn: true });
     await pause(seconds);
-    await state.ask({ kind: 'refuse', client, isOn: false });
+    await state.request({ kind: 'refuse', client, isOn: false });
   }
 
   private async loseAnswers(share: number, atOnce: number, seconds: number): Promise<void> {
     const { state } = this.cluster;
     const mostLate = this.plan.lease * MOST_LATE;
-    await state.ask({ kind: 'lose-answers', share, atOnce, mostLate });
+    await state.request({ kind: 'lose-answers', share, atOnce, mostLate });
     await pause(seconds);
-    await state.ask({ kind: 'lose-answers', share: 0, atOnce, mostLate });
+    await state.request({ kind: 'lose-answers', share: 0, atOnce, mostLate });
   }
 
   private async copyAnswered(share: number): Promise<void> {
     const request = { kind: 'copies', share, mostLate: this.plan.lease * MOST_LATE } as const;
-    await Promise.all([this.cluster.state.ask(request), this.cluster.fleet.ask(request)]);
+    await Promise.all([this.cluster.state.request(request), this.cluster.fleet.request(request)]);
   }
 
   private async cancelThenRefuse(fault: CancelledThenRefused): Promise<void> {
@@ -172,7 +177,7 @@
     this.paused.add(node);
     controller.pause();
     await pause(seconds);
-    controller.wake();
+    controller.resume();
     this.paused.delete(node);
   }
 
@@ -193,9 +198,9 @@
     seconds,
   }: Extract<Fault, { kind: 'machines' }>): Promise<void> {
     const id = ++this.injectedCount;
-    await this.cluster.fleet.ask({ kind: 'flag', id, flag, share });
+    await this.cluster.fleet.request({ kind: 'flag', id, flag, share });
     await pause(seconds);
-    await this.cluster.fleet.ask({ kind: 'unflag', id });
+    await this.cluster.fleet.request({ kind: 'unflag', id });
   }
 
   private hold(links: readonly string[], seconds: number): Promise<void> {
--- a/test/soak/fleetMain.ts
+++ b/test/soak/fleetMain.ts
@@ -4,38 +4,44 @@
  */
 import { seededRandom } from '../../src/base/random.js';
 import { CloudStandIn, type WorkerStandIn } from '../support/fleet.js';
-import { copiesAsAsked } from './copies.js';
-import { runTime, saveTime } from './jobKinds.js';
+import { duplicationFor } from './duplicationRequest.js';
+import { runSecondsOf, checkpointSecondsOf } from './jobKinds.js';
 import {
-  machineTime,
-  type FleetPlan,
+  hostMonotonicSeconds,
+  type FleetSetup,
   type FleetRequest,
   type MachineFlag,
   type TaskEvent,
 } from './messages.js';
 import { send, serveRequests } from './standIn.js';
 
-const plan = JSON.parse(process.argv[2] ?? '{}') as FleetPlan;
+const plan = JSON.parse(process.argv[2] ?? '{}') as FleetSetup;
 const random = seededRandom(plan.seed);
 let nodes = new Map<string, string>();
-const runs = (task: string): number => runTime(task, plan.seed, plan.longest);
-const { report, lease } = plan;
-const saves = (task: string): number => saveTime(task, lease);
-const settings = { report, lease, runs, saves, isLinked: true };
+const runSeconds = (task: string): number => runSecondsOf(task, plan.seed, plan.maxTaskSeconds);
+const { heartbeatInterval: heartbeatInterval, workerLease: workerLease } = plan;
+const saveSeconds = (task: string): number => checkpointSecondsOf(task, workerLease);
+const settings = {
+  heartbeatInterval: heartbeatInterval,
+  workerLease: workerLease,
+  taskRunSeconds: runSeconds,
+  checkpointSeconds: saveSeconds,
+  isLinked: true,
+};
 const cloud = new CloudStandIn(settings, () => nodes, plan.zones);
 cloud.capacity = plan.capacity;
 
 const tell = (kind: TaskEvent['kind'], task: string, machine: string): void => {
-  send({ kind: 'event', event: { kind, task, machine, at: machineTime() } });
+  send({ kind: 'event', event: { kind, task, machine, at: hostMonotonicSeconds() } });
 };
-cloud.watch = {
-  started: (task, machine) => {
+cloud.taskObserver = {
+  onTaskStarted: (task, machine) => {
     tell('started', task, machine);
   },
-  done: (task) => {
+  onTaskCompleted: (task) => {
     tell('done', task, '');
   },
-  left: (task, machine) => {
+  onTaskTerminated: (task, machine) => {
     tell('left', task, machine);
   },
 };
@@ -59,11 +65,13 @@
 function setMessageFaults(lateCommands: number, copiedReports: number, mostLate: number): void {
   const delay = (): number => random() * mostLate;
   const isOn = lateCommands + copiedReports > 0;
-  cloud.messageFaults = isOn ? { lateCommands, copiedReports, delay, random } : null;
+  cloud.messageFaults = isOn
+    ? { delayedCommandShare: lateCommands, duplicatedHeartbeatShare: copiedReports, delay, random }
+    : null;
 }
 
 function take(share: number): void {
-  for (const worker of draw(share)) cloud.take(worker);
+  for (const worker of draw(share)) cloud.reclaim(worker);
 }
 
 serveRequests<FleetRequest>((request) => {
@@ -83,13 +91,13 @@
       setMessageFaults(request.lateCommands, request.copiedReports, request.mostLate);
       return null;
     case 'copies':
-      cloud.copies = copiesAsAsked(request, random);
+      cloud.duplication = duplicationFor(request, random);
       return null;
     case 'take':
       take(request.share);
       return null;
     case 'notice':
-      for (const worker of draw(request.share)) worker.giveNotice(request.seconds);
+      for (const worker of draw(request.share)) worker.givePreemptionNotice(request.seconds);
       return null;
     case 'capacity':
       cloud.capacity = request.machines;
--- a/test/soak/jobKinds.ts
+++ b/test/soak/jobKinds.ts
@@ -14,7 +14,7 @@
 const RANKS = ['idle', 'normal', 'high'] as const;
 
 /** Fields of its submission beside those that are drawn for all jobs. */
-export function fieldsOf(job: string, lease = 1): Record<string, unknown> {
+export function submissionFieldsOf(job: string, lease = 1): Record<string, unknown> {
   const rank = RANKS[hashOf(job) % RANKS.length];
   switch (kindOfJob(job)) {
     case 'service':
@@ -35,7 +35,7 @@
 const SAVE_RATIO = 3;
 
 /** Seconds that a task takes to save its checkpoint when it is stopped; 0: it saves none. */
-export function saveTime(task: string, lease: number): number {
+export function checkpointSecondsOf(task: string, lease: number): number {
   const job = task.slice(0, task.lastIndexOf('/'));
   return savesCheckpoints(job) ? lease * SAVE_RATIO : 0;
 }
@@ -48,7 +48,7 @@
 const LARGE_RATIO = 2;
 
 /** Seconds that a task runs; a service's never ends. */
-export function runTime(task: string, seed: number, longest: number): number {
+export function runSecondsOf(task: string, seed: number, longest: number): number {
   const job = task.slice(0, task.lastIndexOf('/'));
   if (kindOfJob(job) === 'service') return Infinity;
   const draw = seededRandom(hashOf(task) + seed)();
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -20,7 +20,7 @@
   process.exit(EXIT_INTERRUPTED);
 }
 
-function print({ seed, jobs, accepted, starts, broken, unfinished }: SoakResult): void {
+function print({ seed, jobs, accepted, starts, failures: broken, unfinished }: SoakResult): void {
   const verdict = broken.length > 0 ? 'BROKEN' : unfinished.length > 0 ? 'unfinished' : 'ok';
   console.log(
     `seed ${seed}: ${verdict}; ${jobs} jobs, ${accepted} accepted with stages, ${starts} starts`,
@@ -30,14 +30,14 @@
 }
 
 async function playOne(seed: number, options: SoakArguments, tally: Tally): Promise<void> {
-  const { size, keep: folder, log: logLevel } = options;
-  const soak = new Soak(seed, { size, folder, logLevel });
+  const { size, outputFolder: folder, logLevel: logLevel } = options;
+  const soak = new Soak(seed, { size, outputFolder: folder, logLevel });
   running.add(soak);
   try {
     const result = await soak.run();
     print(result);
     tally.played++;
-    if (result.broken.length > 0) tally.broken++;
+    if (result.failures.length > 0) tally.broken++;
     else if (result.unfinished.length > 0) tally.unfinished++;
   } catch (error) {
     tally.notPlayed++;
--- a/test/soak/messages.ts
+++ b/test/soak/messages.ts
@@ -9,13 +9,13 @@
   /** Answers to `client` take so long; 0: as usual. */
   | { kind: 'slow'; client: string; seconds: number }
   /** Answers to `client`, worked out at once, leave up to so many seconds later; 0: at once. */
-  | { kind: 'late-answers'; client: string; most: number }
+  | { kind: 'late-answers'; client: string; maxDelay: number }
   /** Of the transactions, those that get no answer; `atOnce` of them are carried out at once, the others late. 0: none. */
   | { kind: 'lose-answers'; share: number; atOnce: number; mostLate: number }
-  | CopyRequest;
+  | DuplicationRequest;
 
 /** Of the answered messages, those of which a copy comes, up to `mostLate` seconds later. 0: none. */
-export interface CopyRequest {
+export interface DuplicationRequest {
   kind: 'copies';
   share: number;
   mostLate: number;
@@ -30,7 +30,7 @@
   | { kind: 'flag'; id: number; flag: MachineFlag; share: number }
   | { kind: 'unflag'; id: number }
   | { kind: 'message-faults'; lateCommands: number; copiedReports: number; mostLate: number }
-  | CopyRequest
+  | DuplicationRequest
   /** A share of the machines loses its power. */
   | { kind: 'take'; share: number }
   /** A share of the machines is told that it will be taken. */
@@ -47,27 +47,27 @@
   at: number;
 }
 
-export interface Numbered<Request> {
+export interface NumberedRequest<Request> {
   sequence: number;
   request: Request;
 }
 
-export type FromStandIn =
+export type StandInMessage =
   { kind: 'reply'; sequence: number; address: string | null } | { kind: 'event'; event: TaskEvent };
 
 /** Times of a soak's cluster, in seconds, and its size. */
-export interface FleetPlan {
-  report: number;
-  lease: number;
+export interface FleetSetup {
+  heartbeatInterval: number;
+  workerLease: number;
   zones: string[];
   seed: number;
   capacity: number;
   /** The longest task. */
-  longest: number;
+  maxTaskSeconds: number;
 }
 
 /**
  * Seconds since this machine was started: one clock for all processes. Times of day are each counted from their
  * process's own start, and lines of one seed have shown them half a second apart; why is not known.
  */
-export const machineTime = (): number => Number(process.hrtime.bigint()) / 1e9;
+export const hostMonotonicSeconds = (): number => Number(process.hrtime.bigint()) / 1e9;
--- a/test/soak/plan.ts
+++ b/test/soak/plan.ts
@@ -83,7 +83,7 @@
 }
 
 /** The settings' bound on clocks. */
-export const SKEW_MS = 100;
+export const MAX_SKEW_MS = 100;
 
 const FLAGS: readonly MachineFlag[] = ['hanging', 'deaf', 'cutOff', 'holdsCommands', 'cutIn'];
 
@@ -136,7 +136,7 @@
   const count = size === 'ci' ? 3 : 3 + Math.floor(random() * 3);
   const nodes = Array.from({ length: count }, (_, index) => `drone-${index}`);
   const zones = random() < 0.5 ? ['a'] : ['a', 'b'];
-  const skew = (): number => Math.round((random() * 2 - 1) * SKEW_MS);
+  const skew = (): number => Math.round((random() * 2 - 1) * MAX_SKEW_MS);
   const sized = SIZES[size];
   const base = { seed, size, nodes, zones, ...sized, cancel: sized.lease * CANCEL_RATIO };
   const skewMs = Object.fromEntries(nodes.map((node) => [node, skew()]));
@@ -172,13 +172,13 @@
     if (ends.filter((end) => end > at).length >= MOST_AT_ONCE) continue;
     for (const fault of drawSimultaneousFaults(random, base)) {
       faults.push({ at, fault });
-      ends.push(at + secondsOf(fault));
+      ends.push(at + durationOf(fault));
     }
   }
   return faults;
 }
 
-export function secondsOf(fault: Fault): number {
+export function durationOf(fault: Fault): number {
   switch (fault.kind) {
     case 'kill':
     case 'kill-all':
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -4,8 +4,8 @@
 import { seededRandom, type Random } from '../../src/base/random.js';
 import { JobArrivals } from '../trials/jobArrivals.js';
 import { TrialUsers } from '../trials/trialUsers.js';
-import { fieldsOf, kindOfJob, taskCountOf } from './jobKinds.js';
-import { machineTime, type TaskEvent } from './messages.js';
+import { submissionFieldsOf, kindOfJob, taskCountOf } from './jobKinds.js';
+import { hostMonotonicSeconds, type TaskEvent } from './messages.js';
 import { drawPlan, type SoakPlan, type SoakSize } from './plan.js';
 import { SoakCluster } from './soakCluster.js';
 import { SoakLog } from './soakLog.js';
@@ -35,14 +35,14 @@
   accepted: number;
   starts: number;
   /** Broken rules, processes that ended, lines that must not be logged. */
-  broken: string[];
+  failures: string[];
   unfinished: string[];
 }
 
 export interface SoakOptions {
   size: SoakSize;
   /** Where settings, plan and logs are kept. */
-  folder: string;
+  outputFolder: string;
   logLevel: string;
 }
 
@@ -59,7 +59,7 @@
 
   constructor(
     private readonly seed: number,
-    { size, folder, logLevel }: SoakOptions,
+    { size, outputFolder: folder, logLevel }: SoakOptions,
   ) {
     this.plan = drawPlan(seed, size);
     this.random = seededRandom(seed + 1);
@@ -68,18 +68,18 @@
       this.hear(event);
     });
     this.users = new TrialUsers(this.cluster, this.random, {
-      extra: (job) => fieldsOf(job, this.plan.lease),
-      tasksOf: (job, drawn) => taskCountOf(job, drawn, this.plan.mostTasks),
-      nodes: this.plan.nodes.length,
-      mostTasks: this.plan.mostTasks,
-      cancelWithin: this.plan.cancel + ANSWER_S,
-      limits: new Map(Object.entries(this.plan.limits)),
-      clock: machineTime,
-      pauseAfter: (seconds) => Math.min(MOST_PAUSE_S, 0.25 + seconds / 20),
+      extraFields: (job) => submissionFieldsOf(job, this.plan.lease),
+      taskCountOf: (job, drawn) => taskCountOf(job, drawn, this.plan.mostTasks),
+      nodeCount: this.plan.nodes.length,
+      maxTasks: this.plan.mostTasks,
+      cancellationTimeout: this.plan.cancel + ANSWER_S,
+      cpuLimits: new Map(Object.entries(this.plan.limits)),
+      clock: hostMonotonicSeconds,
+      pollInterval: (seconds) => Math.min(MOST_PAUSE_S, 0.25 + seconds / 20),
     });
     this.arrivals = new JobArrivals(this.users, this.random, this.seed);
     this.log.onStartSent = (task) => {
-      this.users.history.startSent(task, machineTime());
+      this.users.history.recordStartSent(task, hostMonotonicSeconds());
     };
     this.faults = new FaultInjector(
       this.cluster,
@@ -95,16 +95,16 @@
 
   async run(): Promise<SoakResult> {
     const checks = setInterval(() => {
-      this.users.history.check(machineTime());
+      this.users.history.checkRunningTasks(hostMonotonicSeconds());
     }, CHECK_S * 1000);
     try {
       await this.cluster.start();
-      const faults = this.faults.play();
+      const faults = this.faults.injectAll();
       await this.submit();
       await faults;
-      await this.arrivals.settle(this.plan.settle);
+      await this.arrivals.waitUntilFinished(this.plan.settle);
       // Else a task's end may be told only after it was missed.
-      await this.cluster.fleet.ask({ kind: 'flush' });
+      await this.cluster.fleet.request({ kind: 'flush' });
       return this.result();
     } catch (error) {
       this.keep([`could not be played: ${String(error)}`], []);
@@ -118,7 +118,7 @@
 
   /** Ends everything that was started; also when the soak is given up. */
   close(): void {
-    this.users.isOver = true;
+    this.users.isStopped = true;
     this.faults.stop();
     this.cluster.close();
   }
@@ -128,9 +128,9 @@
     this.log.add('fleet', `task ${kind} ${task} ${machine}`);
     if (kind === 'started') {
       this.starts++;
-      history.started(task, machine, at);
-    } else if (kind === 'done') history.done(task, at);
-    else history.left(task, machine);
+      history.onTaskStarted(task, machine, at);
+    } else if (kind === 'done') history.onTaskCompleted(task, at);
+    else history.onTaskTerminated(task, machine);
   }
 
   private async submit(): Promise<void> {
@@ -140,26 +140,26 @@
       const id = this.arrivals.submitNext(
         (job) => kindOfJob(job) === 'array' && this.random() < PIPELINE_SHARE,
       );
-      if (this.random() < UNKNOWN_SHARE) this.arrivals.askForUnknown(`wk-9${id.slice(3)}`);
-      await this.arrivals.awaitNext(jobsPerSecond);
+      if (this.random() < UNKNOWN_SHARE) this.arrivals.queryUnknownJob(`wk-9${id.slice(3)}`);
+      await this.arrivals.pauseUntilNext(jobsPerSecond);
     }
   }
 
   private result(): SoakResult {
     const { history, unfinished, acceptedCount } = this.users;
-    history.finish();
+    history.checkAtEnd();
     const broken = [
       ...history.violations.map(({ rule, detail }) => `${rule}: ${detail}`),
-      ...this.cluster.endedUnasked.map((how) => `ended unasked: ${how}`),
+      ...this.cluster.unexpectedExits.map((how) => `ended unasked: ${how}`),
       ...this.log.failures.map((line) => `logged: ${line}`),
     ];
     if (broken.length > 0 || unfinished.length > 0) this.keep(broken, unfinished);
     return {
       seed: this.seed,
-      jobs: this.arrivals.submitted,
+      jobs: this.arrivals.submittedCount,
       accepted: acceptedCount,
       starts: this.starts,
-      broken,
+      failures: broken,
       unfinished,
     };
   }
--- a/test/soak/soakCluster.ts
+++ b/test/soak/soakCluster.ts
@@ -4,12 +4,12 @@
 import { HttpClient, type Response } from '../../src/transport/httpClient.js';
 import { settingsText } from '../support/clusterSettings.js';
 import { until } from '../support/cluster.js';
-import type { UserFronts } from '../trials/trialUsers.js';
+import type { ClientApi } from '../trials/trialUsers.js';
 import { ControllerProcess } from './controllerProcess.js';
 import { Link } from '../support/link.js';
-import { ownLoopback } from '../support/loopback.js';
-import type { FleetPlan, FleetRequest, StateRequest, TaskEvent } from './messages.js';
-import { SKEW_MS, type SoakPlan } from './plan.js';
+import { processLoopbackAddress } from '../support/loopback.js';
+import type { FleetSetup, FleetRequest, StateRequest, TaskEvent } from './messages.js';
+import { MAX_SKEW_MS, type SoakPlan } from './plan.js';
 import type { SoakLog } from './soakLog.js';
 import { StandInProcess } from './standIn.js';
 
@@ -20,16 +20,16 @@
 
 /** The ports of one node that others reach. */
 interface Ports {
-  front: string;
-  back: string;
+  clientAddress: string;
+  peerAddress: string;
 }
 
-export class SoakCluster implements UserFronts {
+export class SoakCluster implements ClientApi {
   readonly controllers = new Map<string, ControllerProcess>();
   /** Each by `from>to`; workers and users are `workers` and `users`. */
   readonly links = new Map<string, Link>();
   /** Processes that ended and nobody had asked them to. */
-  readonly endedUnasked: string[] = [];
+  readonly unexpectedExits: string[] = [];
   readonly state: StandInProcess<StateRequest>;
   readonly fleet: StandInProcess<FleetRequest>;
   private readonly http = new HttpClient(500, 1);
@@ -45,7 +45,14 @@
   ) {
     mkdirSync(folder, { recursive: true });
     const { report, lease, zones, seed, machines: capacity, longestTask: longest } = plan;
-    const fleet: FleetPlan = { report, lease, zones, seed, capacity, longest };
+    const fleet: FleetSetup = {
+      heartbeatInterval: report,
+      workerLease: lease,
+      zones,
+      seed,
+      capacity,
+      maxTaskSeconds: longest,
+    };
     this.state = this.standIn<StateRequest>('state', STATE_MAIN, { seed }, () => undefined);
     this.fleet = this.standIn<FleetRequest>('fleet', FLEET_MAIN, fleet, heard);
   }
@@ -57,25 +64,25 @@
     event: (event: TaskEvent) => void,
   ): StandInProcess<Request> {
     return new StandInProcess<Request>(module, argument, {
-      event,
-      output: (text) => {
+      onEvent: event,
+      onOutput: (text) => {
         this.log.add(name, text.trimEnd());
       },
-      ended: () => {
-        this.endedUnasked.push(name);
+      onUnexpectedExit: () => {
+        this.unexpectedExits.push(name);
       },
     });
   }
 
   async start(): Promise<void> {
-    const cloud = await this.fleet.ask({ kind: 'listen' });
+    const cloud = await this.fleet.request({ kind: 'listen' });
     for (const node of this.plan.nodes) await this.prepare(node, cloud ?? '');
     const workers = await Promise.all(
       this.plan.nodes.map(async (node): Promise<[string, string]> => {
-        return [node, await this.link(`workers>${node}`, () => this.portsOf(node).front)];
+        return [node, await this.link(`workers>${node}`, () => this.portsOf(node).clientAddress)];
       }),
     );
-    await this.fleet.ask({ kind: 'nodes', addresses: workers });
+    await this.fleet.request({ kind: 'nodes', addresses: workers });
     for (const node of this.plan.nodes) await this.writeSettings(node);
     for (const controller of this.controllers.values()) controller.start();
     for (const node of this.plan.nodes) {
@@ -122,14 +129,17 @@
 
   private async prepare(node: string, cloud: string): Promise<void> {
     const address = nextAddress();
-    this.ports.set(node, { front: `${address}:${FRONT_PORT}`, back: `${address}:${BACK_PORT}` });
-    const state = await this.state.ask({ kind: 'listen', client: node });
-    this.fronts.set(node, await this.link(`users>${node}`, () => this.portsOf(node).front));
+    this.ports.set(node, {
+      clientAddress: `${address}:${FRONT_PORT}`,
+      peerAddress: `${address}:${BACK_PORT}`,
+    });
+    const state = await this.state.request({ kind: 'listen', client: node });
+    this.fronts.set(node, await this.link(`users>${node}`, () => this.portsOf(node).clientAddress));
     this.links.set(`${node}>state`, new Link(() => state ?? ''));
     this.links.set(`${node}>cloud`, new Link(() => cloud));
     for (const peer of this.plan.nodes) {
       if (peer !== node) {
-        this.links.set(`${node}>${peer}`, new Link(() => this.portsOf(peer).back));
+        this.links.set(`${node}>${peer}`, new Link(() => this.portsOf(peer).peerAddress));
       }
     }
   }
@@ -150,18 +160,22 @@
       teams: Object.entries(plan.limits)
         .map(([name, cpus]) => `[[settings.teams]]\nname = "${name}"\ncpus_max = ${cpus}.0`)
         .join('\n'),
-      skewMs: SKEW_MS,
-      ...{ report: plan.report, lease: plan.lease, cancel: plan.cancel },
-      ...{ stateRate: 2000, stateWrites: 400 },
+      skewMs: MAX_SKEW_MS,
+      ...{
+        heartbeatInterval: plan.report,
+        workerLease: plan.lease,
+        cancellationTimeout: plan.cancel,
+      },
+      ...{ stateRequestRate: 2000, stateWriteRate: 400 },
     });
     const config = join(this.folder, `${node}.toml`);
     writeFileSync(config, text);
     const controller = new ControllerProcess(node, config, plan.skewMs[node] ?? 0, this.logLevel, {
-      line: (label, line) => {
+      onLogLine: (label, line) => {
         this.log.add(label, line);
       },
-      endedUnasked: (label, how) => {
-        this.endedUnasked.push(`${label}: ${how}`);
+      onUnexpectedExit: (label, how) => {
+        this.unexpectedExits.push(`${label}: ${how}`);
       },
     });
     this.controllers.set(node, controller);
@@ -176,5 +190,5 @@
 let addressesUsed = 0;
 
 function nextAddress(): string {
-  return ownLoopback(1 + (addressesUsed++ % 250));
+  return processLoopbackAddress(1 + (addressesUsed++ % 250));
 }
--- a/test/soak/soakLog.ts
+++ b/test/soak/soakLog.ts
@@ -1,5 +1,5 @@
 /** The lines of all processes of one soak, in the order in which they came, by the machine's clock. */
-import { machineTime } from './messages.js';
+import { hostMonotonicSeconds } from './messages.js';
 
 interface Line {
   at: number;
@@ -23,7 +23,7 @@
   onStartSent: ((task: string) => void) | null = null;
 
   add(from: string, text: string): void {
-    this.lines.push({ at: machineTime(), from, text });
+    this.lines.push({ at: hostMonotonicSeconds(), from, text });
     if (FAILURES.test(text)) this.failures.push(`${from}: ${text}`);
     const commands = COMMANDS_SENT.exec(text)?.[1] ?? '';
     for (const [, task = ''] of commands.matchAll(START)) this.onStartSent?.(task);
--- a/test/soak/standIn.ts
+++ b/test/soak/standIn.ts
@@ -1,13 +1,13 @@
 /** The two ends of a stand-in process: the one that asks, and the loop that answers. */
 import { fork, type ChildProcess } from 'node:child_process';
-import type { FromStandIn, Numbered, TaskEvent } from './messages.js';
+import type { StandInMessage, NumberedRequest, TaskEvent } from './messages.js';
 
 /** Answers requests until the process that asks has ended. */
 export function serveRequests<Request>(
   carryOut: (request: Request) => Promise<string | null> | string | null,
 ): void {
   process.on('message', (message) => {
-    const { sequence, request } = message as Numbered<Request>;
+    const { sequence, request } = message as NumberedRequest<Request>;
     void Promise.resolve(carryOut(request)).then((address) => {
       send({ kind: 'reply', sequence, address });
     });
@@ -17,7 +17,7 @@
   });
 }
 
-export function send(message: FromStandIn): void {
+export function send(message: StandInMessage): void {
   if (process.connected) process.send?.(message);
 }
 
@@ -33,9 +33,9 @@
     module: string,
     argument: unknown,
     private readonly heard: {
-      event(event: TaskEvent): void;
-      output(text: string): void;
-      ended(): void;
+      onEvent(event: TaskEvent): void;
+      onOutput(text: string): void;
+      onUnexpectedExit(): void;
     },
   ) {
     const child = fork(module, [JSON.stringify(argument)], {
@@ -44,31 +44,31 @@
     this.child = child;
     for (const stream of [child.stdout, child.stderr]) {
       stream?.on('data', (data) => {
-        heard.output(String(data));
+        heard.onOutput(String(data));
       });
     }
     child.on('message', (message) => {
-      this.take(message as FromStandIn);
+      this.take(message as StandInMessage);
     });
     child.on('exit', () => {
       this.hasEnded = true;
-      if (!this.isClosing) heard.ended();
+      if (!this.isClosing) heard.onUnexpectedExit();
       for (const resolve of this.waiting.values()) resolve(null);
       this.waiting.clear();
     });
     // Told of a request that was on its way when the process was ended.
     child.on('error', (error) => {
-      heard.output(`error ${error.message}`);
+      heard.onOutput(`error ${error.message}`);
     });
   }
 
   /** The answer; null where the process has ended, or ends before it answers. */
-  ask(request: Request): Promise<string | null> {
+  request(request: Request): Promise<string | null> {
     if (this.isClosing || this.hasEnded) return Promise.resolve(null);
     const sequence = ++this.sequence;
     return new Promise((resolve) => {
       this.waiting.set(sequence, resolve);
-      this.child.send({ sequence, request } satisfies Numbered<Request>);
+      this.child.send({ sequence, request } satisfies NumberedRequest<Request>);
     });
   }
 
@@ -77,9 +77,9 @@
     this.child.kill('SIGKILL');
   }
 
-  private take(message: FromStandIn): void {
+  private take(message: StandInMessage): void {
     if (message.kind === 'event') {
-      this.heard.event(message.event);
+      this.heard.onEvent(message.event);
       return;
     }
     this.waiting.get(message.sequence)?.(message.address);
--- a/test/soak/stateMain.ts
+++ b/test/soak/stateMain.ts
@@ -2,7 +2,7 @@
 import { sleep } from '../../src/base/clock.js';
 import { seededRandom } from '../../src/base/random.js';
 import { StateStandIn } from '../support/state.js';
-import { copiesAsAsked } from './copies.js';
+import { duplicationFor } from './duplicationRequest.js';
 import type { StateRequest } from './messages.js';
 import { serveRequests } from './standIn.js';
 
@@ -12,13 +12,13 @@
 /** The longest that an answer to a client is on its way, in seconds; `*` is everybody. */
 const latestAnswers = new Map<string, number>();
 
-state.holdAnswer = async (client) => {
+state.beforeAnswer = async (client) => {
   const most = Math.max(latestAnswers.get(client) ?? 0, latestAnswers.get('*') ?? 0);
   if (most > 0) await sleep(random() * most);
 };
 
 function loseAnswers(share: number, atOnce: number, mostLate: number): void {
-  state.swallow =
+  state.withholds =
     share === 0
       ? null
       : (body) => {
@@ -34,20 +34,20 @@
     case 'listen':
       return state.listenFor(request.client);
     case 'refuse':
-      if (request.isOn) state.refused.add(request.client);
-      else state.refused.delete(request.client);
+      if (request.isOn) state.refusedClients.add(request.client);
+      else state.refusedClients.delete(request.client);
       return null;
     case 'slow':
-      state.slowness.set(request.client, request.seconds);
+      state.answerDelays.set(request.client, request.seconds);
       return null;
     case 'late-answers':
-      latestAnswers.set(request.client, request.most);
+      latestAnswers.set(request.client, request.maxDelay);
       return null;
     case 'lose-answers':
       loseAnswers(request.share, request.atOnce, request.mostLate);
       return null;
     case 'copies':
-      state.copies = copiesAsAsked(request, random);
+      state.duplication = duplicationFor(request, random);
       return null;
   }
 });
--- a/test/storage/compatibility.test.ts
+++ b/test/storage/compatibility.test.ts
@@ -18,10 +18,10 @@
 import { NodeCapabilities } from '../../src/storage/nodeCapabilities.js';
 import { RECORD_FORMAT_VERSION, RecordFormat } from '../../src/storage/recordFormat.js';
 import { keys, type BucketRecord, type JobRecord } from '../../src/storage/records.js';
-import { layoutFor } from '../support/layout.js';
+import { recordFormatFor } from '../support/recordFormat.js';
 import { productionAnswers, productionRequests } from '../support/messages.js';
-import { spec } from '../support/spec.js';
-import { MemoryStore } from '../support/store.js';
+import { jobSpec } from '../support/jobSpec.js';
+import { MemoryStore } from '../support/memoryStore.js';
 
 interface Fixtures {
   submission: unknown;
@@ -50,13 +50,13 @@
 });
 
 test("production's job description in a peer request is decoded, and ours has no new fields", () => {
-  const known = toPlainJson(toStoredSpec(spec()));
-  assert.deepEqual(decodeSpec(JSON.stringify(known)), spec());
-  assert.deepEqual(JSON.parse(encodeSpec(spec({ dependencies: ['wk-9'] }))), known);
+  const known = toPlainJson(toStoredSpec(jobSpec()));
+  assert.deepEqual(decodeSpec(JSON.stringify(known)), jobSpec());
+  assert.deepEqual(JSON.parse(encodeSpec(jobSpec({ dependencies: ['wk-9'] }))), known);
 });
 
 test('records of production are read, and written back as production wrote them', () => {
-  const recordFormat = layoutFor();
+  const recordFormat = recordFormatFor();
   for (const [key, stored] of Object.entries(fixtures.records)) {
     const value = recordFormat.decode(key, structuredClone(stored));
     assert.deepEqual(toPlainJson(recordFormat.encode(key, value)), stored, key);
@@ -72,7 +72,7 @@
 
 test('records in the compact format stay within the value limit, whole or in fragments', () => {
   for (const valueBytes of [32 * 1024, 2 * 1024, 512]) {
-    const recordFormat = layoutFor(valueBytes, 64, true);
+    const recordFormat = recordFormatFor(valueBytes, 64, true);
     for (const [key, stored] of Object.entries(fixtures.records)) {
       const value = recordFormat.decode(key, stored);
       const [head, ...pieces] = recordFormat.encodePuts(key, value);
@@ -86,7 +86,7 @@
 });
 
 test('fields that the compact format omits are restored', () => {
-  const recordFormat = layoutFor(32 * 1024, 16, true);
+  const recordFormat = recordFormatFor(32 * 1024, 16, true);
   const specs: Partial<JobSpec>[] = [
     {},
     {
@@ -111,7 +111,7 @@
   for (const changes of specs) {
     const job: JobRecord = {
       ...{
-        spec: spec(changes),
+        spec: jobSpec(changes),
         homeShard: 'p',
         state: 'open',
         taskCount: 4,
@@ -131,7 +131,7 @@
       chunks: {
         'wk-1/0': {
           ...{
-            spec: spec({ ...changes, dependencies: [] }),
+            spec: jobSpec({ ...changes, dependencies: [] }),
             homeShard: 'p',
             submittedAt: 2,
             firstTask: 0,
@@ -165,11 +165,11 @@
     'n2',
   ]);
   await capabilities.publish();
-  assert.equal(store.changes, 0, 'the stored records have not been read yet');
+  assert.equal(store.changeCount, 0, 'the stored records have not been read yet');
   stateCache.loaded = true;
   store.refuseNext = 1;
   for (let i = 0; i < 4; i++) await capabilities.publish();
-  assert.equal(store.changes, 1, 'published once');
+  assert.equal(store.changeCount, 1, 'published once');
   capabilities.update('n1', { recordFormat: RECORD_FORMAT_VERSION });
   capabilities.update('elsewhere', { recordFormat: RECORD_FORMAT_VERSION });
   capabilities.update('n2', { recordFormat: RECORD_FORMAT_VERSION - 1 });
--- a/test/storage/compression.test.ts
+++ b/test/storage/compression.test.ts
@@ -10,7 +10,7 @@
 import { systemClock } from '../../src/base/clock.js';
 import { StateClient } from '../../src/storage/stateClient.js';
 import { HttpClient } from '../../src/transport/httpClient.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 import { StateStandIn } from '../support/state.js';
 
 const VALUE_BYTES = 2048;
@@ -24,7 +24,7 @@
 
 const job = (types: string[]): JobRecord => ({
   ...{
-    spec: spec({ machineTypes: types }),
+    spec: jobSpec({ machineTypes: types }),
     homeShard: 'p',
     state: 'open',
     taskCount: 3,
--- a/test/storage/fragments.test.ts
+++ b/test/storage/fragments.test.ts
@@ -6,7 +6,7 @@
 import { keys } from '../../src/storage/records.js';
 import { StateClient } from '../../src/storage/stateClient.js';
 import { HttpClient } from '../../src/transport/httpClient.js';
-import { layoutFor } from '../support/layout.js';
+import { recordFormatFor } from '../support/recordFormat.js';
 import { StateStandIn } from '../support/state.js';
 
 const LIMITS = { valueBytes: 2048, txnOps: 5 };
@@ -25,7 +25,7 @@
 
 function client(isCompact = true): StateClient {
   const options = { endpoint, rate: 1e4, writeRate: 1e4, nodeCount: 1, timeout: 5 };
-  const recordFormat = layoutFor(LIMITS.valueBytes, LIMITS.txnOps, isCompact);
+  const recordFormat = recordFormatFor(LIMITS.valueBytes, LIMITS.txnOps, isCompact);
   return new StateClient(new HttpClient(10, 5), systemClock, options, recordFormat);
 }
 
@@ -80,13 +80,13 @@
     'applied',
   );
   assert.deepEqual(stored(), []);
-  assert.equal(state.malformed, 0);
+  assert.equal(state.malformedCount, 0);
 });
 
 test('a change log has complete records, also of those that have changed again since', async () => {
   state.limits = { ...LIMITS };
   const writer = client();
-  const from = state.epoch;
+  const from = state.revision;
   for (const machines of [50, 10, 48]) {
     await writer.transact({
       conditions: [],
@@ -111,14 +111,14 @@
   const whole = state.rows.get(KEY);
   // The previous head is served together with the current fragments until both have been read.
   if (half !== undefined) state.rows.set(KEY, half);
-  state.reads.length = 0;
+  state.readKeys.length = 0;
   const restore = setInterval(() => {
-    if (state.reads.includes(keys.fragment(KEY, 1)) && whole !== undefined)
+    if (state.readKeys.includes(keys.fragment(KEY, 1)) && whole !== undefined)
       state.rows.set(KEY, whole);
   }, 1);
   const read = await client().get(KEY);
   clearInterval(restore);
-  assert.ok(state.reads.filter((key) => key === KEY).length > 1, 'the head was read again');
+  assert.ok(state.readKeys.filter((key) => key === KEY).length > 1, 'the head was read again');
   assert.equal(Object.keys((read?.value as MachineGroupRecord).machines).length, 48);
   await writer.transact({ conditions: [], puts: [], deletes: [KEY] });
 });
--- a/test/storage/goldenBytes.test.ts
+++ b/test/storage/goldenBytes.test.ts
@@ -30,11 +30,11 @@
 } from '../../src/storage/records.js';
 import type { MachineType } from '../../src/protocol/cloudProtocol.js';
 import { productionAnswers, productionRequests } from '../support/messages.js';
-import { spec } from '../support/spec.js';
+import { jobSpec } from '../support/jobSpec.js';
 
 const goldenFile = new URL('../../../../test/fixtures/golden.json', import.meta.url);
 
-const fullSpec = spec({
+const fullSpec = jobSpec({
   id: 'wk-000001',
   isService: true,
   isGang: true,
@@ -51,7 +51,7 @@
 });
 
 const openJob: JobRecord = {
-  spec: spec({ id: 'wk-000002', taskCount: 300 }),
+  spec: jobSpec({ id: 'wk-000002', taskCount: 300 }),
   homeShard: 'drone-0',
   state: 'open',
   taskCount: 300,
@@ -64,7 +64,7 @@
 };
 
 const chunkRecord: ChunkRecord = {
-  spec: spec({ id: 'wk-000002', taskCount: 300 }),
+  spec: jobSpec({ id: 'wk-000002', taskCount: 300 }),
   homeShard: 'drone-0',
   submittedAt: 1764637200.25,
   firstTask: 0,
--- a/test/support/cluster.ts
+++ b/test/support/cluster.ts
@@ -39,7 +39,7 @@
 };
 
 /** Everything that is switched off by default is off. */
-export const presentBuild: Build = (text, run) =>
+export const currentBuild: Build = (text, run) =>
   buildWith(
     text,
     run,
@@ -67,16 +67,16 @@
 export interface ClusterOptions {
   nodes: number;
   teams?: string;
-  runs: (task: string) => number;
+  taskRunSeconds: (task: string) => number;
   zones?: string[];
   /** Seconds; short where a test waits for its end. */
-  lease?: number;
+  workerLease?: number;
   /** Changes a second that the state service takes from all nodes together. */
-  stateWrites?: number;
+  stateWriteRate?: number;
   /** Limits that the state service will have, as lines of the settings. */
-  nextLimits?: string;
+  nextStateLimits?: string;
   /** What a node's users and workers may take of it. */
-  front?: Partial<ServerOptions>;
+  serverOptions?: Partial<ServerOptions>;
 }
 
 const limits = {
@@ -98,7 +98,7 @@
   /** Ports for calls from one node to another, `from>to`: each way can be cut by itself. */
   private backs = new Map<string, number>();
   /** Nodes that can neither reach the others nor be reached by them. */
-  readonly apart = new Set<string>();
+  readonly isolatedNodes = new Set<string>();
   private fronts = new Map<string, number>();
   private cloudAddress = '';
   private readonly listeners: { close(): void }[] = [];
@@ -106,11 +106,15 @@
   private readonly lease: number;
 
   constructor(private readonly options: ClusterOptions) {
-    this.lease = options.lease ?? 8;
+    this.lease = options.workerLease ?? 8;
     const addresses = (): Map<string, string> =>
       new Map([...this.fronts].map(([label, port]) => [label, `127.0.0.1:${port}`]));
     this.cloud = new CloudStandIn(
-      { report: this.report, lease: this.lease, runs: options.runs },
+      {
+        heartbeatInterval: this.report,
+        workerLease: this.lease,
+        taskRunSeconds: options.taskRunSeconds,
+      },
       addresses,
       this.zones,
     );
@@ -128,14 +132,15 @@
     this.cloudAddress = await this.cloud.listen();
     // Listeners stay for the cluster's life, also while their node is down: a port that is given up may
     // be taken by a test that runs beside this one.
-    const front = { ...limits, ...this.options.front };
+    const front = { ...limits, ...this.options.serverOptions };
     for (const label of this.labels()) {
       for (const from of this.labels()) {
         if (from === label) continue;
         const peers = new PeerServer((body) => {
           const gateway = this.nodes.get(label)?.gateway;
           // A cut is silent.
-          if (this.apart.has(label) || this.apart.has(from)) return new Promise(() => undefined);
+          if (this.isolatedNodes.has(label) || this.isolatedNodes.has(from))
+            return new Promise(() => undefined);
           return gateway?.handlePeerMessage(body) ?? Promise.reject(new Error('down'));
         });
         const port = await peers.listen({ host: '127.0.0.1', port: 0 });
@@ -164,20 +169,27 @@
         address: `127.0.0.1:${this.backs.get(`${label}>${l}`)}`,
       }));
     const settings = settingsText({
-      ...{ label, zone: zone(label), front, back, peers, zones: this.zones },
+      ...{
+        label,
+        zone: zone(label),
+        clientAddress: front,
+        peerAddress: back,
+        peers,
+        zones: this.zones,
+      },
       cloud: this.cloudAddress,
       state: await this.state.listenFor(label),
       teams: this.options.teams ?? '[[settings.teams]]\nname = "crew"',
       skewMs: 100,
-      report: this.report,
-      lease: this.lease,
-      cancel: 5,
-      stateRate: 2000,
-      stateWrites: this.options.stateWrites ?? 1000,
-      nextLimits: this.options.nextLimits,
+      heartbeatInterval: this.report,
+      workerLease: this.lease,
+      cancellationTimeout: 5,
+      stateRequestRate: 2000,
+      stateWriteRate: this.options.stateWriteRate ?? 1000,
+      nextStateLimits: this.options.nextStateLimits,
     });
     const run = `${label}${Math.floor(systemClock.now() * 1e6).toString(36)}`;
-    const node = (this.builds.get(label) ?? presentBuild)(settings, run);
+    const node = (this.builds.get(label) ?? currentBuild)(settings, run);
     node.controller.start();
     this.nodes.set(label, { ...node, address: front });
   }
--- a/test/support/clusterSettings.ts
+++ b/test/support/clusterSettings.ts
@@ -9,8 +9,8 @@
 export interface ClusterSettings {
   label: string;
   zone: string;
-  front: string;
-  back: string;
+  clientAddress: string;
+  peerAddress: string;
   peers: Endpoint[];
   cloud: string;
   state: string;
@@ -18,13 +18,13 @@
   /** As lines of the settings. */
   teams: string;
   skewMs: number;
-  report: number;
-  lease: number;
-  cancel: number;
-  stateRate: number;
-  stateWrites: number;
+  heartbeatInterval: number;
+  workerLease: number;
+  cancellationTimeout: number;
+  stateRequestRate: number;
+  stateWriteRate: number;
   /** Limits that the state service will have, as lines of the settings. */
-  nextLimits?: string | undefined;
+  nextStateLimits?: string | undefined;
 }
 
 const decimal = (value: number): string =>
@@ -34,12 +34,12 @@
   `[[peers]]\nlabel = "${label}"\nsite = "${zone}"\nendpoint = "${address}"`;
 
 export function settingsText(settings: ClusterSettings): string {
-  const { nextLimits } = settings;
+  const { nextStateLimits: nextLimits } = settings;
   return `
 label = "${settings.label}"
 site = "${settings.zone}"
-client_listen = "${settings.front}"
-back = "${settings.back}"
+client_listen = "${settings.clientAddress}"
+back = "${settings.peerAddress}"
 ${settings.peers.map(peerText).join('\n')}
 [services]
 cloud = "${settings.cloud}"
@@ -49,12 +49,12 @@
 skew_ms = ${decimal(settings.skewMs)}
 ${settings.teams}
 [settings.workers]
-report_s = ${decimal(settings.report)}
-lease_s = ${decimal(settings.lease)}
-cancel_s = ${decimal(settings.cancel)}
+report_s = ${decimal(settings.heartbeatInterval)}
+lease_s = ${decimal(settings.workerLease)}
+cancel_s = ${decimal(settings.cancellationTimeout)}
 [settings.state]
-rps = ${decimal(settings.stateRate)}
-write_rps = ${decimal(settings.stateWrites)}
+rps = ${decimal(settings.stateRequestRate)}
+write_rps = ${decimal(settings.stateWriteRate)}
 value_kb = 32.0
 txn_ops = 16
 ${nextLimits === undefined ? '' : `[settings.state.next]\n${nextLimits}`}
--- a/test/support/commandBench.ts
+++ b/test/support/commandHarness.ts
@@ -15,24 +15,24 @@
 import { heartbeatAnswer, parseHeartbeat } from '../../src/protocol/workerProtocol.js';
 import { HttpCallError, type Response } from '../../src/transport/httpClient.js';
 import { TurnQueue } from '../../src/transport/turnQueue.js';
-import { ShardFixture, TOKEN } from './shardFixture.js';
+import { ShardFixture, FENCING_TOKEN } from './shardFixture.js';
 import { WorkerModel, type CommandBody, type ReportOrder } from './workerModel.js';
 
 /** What becomes of the next command: it arrives; it is held, and its sender gives up; or it never leaves. */
-export type Passage = 'arrives' | 'held' | 'no socket' | 'connection refused';
+export type DeliveryOutcome = 'arrives' | 'held' | 'no socket' | 'connection refused';
 
 const REPORT_S = 3;
 
-export class CommandBench {
-  readonly bench = new ShardFixture();
-  readonly host: OwnedShard;
-  readonly orders: CommandDispatcher;
+export class CommandHarness {
+  readonly fixture = new ShardFixture();
+  readonly ownedShard: OwnedShard;
+  readonly dispatcher: CommandDispatcher;
   /** Tasks that were started on a machine while they were on another. */
-  readonly ranTwice: string[] = [];
+  readonly concurrentStarts: string[] = [];
   /** What asking for a higher token gives, one time after the other; after that it can't be had. */
-  readonly raises: (Leadership | null)[] = [];
+  readonly tokenAdvanceResults: (Leadership | null)[] = [];
   /** What becomes of the commands to come, one after the other; after that all arrive. */
-  readonly passages: Passage[] = [];
+  readonly deliveryOutcomes: DeliveryOutcome[] = [];
   /** Whether this node may start work. */
   mayAct = true;
   private readonly workers = new Map<string, WorkerModel>();
@@ -42,8 +42,12 @@
   private readonly machinesOf = new Map<string, Set<string>>();
 
   constructor() {
-    const { bench } = this;
-    this.host = createOwnedShard(bench.shard, { fencingToken: TOKEN, revision: 1 }, bench.now);
+    const { fixture: bench } = this;
+    this.ownedShard = createOwnedShard(
+      bench.shard,
+      { fencingToken: FENCING_TOKEN, revision: 1 },
+      bench.now,
+    );
     const node: CommandDispatcherContext = {
       settings: { heartbeatInterval: REPORT_S, cores: 1, maxSockets: 100 },
       clock: { now: () => bench.now },
@@ -51,34 +55,34 @@
       leadership: {
         isLeaseValid: true,
         leaseExpiresAt: Infinity,
-        advanceFencingToken: () => Promise.resolve(this.raises.shift() ?? null),
+        advanceFencingToken: () => Promise.resolve(this.tokenAdvanceResults.shift() ?? null),
       },
       authority: { mayAct: () => this.mayAct, mayStopCancelledTasks: () => true },
       audit: new AuditTrail('drone-0', () => bench.now),
-      ownedShards: new Map([['p', this.host]]),
+      ownedShards: new Map([['p', this.ownedShard]]),
       requestSchedulingRound: () => undefined,
     };
     const turns = new TurnQueue({ urgent: 4, ordinary: 0 }, (turn) => {
       turn();
     });
-    this.orders = new CommandDispatcher(node, turns);
+    this.dispatcher = new CommandDispatcher(node, turns);
   }
 
   /** A machine that has reported. */
-  machine(name: string, reportOrder: ReportOrder = 'oldest first'): Machine {
+  addMachine(name: string, reportOrder: ReportOrder = 'oldest first'): Machine {
     const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0, address: name };
-    const machine = this.bench.shard.addMachine(name, record, this.bench.now);
+    const machine = this.fixture.shard.addMachine(name, record, this.fixture.now);
     const description = { name, address: name, type: 'm8', zone: 'a', spot: false };
     const observer = {
-      started: ({ task }: { task: string }) => {
+      onStarted: ({ task }: { task: string }) => {
         this.noteStarted(task, name);
       },
-      left: ({ task }: { task: string }) => {
+      onTerminated: ({ task }: { task: string }) => {
         this.machinesOf.get(task)?.delete(name);
       },
     };
     this.workers.set(name, new WorkerModel(description, observer, Infinity, reportOrder));
-    this.hello(machine);
+    this.sendHeartbeat(machine);
     return machine;
   }
 
@@ -89,46 +93,46 @@
   }
 
   /** Its worker reports; the answer carries no orders. */
-  hello(machine: Machine): void {
-    const report = parseHeartbeat(this.worker(machine).report());
+  sendHeartbeat(machine: Machine): void {
+    const report = parseHeartbeat(this.worker(machine).heartbeat());
     if (report === null) throw new Error('malformed report');
-    this.bench.shard.heartbeats.apply(machine, report, this.bench.now, 'follow-up');
-    machine.leaseRenewedAt = this.bench.now;
+    this.fixture.shard.heartbeats.apply(machine, report, this.fixture.now, 'follow-up');
+    machine.leaseRenewedAt = this.fixture.now;
   }
 
   /** Its worker reports, a report's time later, and gets what is due with the answer. */
-  helloForOrders(machine: Machine): void {
-    this.bench.now += REPORT_S;
-    this.hello(machine);
+  sendHeartbeatForCommands(machine: Machine): void {
+    this.fixture.now += REPORT_S;
+    this.sendHeartbeat(machine);
     const worker = this.worker(machine);
-    const due = commandsForAnswer(machine, this.bench.now, REPORT_S * 1.5, REPORT_S);
+    const due = commandsForAnswer(machine, this.fixture.now, REPORT_S * 1.5, REPORT_S);
     const seenToken = machine.highestFencingToken;
-    const { fencingTokens: tokens } = this.host.shard;
+    const { fencingTokens: tokens } = this.ownedShard.shard;
     const message = machine.commandTokens.assignToken(due, tokens, { seenToken, mayRaise: true });
-    worker.answer(worker.session, heartbeatAnswer(message.token, message.commands));
+    worker.handleAnswer(worker.agentEpoch, heartbeatAnswer(message.token, message.commands));
   }
 
   /** Places what waits, and stores it. */
-  place(chunk: Chunk): void {
-    this.bench.runSchedulingRound();
-    this.bench.store(chunk);
+  placeAndStore(chunk: Chunk): void {
+    this.fixture.runSchedulingRound();
+    this.fixture.markStored(chunk);
   }
 
   /** Sends what is due to a machine and waits for what becomes of it. */
-  async send(machine: Machine): Promise<void> {
-    this.bench.now += REPORT_S / 6;
-    this.bench.shard.machinesWithDueCommands.add(machine);
-    this.orders.send();
+  async sendCommands(machine: Machine): Promise<void> {
+    this.fixture.now += REPORT_S / 6;
+    this.fixture.shard.machinesWithDueCommands.add(machine);
+    this.dispatcher.send();
     for (let turn = 0; turn < 4; turn++) await new Promise((resolve) => setImmediate(resolve));
   }
 
   /** Commands that were held arrive, in their order. */
-  deliverHeld(): void {
+  deliverHeldCommands(): void {
     for (const deliver of this.held.splice(0)) deliver();
   }
 
   /** A copy of each answered command arrives; the statuses that they get. */
-  deliverCopies(): number[] {
+  deliverDuplicates(): number[] {
     return this.answered.splice(0).map((deliver) => deliver());
   }
 
@@ -137,13 +141,13 @@
     if (worker === undefined) return Promise.reject(new HttpCallError('no such machine', true));
     // What travels is what was sent, whatever becomes of its parts later.
     const sent = JSON.parse(JSON.stringify(body)) as CommandBody;
-    switch (this.passages.shift() ?? 'arrives') {
+    switch (this.deliveryOutcomes.shift() ?? 'arrives') {
       case 'arrives':
-        this.answered.push(() => worker.command(sent).status);
-        return Promise.resolve({ ...worker.command(sent), retryAfter: null });
+        this.answered.push(() => worker.handleCommand(sent).status);
+        return Promise.resolve({ ...worker.handleCommand(sent), retryAfter: null });
       case 'held':
         this.held.push(() => {
-          worker.command(sent);
+          worker.handleCommand(sent);
         });
         return Promise.reject(new HttpCallError('timed out', false));
       case 'no socket':
@@ -156,7 +160,7 @@
   private noteStarted(task: string, machine: string): void {
     const on = this.machinesOf.get(task) ?? new Set<string>();
     this.machinesOf.set(task, on);
-    if (on.size > 0) this.ranTwice.push(`${task} on ${[...on].join(' ')} and ${machine}`);
+    if (on.size > 0) this.concurrentStarts.push(`${task} on ${[...on].join(' ')} and ${machine}`);
     on.add(machine);
   }
 }
--- a/test/support/commandLine.ts
+++ b/test/support/commandLine.ts
@@ -4,30 +4,30 @@
 
 const program = fileURLToPath(new URL('../../src/main.js', import.meta.url));
 
-export interface Ran {
+export interface CommandResult {
   code: number;
-  out: string;
-  err: string;
+  stdout: string;
+  stderr: string;
 }
 
-export const run = (...args: string[]): Promise<Ran> =>
+export const runProgram = (...args: string[]): Promise<CommandResult> =>
   new Promise((resolve) => {
     execFile(process.execPath, [program, ...args], (error, out, err) => {
-      resolve({ code: typeof error?.code === 'number' ? error.code : 0, out, err });
+      resolve({ code: typeof error?.code === 'number' ? error.code : 0, stdout: out, stderr: err });
     });
   });
 
-export interface Ended {
+export interface ExitResult {
   code: number | null;
   signal: string | null;
-  err: string;
+  stderr: string;
 }
 
 /** Runs the program until it ends; `heard` is told of what it logs, and may send it a signal. */
-export function runUntilEnd(
+export function runUntilExit(
   args: string[],
   heard: (log: string, kill: (signal: NodeJS.Signals) => void) => void = () => undefined,
-): Promise<Ended> {
+): Promise<ExitResult> {
   return new Promise((resolve) => {
     const child = spawn(process.execPath, [program, ...args], { env: { LOG_LEVEL: 'info' } });
     let err = '';
@@ -36,13 +36,13 @@
       heard(err, (signal) => child.kill(signal));
     });
     child.on('exit', (code, signal) => {
-      resolve({ code, signal, err });
+      resolve({ code, signal, stderr: err });
     });
   });
 }
 
 /** Settings of a controller that reaches nobody, or a state service only. */
-export const loneSettings = (label: string, state = '127.0.0.1:1'): string => `
+export const standaloneSettings = (label: string, state = '127.0.0.1:1'): string => `
 label = "${label}"
 site = "a"
 client_listen = "127.0.0.1:0"
--- a/test/support/fleet.ts
+++ b/test/support/fleet.ts
@@ -3,21 +3,21 @@
 import { HttpServer, type Reply } from '../../src/transport/httpServer.js';
 import type { HttpMessage } from '../../src/transport/httpParser.js';
 import { Link } from './link.js';
-import { deliverAgain, type MessageCopies } from './messageCopies.js';
+import { maybeDeliverDuplicate, type MessageDuplication } from './messageDuplication.js';
 import {
   WorkerModel,
   type CommandBody,
-  type HeldAttempt,
-  type WorkerOrder,
+  type WorkerAttempt,
+  type WorkerCommand,
 } from './workerModel.js';
 
 export interface FleetSettings {
-  report: number;
-  lease: number;
+  heartbeatInterval: number;
+  workerLease: number;
   /** Seconds that a task runs, by the job's id; services never end. */
-  runs: (task: string) => number;
+  taskRunSeconds: (task: string) => number;
   /** Seconds that a task takes to save its checkpoint when it is stopped; without it none does. */
-  saves?: (task: string) => number;
+  checkpointSeconds?: (task: string) => number;
   /** Whether requests to workers go through links that can be cut. */
   isLinked?: boolean;
 }
@@ -36,9 +36,9 @@
 /** Messages of a worker that the network treats badly: each is drawn by itself. */
 export interface MessageFaults {
   /** Of the direct commands, those that are held up, get no answer, and are carried out once, late. */
-  lateCommands: number;
+  delayedCommandShare: number;
   /** Of the heartbeats, those of which a copy arrives again later. */
-  copiedReports: number;
+  duplicatedHeartbeatShare: number;
   /** Seconds that a message is late. */
   delay: () => number;
   random: () => number;
@@ -47,7 +47,7 @@
 export class WorkerStandIn {
   private readonly model: WorkerModel;
   private leaseTimer: NodeJS.Timeout | undefined;
-  private readonly ends = new Map<HeldAttempt, NodeJS.Timeout>();
+  private readonly ends = new Map<WorkerAttempt, NodeJS.Timeout>();
   private node = 0;
   private stopped = false;
   /** A hanging machine neither sends heartbeats nor carries anything out. */
@@ -61,7 +61,7 @@
   /** Between the controllers and it; null: it is asked directly. */
   private link: Link | null = null;
   /** All heartbeats that it has sent. */
-  readonly sent: string[] = [];
+  readonly sentHeartbeats: string[] = [];
   /** The newest direct commands that it has carried out and answered. */
   private readonly answered: CommandBody[] = [];
   /** Answers to heartbeats that it had to drop: a command with a higher fencing token came before them. */
@@ -85,15 +85,15 @@
       },
     };
     this.model = new WorkerModel(description, {
-      started: (attempt) => {
+      onStarted: (attempt) => {
         this.begin(attempt);
       },
-      saveSeconds: ({ task }) => this.fleet.settings.saves?.(task) ?? 0,
-      saving: (attempt, seconds) => {
+      checkpointSeconds: ({ task }) => this.fleet.settings.checkpointSeconds?.(task) ?? 0,
+      onCheckpoint: (attempt, seconds) => {
         this.save(attempt, seconds);
       },
-      left: (attempt) => {
-        this.fleet.left(attempt.task, this.name);
+      onTerminated: (attempt) => {
+        this.fleet.recordTermination(attempt.task, this.name);
       },
     });
   }
@@ -129,64 +129,64 @@
   }
 
   /** The cloud gives notice, and takes the machine after so many seconds. */
-  giveNotice(seconds: number): void {
+  givePreemptionNotice(seconds: number): void {
     const goneAt = performance.now() + seconds * 1000;
     this.model.warning = () => Math.max(0, (goneAt - performance.now()) / 1000);
     setTimeout(() => {
-      this.fleet.take(this);
+      this.fleet.reclaim(this);
     }, seconds * 1000).unref();
   }
 
   /** A task on it fails. */
-  fail(task: string): void {
+  failTask(task: string): void {
     const attempt = this.model.running.find((held) => held.task === task);
     if (attempt === undefined) return;
     clearTimeout(this.ends.get(attempt));
-    this.model.end(attempt, 'error');
+    this.model.terminate(attempt, 'error');
   }
 
   /** Why it refuses all starts, as PROTOCOL names the cause; null: it refuses none. */
-  set refusal(cause: string | null) {
-    this.model.refusal = cause;
+  set refusalCause(cause: string | null) {
+    this.model.refusalCause = cause;
   }
 
   /** Whether it still reports an attempt, in whatever state. */
-  holds(task: string, attemptNumber: number): boolean {
+  reportsAttempt(task: string, attemptNumber: number): boolean {
     return this.model.find(task, attemptNumber) !== undefined;
   }
 
   /** Copies of the answered commands that carried this start arrive; the statuses that they get. */
-  repeatStart(task: string, attemptNumber: number): number[] {
+  deliverDuplicateStarts(task: string, attemptNumber: number): number[] {
     const hasStart = ({ Orders }: CommandBody): boolean =>
       Orders.some(({ Verb, Piece, Try }) => {
         return Verb === 'start' && Piece === task && Try === attemptNumber;
       });
-    return this.answered.filter(hasStart).map((body) => this.model.command(body).status);
+    return this.answered.filter(hasStart).map((body) => this.model.handleCommand(body).status);
   }
 
   /** The highest fencing token that it has seen. */
-  get seenToken(): number {
-    return this.model.token;
+  get highestFencingToken(): number {
+    return this.model.highestFencingToken;
   }
 
-  private begin(attempt: HeldAttempt): void {
+  private begin(attempt: WorkerAttempt): void {
     const { task } = attempt;
-    this.fleet.started(task, this.name);
-    const seconds = this.fleet.settings.runs(task);
+    this.fleet.recordStart(task, this.name);
+    const seconds = this.fleet.settings.taskRunSeconds(task);
     if (!Number.isFinite(seconds)) return;
     const finish = (): void => {
       this.ends.delete(attempt);
-      if (attempt.state === 'running') this.fleet.watch?.done?.(task);
-      this.model.end(attempt, 'done');
+      if (attempt.state === 'running') this.fleet.taskObserver?.onTaskCompleted?.(task);
+      this.model.terminate(attempt, 'done');
     };
     this.ends.set(attempt, setTimeout(finish, seconds * 1000));
   }
 
-  private save(attempt: HeldAttempt, seconds: number): void {
+  private save(attempt: WorkerAttempt, seconds: number): void {
     clearTimeout(this.ends.get(attempt));
     const finish = (): void => {
       this.ends.delete(attempt);
-      this.model.end(attempt, 'halted');
+      this.model.terminate(attempt, 'halted');
     };
     this.ends.set(attempt, setTimeout(finish, seconds * 1000));
   }
@@ -198,17 +198,17 @@
     // A machine that was released meanwhile is gone: what was held back for it is carried out nowhere. A
     // command that was let through by the release started its task beside the next machine's.
     if (this.stopped) return new Promise(() => undefined);
-    if (request.target === '/inspect') return { status: 200, body: this.model.report() };
+    if (request.target === '/inspect') return { status: 200, body: this.model.heartbeat() };
     const body = JSON.parse(request.body) as CommandBody;
     const faults = this.fleet.messageFaults;
     const carryOutLate = (): void => {
-      if (!this.stopped && !this.hanging) this.model.command(body);
+      if (!this.stopped && !this.hanging) this.model.handleCommand(body);
     };
-    if (faults === null || faults.random() >= faults.lateCommands) {
+    if (faults === null || faults.random() >= faults.delayedCommandShare) {
       this.answered.push(body);
       if (this.answered.length > MOST_KEPT) this.answered.shift();
-      deliverAgain(this.fleet.copies, carryOutLate);
-      return this.model.command(body);
+      maybeDeliverDuplicate(this.fleet.duplication, carryOutLate);
+      return this.model.handleCommand(body);
     }
     setTimeout(carryOutLate, faults.delay() * 1000).unref();
     return new Promise(() => undefined);
@@ -220,7 +220,7 @@
    */
   private renewLease(sent: number): void {
     clearTimeout(this.leaseTimer);
-    const left = sent + this.fleet.settings.lease * 1000 - performance.now();
+    const left = sent + this.fleet.settings.workerLease * 1000 - performance.now();
     this.leaseTimer = setTimeout(() => {
       this.endSession();
       this.renewLease(performance.now());
@@ -230,12 +230,12 @@
   private endSession(): void {
     for (const timer of this.ends.values()) clearTimeout(timer);
     this.ends.clear();
-    this.model.endSession();
+    this.model.expireLease();
   }
 
   private async loop(): Promise<void> {
     const http = new HttpClient(10, 1);
-    const { report } = this.fleet.settings;
+    const { heartbeatInterval: report } = this.fleet.settings;
     while (!this.stopped) {
       if (!this.hanging && !this.cutOff) await this.tell(http);
       await new Promise((r) => setTimeout(r, report * 1000));
@@ -246,21 +246,26 @@
     const nodes = [...this.nodes()];
     const [, address] = nodes[this.node % nodes.length] ?? ['', ''];
     const sent = performance.now();
-    const { session } = this.model;
+    const { agentEpoch: session } = this.model;
     try {
-      const report = this.model.report();
-      this.sent.push(JSON.stringify(report));
+      const report = this.model.heartbeat();
+      this.sentHeartbeats.push(JSON.stringify(report));
       this.copyLater(http, address, report);
-      const { report: reportTime } = this.fleet.settings;
+      const { heartbeatInterval: reportTime } = this.fleet.settings;
       const patience = Math.max(1, reportTime);
       const answer = await http.call(address, 'POST', '/hello', report, patience);
       if (this.deaf) throw new Error('no answer came');
-      const body = answer.body as { Baton?: number; Orders?: WorkerOrder[]; Foreman?: string };
-      if (answer.status === 200 && (body.Baton ?? 0) < this.model.token) this.droppedAnswers++;
-      if (answer.status === 200 && body.Baton !== undefined && body.Baton >= this.model.token) {
-        if (this.hanging || this.stopped || session !== this.model.session) return;
+      const body = answer.body as { Baton?: number; Orders?: WorkerCommand[]; Foreman?: string };
+      if (answer.status === 200 && (body.Baton ?? 0) < this.model.highestFencingToken)
+        this.droppedAnswers++;
+      if (
+        answer.status === 200 &&
+        body.Baton !== undefined &&
+        body.Baton >= this.model.highestFencingToken
+      ) {
+        if (this.hanging || this.stopped || session !== this.model.agentEpoch) return;
         this.renewLease(sent);
-        this.model.answer(session, body);
+        this.model.handleAnswer(session, body);
         return;
       }
       const named = nodes.findIndex(([label]) => label === body.Foreman);
@@ -273,7 +278,7 @@
   /** A copy of a heartbeat arrives again, perhaps at the next leader. */
   private copyLater(http: HttpClient, address: string, report: unknown): void {
     const faults = this.fleet.messageFaults;
-    if (faults === null || faults.random() >= faults.copiedReports) return;
+    if (faults === null || faults.random() >= faults.duplicatedHeartbeatShare) return;
     const nodes = [...this.nodes().values()];
     const at = faults.random() < 0.5 ? address : nodes[Math.floor(faults.random() * nodes.length)];
     if (at === undefined) return;
@@ -283,22 +288,22 @@
   }
 }
 
-export interface TaskWatch {
-  started(task: string, machine: string): void;
+export interface TaskObserver {
+  onTaskStarted(task: string, machine: string): void;
   /** It has run to its end. */
-  done?(task: string): void;
-  left(task: string, machine: string): void;
+  onTaskCompleted?(task: string): void;
+  onTaskTerminated(task: string, machine: string): void;
 }
 
 export class CloudStandIn {
   readonly workers = new Map<string, WorkerStandIn>();
   /** task -> machines that run it now; more than one is a broken rule. */
   private readonly running = new Map<string, Set<string>>();
-  readonly starts: string[] = [];
+  readonly startedTasks: string[] = [];
   /** The zone of the machine, for each of them. */
   readonly startZones: (string | undefined)[] = [];
-  readonly twice: string[] = [];
-  readonly released: string[] = [];
+  readonly concurrentStarts: string[] = [];
+  readonly releasedMachines: string[] = [];
   private next = 1;
   private readonly asks = new Map<string, string[]>();
   private readonly server = new HttpServer((r) => this.answer(r), options);
@@ -306,9 +311,9 @@
   /** What the network does to messages of and to all workers; null: nothing. */
   messageFaults: MessageFaults | null = null;
   /** Copies of answered commands, rentals and releases; null: there are none. */
-  copies: MessageCopies | null = null;
+  duplication: MessageDuplication | null = null;
   /** Requests for which this says yes are carried out, and their answers get lost. */
-  lose: ((path: string) => boolean) | null = null;
+  losesAnswer: ((path: string) => boolean) | null = null;
 
   constructor(
     readonly settings: FleetSettings,
@@ -326,30 +331,30 @@
   }
 
   /** Told of every task that comes to a machine or leaves it. */
-  watch: TaskWatch | null = null;
+  taskObserver: TaskObserver | null = null;
 
-  started(task: string, machine: string): void {
-    this.watch?.started(task, machine);
-    this.starts.push(task);
+  recordStart(task: string, machine: string): void {
+    this.taskObserver?.onTaskStarted(task, machine);
+    this.startedTasks.push(task);
     this.startZones.push(this.workers.get(machine)?.zone);
     const on = this.running.get(task) ?? new Set();
     this.running.set(task, on);
-    if (on.size > 0 && !on.has(machine)) this.twice.push(task);
+    if (on.size > 0 && !on.has(machine)) this.concurrentStarts.push(task);
     on.add(machine);
   }
 
-  left(task: string, machine: string): void {
-    this.watch?.left(task, machine);
+  recordTermination(task: string, machine: string): void {
+    this.taskObserver?.onTaskTerminated(task, machine);
     this.running.get(task)?.delete(machine);
   }
 
   /** The machine loses its power, and is listed no more. */
-  take(worker: WorkerStandIn): void {
+  reclaim(worker: WorkerStandIn): void {
     worker.stop();
     this.workers.delete(worker.name);
   }
 
-  async add(type: string, zone: string, spot: boolean): Promise<string> {
+  async launch(type: string, zone: string, spot: boolean): Promise<string> {
     const name = `n-${String(this.next++).padStart(6, '0')}`;
     const worker = new WorkerStandIn(name, type, zone, spot, this.nodes, this);
     this.workers.set(name, worker);
@@ -359,8 +364,9 @@
 
   private async answer(request: HttpMessage): Promise<Reply> {
     const reply = await this.carryOut(request);
-    if (request.method === 'POST') deliverAgain(this.copies, () => this.carryOut(request));
-    if (this.lose?.(`${request.method} ${request.target.split('?')[0] ?? ''}`) !== true)
+    if (request.method === 'POST')
+      maybeDeliverDuplicate(this.duplication, () => this.carryOut(request));
+    if (this.losesAnswer?.(`${request.method} ${request.target.split('?')[0] ?? ''}`) !== true)
       return reply;
     return new Promise(() => undefined);
   }
@@ -406,7 +412,7 @@
       if (names === undefined) {
         names = [];
         for (let i = 0; i < ask.Number && this.workers.size < this.capacity; i++) {
-          names.push(await this.add(ask.Flavour, ask.Yard, ask.Loaners));
+          names.push(await this.launch(ask.Flavour, ask.Yard, ask.Loaners));
         }
         if (names.length === 0) return { status: 503, body: { error: 'no capacity' } };
         this.asks.set(ask.Ask, names);
@@ -415,7 +421,7 @@
     }
     const { Drones } = JSON.parse(request.body) as { Drones: string[] };
     for (const name of Drones) {
-      this.released.push(name);
+      this.releasedMachines.push(name);
       this.workers.get(name)?.stop();
       this.workers.delete(name);
     }
--- a/test/support/history.ts
+++ b/test/support/history.ts
@@ -9,7 +9,7 @@
  */
 
 /** What an answer says of a job; an answer that says nothing (503, none at all) is not recorded. */
-export type Told = 'unknown' | 'refused' | 'open' | 'done' | 'cancelled';
+export type ReportedState = 'unknown' | 'refused' | 'open' | 'done' | 'cancelled';
 
 export type Rule =
   | 'went_back'
@@ -30,48 +30,48 @@
 }
 
 /** A request on its way. */
-export interface Question {
+export interface JobRequest {
   job: string;
   node: string;
   sentAt: number;
 }
 
-interface Answer extends Question {
+interface Answer extends JobRequest {
   at: number;
-  told: Told;
+  told: ReportedState;
 }
 
-interface TeamWork {
+interface SubmittedJob {
   team: string;
   cpus: number;
   /** How many tasks the job has, and which jobs it waits for. */
   tasks: number;
-  waitsOn?: readonly string[];
+  dependencies?: readonly string[];
 }
 
 /** Seconds until a line of a controller's log is read. */
 const LOG_TRAVEL_S = 1;
 
-const isFinal = (told: Told): boolean => told === 'done' || told === 'cancelled';
+const isFinal = (told: ReportedState): boolean => told === 'done' || told === 'cancelled';
 
 const jobOf = (task: string): string => task.slice(0, task.lastIndexOf('/'));
 
 /** How far a job has come by an answer: known to nobody, accepted, over. */
-const progressOf = (told: Told): number => (isFinal(told) ? 2 : told === 'open' ? 1 : 0);
+const progressOf = (told: ReportedState): number => (isFinal(told) ? 2 : told === 'open' ? 1 : 0);
 
 export class History {
   readonly violations: Violation[] = [];
   /** Older answers to questions that were on their way when the newer one was given: listed apart. */
   readonly overtaken: string[] = [];
   /** For each job the first answer of each kind: whatever contradicts a later one contradicts the first as well. */
-  private readonly answers = new Map<string, Map<Told, Answer>>();
+  private readonly answers = new Map<string, Map<ReportedState, Answer>>();
   private readonly cancelAsked = new Set<string>();
-  private readonly work = new Map<string, TeamWork>();
+  private readonly work = new Map<string, SubmittedJob>();
   /** Machines that each task is on. */
   private readonly machines = new Map<string, Set<string>>();
   private readonly used = new Map<string, number>();
   /** The most that each team has used at once. */
-  readonly peaks = new Map<string, number>();
+  readonly peakCpus = new Map<string, number>();
 
   /** `limits`: processors that each team's tasks may use at once. */
   /** Tasks of each job that have run to their end, and when they first did. */
@@ -94,21 +94,21 @@
   ) {}
 
   /** A job that nobody submits, and about which users ask all the same. */
-  notSubmitted(job: string): void {
+  recordNeverSubmitted(job: string): void {
     this.neverSubmitted.add(job);
   }
 
-  submitted(job: string, work: TeamWork): void {
+  recordSubmission(job: string, work: SubmittedJob): void {
     this.work.set(job, work);
   }
 
-  askedToCancel(job: string): void {
+  recordCancelRequest(job: string): void {
     this.cancelAsked.add(job);
   }
 
-  answered(question: Question, at: number, told: Told): void {
+  recordAnswer(question: JobRequest, at: number, told: ReportedState): void {
     const answer: Answer = { ...question, at, told };
-    const earlier = this.answers.get(question.job) ?? new Map<Told, Answer>();
+    const earlier = this.answers.get(question.job) ?? new Map<ReportedState, Answer>();
     this.answers.set(question.job, earlier);
     for (const before of earlier.values()) this.compare(before, answer);
     if (told === 'cancelled' && !this.cancelledAt.has(question.job)) {
@@ -127,9 +127,9 @@
 
   /** The jobs that a job needs, directly or through others. */
   private needsOf(job: string): Set<string> {
-    const found = new Set(this.work.get(job)?.waitsOn);
+    const found = new Set(this.work.get(job)?.dependencies);
     for (const need of found) {
-      for (const further of this.work.get(need)?.waitsOn ?? []) found.add(further);
+      for (const further of this.work.get(need)?.dependencies ?? []) found.add(further);
     }
     return found;
   }
@@ -138,7 +138,7 @@
     return [job, ...this.needsOf(job)].some((any) => this.cancelAsked.has(any));
   }
 
-  private checkOrphaned(question: Question, at: number): void {
+  private checkOrphaned(question: JobRequest, at: number): void {
     for (const need of this.needsOf(question.job)) {
       const since = this.cancelledAt.get(need);
       if (since === undefined || at - since <= this.cancelWithin) continue;
@@ -159,7 +159,7 @@
   }
 
   /** A task is on a machine from now on. */
-  started(task: string, machine: string, at = this.now()): void {
+  onTaskStarted(task: string, machine: string, at = this.now()): void {
     this.hasStarted = true;
     this.checkCancelled(task, machine, at);
     const on = this.machines.get(task) ?? new Set<string>();
@@ -173,7 +173,7 @@
 
   private checkTooEarly(task: string): void {
     const job = jobOf(task);
-    for (const need of this.work.get(job)?.waitsOn ?? []) {
+    for (const need of this.work.get(job)?.dependencies ?? []) {
       const done = this.completed.get(need)?.size ?? 0;
       if (done < (this.work.get(need)?.tasks ?? 0)) {
         this.break('too_early', `${task} starts with ${done} tasks of ${need} done`);
@@ -182,7 +182,7 @@
   }
 
   /** It has run to its end. */
-  done(task: string, at = this.now()): void {
+  onTaskCompleted(task: string, at = this.now()): void {
     const job = jobOf(task);
     const tasks = this.completed.get(job) ?? new Map<string, number>();
     this.completed.set(job, tasks);
@@ -190,14 +190,14 @@
   }
 
   /** Looks at everything that runs at this moment. */
-  check(at = this.now()): void {
+  checkRunningTasks(at = this.now()): void {
     for (const [task, machines] of this.machines) {
       for (const machine of machines) this.checkCancelled(task, machine, at);
     }
   }
 
   /** What can only be told once all that happened is known. */
-  finish(): void {
+  checkAtEnd(): void {
     for (const [job, at] of this.doneAt) {
       const ended = [...(this.completed.get(job)?.values() ?? [])].filter((end) => end <= at);
       const tasks = this.work.get(job)?.tasks ?? 0;
@@ -211,7 +211,7 @@
    * A start has left a controller, as its log says. All leaders have stopped sending any before a cancellation is confirmed; what
    * left before may be carried out later.
    */
-  startSent(task: string, at = this.now()): void {
+  recordStartSent(task: string, at = this.now()): void {
     const since = this.cancelledAt.get(jobOf(task));
     if (since === undefined || at - since <= LOG_TRAVEL_S) return;
     const late = (at - since).toFixed(1);
@@ -229,7 +229,7 @@
   }
 
   /** It has exited, or the machine is gone. */
-  left(task: string, machine: string): void {
+  onTaskTerminated(task: string, machine: string): void {
     if (this.machines.get(task)?.delete(machine) === true) this.use(task, -1);
   }
 
@@ -239,7 +239,7 @@
     const { team, cpus } = work;
     const used = (this.used.get(team) ?? 0) + count * cpus;
     this.used.set(team, used);
-    this.peaks.set(team, Math.max(used, this.peaks.get(team) ?? 0));
+    this.peakCpus.set(team, Math.max(used, this.peakCpus.get(team) ?? 0));
     const limit = this.limits.get(team) ?? Infinity;
     if (count > 0 && used > limit)
       this.break('quota', `${team} uses ${used} of ${limit} with ${task}`);
--- a/test/support/spec.ts
+++ b/test/support/jobSpec.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from '../../src/protocol/job.js';
 import type { ChunkRecord, JobRecord } from '../../src/storage/records.js';
 
-export const spec = (changes: Partial<JobSpec> = {}): JobSpec => ({
+export const jobSpec = (changes: Partial<JobSpec> = {}): JobSpec => ({
   id: 'wk-1',
   jobClass: 'batch',
   team: 'crew',
@@ -28,8 +28,8 @@
 });
 
 /** The stored record of a chunk of one task, whose first attempt an owner has placed on `n-1`. */
-export const startedRecord = (): ChunkRecord => ({
-  spec: spec({ taskCount: 1 }),
+export const startedChunkRecord = (): ChunkRecord => ({
+  spec: jobSpec({ taskCount: 1 }),
   homeShard: 'p',
   submittedAt: 1,
   firstTask: 0,
@@ -54,6 +54,6 @@
     migratedChunks: [],
   };
   return state === 'open'
-    ? { ...fields, state, spec: spec({ id }) }
+    ? { ...fields, state, spec: jobSpec({ id }) }
     : { ...fields, state, spec: null };
 }
--- a/test/support/loopback.ts
+++ b/test/support/loopback.ts
@@ -8,7 +8,7 @@
 let nextLinkPort = FIRST_LINK_PORT;
 
 /** 127.B.C.`last`, apart from 127.0.x.y, where B and C follow from the process's id. */
-export function ownLoopback(last: number): string {
+export function processLoopbackAddress(last: number): string {
   const process16 = process.pid % 0xffff;
   const [second, third] = [process16 >> 8, process16 & 0xff];
   return `127.${1 + (second % 250)}.${third}.${last}`;
@@ -23,5 +23,5 @@
 /** An address for a link; each is given once, so that no link takes that of another which is closed for a while. */
 export function nextLinkAddress(): LinkAddress {
   if (nextLinkPort > LAST_LINK_PORT) throw new Error('no port is left for a link');
-  return { host: ownLoopback(LINKS), port: nextLinkPort++ };
+  return { host: processLoopbackAddress(LINKS), port: nextLinkPort++ };
 }
--- a/test/support/store.ts
+++ b/test/support/memoryStore.ts
@@ -5,10 +5,10 @@
 
 export class MemoryStore {
   readonly rows = new Map<string, KeyValue>();
-  epoch = 0;
-  changes = 0;
+  revision = 0;
+  changeCount = 0;
   /** The next transaction gets no answer and is kept back; `late` applies it. */
-  loseNext = false;
+  withholdNext = false;
   /** So many transactions are refused. */
   refuseNext = 0;
   private kept: Transaction | null = null;
@@ -31,7 +31,7 @@
   }
 
   operations(key: string, value: unknown): number {
-    const rowsOf = (any: unknown): number => this.layout?.operations(key, any) ?? 1;
+    const rowsOf = (any: unknown): number => this.recordFormat?.operations(key, any) ?? 1;
     const before = this.rows.get(key);
     return Math.max(
       before === undefined ? 1 : rowsOf(before.value),
@@ -53,8 +53,8 @@
       this.refuseNext--;
       return Promise.resolve({ kind: 'refused' });
     }
-    if (this.loseNext) {
-      this.loseNext = false;
+    if (this.withholdNext) {
+      this.withholdNext = false;
       this.kept = copy;
       return Promise.resolve({ kind: 'unknown' });
     }
@@ -64,26 +64,26 @@
   }
 
   /** A copy of each answered transaction arrives once more; what becomes of each. */
-  repeatAnswered(): TransactionResult['kind'][] {
+  applyDuplicates(): TransactionResult['kind'][] {
     return this.answered.splice(0).map((transaction) => this.apply(transaction).kind);
   }
 
-  get lost(): boolean {
+  get hasWithheld(): boolean {
     return this.kept !== null;
   }
 
-  late(): TransactionResult {
+  applyWithheld(): TransactionResult {
     if (this.kept === null) throw new Error('nothing was kept back');
     return this.apply(this.kept);
   }
 
   /** How values are laid out, where their sizes there matter. */
-  layout: RecordFormat | null = null;
+  recordFormat: RecordFormat | null = null;
   /** Most operations of a transaction. */
   txnOps = Infinity;
 
   private apply(txn: Transaction): TransactionResult {
-    const { layout } = this;
+    const { recordFormat: layout } = this;
     const puts =
       layout === null ? txn.puts : txn.puts.flatMap((p) => layout.encodePuts(p.key, p.value));
     if (puts.length + txn.deletes.length > this.txnOps) return { kind: 'malformed' };
@@ -96,12 +96,12 @@
       (c) => (this.rows.get(c.key)?.revision ?? 0) !== c.revision,
     );
     if (failed.length > 0) return { kind: 'conflict', failed: failed.map((c) => c.key) };
-    this.epoch++;
+    this.revision++;
     for (const { key, value } of txn.puts) {
-      this.rows.set(key, { key, value, revision: this.epoch });
+      this.rows.set(key, { key, value, revision: this.revision });
     }
     for (const key of txn.deletes) this.rows.delete(key);
-    this.changes += txn.puts.length + txn.deletes.length;
-    return { kind: 'applied', revision: this.epoch };
+    this.changeCount += txn.puts.length + txn.deletes.length;
+    return { kind: 'applied', revision: this.revision };
   }
 }
--- a/test/support/messageCopies.ts
+++ b/test/support/messageDuplication.ts
@@ -1,7 +1,7 @@
 /** Messages that were carried out and answered, and of which the network delivers a copy once more, perhaps after a restart of their sender. */
 
 /** Which messages are copied, and how late their copies are. */
-export interface MessageCopies {
+export interface MessageDuplication {
   /** Of the answered messages, those of which a copy comes. */
   readonly share: number;
   /** Seconds until a copy comes. */
@@ -10,7 +10,10 @@
 }
 
 /** Has a copy of a message delivered later, where it is drawn. */
-export function deliverAgain(copies: MessageCopies | null, deliver: () => unknown): void {
+export function maybeDeliverDuplicate(
+  copies: MessageDuplication | null,
+  deliver: () => unknown,
+): void {
   if (copies === null || copies.random() >= copies.share) return;
   setTimeout(deliver, copies.delay() * 1000).unref();
 }
--- a/test/support/rolloutCluster.ts
+++ b/test/support/rolloutCluster.ts
@@ -3,15 +3,15 @@
 import { seededRandom } from '../../src/base/random.js';
 import { rolloutPath } from '../../src/protocol/routes.js';
 import { BARRIER_KEY } from '../../src/storage/records.js';
-import { NODES } from '../trials/faults.js';
-import { TEAMS, TrialUsers } from '../trials/trialUsers.js';
-import { Cluster, pause, presentBuild, until, type Build, type ClusterOptions } from './cluster.js';
+import { NODE_COUNT } from '../trials/faults.js';
+import { TEAM_SETTINGS, TrialUsers } from '../trials/trialUsers.js';
+import { Cluster, pause, currentBuild, until, type Build, type ClusterOptions } from './cluster.js';
 
 export const FEATURES = ['rollout', 'compressed-records'];
-export const LABELS = Array.from({ length: NODES }, (_, index) => `drone-${index}`);
+export const LABELS = Array.from({ length: NODE_COUNT }, (_, index) => `drone-${index}`);
 
 /** A job's list of types makes its description larger than one record. */
-export const LARGE = {
+export const LARGE_JOB = {
   Flavours: ['m8', ...Array.from({ length: 150 }, (_, i) => `type-${i}-unknown`)],
 };
 const LIMITS = { valueBytes: 2048, txnOps: 8 };
@@ -24,19 +24,19 @@
   private readonly random = seededRandom(5);
   private submitted = 0;
 
-  constructor(first: Build = presentBuild, options: Partial<ClusterOptions> = {}) {
+  constructor(first: Build = currentBuild, options: Partial<ClusterOptions> = {}) {
     const lengths = seededRandom(6);
     this.cluster = new Cluster({
-      nodes: NODES,
-      teams: TEAMS,
-      lease: 6,
-      runs: () => 0.2 + lengths(),
-      nextLimits: `value_kb = ${(LIMITS.valueBytes / 1024).toFixed(1)}\ntxn_ops = ${LIMITS.txnOps}`,
+      nodes: NODE_COUNT,
+      teams: TEAM_SETTINGS,
+      workerLease: 6,
+      taskRunSeconds: () => 0.2 + lengths(),
+      nextStateLimits: `value_kb = ${(LIMITS.valueBytes / 1024).toFixed(1)}\ntxn_ops = ${LIMITS.txnOps}`,
       ...options,
     });
     for (const label of LABELS) this.cluster.builds.set(label, first);
-    this.users = new TrialUsers(this.cluster, this.random, { extra: () => LARGE });
-    this.cluster.cloud.watch = this.users.history;
+    this.users = new TrialUsers(this.cluster, this.random, { extraFields: () => LARGE_JOB });
+    this.cluster.cloud.taskObserver = this.users.history;
   }
 
   async start(): Promise<void> {
@@ -45,23 +45,23 @@
   }
 
   /** Users come until `finish`. */
-  async submit(): Promise<void> {
+  async submitJobs(): Promise<void> {
     while (this.isSubmitting) {
       const id = `wk-${String(500_000 + this.submitted++)}`;
-      this.userSessions.push(this.users.user(id));
+      this.userSessions.push(this.users.runUser(id));
       await pause(0.15 + this.random() * 0.2);
     }
   }
 
   /** Ends the submissions; resolves when all jobs are over. */
-  async finish(): Promise<void> {
+  async finishJobs(): Promise<void> {
     this.isSubmitting = false;
     await until('all jobs are over', () => this.users.unfinished.length === 0, 30);
   }
 
   async close(): Promise<void> {
     this.isSubmitting = false;
-    this.users.isOver = true;
+    this.users.isStopped = true;
     this.cluster.close();
     await Promise.allSettled(this.userSessions);
   }
@@ -97,7 +97,7 @@
   }
 
   /** The level is reached, and no record in another form is left. */
-  async untilLevel(level: number, label = 'drone-0', seconds = 30): Promise<void> {
+  async waitForLevel(level: number, label = 'drone-0', seconds = 30): Promise<void> {
     await until(
       `level ${level} is verified`,
       async () => {
@@ -113,7 +113,7 @@
   }
 
   /** Records that the store holds in each form. */
-  get forms(): { fragments: number; compressed: number; hasBarrier: boolean } {
+  get recordCounts(): { fragments: number; compressed: number; hasBarrier: boolean } {
     const rows = [...this.cluster.state.rows.entries()];
     const isCompressed = (value: unknown): boolean => (value as { v?: number } | null)?.v === 3;
     return {
--- a/test/support/shardFixture.ts
+++ b/test/support/shardFixture.ts
@@ -10,16 +10,16 @@
 import type { JobSpec } from '../../src/protocol/job.js';
 import type { Heartbeat, ReportedAttempt } from '../../src/protocol/workerProtocol.js';
 import { m8 } from './emptyShard.js';
-import { spec } from './spec.js';
+import { jobSpec } from './jobSpec.js';
 
 /** The token of the part's owner. */
-export const TOKEN = 5;
+export const FENCING_TOKEN = 5;
 
 export class ShardFixture {
   now = 100;
   heartbeatSequence = 0;
   agentEpoch = 1;
-  types = new Map([['m8', m8]]);
+  machineTypes = new Map([['m8', m8]]);
   readonly shard: Shard;
 
   constructor(cluster: ClusterView = singleShardView) {
@@ -35,27 +35,27 @@
         headroom: 1.2,
         arrivalWindow: 100,
       },
-      () => this.types,
+      () => this.machineTypes,
       new RunTimes(),
       seededRandom(1),
       cluster,
     );
   }
 
-  machine(name = 'n-1', report = true): Machine {
+  addMachine(name = 'n-1', report = true): Machine {
     const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
     const machine = this.shard.addMachine(name, record, this.now);
-    if (report) this.report(machine, []);
+    if (report) this.applyHeartbeat(machine, []);
     return machine;
   }
 
-  machineOf(name: string): Machine {
+  getMachine(name: string): Machine {
     const machine = this.shard.machines.get(name);
     if (machine === undefined) throw new Error(`no machine ${name}`);
     return machine;
   }
 
-  report(
+  applyHeartbeat(
     machine: Machine,
     tasks: Partial<ReportedAttempt>[],
     changes: Partial<Heartbeat> = {},
@@ -77,7 +77,7 @@
       spot: false,
       agentEpoch: this.agentEpoch,
       heartbeatSequence: ++this.heartbeatSequence,
-      highestFencingToken: TOKEN,
+      highestFencingToken: FENCING_TOKEN,
       preemptionWarning: null,
       attempts: full,
       ...changes,
@@ -85,8 +85,8 @@
     return this.shard.heartbeats.apply(machine, report, this.now, from) !== 'stale';
   }
 
-  chunk(changes: Partial<JobSpec> = {}): Chunk {
-    const s = spec({ taskCount: 1, ...changes });
+  addChunk(changes: Partial<JobSpec> = {}): Chunk {
+    const s = jobSpec({ taskCount: 1, ...changes });
     const chunk = new Chunk(s, 0, 'p', this.now, 0, s.taskCount, null, this.now);
     this.shard.acceptNewChunk(chunk, this.now);
     return chunk;
@@ -94,10 +94,10 @@
 
   /** A chunk whose task is placed, stored and reported as running on this machine, the only one. */
   createRunningChunk(machine: Machine, changes: Partial<JobSpec> = {}): Chunk {
-    const chunk = this.chunk(changes);
+    const chunk = this.addChunk(changes);
     this.runSchedulingRound();
-    this.store(chunk);
-    this.report(machine, [{}]);
+    this.markStored(chunk);
+    this.applyHeartbeat(machine, [{}]);
     return chunk;
   }
 
@@ -112,7 +112,7 @@
   }
 
   /** As if every change had been stored. */
-  store(...chunks: Chunk[]): void {
+  markStored(...chunks: Chunk[]): void {
     for (const chunk of chunks) chunk.storedVersion = chunk.version;
   }
 
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -1,7 +1,7 @@
 /** A stand-in for the state service: as much of PROTOCOL as the tests use. */
 import { HttpServer, type Reply } from '../../src/transport/httpServer.js';
 import type { HttpMessage } from '../../src/transport/httpParser.js';
-import { deliverAgain, type MessageCopies } from './messageCopies.js';
+import { maybeDeliverDuplicate, type MessageDuplication } from './messageDuplication.js';
 
 interface Row {
   value: unknown;
@@ -23,7 +23,7 @@
 const never = new Promise<Reply>(() => undefined);
 
 export class StateStandIn {
-  epoch = 1;
+  revision = 1;
   readonly rows = new Map<string, Row>();
   private readonly log: Event[] = [];
   private readonly holds = new Map<number, { ttl: number; ends: number }>();
@@ -31,28 +31,28 @@
   private waiters: (() => void)[] = [];
   private readonly servers: HttpServer[] = [];
   /** Clients that get 503; '*' means everybody. */
-  readonly refused = new Set<string>();
+  readonly refusedClients = new Set<string>();
   /** Transactions for which this says yes are kept back and get no answer. */
-  swallow: ((body: TransactionBody) => boolean) | null = null;
-  readonly late: TransactionBody[] = [];
+  withholds: ((body: TransactionBody) => boolean) | null = null;
+  readonly withheldTransactions: TransactionBody[] = [];
   /** Copies of answered transactions and lease calls; null: there are none. */
-  copies: MessageCopies | null = null;
+  duplication: MessageDuplication | null = null;
   /** Seconds that answers to a client take; `*` means everybody. */
-  readonly slowness = new Map<string, number>();
+  readonly answerDelays = new Map<string, number>();
   /**
    * Waited for between the moment at which an answer is worked out and that at which it leaves: until then others may
    * change what it tells. Null: answers leave at once.
    */
-  holdAnswer: ((client: string, request: HttpMessage) => Promise<void>) | null = null;
+  beforeAnswer: ((client: string, request: HttpMessage) => Promise<void>) | null = null;
   /** Clients whose watches are told of nothing. */
-  readonly unwatched = new Set<string>();
-  writes = 0;
+  readonly stalledWatchClients = new Set<string>();
+  writeCount = 0;
   /** Beyond these a transaction is malformed; they may fall while it serves. */
   limits = { valueBytes: Infinity, txnOps: Infinity };
   /** Transactions beyond the limits. */
-  malformed = 0;
+  malformedCount = 0;
   /** Keys that were read one by one. */
-  readonly reads: string[] = [];
+  readonly readKeys: string[] = [];
 
   /** One listener for each client, so that a single one can be refused. */
   async listenFor(client: string): Promise<string> {
@@ -74,17 +74,17 @@
 
   private expire(): void {
     const now = performance.now();
-    if (this.refused.has('*')) {
+    if (this.refusedClients.has('*')) {
       for (const hold of this.holds.values()) hold.ends = now + hold.ttl;
       return;
     }
-    for (const [id, hold] of [...this.holds]) if (hold.ends < now) this.end(id);
+    for (const [id, hold] of [...this.holds]) if (hold.ends < now) this.endLease(id);
   }
 
-  end(id: number): void {
+  endLease(id: number): void {
     this.holds.delete(id);
     for (const [key, row] of [...this.rows]) {
-      if (row.hold === id) this.change(key, null, null, ++this.epoch, true);
+      if (row.hold === id) this.change(key, null, null, ++this.revision, true);
     }
     this.wake();
   }
@@ -96,7 +96,7 @@
     revision: number,
     removed: boolean,
   ): void {
-    this.writes++;
+    this.writeCount++;
     if (removed) this.rows.delete(key);
     else this.rows.set(key, { value, revision, hold });
     this.log.push({ key, value, revision, removed });
@@ -112,20 +112,20 @@
   apply(body: TransactionBody): Reply {
     this.expire();
     if (this.isBeyondLimits(body)) {
-      this.malformed++;
+      this.malformedCount++;
       return { status: 400, body: { error: 'too large' } };
     }
     const failed = (body.When ?? [])
       .filter((c) => (this.rows.get(c.K)?.revision ?? 0) !== c.Stamp)
       .map((c) => c.K);
-    if (failed.length > 0) return { status: 409, body: { failed, Epoch: this.epoch } };
+    if (failed.length > 0) return { status: 409, body: { failed, Epoch: this.revision } };
     for (const op of body.Then ?? []) {
       if (op.Hold !== undefined && !this.holds.has(op.Hold)) {
         return { status: 400, body: { error: 'no such lease' } };
       }
     }
-    if ((body.Then ?? []).length === 0) return { status: 200, body: { Epoch: this.epoch } };
-    const revision = ++this.epoch;
+    if ((body.Then ?? []).length === 0) return { status: 200, body: { Epoch: this.revision } };
+    const revision = ++this.revision;
     for (const op of body.Then ?? []) {
       if (op.Put !== undefined) this.change(op.Put, op.Value, op.Hold ?? null, revision, false);
       else if (op.Remove !== undefined && this.rows.has(op.Remove)) {
@@ -144,41 +144,42 @@
 
   private async answer(client: string, request: HttpMessage): Promise<Reply> {
     const reply = await this.carryOut(client, request);
-    await this.holdAnswer?.(client, request);
+    await this.beforeAnswer?.(client, request);
     return reply;
   }
 
   private async carryOut(client: string, request: HttpMessage): Promise<Reply> {
     const url = new URL(request.target, 'http://state');
     if (url.pathname === '/changes') return this.watch(client, url);
-    const slow = Math.max(this.slowness.get(client) ?? 0, this.slowness.get('*') ?? 0);
+    const slow = Math.max(this.answerDelays.get(client) ?? 0, this.answerDelays.get('*') ?? 0);
     if (slow > 0) await new Promise((resolve) => setTimeout(resolve, slow * 1000));
-    if (this.refused.has(client) || this.refused.has('*')) return { status: 503, body: {} };
+    if (this.refusedClients.has(client) || this.refusedClients.has('*'))
+      return { status: 503, body: {} };
     this.expire();
     if (url.pathname === '/multi') {
       const body = JSON.parse(request.body) as TransactionBody;
-      if (this.swallow?.(body) === true) {
-        this.late.push(body);
+      if (this.withholds?.(body) === true) {
+        this.withheldTransactions.push(body);
         return never;
       }
-      deliverAgain(this.copies, () => this.apply(body));
+      maybeDeliverDuplicate(this.duplication, () => this.apply(body));
       return this.apply(body);
     }
     if (url.pathname === '/grants') {
       const ttl = (JSON.parse(request.body) as { TtlMs: number }).TtlMs;
-      deliverAgain(this.copies, () => this.grant(ttl));
+      maybeDeliverDuplicate(this.duplication, () => this.grant(ttl));
       return this.grant(ttl);
     }
     const extend = /^\/grants\/(\d+)\/extend$/.exec(url.pathname);
     if (extend !== null) {
-      deliverAgain(this.copies, () => this.extend(Number(extend[1])));
+      maybeDeliverDuplicate(this.duplication, () => this.extend(Number(extend[1])));
       return this.extend(Number(extend[1]));
     }
     if (url.pathname === '/kv') return this.range(url);
     const key = url.pathname.slice('/kv/'.length);
-    this.reads.push(key);
+    this.readKeys.push(key);
     const row = this.rows.get(key);
-    if (row === undefined) return { status: 404, body: { Epoch: this.epoch } };
+    if (row === undefined) return { status: 404, body: { Epoch: this.revision } };
     return { status: 200, body: { K: key, Value: row.value, Stamp: row.revision } };
   }
 
@@ -212,7 +213,7 @@
       const row = this.rows.get(k);
       return { K: k, Value: row?.value, Stamp: row?.revision };
     });
-    return { status: 200, body: { Rows: rows, More: names.length > page, Epoch: this.epoch } };
+    return { status: 200, body: { Rows: rows, More: names.length > page, Epoch: this.revision } };
   }
 
   private async watch(client: string, url: URL): Promise<Reply> {
@@ -220,17 +221,17 @@
     const from = Number(url.searchParams.get('From'));
     const ends = performance.now() + Number(url.searchParams.get('HoldMs'));
     for (;;) {
-      const refused = this.refused.has(client) || this.refused.has('*');
+      const refused = this.refusedClients.has(client) || this.refusedClients.has('*');
       const events = this.log.filter((e) => e.revision > from && e.key.startsWith(prefix));
       const left = ends - performance.now();
-      const isTold = !refused && !this.unwatched.has(client);
+      const isTold = !refused && !this.stalledWatchClients.has(client);
       if (isTold && (events.length > 0 || left <= 0)) {
         const changes = events.map((e) =>
           e.removed
             ? { Remove: e.key, Stamp: e.revision }
             : { Put: e.key, Value: e.value, Stamp: e.revision },
         );
-        return { status: 200, body: { Epoch: this.epoch, Log: changes } };
+        return { status: 200, body: { Epoch: this.revision, Log: changes } };
       }
       await new Promise<void>((resolve) => {
         this.waiters.push(resolve);
--- a/test/support/storedServices.ts
+++ b/test/support/storedServices.ts
@@ -4,8 +4,8 @@
 import { keys, type ChunkRecord, type JobRecord } from '../../src/storage/records.js';
 import { until, type Cluster } from './cluster.js';
 import type { JobSpec } from '../../src/protocol/job.js';
-import { spec as jobSpec } from './spec.js';
-import { status } from './users.js';
+import { jobSpec as jobSpec } from './jobSpec.js';
+import { jobStatus } from './users.js';
 
 const CHUNK_TASKS = 8;
 
@@ -34,7 +34,7 @@
 }
 
 /** A service of two replicas, at home at drone-1, that runs on machines of drone-0's shard. */
-export async function replicasAwayFromHome(cluster: Cluster, id: string): Promise<void> {
+export async function storeMigratedService(cluster: Cluster, id: string): Promise<void> {
   const spec = jobSpec({ id, taskCount: 2, isService: true, rank: 'prod', cpus: 2, memoryGb: 4 });
   const homeShard = 'drone-1';
   const job = openService(spec, { homeShard, createdChunks: 1, migratedChunks: [0] });
@@ -50,12 +50,12 @@
   await until('it runs', () => runningTasks(cluster, id).length === 2);
   await until(
     'its home knows it',
-    async () => (await status(cluster, homeShard, id)).running === 2,
+    async () => (await jobStatus(cluster, homeShard, id)).running === 2,
   );
 }
 
 /** A service at home at drone-0 whose chunks are created one after the other; the first is. */
-export async function serviceInManyChunks(cluster: Cluster, id: string): Promise<void> {
+export async function storeServiceInManyChunks(cluster: Cluster, id: string): Promise<void> {
   const taskCount = CHUNK_TASKS * 8;
   const spec = jobSpec({ id, taskCount, isService: true, rank: 'prod', cpus: 0.1, memoryGb: 0.1 });
   const homeShard = 'drone-0';
--- a/test/support/users.ts
+++ b/test/support/users.ts
@@ -2,7 +2,7 @@
 import type { Response } from '../../src/transport/httpClient.js';
 import { Cluster, until, type ClusterOptions } from './cluster.js';
 
-export interface Answer {
+export interface JobAnswer {
   Status: string;
   done: number;
   running: number;
@@ -27,22 +27,26 @@
       return true;
     });
     await body(cluster);
-    assert.deepEqual(cluster.cloud.twice, [], 'a task ran on two machines at once');
+    assert.deepEqual(cluster.cloud.concurrentStarts, [], 'a task ran on two machines at once');
   } finally {
     cluster.close();
   }
 }
 
-export const status = async (cluster: Cluster, label: string, id: string): Promise<Answer> =>
-  (await cluster.call(label, 'GET', `/v1/jobs/${id}`)).body as Answer;
+export const jobStatus = async (cluster: Cluster, label: string, id: string): Promise<JobAnswer> =>
+  (await cluster.call(label, 'GET', `/v1/jobs/${id}`)).body as JobAnswer;
 
-export const accept = (cluster: Cluster, label: string, body: unknown): Promise<void> =>
+export const submitUntilAccepted = (
+  cluster: Cluster,
+  label: string,
+  body: unknown,
+): Promise<void> =>
   until('the job is accepted', async () => {
     const answer = await cluster.call(label, 'POST', '/v1/jobs', body);
     return answer.status === 201 || answer.status === 200;
   });
 
-export const service = {
+export const serviceFields = {
   Shape: 'daemon',
   Rank: 'prod',
   Pieces: 2,
@@ -54,7 +58,7 @@
  * The first answer that is no 503: on a busy machine a lease may lapse for a moment, and users are told to
  * come back.
  */
-export async function settled(
+export async function callUntilServed(
   cluster: Cluster,
   label: string,
   method: string,
@@ -71,7 +75,7 @@
 }
 
 /** Watches how many processors are in use at once, with tasks of two; the answer stops it and gives the most. */
-export function watchUse(cluster: Cluster): () => number {
+export function trackPeakCpus(cluster: Cluster): () => number {
   let most = 0;
   const watch = setInterval(() => {
     let cpus = 0;
@@ -90,7 +94,7 @@
 }
 
 /** Waits until the shard of a node has another leader. */
-export async function takenOver(cluster: Cluster, label: string): Promise<StoredLeader> {
+export async function waitForTakeover(cluster: Cluster, label: string): Promise<StoredLeader> {
   const leader = (): StoredLeader | undefined =>
     cluster.state.rows.get(`b/own/${label}`)?.value as StoredLeader | undefined;
   await until('its shard is taken over', () => (leader()?.node ?? label) !== label);
--- a/test/support/workerModel.ts
+++ b/test/support/workerModel.ts
@@ -3,14 +3,14 @@
  * they are reaped, and starts that are refused. Whoever drives it says when its tasks end and when its lease is over.
  */
 
-export interface WorkerOrder {
+export interface WorkerCommand {
   Verb: 'start' | 'halt' | 'reap';
   Piece: string;
   Try: number;
   WindDownS?: number;
 }
 
-export interface HeldAttempt {
+export interface WorkerAttempt {
   readonly task: string;
   readonly attemptNumber: number;
   state: 'running' | 'saving' | 'ended';
@@ -19,12 +19,12 @@
 
 /** What happens to tasks on the machine. */
 export interface WorkerObserver {
-  started(attempt: HeldAttempt): void;
+  onStarted(attempt: WorkerAttempt): void;
   /** Seconds that it takes to save its checkpoint; 0: it saves none. */
-  saveSeconds?(attempt: HeldAttempt): number;
+  checkpointSeconds?(attempt: WorkerAttempt): number;
   /** It saves its checkpoint and exits after that. */
-  saving?(attempt: HeldAttempt, seconds: number): void;
-  left(attempt: HeldAttempt): void;
+  onCheckpoint?(attempt: WorkerAttempt, seconds: number): void;
+  onTerminated(attempt: WorkerAttempt): void;
 }
 
 export interface WorkerDescription {
@@ -41,18 +41,18 @@
 export interface CommandBody {
   Baton: number;
   Shift: number;
-  Orders: WorkerOrder[];
+  Orders: WorkerCommand[];
 }
 
 export class WorkerModel {
-  session = 1;
-  token = 0;
+  agentEpoch = 1;
+  highestFencingToken = 0;
   /** Why it refuses all starts; null: it refuses those for which it has no room. */
-  refusal: string | null = null;
+  refusalCause: string | null = null;
   /** Seconds until the cloud takes the machine, or null. */
   warning: () => number | null = () => null;
   private tick = 0;
-  private readonly held = new Map<string, HeldAttempt>();
+  private readonly held = new Map<string, WorkerAttempt>();
 
   constructor(
     readonly description: WorkerDescription,
@@ -63,15 +63,15 @@
   ) {}
 
   /** Attempts that have not ended. */
-  get running(): HeldAttempt[] {
+  get running(): WorkerAttempt[] {
     return [...this.held.values()].filter(({ state }) => state !== 'ended');
   }
 
-  find(task: string, attempt: number): HeldAttempt | undefined {
+  find(task: string, attempt: number): WorkerAttempt | undefined {
     return this.held.get(keyOf(task, attempt));
   }
 
-  report(): Record<string, unknown> {
+  heartbeat(): Record<string, unknown> {
     const { name, address, type, zone, spot } = this.description;
     const attempts = [...this.held.values()];
     if (this.reportOrder === 'newest first') attempts.reverse();
@@ -81,9 +81,9 @@
       Flavour: type,
       Yard: zone,
       Loaners: spot,
-      Shift: this.session,
+      Shift: this.agentEpoch,
       Tick: ++this.tick,
-      Baton: this.token,
+      Baton: this.highestFencingToken,
       WarningS: this.warning(),
       Pieces: attempts.map(({ task, attemptNumber: attempt, state, cause }) => ({
         Piece: task,
@@ -95,38 +95,43 @@
   }
 
   /** A request to its address. */
-  command({ Baton, Shift, Orders }: CommandBody): { status: number; body: unknown } {
-    if (Baton < this.token || Shift !== this.session) return { status: 409, body: this.report() };
-    this.token = Baton;
+  handleCommand({ Baton, Shift, Orders }: CommandBody): { status: number; body: unknown } {
+    if (Baton < this.highestFencingToken || Shift !== this.agentEpoch)
+      return { status: 409, body: this.heartbeat() };
+    this.highestFencingToken = Baton;
     this.carryOut(Orders);
-    return { status: 200, body: this.report() };
+    return { status: 200, body: this.heartbeat() };
   }
 
   /** A 200 to a report that was sent in `session`; false where it has to be dropped. */
-  answer(session: number, body: { Baton?: number; Orders?: WorkerOrder[] }): boolean {
-    if (session !== this.session || body.Baton === undefined || body.Baton < this.token) {
+  handleAnswer(session: number, body: { Baton?: number; Orders?: WorkerCommand[] }): boolean {
+    if (
+      session !== this.agentEpoch ||
+      body.Baton === undefined ||
+      body.Baton < this.highestFencingToken
+    ) {
       return false;
     }
-    this.token = body.Baton;
+    this.highestFencingToken = body.Baton;
     this.carryOut(body.Orders ?? []);
     return true;
   }
 
   /** Its lease is over: everything is killed and forgotten. */
-  endSession(): void {
-    for (const attempt of this.held.values()) this.end(attempt, 'killed');
+  expireLease(): void {
+    for (const attempt of this.held.values()) this.terminate(attempt, 'killed');
     this.held.clear();
-    this.session++;
+    this.agentEpoch++;
   }
 
-  end(attempt: HeldAttempt, cause: string): void {
+  terminate(attempt: WorkerAttempt, cause: string): void {
     if (attempt.state === 'ended') return;
     attempt.state = 'ended';
     attempt.cause = cause;
-    this.observer.left(attempt);
+    this.observer.onTerminated(attempt);
   }
 
-  private carryOut(orders: WorkerOrder[]): void {
+  private carryOut(orders: WorkerCommand[]): void {
     for (const { Verb, Piece: task, Try: attempt, WindDownS = 0 } of orders) {
       const known = this.find(task, attempt);
       if (Verb === 'start') this.start(task, attempt, known);
@@ -137,28 +142,28 @@
   }
 
   /** A running task saves if it is given the time; every other one exits at once, also one that saves if it is given none. */
-  private halt(attempt: HeldAttempt, windDown: number): void {
-    const seconds = this.observer.saveSeconds?.(attempt) ?? 0;
+  private halt(attempt: WorkerAttempt, windDown: number): void {
+    const seconds = this.observer.checkpointSeconds?.(attempt) ?? 0;
     if (attempt.state === 'running' && seconds > 0 && windDown >= seconds) {
       attempt.state = 'saving';
-      this.observer.saving?.(attempt, seconds);
-    } else if (attempt.state !== 'saving' || windDown === 0) this.end(attempt, 'halted');
+      this.observer.onCheckpoint?.(attempt, seconds);
+    } else if (attempt.state !== 'saving' || windDown === 0) this.terminate(attempt, 'halted');
   }
 
-  private start(task: string, attemptNumber: number, known: HeldAttempt | undefined): void {
+  private start(task: string, attemptNumber: number, known: WorkerAttempt | undefined): void {
     if (known !== undefined) return;
     const others = this.running;
     const isBusy = others.some((other) => other.task === task);
     const hasNoRoom = others.length >= this.room;
-    const refusal = this.refusal ?? (isBusy ? 'busy' : hasNoRoom ? 'no_room' : null);
-    const started: HeldAttempt = {
+    const refusal = this.refusalCause ?? (isBusy ? 'busy' : hasNoRoom ? 'no_room' : null);
+    const started: WorkerAttempt = {
       task,
       attemptNumber: attemptNumber,
       state: refusal === null ? 'running' : 'ended',
       cause: refusal,
     };
     this.held.set(keyOf(task, attemptNumber), started);
-    if (refusal === null) this.observer.started(started);
+    if (refusal === null) this.observer.onStarted(started);
   }
 }
 
--- a/test/tools/history.test.ts
+++ b/test/tools/history.test.ts
@@ -1,10 +1,10 @@
 /** The checker of histories: what it must reject, and what it must not. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { History, type Rule, type Told } from '../support/history.js';
+import { History, type Rule, type ReportedState } from '../support/history.js';
 
 type Step =
-  | ['told', Told, { sent: number; at: number; node?: string; job?: string }]
+  | ['told', ReportedState, { sent: number; at: number; node?: string; job?: string }]
   | ['cancel']
   | ['submit']
   /** A job of one task that needs another. */
@@ -282,20 +282,20 @@
     for (const step of steps) {
       if (step[0] === 'told') {
         const { sent, at, node = 'p', job = 'wk-1' } = step[2];
-        history.answered({ job, node, sentAt: sent }, at, step[1]);
+        history.recordAnswer({ job, node, sentAt: sent }, at, step[1]);
       } else if (step[0] === 'submit') {
-        history.submitted('wk-1', { team: 'crew', cpus: 2, tasks: 3 });
+        history.recordSubmission('wk-1', { team: 'crew', cpus: 2, tasks: 3 });
       } else if (step[0] === 'needs') {
-        const work = { team: 'crew', cpus: 2, tasks: 1, waitsOn: [step[2]] };
-        history.submitted(step[1], work);
-      } else if (step[0] === 'sent') history.startSent(step[1], step[2]);
-      else if (step[0] === 'done') history.done(step[1], step[2]);
-      else if (step[0] === 'check') history.check(step[1]);
-      else if (step[0] === 'unknown') history.notSubmitted('wk-1');
-      else if (step[0] === 'finish') history.finish();
-      else if (step[0] === 'cancel') history.askedToCancel('wk-1');
-      else if (step[0] === 'start') history.started(step[1], step[2], step[3]);
-      else history.left(step[1], step[2]);
+        const work = { team: 'crew', cpus: 2, tasks: 1, dependencies: [step[2]] };
+        history.recordSubmission(step[1], work);
+      } else if (step[0] === 'sent') history.recordStartSent(step[1], step[2]);
+      else if (step[0] === 'done') history.onTaskCompleted(step[1], step[2]);
+      else if (step[0] === 'check') history.checkRunningTasks(step[1]);
+      else if (step[0] === 'unknown') history.recordNeverSubmitted('wk-1');
+      else if (step[0] === 'finish') history.checkAtEnd();
+      else if (step[0] === 'cancel') history.recordCancelRequest('wk-1');
+      else if (step[0] === 'start') history.onTaskStarted(step[1], step[2], step[3]);
+      else history.onTaskTerminated(step[1], step[2]);
     }
     assert.deepEqual(
       history.violations.map(({ rule }) => rule),
--- a/test/tools/knownRed.test.ts
+++ b/test/tools/knownRed.test.ts
@@ -1,7 +1,7 @@
 /** Which failures count: what KNOWN-RED.txt lists does not, anything else does. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { judge, MalformedListError, parseKnownRed } from '../knownRed/knownRed.js';
+import { evaluate, MalformedListError, parseKnownRed } from '../knownRed/knownRed.js';
 
 const LISTED = parseKnownRed(
   '# a comment\n\norders: is late | npm run unit, seed 7 | waits for ever | 33\n',
@@ -41,7 +41,7 @@
   { name: 'all passed, none listed', outcomes: [good], listed: [], passed: true, says: /^$/ },
 ]) {
   test(`known red: ${name}`, () => {
-    const verdict = judge(outcomes, listed);
+    const verdict = evaluate(outcomes, listed);
     assert.equal(verdict.passed, passed);
     assert.match(verdict.lines.join('\n'), says);
   });
--- a/test/tools/regression.test.ts
+++ b/test/tools/regression.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import {
   brokenRules,
-  fallsOf,
-  lastRecorded,
+  findRegressions,
+  entriesOfLastSources,
   type ScoredDay,
   type ScoreEntry,
 } from '../regression/comparison.js';
@@ -33,7 +33,7 @@
   ];
   for (const [now, expected] of cases) {
     assert.deepEqual(
-      fallsOf(recorded, now).map(({ what }) => what),
+      findRegressions(recorded, now).map(({ figure: what }) => what),
       expected,
     );
   }
@@ -52,7 +52,7 @@
     { ...entry('f', 'y', []), site: 'other' },
   ];
   assert.deepEqual(
-    lastRecorded(entries, 's').map(({ id }) => id),
+    entriesOfLastSources(entries, 's').map(({ id }) => id),
     ['b', 'e'],
   );
 });
--- a/test/tools/soak.test.ts
+++ b/test/tools/soak.test.ts
@@ -7,8 +7,8 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { parseArguments, UsageError } from '../soak/commandLine.js';
-import { fieldsOf, kindOfJob, runTime } from '../soak/jobKinds.js';
-import { drawPlan, secondsOf, type SoakSize } from '../soak/plan.js';
+import { submissionFieldsOf, kindOfJob, runSecondsOf } from '../soak/jobKinds.js';
+import { drawPlan, durationOf, type SoakSize } from '../soak/plan.js';
 import { SoakLog } from '../soak/soakLog.js';
 import { StandInProcess } from '../soak/standIn.js';
 import { until } from '../support/cluster.js';
@@ -37,7 +37,7 @@
       // Copies of answered messages come beside whatever else there is.
       if (fault.kind === 'copies') continue;
       const others = faults.filter(
-        (s) => s.fault.kind !== 'copies' && s.at < at && s.at + secondsOf(s.fault) > at,
+        (s) => s.fault.kind !== 'copies' && s.at < at && s.at + durationOf(s.fault) > at,
       );
       assert.ok(others.length <= 3, `seed ${seed}: ${others.length} others at ${at}`);
     }
@@ -64,11 +64,11 @@
     ['wk-001009-1', 'array'],
   ];
   for (const [job, kind] of kinds) assert.equal(kindOfJob(job), kind, job);
-  assert.equal(runTime('wk-001009/0', 1, 5), Infinity);
-  const time = runTime('wk-001000/0', 1, 5);
-  assert.equal(time, runTime('wk-001000/0', 1, 5));
+  assert.equal(runSecondsOf('wk-001009/0', 1, 5), Infinity);
+  const time = runSecondsOf('wk-001000/0', 1, 5);
+  assert.equal(time, runSecondsOf('wk-001000/0', 1, 5));
   assert.ok(time >= 0.2 && time <= 5.2);
-  assert.equal(fieldsOf('wk-001009')['Shape'], 'daemon');
+  assert.equal(submissionFieldsOf('wk-001009')['Shape'], 'daemon');
 });
 
 test('a soak hears of starts that leave a controller', () => {
@@ -208,12 +208,12 @@
     writeFileSync(module, "process.on('message', () => process.exit(1));");
     let ends = 0;
     const standIn = new StandInProcess<string>(module, null, {
-      event: () => undefined,
-      output: () => undefined,
-      ended: () => ends++,
+      onEvent: () => undefined,
+      onOutput: () => undefined,
+      onUnexpectedExit: () => ends++,
     });
-    assert.equal(await standIn.ask('first'), null);
-    assert.equal(await standIn.ask('second'), null);
+    assert.equal(await standIn.request('first'), null);
+    assert.equal(await standIn.request('second'), null);
     assert.equal(ends, 1);
     rmSync(folder, { recursive: true });
   },
--- a/test/trials/faults.ts
+++ b/test/trials/faults.ts
@@ -2,11 +2,11 @@
 import type { Random } from '../../src/base/random.js';
 import { pause, type Cluster } from '../support/cluster.js';
 
-export const NODES = 3;
+export const NODE_COUNT = 3;
 
 export type Fault = (cluster: Cluster, random: Random, seconds: number) => Promise<void>;
 
-export const someNode = (random: Random): string => `drone-${Math.floor(random() * NODES)}`;
+export const randomNode = (random: Random): string => `drone-${Math.floor(random() * NODE_COUNT)}`;
 
 /** Ends a node, and starts it again after a while. */
 export async function restart(cluster: Cluster, label: string, seconds: number): Promise<void> {
@@ -27,49 +27,49 @@
 }
 
 async function refuse(cluster: Cluster, client: string, seconds: number): Promise<void> {
-  cluster.state.refused.add(client);
+  cluster.state.refusedClients.add(client);
   await pause(seconds);
-  cluster.state.refused.delete(client);
+  cluster.state.refusedClients.delete(client);
 }
 
 /** Some transactions get no answer; half of them are carried out at once, the others late. */
 const loseTransactions: Fault = async (cluster, random, seconds) => {
   const { state } = cluster;
-  state.swallow = (body) => {
+  state.withholds = (body) => {
     if (random() > 0.3) return false;
     if (random() < 0.5) state.apply(body);
     else setTimeout(() => state.apply(body), random() * 2000).unref();
     return true;
   };
   await pause(seconds);
-  state.swallow = null;
+  state.withholds = null;
 };
 
 /** Some messages that were answered arrive once more, up to five seconds later. */
 const copyAnswered: Fault = async ({ cloud, state }, random, seconds) => {
   const copies = { share: 0.3, delay: () => random() * 5, random };
-  cloud.copies = copies;
-  state.copies = copies;
+  cloud.duplication = copies;
+  state.duplication = copies;
   await pause(seconds);
-  cloud.copies = null;
-  state.copies = null;
+  cloud.duplication = null;
+  state.duplication = null;
 };
 
 /** What every version is to bear. Before 0.4.5 a copy of an answered message could run a task once more. */
-export const FAULTS_WITHOUT_COPIES: readonly Fault[] = [
-  (cluster, random, seconds) => restart(cluster, someNode(random), seconds),
-  (cluster, random) => restart(cluster, someNode(random), 0.05),
+export const FAULTS_WITHOUT_DUPLICATES: readonly Fault[] = [
+  (cluster, random, seconds) => restart(cluster, randomNode(random), seconds),
+  (cluster, random) => restart(cluster, randomNode(random), 0.05),
   async (cluster, _, seconds) => {
-    const labels = Array.from({ length: NODES }, (__, index) => `drone-${index}`);
+    const labels = Array.from({ length: NODE_COUNT }, (__, index) => `drone-${index}`);
     await Promise.all(labels.map((label) => restart(cluster, label, seconds / 3)));
   },
-  (cluster, random, seconds) => refuse(cluster, someNode(random), seconds),
+  (cluster, random, seconds) => refuse(cluster, randomNode(random), seconds),
   (cluster, _, seconds) => refuse(cluster, '*', seconds),
   async (cluster, random, seconds) => {
-    const label = someNode(random);
-    cluster.apart.add(label);
+    const label = randomNode(random);
+    cluster.isolatedNodes.add(label);
     await refuse(cluster, label, seconds);
-    cluster.apart.delete(label);
+    cluster.isolatedNodes.delete(label);
   },
   loseTransactions,
   loseTransactions,
@@ -79,4 +79,4 @@
   onMachines('holdsCommands'),
 ];
 
-export const FAULTS: readonly Fault[] = [...FAULTS_WITHOUT_COPIES, copyAnswered, copyAnswered];
+export const FAULTS: readonly Fault[] = [...FAULTS_WITHOUT_DUPLICATES, copyAnswered, copyAnswered];
--- a/test/trials/jobArrivals.ts
+++ b/test/trials/jobArrivals.ts
@@ -17,30 +17,30 @@
   ) {}
 
   /** How many jobs have arrived; the later stages of pipelines are not counted. */
-  get submitted(): number {
+  get submittedCount(): number {
     return this.count;
   }
 
   /** Submits the next job, as the first of a pipeline or by itself; its id. */
   submitNext(beginsPipeline: (id: string) => boolean): string {
     const id = `wk-${String(this.seed * JOBS_PER_SEED + this.count++).padStart(6, '0')}`;
-    const session = beginsPipeline(id) ? this.users.pipeline(id) : this.users.user(id);
+    const session = beginsPipeline(id) ? this.users.runPipeline(id) : this.users.runUser(id);
     this.userSessions.push(session);
     return id;
   }
 
   /** Asks for a job that nobody submits. */
-  askForUnknown(id: string): void {
-    this.userSessions.push(this.users.askForUnknown(id));
+  queryUnknownJob(id: string): void {
+    this.userSessions.push(this.users.queryUnknownJob(id));
   }
 
   /** Pauses until the next job, for half to one and a half times the mean. */
-  async awaitNext(jobsPerSecond: number): Promise<void> {
+  async pauseUntilNext(jobsPerSecond: number): Promise<void> {
     await pause((0.5 + this.random()) / jobsPerSecond);
   }
 
   /** Waits until all accepted jobs are over, for so many seconds at the most. */
-  async settle(seconds: number): Promise<void> {
+  async waitUntilFinished(seconds: number): Promise<void> {
     const deadline = performance.now() + seconds * 1000;
     while (performance.now() < deadline && this.users.unfinished.length > 0) await pause(0.2);
   }
--- a/test/trials/main.ts
+++ b/test/trials/main.ts
@@ -1,14 +1,14 @@
 /** Runs trials: `npm run trials -- FIRST COUNT`. Prints what broke, and exits with 1 if anything did. */
-import { playSeeds } from './playSeeds.js';
+import { runSeeds } from './runSeeds.js';
 import { runTrial } from './trial.js';
 
-await playSeeds({
-  what: 'trials',
-  usualCount: 10,
+await runSeeds({
+  pluralName: 'trials',
+  defaultCount: 10,
   run: runTrial,
-  listsOvertaken: true,
-  describe: ({ history, jobs, unfinished }) => {
-    const { violations, overtaken, peaks } = history;
+  printsOvertaken: true,
+  describeResult: ({ history, submittedCount: jobs, unfinished }) => {
+    const { violations, overtaken, peakCpus: peaks } = history;
     const used = [...peaks].map(([team, cpus]) => `${team} ${cpus}`).join(', ');
     return (
       `${jobs} jobs, ${violations.length} violations, ${overtaken.length} overtaken answers, ` +
--- a/test/trials/measureAnswers.ts
+++ b/test/trials/measureAnswers.ts
@@ -4,7 +4,7 @@
  */
 import { performance } from 'node:perf_hooks';
 import { submission, until, type Cluster } from '../support/cluster.js';
-import { accept, settled, status, withCluster } from '../support/users.js';
+import { submitUntilAccepted, callUntilServed, jobStatus, withCluster } from '../support/users.js';
 
 const JOB = 'wk-000001';
 const CONNECTIONS = 16;
@@ -45,12 +45,12 @@
   console.log(`${name}: ${perSecond.toFixed(0)} answers/s, ${cpuMicros.toFixed(0)} µs each`);
 }
 
-await withCluster({ nodes: 3, runs: () => Infinity }, async (cluster) => {
-  await accept(cluster, 'drone-0', submission(JOB, { Pieces: 1 }));
-  await until('the job runs', async () => (await status(cluster, 'drone-0', JOB)).running === 1);
+await withCluster({ nodes: 3, taskRunSeconds: () => Infinity }, async (cluster) => {
+  await submitUntilAccepted(cluster, 'drone-0', submission(JOB, { Pieces: 1 }));
+  await until('the job runs', async () => (await jobStatus(cluster, 'drone-0', JOB)).running === 1);
   await measure(cluster, "at its leader, from the leader's memory", 'drone-0');
   await measure(cluster, 'at another node, by a relay to its leader', 'drone-1');
-  await settled(cluster, 'drone-0', 'POST', `/v1/jobs/${JOB}/withdraw`);
+  await callUntilServed(cluster, 'drone-0', 'POST', `/v1/jobs/${JOB}/withdraw`);
   await measure(cluster, 'of a final state, from the copy', 'drone-0');
 });
 process.exit(0);
--- a/test/trials/playSeeds.ts
+++ b/test/trials/runSeeds.ts
@@ -1,18 +1,18 @@
 /** Plays trials seed by seed for the command line: prints what broke, and ends the process with 1 if anything did. */
 import type { TrialResult } from './trial.js';
 
-export interface SeedPlayer<Result extends TrialResult> {
+export interface SeedRunner<Result extends TrialResult> {
   /** What is played, in the plural. */
-  what: string;
+  pluralName: string;
   /** How many are played unless the command line says so. */
-  usualCount: number;
+  defaultCount: number;
   run: (seed: number) => Promise<Result>;
   /** One line on a trial that has ended. */
-  describe: (result: Result) => string;
+  describeResult: (result: Result) => string;
   /** What a seed stands for, beside its number. */
-  nameOf?: (seed: number) => string;
+  describeSeed?: (seed: number) => string;
   /** Whether answers that were overtaken are listed. */
-  listsOvertaken?: boolean;
+  printsOvertaken?: boolean;
 }
 
 function printFaults({ history, unfinished }: TrialResult, listsOvertaken: boolean): void {
@@ -24,19 +24,19 @@
 }
 
 /** Arguments of the command line: the first seed and how many. */
-export async function playSeeds<Result extends TrialResult>(
-  player: SeedPlayer<Result>,
+export async function runSeeds<Result extends TrialResult>(
+  player: SeedRunner<Result>,
 ): Promise<never> {
-  const [first = 1, count = player.usualCount] = process.argv.slice(2).map(Number);
+  const [first = 1, count = player.defaultCount] = process.argv.slice(2).map(Number);
   let broken = 0;
   let unfinished = 0;
   let failed = 0;
   for (let seed = first; seed < first + count; seed++) {
-    const name = `seed ${seed}${player.nameOf === undefined ? '' : ` (${player.nameOf(seed)})`}`;
+    const name = `seed ${seed}${player.describeSeed === undefined ? '' : ` (${player.describeSeed(seed)})`}`;
     try {
       const result = await player.run(seed);
-      console.log(`${name}: ${player.describe(result)}`);
-      printFaults(result, player.listsOvertaken === true);
+      console.log(`${name}: ${player.describeResult(result)}`);
+      printFaults(result, player.printsOvertaken === true);
       if (result.history.violations.length > 0) broken++;
       if (result.unfinished.length > 0) unfinished++;
     } catch (error) {
@@ -45,7 +45,7 @@
     }
   }
   console.log(
-    `${count} ${player.what}: ${broken} broken, ${unfinished} with unfinished jobs, ${failed} not finished`,
+    `${count} ${player.pluralName}: ${broken} broken, ${unfinished} with unfinished jobs, ${failed} not finished`,
   );
   process.exit(broken + unfinished + failed > 0 ? 1 : 0);
 }
--- a/test/trials/trial.ts
+++ b/test/trials/trial.ts
@@ -6,9 +6,9 @@
 import { seededRandom, type Random } from '../../src/base/random.js';
 import { Cluster, pause, type ClusterOptions } from '../support/cluster.js';
 import type { History } from '../support/history.js';
-import { FAULTS, NODES, type Fault } from './faults.js';
+import { FAULTS, NODE_COUNT, type Fault } from './faults.js';
 import { JobArrivals } from './jobArrivals.js';
-import { TEAMS, TrialUsers } from './trialUsers.js';
+import { TEAM_SETTINGS, TrialUsers } from './trialUsers.js';
 
 const MACHINES = 24;
 /** Seconds in which faults are injected. */
@@ -21,7 +21,7 @@
 
 export interface TrialResult {
   seed: number;
-  jobs: number;
+  submittedCount: number;
   history: History;
   /** Accepted jobs of which no final state was told in time. */
   unfinished: string[];
@@ -42,34 +42,34 @@
     this.random = seededRandom(seed);
     const lengths = seededRandom(seed + 1);
     this.cluster = new Cluster({
-      nodes: NODES,
-      teams: TEAMS,
-      lease: 4,
-      stateWrites: 200,
-      runs: () => 0.2 + lengths() * 1.5,
+      nodes: NODE_COUNT,
+      teams: TEAM_SETTINGS,
+      workerLease: 4,
+      stateWriteRate: 200,
+      taskRunSeconds: () => 0.2 + lengths() * 1.5,
       ...options,
     });
-    this.users = new TrialUsers(this.cluster, this.random, { extra: () => extra });
+    this.users = new TrialUsers(this.cluster, this.random, { extraFields: () => extra });
     this.arrivals = new JobArrivals(this.users, this.random, seed);
     this.cluster.cloud.capacity = MACHINES;
-    this.cluster.cloud.watch = this.users.history;
+    this.cluster.cloud.taskObserver = this.users.history;
   }
 
   async run(): Promise<TrialResult> {
     try {
       await this.cluster.start();
-      await this.play();
-      await this.arrivals.settle(SETTLE_S);
+      await this.runScenario();
+      await this.arrivals.waitUntilFinished(SETTLE_S);
       const { unfinished, history } = this.users;
-      return { seed: this.seed, jobs: this.arrivals.submitted, history, unfinished };
+      return { seed: this.seed, submittedCount: this.arrivals.submittedCount, history, unfinished };
     } finally {
-      this.users.isOver = true;
+      this.users.isStopped = true;
       this.cluster.close();
       await this.arrivals.close();
     }
   }
 
-  protected async play(): Promise<void> {
+  protected async runScenario(): Promise<void> {
     const faults = this.injectFaults(FAULT_PHASE_S);
     await this.submitFor(FAULT_PHASE_S, PIPELINE_SHARE);
     await faults;
@@ -79,7 +79,7 @@
   protected async submitFor(seconds: number, pipelineShare: number): Promise<void> {
     for (let job = 0; job < seconds * JOBS_PER_S; job++) {
       this.arrivals.submitNext(() => this.random() < pipelineShare);
-      await this.arrivals.awaitNext(JOBS_PER_S);
+      await this.arrivals.pauseUntilNext(JOBS_PER_S);
     }
   }
 
@@ -94,14 +94,14 @@
       await pause(0.3 + this.random() * 1.5);
     }
     await Promise.all(running);
-    this.cluster.state.swallow = null;
-    for (const label of this.labels) {
+    this.cluster.state.withholds = null;
+    for (const label of this.nodeLabels) {
       if (!this.cluster.nodes.has(label)) await this.cluster.boot(label);
     }
   }
 
-  protected get labels(): string[] {
-    return Array.from({ length: NODES }, (_, index) => `drone-${index}`);
+  protected get nodeLabels(): string[] {
+    return Array.from({ length: NODE_COUNT }, (_, index) => `drone-${index}`);
   }
 }
 
--- a/test/trials/trialUsers.ts
+++ b/test/trials/trialUsers.ts
@@ -2,8 +2,8 @@
 import type { Random } from '../../src/base/random.js';
 import type { Response } from '../../src/transport/httpClient.js';
 import { pause, submission } from '../support/cluster.js';
-import { History, type Question, type Told } from '../support/history.js';
-import { NODES } from './faults.js';
+import { History, type JobRequest, type ReportedState } from '../support/history.js';
+import { NODE_COUNT } from './faults.js';
 
 /** Processors that the teams' tasks may use at once: below what the jobs ask for. */
 const LIMITS = new Map([
@@ -12,7 +12,7 @@
 ]);
 
 /** The teams as the settings have them. */
-export const TEAMS = [...LIMITS]
+export const TEAM_SETTINGS = [...LIMITS]
   .map(([name, cpus]) => `[[settings.teams]]\nname = "${name}"\ncpus_max = ${cpus.toFixed(1)}`)
   .join('\n');
 
@@ -36,7 +36,7 @@
 const CANCEL_WITHIN_S = 5 + 1;
 
 /** What an answer says; null: nothing, ask again. */
-function toldBy(response: Response): Told | null {
+function toldBy(response: Response): ReportedState | null {
   if (response.status === 404) return 'unknown';
   if (response.status === 400 || response.status === 422) return 'refused';
   if (response.status >= 300) return null;
@@ -45,39 +45,39 @@
 }
 
 /** Where users ask. */
-export interface UserFronts {
+export interface ClientApi {
   call(node: string, method: string, path: string, body?: unknown): Promise<Response>;
 }
 
 export interface UserOptions {
   /** How many tasks a job has, by what was drawn for it. */
-  tasksOf: (job: string, drawn: number) => number;
+  taskCountOf: (job: string, drawn: number) => number;
   /** Fields that a submission has beside those that are drawn for all. */
-  extra: (job: string) => Record<string, unknown>;
-  nodes: number;
+  extraFields: (job: string) => Record<string, unknown>;
+  nodeCount: number;
   /** A job has from one to this many tasks. */
-  mostTasks: number;
+  maxTasks: number;
   /** What the users are promised of cancellations, and time for an answer to arrive. */
-  cancelWithin: number;
-  limits: ReadonlyMap<string, number>;
+  cancellationTimeout: number;
+  cpuLimits: ReadonlyMap<string, number>;
   /** Seconds, by the clock that the checker goes by. */
   clock: () => number;
   /** Seconds between two rounds of questions about a job that was submitted so long ago. */
-  pauseAfter: (seconds: number) => number;
+  pollInterval: (seconds: number) => number;
   /** Of the jobs, those that are looked at closely: at all nodes, within milliseconds after each change. */
-  closelyWatched: number;
+  closelyWatchedShare: number;
 }
 
 const DEFAULTS: UserOptions = {
-  tasksOf: (_, drawn) => drawn,
-  extra: () => ({}),
-  nodes: NODES,
-  mostTasks: 3,
-  cancelWithin: CANCEL_WITHIN_S,
-  limits: LIMITS,
+  taskCountOf: (_, drawn) => drawn,
+  extraFields: () => ({}),
+  nodeCount: NODE_COUNT,
+  maxTasks: 3,
+  cancellationTimeout: CANCEL_WITHIN_S,
+  cpuLimits: LIMITS,
   clock: () => performance.now() / 1000,
-  pauseAfter: () => 0.25,
-  closelyWatched: 0.5,
+  pollInterval: () => 0.25,
+  closelyWatchedShare: 0.5,
 };
 
 export class TrialUsers {
@@ -91,16 +91,16 @@
   private readonly closeLooks = new Map<string, () => Promise<void>>();
   private readonly looking = new Set<Promise<void>>();
   /** Nothing is asked any more. */
-  isOver = false;
+  isStopped = false;
 
   constructor(
-    private readonly cluster: UserFronts,
+    private readonly cluster: ClientApi,
     private readonly random: Random,
     options: Partial<UserOptions> = {},
   ) {
     this.options = { ...DEFAULTS, ...options };
-    const { cancelWithin, clock } = this.options;
-    this.history = new History(this.options.limits, cancelWithin, clock);
+    const { cancellationTimeout: cancelWithin, clock } = this.options;
+    this.history = new History(this.options.cpuLimits, cancelWithin, clock);
   }
 
   /** How many jobs were accepted. */
@@ -114,11 +114,11 @@
   }
 
   private get nodes(): string[] {
-    return Array.from({ length: this.options.nodes }, (_, index) => this.nodeAt(index));
+    return Array.from({ length: this.options.nodeCount }, (_, index) => this.nodeAt(index));
   }
 
   private nodeAt(index: number): string {
-    return `drone-${index % this.options.nodes}`;
+    return `drone-${index % this.options.nodeCount}`;
   }
 
   private async ask(
@@ -127,12 +127,12 @@
     method: string,
     path: string,
     body?: unknown,
-  ): Promise<Told | null> {
-    const question: Question = { job: id, node, sentAt: this.options.clock() };
+  ): Promise<ReportedState | null> {
+    const question: JobRequest = { job: id, node, sentAt: this.options.clock() };
     try {
       const told = toldBy(await this.cluster.call(node, method, path, body));
-      if (told === null || this.isOver) return null;
-      this.history.answered(question, this.options.clock(), told);
+      if (told === null || this.isStopped) return null;
+      this.history.recordAnswer(question, this.options.clock(), told);
       this.noteProgress(id, told);
       return told;
     } catch {
@@ -140,7 +140,7 @@
     }
   }
 
-  private noteProgress(id: string, told: Told): void {
+  private noteProgress(id: string, told: ReportedState): void {
     const isEnd = (told === 'done' || told === 'cancelled') && !this.over.has(id);
     const isAcceptance = told === 'open' && !this.accepted.has(id);
     if (told === 'open') this.accepted.add(id);
@@ -157,7 +157,7 @@
   /** Asks, repeats the submission and, where the user has cancelled, the cancellation, at all nodes at once. */
   private async lookClosely(id: string, body: unknown, hasCancelled: () => boolean): Promise<void> {
     const rounds: Promise<unknown>[] = [];
-    for (let round = 0; round < CLOSE_LOOKS && !this.isOver; round++) {
+    for (let round = 0; round < CLOSE_LOOKS && !this.isStopped; round++) {
       for (const node of this.nodes) {
         rounds.push(this.ask(id, node, 'GET', `/v1/jobs/${id}`));
         rounds.push(this.ask(id, node, 'POST', '/v1/jobs', body));
@@ -169,15 +169,15 @@
   }
 
   /** Submits, perhaps cancels, and asks until the job is over; each step at several nodes within milliseconds. */
-  async user(id: string, waitsOn: string[] = []): Promise<void> {
+  async runUser(id: string, waitsOn: string[] = []): Promise<void> {
     const draw = this.random();
     const team = draw < 0.6 ? 'crew' : 'guests';
-    const drawnTasks = 1 + Math.floor(this.random() * this.options.mostTasks);
-    const tasks = this.options.tasksOf(id, drawnTasks);
+    const drawnTasks = 1 + Math.floor(this.random() * this.options.maxTasks);
+    const tasks = this.options.taskCountOf(id, drawnTasks);
     const drawn = this.random() < CANCELLED_SHARE ? this.drawCancellation() : Infinity;
-    const first = Math.floor(this.random() * this.options.nodes);
+    const first = Math.floor(this.random() * this.options.nodeCount);
     const work = { Owner: team, Pieces: tasks, Cores: CPUS_PER_TASK };
-    const extra = this.options.extra(id);
+    const extra = this.options.extraFields(id);
     // A service ends when its user cancels it.
     const isService = extra['Shape'] === 'daemon';
     const cancelAfter = isService ? Math.min(drawn, SERVICE_S) : drawn;
@@ -185,12 +185,12 @@
       ...extra,
       ...(waitsOn.length === 0 ? work : { ...work, WaitsOn: waitsOn }),
     });
-    if (this.random() < this.options.closelyWatched) {
+    if (this.random() < this.options.closelyWatchedShare) {
       this.closeLooks.set(id, () => this.lookClosely(id, body, () => this.calledOff.has(id)));
     }
     const began = performance.now();
-    this.history.submitted(id, { team, cpus: CPUS_PER_TASK, tasks, waitsOn });
-    for (let turn = first; !this.isOver && !this.over.has(id); turn++) {
+    this.history.recordSubmission(id, { team, cpus: CPUS_PER_TASK, tasks, dependencies: waitsOn });
+    for (let turn = first; !this.isStopped && !this.over.has(id); turn++) {
       const seconds = (performance.now() - began) / 1000;
       const node = this.nodeAt(turn);
       if (!this.accepted.has(id)) await this.ask(id, node, 'POST', '/v1/jobs', body);
@@ -199,9 +199,9 @@
         await this.callOff(id, node);
       }
       await this.askEverywhere(id, body);
-      await pause(this.options.pauseAfter(seconds));
+      await pause(this.options.pollInterval(seconds));
     }
-    for (let again = 0; again < 3 && !this.isOver; again++) {
+    for (let again = 0; again < 3 && !this.isStopped; again++) {
       await this.askEverywhere(id, body);
       await pause(0.5);
     }
@@ -210,7 +210,7 @@
   }
 
   private async callOff(id: string, node: string): Promise<void> {
-    this.history.askedToCancel(id);
+    this.history.recordCancelRequest(id);
     this.calledOff.add(id);
     await this.ask(id, node, 'POST', `/v1/jobs/${id}/withdraw`);
   }
@@ -219,7 +219,7 @@
   cancelNow(count: number): void {
     const open = this.unfinished.filter((id) => !this.calledOff.has(id));
     for (const id of open.slice(-count)) {
-      void this.callOff(id, this.nodeAt(Math.floor(this.random() * this.options.nodes)));
+      void this.callOff(id, this.nodeAt(Math.floor(this.random() * this.options.nodeCount)));
     }
   }
 
@@ -237,25 +237,25 @@
   }
 
   /** Asks at every node about a job that nobody submits. */
-  async askForUnknown(id: string): Promise<void> {
-    this.history.notSubmitted(id);
+  async queryUnknownJob(id: string): Promise<void> {
+    this.history.recordNeverSubmitted(id);
     await Promise.all(this.nodes.map((node) => this.ask(id, node, 'GET', `/v1/jobs/${id}`)));
   }
 
   /** Jobs that need others, each submitted once those are accepted, by a user of its own. */
-  async pipeline(first: string): Promise<void> {
+  async runPipeline(first: string): Promise<void> {
     const stages = 1 + Math.floor(this.random() * MOST_STAGES);
     const isLate = this.random() < LATE_SHARE;
     const submitted = [first];
-    const users = [this.user(first)];
-    for (let stage = 1; stage <= stages && !this.isOver; stage++) {
+    const users = [this.runUser(first)];
+    for (let stage = 1; stage <= stages && !this.isStopped; stage++) {
       const needs = submitted.filter((_, i) => i === submitted.length - 1 || this.random() < 0.3);
       const mayGoOn = (need: string): boolean =>
         this.over.has(need) || (this.accepted.has(need) && !(isLate && stage === stages));
-      while (!this.isOver && !needs.every(mayGoOn)) await pause(0.05);
+      while (!this.isStopped && !needs.every(mayGoOn)) await pause(0.05);
       const id = `${first}-${stage}`;
       submitted.push(id);
-      users.push(this.user(id, needs));
+      users.push(this.runUser(id, needs));
     }
     await Promise.all(users);
   }
