--- a/src/coordination/audit/auditEvent.ts
+++ b/src/coordination/audit/auditEvent.ts
@@ -8,7 +8,7 @@
 export type Invariant =
   | 'start-beside-live-attempt'
   | 'attempt-vanished'
-  /** A worker was told to forget an attempt under a fencing token that a copy of the attempt's start may have as well. */
+  /** A worker was sent an attempt's acknowledgement under a fencing token that a copy of its start may have as well. */
   | 'acknowledgement-under-start-token'
   /** A worker reported an attempt again that it had forgotten. */
   | 'acknowledged-attempt-returned'
@@ -36,7 +36,7 @@
   | { source: 'peer'; peer: string; age: number };
 
 /**
- * Why a user was told to retry instead of being told a job's state. `told-final-before`: this node has reported before that
+ * Why the response to a user asks for a retry and reports no state. `told-final-before`: this node has reported before that
  * the job is over; `leadership-ended`: the right to answer for the job's shard has ended, or a change of its record has no
  * answer; `older-than-question`, `final-states-differ`: an invariant is violated; `dependency-may-be-cancelled`: a job that
  * it depends on was cancelled, or this node can't rule that out (safety, P4); `job-is-known`: the answer was about to be
@@ -134,7 +134,7 @@
       /** As `shard=turnaround` of each answer, separated by commas. */
       answers: string;
     }
-  /** A user was told a job's state. */
+  /** A job's state was reported to a user. */
   | ({
       event: 'job-answered';
       request: UserRequestKind;
--- a/src/coordination/audit/auditTrail.ts
+++ b/src/coordination/audit/auditTrail.ts
@@ -6,7 +6,7 @@
 import type { AuditEvent } from './auditEvent.js';
 import { statusCounterName } from './statusCounters.js';
 
-/** Events that occur for every task or request and say little by themselves; they are logged at `debug` only. */
+/** Events that occur for every task or request and carry little information; they are logged at `debug` only. */
 function isRoutine(event: AuditEvent): boolean {
   switch (event.event) {
     case 'commands-outcome':
--- a/src/coordination/audit/cancellationEvent.ts
+++ b/src/coordination/audit/cancellationEvent.ts
@@ -13,7 +13,7 @@
 
 /** A step of a cancellation. Durations are in seconds, revisions are those of the state service. */
 export type CancellationEvent =
-  /** This node was told that a job is about to be cancelled. */
+  /** This node has received the announcement of a job's cancellation. */
   | {
       event: 'cancellation-announced';
       job: string;
@@ -25,7 +25,7 @@
       copyRevision: number;
       copyAge: number;
     }
-  /** The leader of the home shard has heard from all nodes, or has waited long enough. */
+  /** The leader of the home shard has received answers from all nodes, or has waited long enough. */
   | {
       event: 'cancellation-prepared';
       job: string;
--- a/src/coordination/autoscaling/inventorySync.ts
+++ b/src/coordination/autoscaling/inventorySync.ts
@@ -132,7 +132,7 @@
     return found;
   }
 
-  /** Stores the addresses of a group once all are known, or the known ones after `ADDRESS_WINDOW`. */
+  /** Stores the addresses of a group once all were received, or those received until the end of `ADDRESS_WINDOW`. */
   private async storeAddresses(): Promise<void> {
     const { inventory, settings } = this.node;
     // Writes that users and starts wait for have priority over addresses.
--- a/src/coordination/autoscaling/machineGroupStore.ts
+++ b/src/coordination/autoscaling/machineGroupStore.ts
@@ -76,7 +76,7 @@
     const leadership = node.leadership.get(AUTOSCALER_ROLE);
     this.storing.add(name);
     this.pendingMachines.set(name, Object.keys(group.machines));
-    // The write is repeated until it is known whether the group is stored. Until then its machines must not go into another
+    // The write is repeated until it is certain whether the group is stored. Until then its machines must not go into another
     // group: a machine in two groups would belong to two shards.
     while (!this.stopped && node.leadership.get(AUTOSCALER_ROLE) === leadership) {
       if (await this.tryAdopt(name, group)) break;
@@ -84,7 +84,7 @@
     this.storing.delete(name);
   }
 
-  /** Returns true once it is known whether the group is stored. */
+  /** Returns true once it is certain whether the group is stored. */
   private async tryAdopt(name: string, group: MachineGroupRecord): Promise<boolean> {
     const { node } = this;
     const result = await this.create(name, group);
--- a/src/coordination/autoscaling/scaleIn.ts
+++ b/src/coordination/autoscaling/scaleIn.ts
@@ -10,7 +10,7 @@
 
 /** Scale-in of all shards by the elected autoscaler. */
 export class ScaleIn {
-  /** Machines whose release was confirmed, with its monotonic time: they are gone, whatever a late list says. */
+  /** Machines whose release was confirmed, with its monotonic time: they are gone, even if a late list contains them. */
   private readonly released = new Map<string, number>();
   private readonly releasing = new Set<string>();
 
--- a/src/coordination/autoscaling/scaleOut.ts
+++ b/src/coordination/autoscaling/scaleOut.ts
@@ -167,7 +167,7 @@
   }
 
   /**
-   * Forgets a scale-out whose record was not stored, as far as is known. If the record appears after all, it is continued
+   * Forgets a scale-out whose record is absent from the cached state. If the record appears after all, it is continued
    * like that of an earlier process.
    */
   private forgetUnrecorded(name: string): void {
@@ -236,7 +236,7 @@
 
   /**
    * False for a machine that another group already names: the answer to its launch request was late, and the machine was
-   * adopted meanwhile. This is known for certain, since all group records are written under this election's key, and
+   * adopted meanwhile. This is certain, since all group records are written under this election's key, and
    * earlier ones were read with it.
    */
   private mayRecord(machine: string, name: string): boolean {
--- a/src/coordination/autoscaling/unansweredLaunches.ts
+++ b/src/coordination/autoscaling/unansweredLaunches.ts
@@ -21,7 +21,7 @@
 
   /**
    * Whether an unanswered launch request may have launched the machine. The time of a request by an earlier process is not
-   * known, so a machine of any age may be from it.
+   * available, so a machine of any age may be from it.
    */
   mayHaveLaunched({ type, zone, spot, age }: ListedMachine): boolean {
     const latestLaunch = this.node.clock.now() - age;
--- a/src/coordination/autoscaling/vanishedMachines.ts
+++ b/src/coordination/autoscaling/vanishedMachines.ts
@@ -26,7 +26,7 @@
   }
 
   /**
-   * Takes in a whole list.
+   * Processes a complete list.
    * @param recorded names of all machines that are recorded, without those of unanswered launches.
    * @param isListed whether the list names a machine, in whatever state.
    * @param requestedAt monotonic time at which the list was requested.
--- a/src/coordination/commands/commandAudit.ts
+++ b/src/coordination/commands/commandAudit.ts
@@ -76,8 +76,8 @@
 }
 
 /**
- * Once it has seen the token of this message, the worker must refuse every copy of a start of the attempt that it is told
- * to forget.
+ * Once it has received the token of this message, the worker must refuse every copy of a start of the attempt that the
+ * message acknowledges.
  */
 function assertCopiesRefused(
   { shard }: OwnedShard,
--- a/src/coordination/commands/heartbeatEndpoint.ts
+++ b/src/coordination/commands/heartbeatEndpoint.ts
@@ -31,7 +31,7 @@
   leadership: Pick<ShardLeadership, 'verifyLeadership' | 'leaseExpiresAt'>;
   peers: Pick<PeerRegistry, 'relay'>;
   commands: Pick<CommandDispatcher, 'prober' | 'audit'>;
-  /** The controller that leads a shard, as far as this one knows; null where none is known. */
+  /** The controller that leads a shard according to the cached leader records and the gossip; null if there is none. */
   leaderOf(shard: string): string | null;
   requestSchedulingRound(): void;
 }
@@ -49,8 +49,8 @@
 
 /**
  * Whether to probe a machine whose heartbeat has arrived, to check that answers reach it: the heartbeat may be a late copy.
- * A worker that runs tasks and has not seen this leader's fencing token sends another heartbeat within half a second of the
- * answer, on the same connection, which proves as much. After a takeover hundreds of workers do so, and probing each of
+ * A worker that runs tasks and has not received this leader's fencing token sends another heartbeat within half a second of
+ * the answer, on the same connection, which proves as much. After a takeover hundreds of workers do so, and probing each of
  * them would cost more than answering them.
  */
 function needsProbe(machine: Machine, heartbeat: Heartbeat, fencingToken: number): boolean {
--- a/src/coordination/commands/machineProber.ts
+++ b/src/coordination/commands/machineProber.ts
@@ -18,7 +18,7 @@
   requestSchedulingRound(): void;
 }
 
-/** Requests heartbeats from machines, which tells a machine that hangs from one that can't reach this controller. */
+/** Requests heartbeats from machines, to distinguish machines that hang from those that can't reach this controller. */
 export class MachineProber {
   /** Probes in flight to machines that have missed an earlier one. */
   private probesToSilentMachines = 0;
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Probes a machine, which tells one that hangs from one that can't reach this controller. Does nothing if a probe is in
-   * flight already, the address is unknown, or too many silent machines are being probed.
+   * Probes a machine, to distinguish one that hangs from one that can't reach this controller. Does nothing if a probe is
+   * in flight already, the address is unknown, or too many silent machines are being probed.
    */
   async probe(ownedShard: OwnedShard, machine: Machine): Promise<void> {
     const { clock, settings } = this.node;
--- a/src/coordination/peers/gossiper.ts
+++ b/src/coordination/peers/gossiper.ts
@@ -1,4 +1,4 @@
-/** Sends gossip: tells the peers at a fixed interval what this controller leads, lacks and can spare. */
+/** Sends gossip: reports to the peers at a fixed interval what this controller leads, lacks and can spare. */
 import type { Clock } from '../../base/clock.js';
 import type { Gossip } from '../../protocol/peerMessages.js';
 import type { Settings, Tuning } from '../../protocol/settings.js';
--- a/src/coordination/peers/peerRegistry.ts
+++ b/src/coordination/peers/peerRegistry.ts
@@ -1,4 +1,4 @@
-/** What this controller knows of its peers by their gossip, and its calls to them. */
+/** The peers' state as received in their gossip, and this controller's calls to them. */
 import type { Clock } from '../../base/clock.js';
 import { decodeAnswer, encodeRequest, encodeSpec } from '../../protocol/peerCodec.js';
 import type {
@@ -58,13 +58,13 @@
     for (const peer of this.peers.values()) peer.client.close();
   }
 
-  /** Takes in a peer's gossip, unless it is late or older than what is known (safety, T12). */
+  /** Processes a peer's gossip, unless it is late or older than the cached one (safety, T12). */
   receiveGossip(gossip: Gossip): void {
     const peer = this.peers.get(gossip.sender);
     if (peer === undefined) return;
     const now = this.clock.now();
-    // After a partition messages arrive late, also those of the peer's earlier processes: what they say of machines to
-    // release, of fencing tokens and of teams is outdated.
+    // After a partition messages arrive late, also those of the peer's earlier processes: what they report of machines
+    // to release, of fencing tokens and of teams is outdated.
     const previous = peer.gossip;
     const isLate = this.isLate(gossip.sentAt);
     const isOutdated =
@@ -167,7 +167,7 @@
     return (await Promise.all(calls)).flat();
   }
 
-  /** Whether a message sent at this wall-clock time is late: what it says may have been revoked since. */
+  /** Whether a message sent at this wall-clock time is late: what it reports may have been revoked since. */
   isLate(at: number): boolean {
     return this.clock.wall() - at > this.gossipValidity + 2 * this.clockSkew;
   }
@@ -188,7 +188,7 @@
           const answer = decodeAnswer(await client.call(body, timeout));
           if ('PreparedChunks' in answer && note(answer.PreparedChunks.of)) resolve(true);
         } catch {
-          // The peer is unreachable: its tasks are not known to have ended.
+          // The peer is unreachable: whether its tasks have ended is unconfirmed.
         }
       });
       void Promise.all(calls).then(() => {
--- a/src/coordination/reconciliation/attemptTermination.ts
+++ b/src/coordination/reconciliation/attemptTermination.ts
@@ -60,7 +60,7 @@
     { workerLease, heartbeatInterval }: LeaseTimes,
     now: number,
   ): AttemptTermination | null {
-    // The leader of another shard may renew the lease without this controller's knowledge.
+    // The leader of another shard may renew the lease without a message to this controller.
     if (machine.isReassigned) return null;
     const limit = workerLease * (1 + MAX_CLOCK_DRIFT) + heartbeatInterval / 2;
     if (now - machine.leaseRenewedAt <= limit) return null;
--- a/src/coordination/reconciliation/heartbeatReconciler.ts
+++ b/src/coordination/reconciliation/heartbeatReconciler.ts
@@ -1,4 +1,4 @@
-/** Applies workers' heartbeats to what a shard knows of its machines and of the attempts that are, or may be, on them. */
+/** Applies workers' heartbeats to a shard's state of its machines and of the attempts that are, or may be, on them. */
 import type { Heartbeat, ReportedAttempt } from '../../protocol/workerProtocol.js';
 import { AttemptTermination, type LeaseTimes } from './attemptTermination.js';
 import type { Chunk, Attempt } from '../model/chunk.js';
@@ -12,10 +12,10 @@
  */
 export type HeartbeatOrigin = 'unsolicited' | 'follow-up' | 'response';
 
-/** The effect of a heartbeat. `stale`: older than what is known; `unchanged`: nothing new; `changed`: something new. */
+/** The effect of a heartbeat. `stale`: not newer than the last; `unchanged`: reports no change; `changed`: reports one. */
 export type HeartbeatEffect = 'stale' | 'unchanged' | 'changed';
 
-/** Weight of one completed task in the moving average of a machine's slowness: one outlier says little. */
+/** Weight of one completed task in the moving average of a machine's slowness: one outlier is not significant. */
 const SLOWNESS_WEIGHT = 0.25;
 
 /** Upper bound of a task's measured slowness, as a ratio of its actual to its expected run time. */
@@ -55,7 +55,7 @@
   record(jobClass: string, estimate: number, actual: number): void;
 }
 
-/** Reconciles what a shard knows of a machine with the heartbeats of its worker. */
+/** Reconciles a shard's state of a machine with the heartbeats of its worker. */
 export class HeartbeatReconciler {
   constructor(
     private readonly shard: HeartbeatReconcilerContext,
@@ -64,7 +64,7 @@
   ) {}
 
   /**
-   * Applies a worker's heartbeat. Most say nothing new and trigger no scheduling round: with hundreds of machines, that
+   * Applies a worker's heartbeat. Most report no change and trigger no scheduling round: with hundreds of machines, that
    * would be most of a node's work.
    */
   apply(
@@ -79,7 +79,7 @@
     const isNewEpoch =
       heartbeat.agentEpoch > machine.agentEpoch && machine.reachability.lastHeartbeatAt !== null;
     const isFirstOfEpoch = isNewEpoch || machine.reachability.lastHeartbeatAt === null;
-    // The first known address stays: a late copy must not divert commands.
+    // The first non-empty address is kept: a late copy must not divert commands.
     if (machine.address === '') machine.address = heartbeat.address;
     machine.agentEpoch = heartbeat.agentEpoch;
     machine.heartbeatSequence = heartbeat.heartbeatSequence;
@@ -210,7 +210,7 @@
     this.shard.terminateAttempt(machine, placement, termination, now);
   }
 
-  /** Remembers the ended attempt: its worker reports it until it is told to forget it. */
+  /** Keeps the ended attempt: its worker reports it until it receives the acknowledgement. */
   private rememberEndedAttempt(
     machine: Machine,
     chunk: Chunk,
--- a/src/coordination/reconciliation/machineLiveness.ts
+++ b/src/coordination/reconciliation/machineLiveness.ts
@@ -91,8 +91,8 @@
         if (machine.recordedShard === this.shard.label) lost.push(machine.name);
         continue;
       }
-      // The shard's previous leader may be alive and answer the machine's worker: that this node can't reach it says
-      // nothing about the machine.
+      // The shard's previous leader may be alive and answer the machine's worker: a failure to reach it
+      // from this node does not show that the machine has failed.
       if (machine.reachability.lastReachedAt === null && machine.leaseRenewedAt > now) continue;
       const isNew =
         machine.reachability.lastReachedAt === null &&
--- a/src/coordination/reconciliation/unknownAttempts.ts
+++ b/src/coordination/reconciliation/unknownAttempts.ts
@@ -1,10 +1,10 @@
 /**
- * Attempts that run on machines of a shard and that the shard does not know. Each is stopped as soon as it is seen, and
- * meanwhile its task is started nowhere else (safety, T18).
+ * Attempts that run on machines of a shard and that have no entry in the shard's state. Each is stopped as soon as it is
+ * reported, and meanwhile its task is started nowhere else (safety, T18).
  */
 import type { Machine } from '../model/machine.js';
 
-/** Tracks the attempts that workers report and no chunk of the shard knows, by machine and by task. */
+/** Tracks the attempts that workers report and no chunk of the shard contains, by machine and by task. */
 export class UnknownAttempts {
   private readonly tasksByMachine = new Map<Machine, string[]>();
   private readonly machinesByTask = new Map<string, Set<Machine>>();
--- a/src/main.ts
+++ b/src/main.ts
@@ -86,7 +86,10 @@
 ): Promise<void> {
   const listen = parseAddress(settings.clientListen);
   const peerListen = parseAddress(settings.peerListen);
-  if (listen === null || peerListen === null) throw new SettingsError('settings: bad address');
+  if (listen === null || peerListen === null)
+    throw new SettingsError(
+      'settings: client_listen or back is not an address of the form host:port',
+    );
   // Identifies this start of the process; the names of machine rentals are derived from it.
   const runId = `${Math.round(systemClock.wall() * 1000).toString(36)}${process.pid.toString(36)}`;
   const random = seededRandom(Math.floor(systemClock.wall() * 1000) % 0x7fffffff);
--- a/src/storage/plainRecords.ts
+++ b/src/storage/plainRecords.ts
@@ -83,7 +83,7 @@
     case 'cancelled':
       return { ...fields, state, spec };
     default:
-      throw new CorruptRecordError(key, 'it tells no state that is known here');
+      throw new CorruptRecordError(key, 'the job state is missing or unknown to this build');
   }
 }
 
--- a/src/storage/recordFormat.ts
+++ b/src/storage/recordFormat.ts
@@ -265,16 +265,20 @@
 
   private decodeCompressed(key: string, stored: CompressedValue): unknown {
     if (this.codec === null) {
-      throw new CorruptRecordError(key, 'it is compressed, which is switched off here');
+      throw new CorruptRecordError(
+        key,
+        'it is compressed, but compressed records are disabled on this node',
+      );
     }
     let expanded: unknown;
     try {
       expanded = JSON.parse(this.codec.expand(key, stored));
     } catch (error) {
       if (error instanceof CorruptRecordError) throw error;
-      throw new CorruptRecordError(key, 'what it holds is no JSON');
+      throw new CorruptRecordError(key, 'its decompressed value is not valid JSON');
     }
-    if (isCompressed(expanded)) throw new CorruptRecordError(key, 'it is compressed twice');
+    if (isCompressed(expanded))
+      throw new CorruptRecordError(key, 'its decompressed value is a compressed record again');
     return this.decode(key, expanded);
   }
 }
--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -98,7 +98,13 @@
       return Promise.reject(new HttpCallError('too many open connections', true, true));
     }
     const address = parseAddress(endpoint);
-    if (address === null) return Promise.reject(new HttpCallError(`bad address ${endpoint}`, true));
+    if (address === null)
+      return Promise.reject(
+        new HttpCallError(
+          `cannot connect to "${endpoint}": the address is not of the form host:port`,
+          true,
+        ),
+      );
     const socket = net.connect({ ...address, noDelay: true });
     this.openCount++;
     socket.once('close', () => {
--- a/src/transport/peerLink.ts
+++ b/src/transport/peerLink.ts
@@ -123,7 +123,12 @@
       }
       const socket = this.connection();
       if (socket === null) {
-        reject(new HttpCallError(`bad address ${this.endpoint}`, true));
+        reject(
+          new HttpCallError(
+            `cannot connect to peer "${this.endpoint}": the address is not of the form host:port`,
+            true,
+          ),
+        );
         return;
       }
       const id = this.nextId;
--- a/test/storage/compression.test.ts
+++ b/test/storage/compression.test.ts
@@ -176,5 +176,8 @@
   for (const [name, value] of damaged) {
     assert.throws(() => recordFormat.decode(key, value), CorruptRecordError, name);
   }
-  assert.throws(() => formatWith(true, false).decode(key, good), /switched off here/);
+  assert.throws(
+    () => formatWith(true, false).decode(key, good),
+    /it is compressed, but compressed records are disabled on this node/,
+  );
 });
