--- a/test/support/cluster.ts
+++ b/test/support/cluster.ts
@@ -1,4 +1,4 @@
-/** A few controllers in this process, on loopback, with the stand-ins around them. */
+/** A cluster of controllers in this process, on loopback, with stand-ins for the cloud, its workers and the state service. */
 import { systemClock } from '../../src/base/clock.js';
 import { setLogLevel } from '../../src/base/log.js';
 import { seededRandom } from '../../src/base/random.js';
@@ -16,47 +16,47 @@
 
 setLogLevel(process.env['LOG_LEVEL'] ?? 'error');
 
-/** One controller as a build of the service makes it. */
+/** A controller and its gateway, as created by one build of the service. */
 export interface BuiltNode {
   controller: Controller;
   gateway: Pick<Gateway, 'handle' | 'handlePeerMessage'>;
 }
 
-/** Makes a controller from its settings file; `run` sets one start apart from every other. */
-export type Build = (settings: string, run: string) => BuiltNode;
+/** Creates a controller from the text of its settings file; `processId` identifies this start of the node. */
+export type Build = (settings: string, processId: string) => BuiltNode;
 
 interface Node extends BuiltNode {
   address: string;
 }
 
-const buildWith = (text: string, run: string, setup: RolloutSetup): BuiltNode => {
+const buildWith = (text: string, processId: string, setup: RolloutSetup): BuiltNode => {
   const settings = parseSettings(text);
   const links = { services: new HttpClient(50, 1), machines: new HttpClient(50, 1) };
   const tuning = { ...defaultTuning, peerTimeout: 0.3 };
   const random = seededRandom(7);
-  const controller = new Controller(settings, tuning, systemClock, random, links, run, setup);
+  const controller = new Controller(settings, tuning, systemClock, random, links, processId, setup);
   return { controller, gateway: new Gateway(controller) };
 };
 
-/** Everything that is switched off by default is off. */
-export const currentBuild: Build = (text, run) =>
+/** The current sources, with all optional features off. */
+export const currentBuild: Build = (text, processId) =>
   buildWith(
     text,
-    run,
+    processId,
     rolloutDisabled(() => undefined),
   );
 
-/** With some features on; a node that is refused ends, as its process would. */
+/** The current sources with some optional features on. A node whose levels are refused stops, as its process would. */
 export const buildWithFeatures = (
   features: string[],
-  refused: (reason: string) => void = () => undefined,
+  onRefused: (reason: string) => void = () => undefined,
 ): Build => {
-  return (text, run) => {
-    const node = buildWith(text, run, {
+  return (text, processId) => {
+    const node = buildWith(text, processId, {
       features: new Set(features),
       modules: features.length === 0 ? null : rolloutModules,
       onRefused: (reason) => {
-        refused(reason);
+        onRefused(reason);
         node.controller.stop();
       },
     });
@@ -66,20 +66,22 @@
 
 export interface ClusterOptions {
   nodes: number;
+  /** TOML lines of the settings. */
   teams?: string;
+  /** Seconds that a task runs; Infinity: until it is stopped. */
   taskRunSeconds: (task: string) => number;
   zones?: string[];
-  /** Seconds; short where a test waits for its end. */
+  /** Lease of the workers in seconds; short in tests that wait for its expiry. */
   workerLease?: number;
-  /** Changes a second that the state service takes from all nodes together. */
+  /** Limit of writes per second at the state service, shared by all nodes. */
   stateWriteRate?: number;
-  /** Limits that the state service will have, as lines of the settings. */
+  /** Announced future limits of the state service, as TOML lines of the settings. */
   nextStateLimits?: string;
-  /** What a node's users and workers may take of it. */
+  /** Overrides limits of the server that each node offers to users and workers. */
   serverOptions?: Partial<ServerOptions>;
 }
 
-const limits = {
+const SERVER_LIMITS = {
   bodyLimit: 65536,
   maxConnections: 200,
   maxInFlight: 100,
@@ -91,28 +93,29 @@
 export class Cluster {
   readonly state = new StateStandIn();
   readonly nodes = new Map<string, Node>();
-  /** The build that each node starts with, where that is not the present one. */
+  /** The build that a node starts with; nodes without an entry use the current sources. */
   readonly builds = new Map<string, Build>();
   readonly cloud: CloudStandIn;
   private readonly http = new HttpClient(200, 1);
-  /** Ports for calls from one node to another, `from>to`: each way can be cut by itself. */
-  private backs = new Map<string, number>();
-  /** Nodes that can neither reach the others nor be reached by them. */
+  /** Ports for peer calls, by `from>to`: each pair and direction has its own, so that it can be cut alone. */
+  private peerPorts = new Map<string, number>();
+  /** Nodes that can neither reach their peers nor be reached by them. */
   readonly isolatedNodes = new Set<string>();
-  private fronts = new Map<string, number>();
+  /** Ports for users and workers, by node. */
+  private clientPorts = new Map<string, number>();
   private cloudAddress = '';
   private readonly listeners: { close(): void }[] = [];
-  private readonly report = 0.4;
-  private readonly lease: number;
+  private readonly heartbeatInterval = 0.4;
+  private readonly workerLease: number;
 
   constructor(private readonly options: ClusterOptions) {
-    this.lease = options.workerLease ?? 8;
+    this.workerLease = options.workerLease ?? 8;
     const addresses = (): Map<string, string> =>
-      new Map([...this.fronts].map(([label, port]) => [label, `127.0.0.1:${port}`]));
+      new Map([...this.clientPorts].map(([label, port]) => [label, `127.0.0.1:${port}`]));
     this.cloud = new CloudStandIn(
       {
-        heartbeatInterval: this.report,
-        workerLease: this.lease,
+        heartbeatInterval: this.heartbeatInterval,
+        workerLease: this.workerLease,
         taskRunSeconds: options.taskRunSeconds,
       },
       addresses,
@@ -130,50 +133,51 @@
 
   async start(): Promise<void> {
     this.cloudAddress = await this.cloud.listen();
-    // Listeners stay for the cluster's life, also while their node is down: a port that is given up may
-    // be taken by a test that runs beside this one.
-    const front = { ...limits, ...this.options.serverOptions };
+    // Listeners stay open for the cluster's lifetime, even while their node is down: a concurrent test could take a port that
+    // was released.
+    const serverOptions = { ...SERVER_LIMITS, ...this.options.serverOptions };
     for (const label of this.labels()) {
       for (const from of this.labels()) {
         if (from === label) continue;
         const peers = new PeerServer((body) => {
           const gateway = this.nodes.get(label)?.gateway;
-          // A cut is silent.
+          // A partition gives no error: calls get no answer.
           if (this.isolatedNodes.has(label) || this.isolatedNodes.has(from))
             return new Promise(() => undefined);
           return gateway?.handlePeerMessage(body) ?? Promise.reject(new Error('down'));
         });
         const port = await peers.listen({ host: '127.0.0.1', port: 0 });
-        this.backs.set(`${from}>${label}`, port);
+        this.peerPorts.set(`${from}>${label}`, port);
         this.listeners.push(peers);
       }
-      const server = new HttpServer((request, follows) => {
+      const server = new HttpServer((request, isFollowUp) => {
         const gateway = this.nodes.get(label)?.gateway;
-        return gateway?.handle(request, follows) ?? Promise.resolve({ status: 503, body: {} });
-      }, front);
-      this.fronts.set(label, await server.listen({ host: '127.0.0.1', port: 0 }));
+        return gateway?.handle(request, isFollowUp) ?? Promise.resolve({ status: 503, body: {} });
+      }, serverOptions);
+      this.clientPorts.set(label, await server.listen({ host: '127.0.0.1', port: 0 }));
       this.listeners.push(server);
     }
     for (const label of this.labels()) await this.boot(label);
   }
 
   async boot(label: string): Promise<void> {
-    const zone = (at: string): string => this.zones[this.labels().indexOf(at) % this.zones.length];
-    const front = `127.0.0.1:${this.fronts.get(label)}`;
-    const back = '127.0.0.1:1';
+    const zoneOf = (node: string): string =>
+      this.zones[this.labels().indexOf(node) % this.zones.length];
+    const clientAddress = `127.0.0.1:${this.clientPorts.get(label)}`;
+    const peerAddress = '127.0.0.1:1';
     const peers = this.labels()
       .filter((l) => l !== label)
       .map((l) => ({
         label: l,
-        zone: zone(l),
-        address: `127.0.0.1:${this.backs.get(`${label}>${l}`)}`,
+        zone: zoneOf(l),
+        address: `127.0.0.1:${this.peerPorts.get(`${label}>${l}`)}`,
       }));
     const settings = settingsText({
       ...{
         label,
-        zone: zone(label),
-        clientAddress: front,
-        peerAddress: back,
+        zone: zoneOf(label),
+        clientAddress,
+        peerAddress,
         peers,
         zones: this.zones,
       },
@@ -181,24 +185,24 @@
       state: await this.state.listenFor(label),
       teams: this.options.teams ?? '[[settings.teams]]\nname = "crew"',
       skewMs: 100,
-      heartbeatInterval: this.report,
-      workerLease: this.lease,
+      heartbeatInterval: this.heartbeatInterval,
+      workerLease: this.workerLease,
       cancellationTimeout: 5,
       stateRequestRate: 2000,
       stateWriteRate: this.options.stateWriteRate ?? 1000,
       nextStateLimits: this.options.nextStateLimits,
     });
-    const run = `${label}${Math.floor(systemClock.now() * 1e6).toString(36)}`;
-    const node = (this.builds.get(label) ?? currentBuild)(settings, run);
+    const processId = `${label}${Math.floor(systemClock.now() * 1e6).toString(36)}`;
+    const node = (this.builds.get(label) ?? currentBuild)(settings, processId);
     node.controller.start();
-    this.nodes.set(label, { ...node, address: front });
+    this.nodes.set(label, { ...node, address: clientAddress });
   }
 
   isUp(label: string): boolean {
     return this.nodes.has(label);
   }
 
-  /** Ends a node as a crash would: it says nothing more to anybody. */
+  /** Stops a node without a shutdown: it sends nothing more. */
   crash(label: string): void {
     const node = this.nodes.get(label);
     node?.controller.stop();
@@ -222,22 +226,22 @@
 export const pause = (seconds: number): Promise<void> =>
   new Promise((resolve) => setTimeout(resolve, seconds * 1000));
 
-/** Waits for a condition; how long it takes says nothing, only whether it comes. */
+/** Waits until a condition holds. Tests check whether it ever does, not how long that takes; the timeout only bounds a failure. */
 export async function until(
-  what: string,
-  test: () => boolean | Promise<boolean>,
+  description: string,
+  condition: () => boolean | Promise<boolean>,
   seconds = 20,
 ): Promise<void> {
-  const ends = performance.now() + seconds * 1000;
-  while (performance.now() < ends) {
+  const deadline = performance.now() + seconds * 1000;
+  while (performance.now() < deadline) {
     try {
-      if (await test()) return;
+      if (await condition()) return;
     } catch {
-      // A node that is down or not yet up: try again.
+      // The condition asked a node that is down or not yet up.
     }
     await new Promise((resolve) => setTimeout(resolve, 25));
   }
-  throw new Error(`never came: ${what}`);
+  throw new Error(`never came: ${description}`);
 }
 
 export function submission(id: string, changes: Record<string, unknown> = {}): unknown {
--- a/test/support/clusterSettings.ts
+++ b/test/support/clusterSettings.ts
@@ -1,4 +1,4 @@
-/** The settings file of one controller of a test cluster, as the platform would write it. */
+/** The settings file of one controller of a test cluster, in the form in which the platform writes it. */
 
 export interface Endpoint {
   label: string;
@@ -15,22 +15,24 @@
   cloud: string;
   state: string;
   zones: readonly string[];
-  /** As lines of the settings. */
+  /** TOML lines of the settings. */
   teams: string;
   skewMs: number;
+  /** The heartbeat interval of the workers, their lease, and the timeout of cancellations, in seconds. */
   heartbeatInterval: number;
   workerLease: number;
   cancellationTimeout: number;
+  /** Limits of the state service, per second. */
   stateRequestRate: number;
   stateWriteRate: number;
-  /** Limits that the state service will have, as lines of the settings. */
+  /** Announced future limits of the state service, as TOML lines of the settings. */
   nextStateLimits?: string | undefined;
 }
 
-const decimal = (value: number): string =>
+const tomlFloat = (value: number): string =>
   Number.isInteger(value) ? value.toFixed(1) : String(value);
 
-const peerText = ({ label, zone, address }: Endpoint): string =>
+const peerToml = ({ label, zone, address }: Endpoint): string =>
   `[[peers]]\nlabel = "${label}"\nsite = "${zone}"\nendpoint = "${address}"`;
 
 export function settingsText(settings: ClusterSettings): string {
@@ -40,21 +42,21 @@
 site = "${settings.zone}"
 client_listen = "${settings.clientAddress}"
 back = "${settings.peerAddress}"
-${settings.peers.map(peerText).join('\n')}
+${settings.peers.map(peerToml).join('\n')}
 [services]
 cloud = "${settings.cloud}"
 state = "${settings.state}"
 [settings]
 zones = [${settings.zones.map((zone) => `"${zone}"`).join(', ')}]
-skew_ms = ${decimal(settings.skewMs)}
+skew_ms = ${tomlFloat(settings.skewMs)}
 ${settings.teams}
 [settings.workers]
-report_s = ${decimal(settings.heartbeatInterval)}
-lease_s = ${decimal(settings.workerLease)}
-cancel_s = ${decimal(settings.cancellationTimeout)}
+report_s = ${tomlFloat(settings.heartbeatInterval)}
+lease_s = ${tomlFloat(settings.workerLease)}
+cancel_s = ${tomlFloat(settings.cancellationTimeout)}
 [settings.state]
-rps = ${decimal(settings.stateRequestRate)}
-write_rps = ${decimal(settings.stateWriteRate)}
+rps = ${tomlFloat(settings.stateRequestRate)}
+write_rps = ${tomlFloat(settings.stateWriteRate)}
 value_kb = 32.0
 txn_ops = 16
 ${nextLimits === undefined ? '' : `[settings.state.next]\n${nextLimits}`}
--- a/test/support/commandHarness.ts
+++ b/test/support/commandHarness.ts
@@ -1,6 +1,7 @@
 /**
- * A part and its orders on a clock of its own, with workers that follow PROTOCOL behind a network that a test scripts:
- * commands arrive, are held and arrive late, or are never sent. It tells which tasks were on two machines at once.
+ * A shard with its command dispatcher on a simulated clock, and workers that follow PROTOCOL behind a scripted network:
+ * commands are delivered, delayed beyond their sender's timeout, or never sent. It records tasks that ran on two machines at
+ * once.
  */
 import { commandsForAnswer } from '../../src/coordination/model/dueCommands.js';
 import { AuditTrail } from '../../src/coordination/audit/auditTrail.js';
@@ -18,28 +19,29 @@
 import { ShardFixture, FENCING_TOKEN } from './shardFixture.js';
 import { WorkerModel, type CommandBody, type ReportOrder } from './workerModel.js';
 
-/** What becomes of the next command: it arrives; it is held, and its sender gives up; or it never leaves. */
+/** Fate of a command: it is delivered; it is held until `deliverHeldCommands` while its sender times out; or it is never sent. */
 export type DeliveryOutcome = 'arrives' | 'held' | 'no socket' | 'connection refused';
 
-const REPORT_S = 3;
+const HEARTBEAT_INTERVAL_S = 3;
 
 export class CommandHarness {
   readonly fixture = new ShardFixture();
   readonly ownedShard: OwnedShard;
   readonly dispatcher: CommandDispatcher;
-  /** Tasks that were started on a machine while they were on another. */
+  /** Tasks that were started on a machine while they ran on another one. */
   readonly concurrentStarts: string[] = [];
-  /** What asking for a higher token gives, one time after the other; after that it can't be had. */
+  /** Results of successive attempts to advance the fencing token; once they are used up, advancing fails. */
   readonly tokenAdvanceResults: (Leadership | null)[] = [];
-  /** What becomes of the commands to come, one after the other; after that all arrive. */
+  /** Fates of the next commands, in order; once they are used up, all commands are delivered. */
   readonly deliveryOutcomes: DeliveryOutcome[] = [];
-  /** Whether this node may start work. */
+  /** Whether this node may start tasks. */
   mayAct = true;
   private readonly workers = new Map<string, WorkerModel>();
-  private readonly held: (() => void)[] = [];
-  /** Commands that were carried out and answered, in their order. */
-  private readonly answered: (() => number)[] = [];
-  private readonly machinesOf = new Map<string, Set<string>>();
+  /** Callbacks that deliver the held commands, in order. */
+  private readonly heldDeliveries: (() => void)[] = [];
+  /** Callbacks that deliver a duplicate of each command that was executed and answered, in order. */
+  private readonly duplicateDeliveries: (() => number)[] = [];
+  private readonly machinesByTask = new Map<string, Set<string>>();
 
   constructor() {
     const { fixture: bench } = this;
@@ -49,7 +51,7 @@
       bench.now,
     );
     const node: CommandDispatcherContext = {
-      settings: { heartbeatInterval: REPORT_S, cores: 1, maxSockets: 100 },
+      settings: { heartbeatInterval: HEARTBEAT_INTERVAL_S, cores: 1, maxSockets: 100 },
       clock: { now: () => bench.now },
       links: { machines: { call: (...request) => this.call(request[0], request[3]) } },
       leadership: {
@@ -68,17 +70,17 @@
     this.dispatcher = new CommandDispatcher(node, turns);
   }
 
-  /** A machine that has reported. */
+  /** Adds a machine whose worker has sent a heartbeat. */
   addMachine(name: string, reportOrder: ReportOrder = 'oldest first'): Machine {
     const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0, address: name };
     const machine = this.fixture.shard.addMachine(name, record, this.fixture.now);
     const description = { name, address: name, type: 'm8', zone: 'a', spot: false };
     const observer = {
       onStarted: ({ task }: { task: string }) => {
-        this.noteStarted(task, name);
+        this.recordStart(task, name);
       },
       onTerminated: ({ task }: { task: string }) => {
-        this.machinesOf.get(task)?.delete(name);
+        this.machinesByTask.get(task)?.delete(name);
       },
     };
     this.workers.set(name, new WorkerModel(description, observer, Infinity, reportOrder));
@@ -92,61 +94,66 @@
     return worker;
   }
 
-  /** Its worker reports; the answer carries no orders. */
+  /** The machine's worker sends a heartbeat; the answer carries no commands. */
   sendHeartbeat(machine: Machine): void {
-    const report = parseHeartbeat(this.worker(machine).heartbeat());
-    if (report === null) throw new Error('malformed report');
-    this.fixture.shard.heartbeats.apply(machine, report, this.fixture.now, 'follow-up');
+    const heartbeat = parseHeartbeat(this.worker(machine).heartbeat());
+    if (heartbeat === null) throw new Error('malformed heartbeat');
+    this.fixture.shard.heartbeats.apply(machine, heartbeat, this.fixture.now, 'follow-up');
     machine.leaseRenewedAt = this.fixture.now;
   }
 
-  /** Its worker reports, a report's time later, and gets what is due with the answer. */
+  /** One heartbeat interval later, the worker sends a heartbeat and gets the due commands with the answer. */
   sendHeartbeatForCommands(machine: Machine): void {
-    this.fixture.now += REPORT_S;
+    this.fixture.now += HEARTBEAT_INTERVAL_S;
     this.sendHeartbeat(machine);
     const worker = this.worker(machine);
-    const due = commandsForAnswer(machine, this.fixture.now, REPORT_S * 1.5, REPORT_S);
+    const due = commandsForAnswer(
+      machine,
+      this.fixture.now,
+      HEARTBEAT_INTERVAL_S * 1.5,
+      HEARTBEAT_INTERVAL_S,
+    );
     const seenToken = machine.highestFencingToken;
     const { fencingTokens: tokens } = this.ownedShard.shard;
     const message = machine.commandTokens.assignToken(due, tokens, { seenToken, mayRaise: true });
     worker.handleAnswer(worker.agentEpoch, heartbeatAnswer(message.token, message.commands));
   }
 
-  /** Places what waits, and stores it. */
+  /** Places waiting tasks, and marks the chunk as stored. */
   placeAndStore(chunk: Chunk): void {
     this.fixture.runSchedulingRound();
     this.fixture.markStored(chunk);
   }
 
-  /** Sends what is due to a machine and waits for what becomes of it. */
+  /** Sends the due commands of a machine and waits for the outcome. */
   async sendCommands(machine: Machine): Promise<void> {
-    this.fixture.now += REPORT_S / 6;
+    this.fixture.now += HEARTBEAT_INTERVAL_S / 6;
     this.fixture.shard.machinesWithDueCommands.add(machine);
     this.dispatcher.send();
     for (let turn = 0; turn < 4; turn++) await new Promise((resolve) => setImmediate(resolve));
   }
 
-  /** Commands that were held arrive, in their order. */
+  /** Delivers the held commands, in order. */
   deliverHeldCommands(): void {
-    for (const deliver of this.held.splice(0)) deliver();
+    for (const deliver of this.heldDeliveries.splice(0)) deliver();
   }
 
-  /** A copy of each answered command arrives; the statuses that they get. */
+  /** Delivers a duplicate of each answered command; returns the status of each answer. */
   deliverDuplicates(): number[] {
-    return this.answered.splice(0).map((deliver) => deliver());
+    return this.duplicateDeliveries.splice(0).map((deliver) => deliver());
   }
 
   private call(endpoint: string, body: unknown): Promise<Response> {
     const worker = this.workers.get(endpoint);
     if (worker === undefined) return Promise.reject(new HttpCallError('no such machine', true));
-    // What travels is what was sent, whatever becomes of its parts later.
+    // A copy: the dispatcher may change its objects after the command was sent.
     const sent = JSON.parse(JSON.stringify(body)) as CommandBody;
     switch (this.deliveryOutcomes.shift() ?? 'arrives') {
       case 'arrives':
-        this.answered.push(() => worker.handleCommand(sent).status);
+        this.duplicateDeliveries.push(() => worker.handleCommand(sent).status);
         return Promise.resolve({ ...worker.handleCommand(sent), retryAfter: null });
       case 'held':
-        this.held.push(() => {
+        this.heldDeliveries.push(() => {
           worker.handleCommand(sent);
         });
         return Promise.reject(new HttpCallError('timed out', false));
@@ -157,10 +164,11 @@
     }
   }
 
-  private noteStarted(task: string, machine: string): void {
-    const on = this.machinesOf.get(task) ?? new Set<string>();
-    this.machinesOf.set(task, on);
-    if (on.size > 0) this.concurrentStarts.push(`${task} on ${[...on].join(' ')} and ${machine}`);
-    on.add(machine);
+  private recordStart(task: string, machine: string): void {
+    const machines = this.machinesByTask.get(task) ?? new Set<string>();
+    this.machinesByTask.set(task, machines);
+    if (machines.size > 0)
+      this.concurrentStarts.push(`${task} on ${[...machines].join(' ')} and ${machine}`);
+    machines.add(machine);
   }
 }
--- a/test/support/commandLine.ts
+++ b/test/support/commandLine.ts
@@ -1,4 +1,4 @@
-/** The program as a user runs it from a shell. */
+/** Runs the program in a child process, as a user does from a shell. */
 import { execFile, spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
@@ -12,8 +12,8 @@
 
 export const runProgram = (...args: string[]): Promise<CommandResult> =>
   new Promise((resolve) => {
-    execFile(process.execPath, [program, ...args], (error, out, err) => {
-      resolve({ code: typeof error?.code === 'number' ? error.code : 0, stdout: out, stderr: err });
+    execFile(process.execPath, [program, ...args], (error, stdout, stderr) => {
+      resolve({ code: typeof error?.code === 'number' ? error.code : 0, stdout, stderr });
     });
   });
 
@@ -23,25 +23,25 @@
   stderr: string;
 }
 
-/** Runs the program until it ends; `heard` is told of what it logs, and may send it a signal. */
+/** Runs the program until it exits; `onLog` gets all that it has logged so far, and may send it a signal. */
 export function runUntilExit(
   args: string[],
-  heard: (log: string, kill: (signal: NodeJS.Signals) => void) => void = () => undefined,
+  onLog: (log: string, kill: (signal: NodeJS.Signals) => void) => void = () => undefined,
 ): Promise<ExitResult> {
   return new Promise((resolve) => {
     const child = spawn(process.execPath, [program, ...args], { env: { LOG_LEVEL: 'info' } });
-    let err = '';
+    let stderr = '';
     child.stderr.on('data', (data) => {
-      err += String(data);
-      heard(err, (signal) => child.kill(signal));
+      stderr += String(data);
+      onLog(stderr, (signal) => child.kill(signal));
     });
     child.on('exit', (code, signal) => {
-      resolve({ code, signal, stderr: err });
+      resolve({ code, signal, stderr });
     });
   });
 }
 
-/** Settings of a controller that reaches nobody, or a state service only. */
+/** Settings of a controller without peers, cloud or workers, and by default without a state service. */
 export const standaloneSettings = (label: string, state = '127.0.0.1:1'): string => `
 label = "${label}"
 site = "a"
--- a/test/support/emptyShard.ts
+++ b/test/support/emptyShard.ts
@@ -1,4 +1,4 @@
-/** An empty part with one type of machine, for tests of what works on parts. */
+/** A shard without machines and jobs, and the machine type `m8`. */
 import { seededRandom } from '../../src/base/random.js';
 import { singleShardView, type ClusterView } from '../../src/coordination/quota/teamUsage.js';
 import { RunTimes } from '../../src/coordination/scheduling/runTimes.js';
@@ -25,12 +25,12 @@
 ): Shard {
   const options = {
     workerLease: 18,
-    heartbeatInterval: heartbeatInterval,
+    heartbeatInterval,
     sample: 8,
     zones: ['a'],
   };
-  const pace = { scaleOutWindow: 30, onDemandWindow: 60, headroom: 1, arrivalWindow: 100 };
+  const autoscaling = { scaleOutWindow: 30, onDemandWindow: 60, headroom: 1, arrivalWindow: 100 };
   const cluster = { ...singleShardView, ...view };
-  const shardOptions = { ...options, ...pace };
+  const shardOptions = { ...options, ...autoscaling };
   return new Shard('p', shardOptions, () => types, new RunTimes(), seededRandom(1), cluster);
 }
--- a/test/support/fleet.ts
+++ b/test/support/fleet.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for the cloud and its workers. */
+/** Stand-ins for the cloud and its workers, served over HTTP. */
 import { HttpClient } from '../../src/transport/httpClient.js';
 import { HttpServer, type Reply } from '../../src/transport/httpServer.js';
 import type { HttpMessage } from '../../src/transport/httpParser.js';
@@ -12,20 +12,22 @@
 } from './workerModel.js';
 
 export interface FleetSettings {
+  /** Seconds between two heartbeats of a worker. */
   heartbeatInterval: number;
+  /** Lease of the workers in seconds. */
   workerLease: number;
-  /** Seconds that a task runs, by the job's id; services never end. */
+  /** Seconds that a task runs; Infinity for tasks of services, which run until they are stopped. */
   taskRunSeconds: (task: string) => number;
-  /** Seconds that a task takes to save its checkpoint when it is stopped; without it none does. */
+  /** Seconds that a stopped task takes to save its checkpoint; without it, tasks save none. */
   checkpointSeconds?: (task: string) => number;
-  /** Whether requests to workers go through links that can be cut. */
+  /** Whether requests to workers pass through links that can be cut. */
   isLinked?: boolean;
 }
 
-/** Answered commands that a worker stand-in keeps for copies. */
-const MOST_KEPT = 200;
+/** Answered commands that a worker stand-in keeps so that duplicates can be delivered. */
+const MAX_KEPT_COMMANDS = 200;
 
-const options = {
+const SERVER_OPTIONS = {
   bodyLimit: 1 << 20,
   maxConnections: 500,
   maxInFlight: 500,
@@ -33,13 +35,13 @@
   idleTimeout: 60,
 };
 
-/** Messages of a worker that the network treats badly: each is drawn by itself. */
+/** Faults of the network between workers and controllers, drawn for each message independently. */
 export interface MessageFaults {
-  /** Of the direct commands, those that are held up, get no answer, and are carried out once, late. */
+  /** Share of the direct commands that get no answer and are executed once, after `delay`. */
   delayedCommandShare: number;
-  /** Of the heartbeats, those of which a copy arrives again later. */
+  /** Share of the heartbeats of which a duplicate is delivered after `delay`. */
   duplicatedHeartbeatShare: number;
-  /** Seconds that a message is late. */
+  /** Returns a random delay in seconds. */
   delay: () => number;
   random: () => number;
 }
@@ -47,26 +49,28 @@
 export class WorkerStandIn {
   private readonly model: WorkerModel;
   private leaseTimer: NodeJS.Timeout | undefined;
-  private readonly ends = new Map<WorkerAttempt, NodeJS.Timeout>();
-  private node = 0;
-  private stopped = false;
-  /** A hanging machine neither sends heartbeats nor carries anything out. */
+  /** Timers of the moments at which attempts terminate. */
+  private readonly endTimers = new Map<WorkerAttempt, NodeJS.Timeout>();
+  /** Index of the controller that gets the next heartbeat. */
+  private nodeIndex = 0;
+  private isStopped = false;
+  /** A hanging machine neither sends heartbeats nor executes commands. */
   hanging = false;
-  /** Its heartbeats arrive, but no answer, probe or command gets to it. */
+  /** Its heartbeats are received, but no answer, probe or command reaches it. */
   deaf = false;
-  /** Direct commands are held up on their way, while heartbeats, answers and probes pass. */
+  /** Direct commands are delayed until the flag is reset, while heartbeats, answers and probes pass. */
   holdsCommands = false;
-  /** It reaches no controller, while direct commands and questions reach it. */
+  /** It sends no heartbeats, while direct commands and probes reach it. */
   cutOff = false;
-  /** Between the controllers and it; null: it is asked directly. */
+  /** Carries requests of controllers to it; null: they connect directly. */
   private link: Link | null = null;
-  /** All heartbeats that it has sent. */
+  /** All heartbeats that it has sent, as JSON. */
   readonly sentHeartbeats: string[] = [];
-  /** The newest direct commands that it has carried out and answered. */
-  private readonly answered: CommandBody[] = [];
-  /** Answers to heartbeats that it had to drop: a command with a higher fencing token came before them. */
+  /** The latest direct commands that it has executed and answered. */
+  private readonly answeredCommands: CommandBody[] = [];
+  /** Counts answers to heartbeats that it dropped because a command with a higher fencing token was received before them. */
   droppedAnswers = 0;
-  private readonly server = new HttpServer((r) => this.serve(r), options);
+  private readonly server = new HttpServer((r) => this.answerRequest(r), SERVER_OPTIONS);
   address = '';
 
   constructor(
@@ -75,40 +79,40 @@
     readonly zone: string,
     readonly spot: boolean,
     private readonly nodes: () => Map<string, string>,
-    private readonly fleet: CloudStandIn,
+    private readonly cloud: CloudStandIn,
   ) {
-    const describe = (): string => this.address;
+    const currentAddress = (): string => this.address;
     const description = {
       ...{ name, type, zone, spot },
       get address(): string {
-        return describe();
+        return currentAddress();
       },
     };
     this.model = new WorkerModel(description, {
       onStarted: (attempt) => {
-        this.begin(attempt);
+        this.runTask(attempt);
       },
-      checkpointSeconds: ({ task }) => this.fleet.settings.checkpointSeconds?.(task) ?? 0,
+      checkpointSeconds: ({ task }) => this.cloud.settings.checkpointSeconds?.(task) ?? 0,
       onCheckpoint: (attempt, seconds) => {
-        this.save(attempt, seconds);
+        this.saveCheckpoint(attempt, seconds);
       },
       onTerminated: (attempt) => {
-        this.fleet.recordTermination(attempt.task, this.name);
+        this.cloud.recordTermination(attempt.task, this.name);
       },
     });
   }
 
   async start(): Promise<void> {
-    const own = `127.0.0.1:${await this.server.listen({ host: '127.0.0.1', port: 0 })}`;
-    this.link = this.fleet.settings.isLinked === true ? new Link(() => own) : null;
-    this.address = (await this.link?.listen()) ?? own;
+    const ownAddress = `127.0.0.1:${await this.server.listen({ host: '127.0.0.1', port: 0 })}`;
+    this.link = this.cloud.settings.isLinked === true ? new Link(() => ownAddress) : null;
+    this.address = (await this.link?.listen()) ?? ownAddress;
     this.renewLease(performance.now());
-    void this.loop();
+    void this.sendHeartbeats();
   }
 
   /**
-   * Its way in is cut: what is sent on open connections is held and delivered at the end, no new connection comes up. Its
-   * own heartbeats and their answers pass.
+   * Cuts inbound connections: bytes on open ones are held and delivered once the cut ends, and new ones are refused. The
+   * worker's own heartbeats and their answers pass.
    */
   set cutIn(isCut: boolean) {
     this.link?.set({ holdsForward: isCut });
@@ -117,143 +121,144 @@
   }
 
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     clearTimeout(this.leaseTimer);
     this.link?.close();
     this.server.close();
-    this.endSession();
+    this.terminateAll();
   }
 
   get tasks(): string[] {
     return this.model.running.map(({ task }) => task);
   }
 
-  /** The cloud gives notice, and takes the machine after so many seconds. */
+  /** The cloud announces the preemption of the machine, and reclaims it after that many seconds. */
   givePreemptionNotice(seconds: number): void {
-    const goneAt = performance.now() + seconds * 1000;
-    this.model.warning = () => Math.max(0, (goneAt - performance.now()) / 1000);
+    const reclaimedAt = performance.now() + seconds * 1000;
+    this.model.warning = () => Math.max(0, (reclaimedAt - performance.now()) / 1000);
     setTimeout(() => {
-      this.fleet.reclaim(this);
+      this.cloud.reclaim(this);
     }, seconds * 1000).unref();
   }
 
-  /** A task on it fails. */
+  /** Makes a running task fail. */
   failTask(task: string): void {
     const attempt = this.model.running.find((held) => held.task === task);
     if (attempt === undefined) return;
-    clearTimeout(this.ends.get(attempt));
+    clearTimeout(this.endTimers.get(attempt));
     this.model.terminate(attempt, 'error');
   }
 
-  /** Why it refuses all starts, as PROTOCOL names the cause; null: it refuses none. */
+  /** Makes it refuse all starts with this cause of PROTOCOL; null: it refuses none. */
   set refusalCause(cause: string | null) {
     this.model.refusalCause = cause;
   }
 
-  /** Whether it still reports an attempt, in whatever state. */
+  /** Whether its heartbeats still list an attempt, in any state. */
   reportsAttempt(task: string, attemptNumber: number): boolean {
     return this.model.find(task, attemptNumber) !== undefined;
   }
 
-  /** Copies of the answered commands that carried this start arrive; the statuses that they get. */
+  /** Delivers duplicates of the answered commands that carried this start; returns the status of each answer. */
   deliverDuplicateStarts(task: string, attemptNumber: number): number[] {
     const hasStart = ({ Orders }: CommandBody): boolean =>
       Orders.some(({ Verb, Piece, Try }) => {
         return Verb === 'start' && Piece === task && Try === attemptNumber;
       });
-    return this.answered.filter(hasStart).map((body) => this.model.handleCommand(body).status);
+    return this.answeredCommands
+      .filter(hasStart)
+      .map((body) => this.model.handleCommand(body).status);
   }
 
-  /** The highest fencing token that it has seen. */
   get highestFencingToken(): number {
     return this.model.highestFencingToken;
   }
 
-  private begin(attempt: WorkerAttempt): void {
+  private runTask(attempt: WorkerAttempt): void {
     const { task } = attempt;
-    this.fleet.recordStart(task, this.name);
-    const seconds = this.fleet.settings.taskRunSeconds(task);
+    this.cloud.recordStart(task, this.name);
+    const seconds = this.cloud.settings.taskRunSeconds(task);
     if (!Number.isFinite(seconds)) return;
     const finish = (): void => {
-      this.ends.delete(attempt);
-      if (attempt.state === 'running') this.fleet.taskObserver?.onTaskCompleted?.(task);
+      this.endTimers.delete(attempt);
+      if (attempt.state === 'running') this.cloud.taskObserver?.onTaskCompleted?.(task);
       this.model.terminate(attempt, 'done');
     };
-    this.ends.set(attempt, setTimeout(finish, seconds * 1000));
+    this.endTimers.set(attempt, setTimeout(finish, seconds * 1000));
   }
 
-  private save(attempt: WorkerAttempt, seconds: number): void {
-    clearTimeout(this.ends.get(attempt));
+  private saveCheckpoint(attempt: WorkerAttempt, seconds: number): void {
+    clearTimeout(this.endTimers.get(attempt));
     const finish = (): void => {
-      this.ends.delete(attempt);
+      this.endTimers.delete(attempt);
       this.model.terminate(attempt, 'halted');
     };
-    this.ends.set(attempt, setTimeout(finish, seconds * 1000));
+    this.endTimers.set(attempt, setTimeout(finish, seconds * 1000));
   }
 
-  private async serve(request: HttpMessage): Promise<Reply> {
+  private async answerRequest(request: HttpMessage): Promise<Reply> {
     const isHeld = (): boolean =>
       this.hanging || this.deaf || (this.holdsCommands && request.target !== '/inspect');
-    while (isHeld() && !this.stopped) await new Promise((r) => setTimeout(r, 20));
-    // A machine that was released meanwhile is gone: what was held back for it is carried out nowhere. A
-    // command that was let through by the release started its task beside the next machine's.
-    if (this.stopped) return new Promise(() => undefined);
+    while (isHeld() && !this.isStopped) await new Promise((r) => setTimeout(r, 20));
+    // A machine that was released meanwhile executes none of its held commands: a start that the release let through would run
+    // its task beside the attempt on the next machine.
+    if (this.isStopped) return new Promise(() => undefined);
     if (request.target === '/inspect') return { status: 200, body: this.model.heartbeat() };
     const body = JSON.parse(request.body) as CommandBody;
-    const faults = this.fleet.messageFaults;
-    const carryOutLate = (): void => {
-      if (!this.stopped && !this.hanging) this.model.handleCommand(body);
+    const faults = this.cloud.messageFaults;
+    const executeLate = (): void => {
+      if (!this.isStopped && !this.hanging) this.model.handleCommand(body);
     };
     if (faults === null || faults.random() >= faults.delayedCommandShare) {
-      this.answered.push(body);
-      if (this.answered.length > MOST_KEPT) this.answered.shift();
-      maybeDeliverDuplicate(this.fleet.duplication, carryOutLate);
+      this.answeredCommands.push(body);
+      if (this.answeredCommands.length > MAX_KEPT_COMMANDS) this.answeredCommands.shift();
+      maybeDeliverDuplicate(this.cloud.duplication, executeLate);
       return this.model.handleCommand(body);
     }
-    setTimeout(carryOutLate, faults.delay() * 1000).unref();
+    setTimeout(executeLate, faults.delay() * 1000).unref();
     return new Promise(() => undefined);
   }
 
   /**
-   * The lease counts from when the answered heartbeat was sent and ends at its moment, also while a heartbeat is on
-   * its way: a check between two heartbeats came up to a second late, and the new leader was blamed for that.
+   * The lease lasts from the sending of the answered heartbeat. A timer ends it exactly, also while a heartbeat is in flight: a
+   * check between two heartbeats ended it up to a second late, and its tasks overlapped with those that the new leader started.
    */
-  private renewLease(sent: number): void {
+  private renewLease(sentAt: number): void {
     clearTimeout(this.leaseTimer);
-    const left = sent + this.fleet.settings.workerLease * 1000 - performance.now();
+    const remaining = sentAt + this.cloud.settings.workerLease * 1000 - performance.now();
     this.leaseTimer = setTimeout(() => {
-      this.endSession();
+      this.terminateAll();
       this.renewLease(performance.now());
-    }, left);
+    }, remaining);
   }
 
-  private endSession(): void {
-    for (const timer of this.ends.values()) clearTimeout(timer);
-    this.ends.clear();
+  private terminateAll(): void {
+    for (const timer of this.endTimers.values()) clearTimeout(timer);
+    this.endTimers.clear();
     this.model.expireLease();
   }
 
-  private async loop(): Promise<void> {
+  private async sendHeartbeats(): Promise<void> {
     const http = new HttpClient(10, 1);
-    const { heartbeatInterval: report } = this.fleet.settings;
-    while (!this.stopped) {
-      if (!this.hanging && !this.cutOff) await this.tell(http);
-      await new Promise((r) => setTimeout(r, report * 1000));
+    const { heartbeatInterval } = this.cloud.settings;
+    while (!this.isStopped) {
+      if (!this.hanging && !this.cutOff) await this.sendHeartbeat(http);
+      await new Promise((r) => setTimeout(r, heartbeatInterval * 1000));
     }
   }
 
-  private async tell(http: HttpClient): Promise<void> {
+  private async sendHeartbeat(http: HttpClient): Promise<void> {
     const nodes = [...this.nodes()];
-    const [, address] = nodes[this.node % nodes.length] ?? ['', ''];
-    const sent = performance.now();
-    const { agentEpoch: session } = this.model;
+    const [, address] = nodes[this.nodeIndex % nodes.length] ?? ['', ''];
+    const sentAt = performance.now();
+    const { agentEpoch } = this.model;
     try {
-      const report = this.model.heartbeat();
-      this.sentHeartbeats.push(JSON.stringify(report));
-      this.copyLater(http, address, report);
-      const { heartbeatInterval: reportTime } = this.fleet.settings;
-      const patience = Math.max(1, reportTime);
-      const answer = await http.call(address, 'POST', '/hello', report, patience);
+      const heartbeat = this.model.heartbeat();
+      this.sentHeartbeats.push(JSON.stringify(heartbeat));
+      this.maybeDuplicate(http, address, heartbeat);
+      const { heartbeatInterval } = this.cloud.settings;
+      const timeout = Math.max(1, heartbeatInterval);
+      const answer = await http.call(address, 'POST', '/hello', heartbeat, timeout);
       if (this.deaf) throw new Error('no answer came');
       const body = answer.body as { Baton?: number; Orders?: WorkerCommand[]; Foreman?: string };
       if (answer.status === 200 && (body.Baton ?? 0) < this.model.highestFencingToken)
@@ -263,57 +268,63 @@
         body.Baton !== undefined &&
         body.Baton >= this.model.highestFencingToken
       ) {
-        if (this.hanging || this.stopped || session !== this.model.agentEpoch) return;
-        this.renewLease(sent);
-        this.model.handleAnswer(session, body);
+        if (this.hanging || this.isStopped || agentEpoch !== this.model.agentEpoch) return;
+        this.renewLease(sentAt);
+        this.model.handleAnswer(agentEpoch, body);
         return;
       }
-      const named = nodes.findIndex(([label]) => label === body.Foreman);
-      this.node = named >= 0 ? named : this.node + 1;
+      const leaderIndex = nodes.findIndex(([label]) => label === body.Foreman);
+      this.nodeIndex = leaderIndex >= 0 ? leaderIndex : this.nodeIndex + 1;
     } catch {
-      this.node++;
+      this.nodeIndex++;
     }
   }
 
-  /** A copy of a heartbeat arrives again, perhaps at the next leader. */
-  private copyLater(http: HttpClient, address: string, report: unknown): void {
-    const faults = this.fleet.messageFaults;
+  /** May deliver a duplicate of a heartbeat later, to the same or to any other controller. */
+  private maybeDuplicate(http: HttpClient, address: string, heartbeat: unknown): void {
+    const faults = this.cloud.messageFaults;
     if (faults === null || faults.random() >= faults.duplicatedHeartbeatShare) return;
     const nodes = [...this.nodes().values()];
-    const at = faults.random() < 0.5 ? address : nodes[Math.floor(faults.random() * nodes.length)];
-    if (at === undefined) return;
+    const target =
+      faults.random() < 0.5 ? address : nodes[Math.floor(faults.random() * nodes.length)];
+    if (target === undefined) return;
     setTimeout(() => {
-      if (!this.stopped) http.call(at, 'POST', '/hello', report, 1).catch(() => undefined);
+      if (!this.isStopped) http.call(target, 'POST', '/hello', heartbeat, 1).catch(() => undefined);
     }, faults.delay() * 1000).unref();
   }
 }
 
+/** Observes the tasks of all workers. */
 export interface TaskObserver {
   onTaskStarted(task: string, machine: string): void;
-  /** It has run to its end. */
+  /** The task has completed its work; its termination on the machine is observed separately. */
   onTaskCompleted?(task: string): void;
   onTaskTerminated(task: string, machine: string): void;
 }
 
 export class CloudStandIn {
   readonly workers = new Map<string, WorkerStandIn>();
-  /** task -> machines that run it now; more than one is a broken rule. */
-  private readonly running = new Map<string, Set<string>>();
+  /** Machines that run a task at present, by task; more than one violates the protocol. */
+  private readonly machinesByTask = new Map<string, Set<string>>();
+  /** The task of each start, in order. */
   readonly startedTasks: string[] = [];
-  /** The zone of the machine, for each of them. */
+  /** Zones of the machines of these starts. */
   readonly startZones: (string | undefined)[] = [];
+  /** Tasks that were started on a machine while they ran on another one. */
   readonly concurrentStarts: string[] = [];
   readonly releasedMachines: string[] = [];
-  private next = 1;
-  private readonly asks = new Map<string, string[]>();
-  private readonly server = new HttpServer((r) => this.answer(r), options);
+  private nextMachine = 1;
+  /** Machines launched for each rental request, by request id: a repeated request gets the same ones. */
+  private readonly launchedByRequest = new Map<string, string[]>();
+  private readonly server = new HttpServer((r) => this.answer(r), SERVER_OPTIONS);
+  /** No machine is launched beyond this number. */
   capacity = Infinity;
-  /** What the network does to messages of and to all workers; null: nothing. */
+  /** Faults of messages from and to all workers; null: none. */
   messageFaults: MessageFaults | null = null;
-  /** Copies of answered commands, rentals and releases; null: there are none. */
+  /** Delivers duplicates of answered commands, rentals and releases; null: none. */
   duplication: MessageDuplication | null = null;
-  /** Requests for which this says yes are carried out, and their answers get lost. */
-  losesAnswer: ((path: string) => boolean) | null = null;
+  /** Requests, as `METHOD path`, that are executed but whose answers are lost; null: none. */
+  losesAnswer: ((request: string) => boolean) | null = null;
 
   constructor(
     readonly settings: FleetSettings,
@@ -330,32 +341,32 @@
     this.server.close();
   }
 
-  /** Told of every task that comes to a machine or leaves it. */
+  /** Observes every task that starts or terminates. */
   taskObserver: TaskObserver | null = null;
 
   recordStart(task: string, machine: string): void {
     this.taskObserver?.onTaskStarted(task, machine);
     this.startedTasks.push(task);
     this.startZones.push(this.workers.get(machine)?.zone);
-    const on = this.running.get(task) ?? new Set();
-    this.running.set(task, on);
-    if (on.size > 0 && !on.has(machine)) this.concurrentStarts.push(task);
-    on.add(machine);
+    const machines = this.machinesByTask.get(task) ?? new Set();
+    this.machinesByTask.set(task, machines);
+    if (machines.size > 0 && !machines.has(machine)) this.concurrentStarts.push(task);
+    machines.add(machine);
   }
 
   recordTermination(task: string, machine: string): void {
     this.taskObserver?.onTaskTerminated(task, machine);
-    this.running.get(task)?.delete(machine);
+    this.machinesByTask.get(task)?.delete(machine);
   }
 
-  /** The machine loses its power, and is listed no more. */
+  /** Ends the machine, and removes it from the list of rentals. */
   reclaim(worker: WorkerStandIn): void {
     worker.stop();
     this.workers.delete(worker.name);
   }
 
   async launch(type: string, zone: string, spot: boolean): Promise<string> {
-    const name = `n-${String(this.next++).padStart(6, '0')}`;
+    const name = `n-${String(this.nextMachine++).padStart(6, '0')}`;
     const worker = new WorkerStandIn(name, type, zone, spot, this.nodes, this);
     this.workers.set(name, worker);
     await worker.start();
@@ -363,15 +374,15 @@
   }
 
   private async answer(request: HttpMessage): Promise<Reply> {
-    const reply = await this.carryOut(request);
+    const reply = await this.execute(request);
     if (request.method === 'POST')
-      maybeDeliverDuplicate(this.duplication, () => this.carryOut(request));
+      maybeDeliverDuplicate(this.duplication, () => this.execute(request));
     if (this.losesAnswer?.(`${request.method} ${request.target.split('?')[0] ?? ''}`) !== true)
       return reply;
     return new Promise(() => undefined);
   }
 
-  private async carryOut(request: HttpMessage): Promise<Reply> {
+  private async execute(request: HttpMessage): Promise<Reply> {
     const path = request.target.split('?')[0];
     if (path === '/machine_types') {
       const type = {
@@ -401,21 +412,21 @@
       return { status: 200, body: { Drones: machines, More: false } };
     }
     if (path === '/rentals') {
-      const ask = JSON.parse(request.body) as {
+      const rental = JSON.parse(request.body) as {
         Ask: string;
         Flavour: string;
         Yard: string;
         Loaners: boolean;
         Number: number;
       };
-      let names = this.asks.get(ask.Ask);
+      let names = this.launchedByRequest.get(rental.Ask);
       if (names === undefined) {
         names = [];
-        for (let i = 0; i < ask.Number && this.workers.size < this.capacity; i++) {
-          names.push(await this.launch(ask.Flavour, ask.Yard, ask.Loaners));
+        for (let i = 0; i < rental.Number && this.workers.size < this.capacity; i++) {
+          names.push(await this.launch(rental.Flavour, rental.Yard, rental.Loaners));
         }
         if (names.length === 0) return { status: 503, body: { error: 'no capacity' } };
-        this.asks.set(ask.Ask, names);
+        this.launchedByRequest.set(rental.Ask, names);
       }
       return { status: 200, body: { Drones: names } };
     }
--- a/test/support/jobSpec.ts
+++ b/test/support/jobSpec.ts
@@ -27,7 +27,7 @@
   ...changes,
 });
 
-/** The stored record of a chunk of one task, whose first attempt an owner has placed on `n-1`. */
+/** The stored record of a chunk with one task, whose first attempt a leader has placed on `n-1`. */
 export const startedChunkRecord = (): ChunkRecord => ({
   spec: jobSpec({ taskCount: 1 }),
   homeShard: 'p',
@@ -41,7 +41,7 @@
   migrationCount: 0,
 });
 
-/** A job's record without chunks; one that is over has no description. */
+/** The record of a job without chunks; the record of a finished or cancelled job has no spec. */
 export function jobRecord(id: string, homeShard: string, state: JobRecord['state']): JobRecord {
   const fields = {
     homeShard,
--- a/test/support/link.ts
+++ b/test/support/link.ts
@@ -1,20 +1,20 @@
 /**
- * A connection between two processes of a soak's cluster that a fault can hold, refuse or delay, each direction by itself. Bytes
- * that are held are delivered in order once the interruption ends, also when their sender has given up; a connection that
- * was begun meanwhile and given up never comes up.
+ * A TCP proxy between two processes that injects faults: it holds the bytes of either direction, refuses connections or delays
+ * data. Held bytes are delivered in order once the fault ends, even if their sender has closed the connection meanwhile. A
+ * connection that was opened and closed during a cut is never established.
  */
 import net from 'node:net';
 import { nextLinkAddress, type LinkAddress } from './loopback.js';
 
 export interface LinkState {
-  /** Connections are closed at once, and so are those that are open. */
+  /** New and open connections are closed at once. */
   isRefusing: boolean;
   holdsForward: boolean;
   holdsBackward: boolean;
   delaySeconds: number;
 }
 
-const HEALTHY: LinkState = {
+const NO_FAULTS: LinkState = {
   isRefusing: false,
   holdsForward: false,
   holdsBackward: false,
@@ -25,7 +25,7 @@
 class Flow {
   private readonly queue: Buffer[] = [];
   private isEnded = false;
-  private isBusy = false;
+  private isWriting = false;
 
   constructor(
     private readonly to: net.Socket,
@@ -44,8 +44,8 @@
   }
 
   async drain(): Promise<void> {
-    if (this.isBusy) return;
-    this.isBusy = true;
+    if (this.isWriting) return;
+    this.isWriting = true;
     while (this.queue.length > 0 && !this.isHeld()) {
       const seconds = this.delay();
       if (seconds > 0) await new Promise((resolve) => setTimeout(resolve, seconds * 1000));
@@ -53,22 +53,22 @@
       const data = this.queue.shift();
       if (data !== undefined && !this.to.destroyed) this.to.write(data);
     }
-    this.isBusy = false;
+    this.isWriting = false;
     if (this.isEnded && this.queue.length === 0 && !this.isHeld()) this.to.end();
   }
 }
 
 interface Connection {
   client: net.Socket;
-  /** What came before the other side may be opened. */
-  early: Buffer[];
-  /** Null until it may be opened. */
-  up: { target: net.Socket; forward: Flow; backward: Flow } | null;
+  /** Data received before the connection to the target is opened. */
+  pending: Buffer[];
+  /** The connection to the target; null until a cut allows to open it. */
+  upstream: { target: net.Socket; forward: Flow; backward: Flow } | null;
 }
 
 export class Link {
-  private state = HEALTHY;
-  /** Its own for good once it has listened there. */
+  private state = NO_FAULTS;
+  /** Kept once the link has listened there, so that peers find it again. */
   private address: LinkAddress | null = null;
   private isClosed = false;
   private readonly connections = new Set<Connection>();
@@ -76,17 +76,17 @@
     this.accept(client);
   });
 
-  constructor(private readonly target: () => string) {}
+  constructor(private readonly targetAddress: () => string) {}
 
   async listen(): Promise<string> {
-    if (this.address === null) this.address = await this.listenAnywhere();
+    if (this.address === null) this.address = await this.listenAtFreeAddress();
     else await this.listenAt(this.address);
     const { host, port } = this.address;
     return `${host}:${port}`;
   }
 
-  /** Passes over ports at which another process listens for all addresses of the machine. */
-  private async listenAnywhere(): Promise<LinkAddress> {
+  /** Tries addresses until one is free: another process may listen at a port for all addresses of the machine. */
+  private async listenAtFreeAddress(): Promise<LinkAddress> {
     for (;;) {
       const address = nextLinkAddress();
       try {
@@ -108,12 +108,12 @@
     });
   }
 
-  /** No connection comes up any more; those that are up stay. */
+  /** Refuses new connections; open ones stay open. */
   refuseNew(): void {
     this.server.close();
   }
 
-  /** Connections come up again, at the same address. */
+  /** Accepts new connections again, at the same address. */
   async acceptNew(): Promise<void> {
     if (!this.server.listening && !this.isClosed) await this.listen();
   }
@@ -122,12 +122,12 @@
     this.state = { ...this.state, ...change };
     for (const connection of [...this.connections]) {
       if (this.state.isRefusing) this.drop(connection);
-      else this.goOn(connection);
+      else this.resume(connection);
     }
   }
 
   heal(): void {
-    this.set(HEALTHY);
+    this.set(NO_FAULTS);
   }
 
   close(): void {
@@ -146,15 +146,15 @@
       client.destroy();
       return;
     }
-    const connection: Connection = { client, early: [], up: null };
+    const connection: Connection = { client, pending: [], upstream: null };
     this.connections.add(connection);
     client.on('data', (data) => {
-      if (connection.up === null) connection.early.push(data);
-      else connection.up.forward.push(data);
+      if (connection.upstream === null) connection.pending.push(data);
+      else connection.upstream.forward.push(data);
     });
     const end = (): void => {
-      if (connection.up !== null) connection.up.forward.end();
-      // Begun during a cut and given up: it does not complete later.
+      if (connection.upstream !== null) connection.upstream.forward.end();
+      // Closed before a cut let it reach the target: it must not be established later.
       else this.drop(connection);
     };
     client.on('end', end);
@@ -164,13 +164,13 @@
 
   private connect(connection: Connection): void {
     const { client } = connection;
-    const [host = '', port = ''] = this.target().split(':');
+    const [host = '', port = ''] = this.targetAddress().split(':');
     const target = net.connect({ host, port: Number(port), noDelay: true, allowHalfOpen: true });
     const delay = (): number => this.state.delaySeconds;
     const forward = new Flow(target, () => this.state.holdsForward, delay);
     const backward = new Flow(client, () => this.state.holdsBackward, delay);
-    connection.up = { target, forward, backward };
-    for (const data of connection.early.splice(0)) forward.push(data);
+    connection.upstream = { target, forward, backward };
+    for (const data of connection.pending.splice(0)) forward.push(data);
     target.on('data', (data) => {
       backward.push(data);
     });
@@ -184,15 +184,15 @@
     });
   }
 
-  private goOn(connection: Connection): void {
-    if (connection.up === null && !this.isCut) this.connect(connection);
-    void connection.up?.forward.drain();
-    void connection.up?.backward.drain();
+  private resume(connection: Connection): void {
+    if (connection.upstream === null && !this.isCut) this.connect(connection);
+    void connection.upstream?.forward.drain();
+    void connection.upstream?.backward.drain();
   }
 
   private drop(connection: Connection): void {
     this.connections.delete(connection);
     connection.client.destroy();
-    connection.up?.target.destroy();
+    connection.upstream?.target.destroy();
   }
 }
--- a/test/support/loopback.ts
+++ b/test/support/loopback.ts
@@ -1,27 +1,27 @@
-/** Addresses on loopback that belong to this process alone, so that no other process can take them while they are closed. */
+/** Loopback addresses that only this process uses, so that no other process can take a port while its listener is closed. */
 
-/** The last part of the address at which this process's links listen; its controllers have lower ones. */
-const LINKS = 254;
+/** Last byte of the address at which this process's links listen; its controllers have lower ones. */
+const LINK_HOST = 254;
 
 const FIRST_LINK_PORT = 1024;
 const LAST_LINK_PORT = 65_535;
 let nextLinkPort = FIRST_LINK_PORT;
 
-/** 127.B.C.`last`, apart from 127.0.x.y, where B and C follow from the process's id. */
-export function processLoopbackAddress(last: number): string {
-  const process16 = process.pid % 0xffff;
-  const [second, third] = [process16 >> 8, process16 & 0xff];
-  return `127.${1 + (second % 250)}.${third}.${last}`;
+/** The address 127.B.C.`lastByte`, where B and C are derived from the process id; never within 127.0.x.y. */
+export function processLoopbackAddress(lastByte: number): string {
+  const shortId = process.pid % 0xffff;
+  const [highByte, lowByte] = [shortId >> 8, shortId & 0xff];
+  return `127.${1 + (highByte % 250)}.${lowByte}.${lastByte}`;
 }
 
-/** Where a link listens. */
+/** The address at which a link listens. */
 export interface LinkAddress {
   host: string;
   port: number;
 }
 
-/** An address for a link; each is given once, so that no link takes that of another which is closed for a while. */
+/** A new address for a link. Each is given once: a link may close its listener for a while and open it again. */
 export function nextLinkAddress(): LinkAddress {
-  if (nextLinkPort > LAST_LINK_PORT) throw new Error('no port is left for a link');
-  return { host: processLoopbackAddress(LINKS), port: nextLinkPort++ };
+  if (nextLinkPort > LAST_LINK_PORT) throw new Error('all ports for links are in use');
+  return { host: processLoopbackAddress(LINK_HOST), port: nextLinkPort++ };
 }
--- a/test/support/memoryStore.ts
+++ b/test/support/memoryStore.ts
@@ -1,4 +1,4 @@
-/** The state service in memory, for tests of what writes to it: conditions hold, answers can get lost. */
+/** An in-memory state client: it checks the conditions of transactions, and can refuse them or withhold their answers. */
 import type { Transaction, KeyValue } from '../../src/protocol/stateProtocol.js';
 import type { RecordFormat } from '../../src/storage/recordFormat.js';
 import type { TransactionResult } from '../../src/storage/stateClient.js';
@@ -6,20 +6,21 @@
 export class MemoryStore {
   readonly rows = new Map<string, KeyValue>();
   revision = 0;
+  /** Counts changes of keys. */
   changeCount = 0;
-  /** The next transaction gets no answer and is kept back; `late` applies it. */
+  /** Whether the outcome of the next transaction stays unknown; `applyWithheld` applies it later. */
   withholdNext = false;
-  /** So many transactions are refused. */
+  /** Number of transactions to refuse from now on. */
   refuseNext = 0;
-  private kept: Transaction | null = null;
-  /** Transactions that were applied and answered, in their order. */
+  private withheld: Transaction | null = null;
+  /** Transactions that were applied and answered, in order. */
   private readonly answered: Transaction[] = [];
   readonly writeRate = 1000;
-  /** What is asked for of the changes, as a ratio to them. */
+  /** Demand for writes as a ratio of the rate limit. */
   writeLoad = 0;
-  /** False in an outage: its last answer was a refusal. */
+  /** False in an outage: the last request was refused. */
   isHealthy = true;
-  /** Bytes of a value and of a transaction, beyond which one is malformed. */
+  /** Largest value and transaction in bytes; larger ones are malformed. */
   limits = { value: 16 * 1024, txn: 64 * 1024 };
 
   writeDelay(): number {
@@ -27,15 +28,16 @@
   }
 
   chargeWrites(): void {
-    // Changes are not limited here.
+    // Writes are not rate-limited here.
   }
 
   operations(key: string, value: unknown): number {
-    const rowsOf = (any: unknown): number => this.recordFormat?.operations(key, any) ?? 1;
+    const operationsOf = (stored: unknown): number =>
+      this.recordFormat?.operations(key, stored) ?? 1;
     const before = this.rows.get(key);
     return Math.max(
-      before === undefined ? 1 : rowsOf(before.value),
-      value === null ? 1 : rowsOf(value),
+      before === undefined ? 1 : operationsOf(before.value),
+      value === null ? 1 : operationsOf(value),
     );
   }
 
@@ -55,7 +57,7 @@
     }
     if (this.withholdNext) {
       this.withholdNext = false;
-      this.kept = copy;
+      this.withheld = copy;
       return Promise.resolve({ kind: 'unknown' });
     }
     const result = this.apply(copy);
@@ -63,33 +65,36 @@
     return Promise.resolve(result);
   }
 
-  /** A copy of each answered transaction arrives once more; what becomes of each. */
+  /** Applies a duplicate of each answered transaction; returns the outcomes. */
   applyDuplicates(): TransactionResult['kind'][] {
     return this.answered.splice(0).map((transaction) => this.apply(transaction).kind);
   }
 
   get hasWithheld(): boolean {
-    return this.kept !== null;
+    return this.withheld !== null;
   }
 
+  /** Applies the withheld transaction. */
   applyWithheld(): TransactionResult {
-    if (this.kept === null) throw new Error('nothing was kept back');
-    return this.apply(this.kept);
+    if (this.withheld === null) throw new Error('no transaction was withheld');
+    return this.apply(this.withheld);
   }
 
-  /** How values are laid out, where their sizes there matter. */
+  /** The record format that determines operations and sizes; null: one operation a key, with the value as it is. */
   recordFormat: RecordFormat | null = null;
-  /** Most operations of a transaction. */
+  /** Largest number of operations in a transaction. */
   txnOps = Infinity;
 
   private apply(txn: Transaction): TransactionResult {
-    const { recordFormat: layout } = this;
+    const { recordFormat } = this;
     const puts =
-      layout === null ? txn.puts : txn.puts.flatMap((p) => layout.encodePuts(p.key, p.value));
+      recordFormat === null
+        ? txn.puts
+        : txn.puts.flatMap((put) => recordFormat.encodePuts(put.key, put.value));
     if (puts.length + txn.deletes.length > this.txnOps) return { kind: 'malformed' };
     const sizes = puts.map((put) => JSON.stringify(put.value).length);
-    const all = sizes.reduce((a, b) => a + b, 0);
-    if (all > this.limits.txn || sizes.some((size) => size > this.limits.value)) {
+    const totalSize = sizes.reduce((a, b) => a + b, 0);
+    if (totalSize > this.limits.txn || sizes.some((size) => size > this.limits.value)) {
       return { kind: 'malformed' };
     }
     const failed = txn.conditions.filter(
--- a/test/support/messageDuplication.ts
+++ b/test/support/messageDuplication.ts
@@ -1,19 +1,19 @@
-/** Messages that were carried out and answered, and of which the network delivers a copy once more, perhaps after a restart of their sender. */
+/** Duplicates of executed and answered messages that the network delivers later, possibly after a restart of the sender. */
 
-/** Which messages are copied, and how late their copies are. */
+/** How often messages are duplicated, and how late the duplicates are delivered. */
 export interface MessageDuplication {
-  /** Of the answered messages, those of which a copy comes. */
+  /** Share of the answered messages that are duplicated. */
   readonly share: number;
-  /** Seconds until a copy comes. */
+  /** Draws the seconds until a duplicate is delivered. */
   readonly delay: () => number;
   readonly random: () => number;
 }
 
-/** Has a copy of a message delivered later, where it is drawn. */
+/** Draws whether a message is duplicated, and schedules the delivery of the duplicate. */
 export function maybeDeliverDuplicate(
-  copies: MessageDuplication | null,
+  duplication: MessageDuplication | null,
   deliver: () => unknown,
 ): void {
-  if (copies === null || copies.random() >= copies.share) return;
-  setTimeout(deliver, copies.delay() * 1000).unref();
+  if (duplication === null || duplication.random() >= duplication.share) return;
+  setTimeout(deliver, duplication.delay() * 1000).unref();
 }
--- a/test/support/messages.ts
+++ b/test/support/messages.ts
@@ -1,4 +1,4 @@
-/** One message of each kind that controllers send, in each form that matters to its encoding. */
+/** Sample messages between controllers: each kind in each form that is encoded differently. */
 import type { PeerAnswer, PeerRequest } from '../../src/protocol/peerMessages.js';
 
 export const productionRequests: PeerRequest[] = [
--- a/test/support/recordFormat.ts
+++ b/test/support/recordFormat.ts
@@ -1,6 +1,6 @@
 import { RecordFormat } from '../../src/storage/recordFormat.js';
 
-/** A layout of records for these limits of the state service; compact once every node has the present version. */
+/** A record format for these limits of the state service; compact records are written once every node can read them. */
 export function recordFormatFor(
   valueBytes = 16 * 1024,
   txnOps = 16,
--- a/test/support/rolloutCluster.ts
+++ b/test/support/rolloutCluster.ts
@@ -1,4 +1,4 @@
-/** Three whole controllers with state limits so small that large jobs do not fit one record, and steady users. */
+/** Three controllers with users who submit jobs all the time; future limits so small that large jobs do not fit one record. */
 import type { RolloutStatus } from '@barrowlb/rollout';
 import { seededRandom } from '../../src/base/random.js';
 import { rolloutPath } from '../../src/protocol/routes.js';
@@ -10,7 +10,7 @@
 export const FEATURES = ['rollout', 'compressed-records'];
 export const LABELS = Array.from({ length: NODE_COUNT }, (_, index) => `drone-${index}`);
 
-/** A job's list of types makes its description larger than one record. */
+/** Fields of a job whose list of machine types makes its description larger than one record. */
 export const LARGE_JOB = {
   Flavours: ['m8', ...Array.from({ length: 150 }, (_, i) => `type-${i}-unknown`)],
 };
@@ -22,19 +22,19 @@
   private readonly userSessions: Promise<void>[] = [];
   private isSubmitting = true;
   private readonly random = seededRandom(5);
-  private submitted = 0;
+  private submittedCount = 0;
 
-  constructor(first: Build = currentBuild, options: Partial<ClusterOptions> = {}) {
-    const lengths = seededRandom(6);
+  constructor(build: Build = currentBuild, options: Partial<ClusterOptions> = {}) {
+    const taskRandom = seededRandom(6);
     this.cluster = new Cluster({
       nodes: NODE_COUNT,
       teams: TEAM_SETTINGS,
       workerLease: 6,
-      taskRunSeconds: () => 0.2 + lengths(),
+      taskRunSeconds: () => 0.2 + taskRandom(),
       nextStateLimits: `value_kb = ${(LIMITS.valueBytes / 1024).toFixed(1)}\ntxn_ops = ${LIMITS.txnOps}`,
       ...options,
     });
-    for (const label of LABELS) this.cluster.builds.set(label, first);
+    for (const label of LABELS) this.cluster.builds.set(label, build);
     this.users = new TrialUsers(this.cluster, this.random, { extraFields: () => LARGE_JOB });
     this.cluster.cloud.taskObserver = this.users.history;
   }
@@ -44,16 +44,16 @@
     await until('all lead their shards', () => LABELS.every((label) => this.leadsItsShard(label)));
   }
 
-  /** Users come until `finish`. */
+  /** Submits jobs until `finishJobs` or `close` is called. */
   async submitJobs(): Promise<void> {
     while (this.isSubmitting) {
-      const id = `wk-${String(500_000 + this.submitted++)}`;
+      const id = `wk-${String(500_000 + this.submittedCount++)}`;
       this.userSessions.push(this.users.runUser(id));
       await pause(0.15 + this.random() * 0.2);
     }
   }
 
-  /** Ends the submissions; resolves when all jobs are over. */
+  /** Stops the submissions, and waits until all jobs have finished or are cancelled. */
   async finishJobs(): Promise<void> {
     this.isSubmitting = false;
     await until('all jobs are over', () => this.users.unfinished.length === 0, 30);
@@ -66,7 +66,7 @@
     await Promise.allSettled(this.userSessions);
   }
 
-  /** Drains a node, ends it, and starts another build in its place. */
+  /** Drains a node, stops it, and starts another build in its place. */
   async replace(label: string, build: Build): Promise<void> {
     await this.drain(label);
     await this.restart(label, build);
@@ -96,7 +96,7 @@
     return body as RolloutStatus;
   }
 
-  /** The level is reached, and no record in another form is left. */
+  /** Waits until the level is reached and no record is left in another form. */
   async waitForLevel(level: number, label = 'drone-0', seconds = 30): Promise<void> {
     await until(
       `level ${level} is verified`,
@@ -112,7 +112,7 @@
     );
   }
 
-  /** Records that the store holds in each form. */
+  /** Counts stored records by form. */
   get recordCounts(): { fragments: number; compressed: number; hasBarrier: boolean } {
     const rows = [...this.cluster.state.rows.entries()];
     const isCompressed = (value: unknown): boolean => (value as { v?: number } | null)?.v === 3;
--- a/test/support/settings.ts
+++ b/test/support/settings.ts
@@ -1,4 +1,4 @@
-/** A settings file of one controller, as the platform hands it over, with a field that nobody knows. */
+/** A settings file of one controller in the platform's form, with an unknown field. */
 export const settingsText = (peers = ''): string => `
 label = "drone-0"
 site = "a"
--- a/test/support/shardFixture.ts
+++ b/test/support/shardFixture.ts
@@ -1,4 +1,4 @@
-/** A part on a clock of its own, with one type of machine, and reports made by hand. */
+/** A shard on a simulated clock, with one machine type and heartbeats that tests compose. */
 import { dueCommands } from '../../src/coordination/model/dueCommands.js';
 import { seededRandom } from '../../src/base/random.js';
 import { Chunk } from '../../src/coordination/model/chunk.js';
@@ -12,7 +12,7 @@
 import { m8 } from './emptyShard.js';
 import { jobSpec } from './jobSpec.js';
 
-/** The token of the part's owner. */
+/** The fencing token of the shard's leader. */
 export const FENCING_TOKEN = 5;
 
 export class ShardFixture {
@@ -42,10 +42,11 @@
     );
   }
 
-  addMachine(name = 'n-1', report = true): Machine {
+  /** Adds a machine, and by default applies an empty heartbeat of it. */
+  addMachine(name = 'n-1', hasHeartbeat = true): Machine {
     const record = { shard: 'p', type: 'm8', zone: 'a', spot: false, launchedAt: 0 };
     const machine = this.shard.addMachine(name, record, this.now);
-    if (report) this.applyHeartbeat(machine, []);
+    if (hasHeartbeat) this.applyHeartbeat(machine, []);
     return machine;
   }
 
@@ -55,21 +56,22 @@
     return machine;
   }
 
+  /** Applies a heartbeat with these attempts; false: the shard took it for stale. */
   applyHeartbeat(
     machine: Machine,
-    tasks: Partial<ReportedAttempt>[],
+    attempts: Partial<ReportedAttempt>[],
     changes: Partial<Heartbeat> = {},
-    from: HeartbeatOrigin = 'follow-up',
+    origin: HeartbeatOrigin = 'follow-up',
   ): boolean {
-    const full = tasks.map((t) => ({
+    const reportedAttempts = attempts.map((attempt) => ({
       task: 'wk-1/0',
       attemptNumber: 1,
       state: 'running' as const,
       cause: null,
       hasCheckpoint: false,
-      ...t,
+      ...attempt,
     }));
-    const report: Heartbeat = {
+    const heartbeat: Heartbeat = {
       machine: machine.name,
       address: '127.0.0.1:1',
       type: 'm8',
@@ -79,20 +81,20 @@
       heartbeatSequence: ++this.heartbeatSequence,
       highestFencingToken: FENCING_TOKEN,
       preemptionWarning: null,
-      attempts: full,
+      attempts: reportedAttempts,
       ...changes,
     };
-    return this.shard.heartbeats.apply(machine, report, this.now, from) !== 'stale';
+    return this.shard.heartbeats.apply(machine, heartbeat, this.now, origin) !== 'stale';
   }
 
   addChunk(changes: Partial<JobSpec> = {}): Chunk {
-    const s = jobSpec({ taskCount: 1, ...changes });
-    const chunk = new Chunk(s, 0, 'p', this.now, 0, s.taskCount, null, this.now);
+    const spec = jobSpec({ taskCount: 1, ...changes });
+    const chunk = new Chunk(spec, 0, 'p', this.now, 0, spec.taskCount, null, this.now);
     this.shard.acceptNewChunk(chunk, this.now);
     return chunk;
   }
 
-  /** A chunk whose task is placed, stored and reported as running on this machine, the only one. */
+  /** A chunk whose single task is placed, stored and reported as running on this machine, which must be the only one. */
   createRunningChunk(machine: Machine, changes: Partial<JobSpec> = {}): Chunk {
     const chunk = this.addChunk(changes);
     this.runSchedulingRound();
@@ -101,7 +103,7 @@
     return chunk;
   }
 
-  /** Two questions to it have got no answer. */
+  /** Records that two probes of the machine got no answer. */
   missTwoProbes(machine: Machine): void {
     machine.reachability.missedProbes = 2;
     machine.reachability.firstMissedProbeAt = this.now;
@@ -111,12 +113,14 @@
     this.shard.scheduler.runRound(this.now, () => false);
   }
 
-  /** As if every change had been stored. */
+  /** Marks all changes of these chunks as stored. */
   markStored(...chunks: Chunk[]): void {
     for (const chunk of chunks) chunk.storedVersion = chunk.version;
   }
 
   dueCommandNames(machine: Machine): string[] {
-    return dueCommands(machine, this.now, 4).map((o) => `${o.verb} ${o.task} ${o.attemptNumber}`);
+    return dueCommands(machine, this.now, 4).map(
+      (command) => `${command.verb} ${command.task} ${command.attemptNumber}`,
+    );
   }
 }
--- a/test/support/state.ts
+++ b/test/support/state.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the state service: as much of PROTOCOL as the tests use. */
+/** A stand-in for the state service: the part of PROTOCOL that the tests use. */
 import { HttpServer, type Reply } from '../../src/transport/httpServer.js';
 import type { HttpMessage } from '../../src/transport/httpParser.js';
 import { maybeDeliverDuplicate, type MessageDuplication } from './messageDuplication.js';
@@ -6,55 +6,58 @@
 interface Row {
   value: unknown;
   revision: number;
-  hold: number | null;
+  /** The lease at whose end the row is removed; null: none. */
+  leaseId: number | null;
 }
+/** A change, as watches deliver it. */
 interface Event {
   key: string;
   value: unknown;
   revision: number;
-  removed: boolean;
+  isRemoved: boolean;
 }
-/** The body of a transaction. */
+/** The body of a transaction, in its wire form. */
 export interface TransactionBody {
   When?: { K: string; Stamp: number }[];
   Then?: { Put?: string; Remove?: string; Value?: unknown; Hold?: number }[];
 }
 
-const never = new Promise<Reply>(() => undefined);
+const NO_ANSWER = new Promise<Reply>(() => undefined);
 
 export class StateStandIn {
   revision = 1;
   readonly rows = new Map<string, Row>();
   private readonly log: Event[] = [];
-  private readonly holds = new Map<number, { ttl: number; ends: number }>();
-  private nextHold = 1;
+  /** Leases by id, with times in milliseconds. */
+  private readonly leases = new Map<number, { ttl: number; expiresAt: number }>();
+  private nextLeaseId = 1;
+  /** Callbacks that wake waiting watches. */
   private waiters: (() => void)[] = [];
   private readonly servers: HttpServer[] = [];
-  /** Clients that get 503; '*' means everybody. */
+  /** Clients whose requests get 503; `*` stands for all. */
   readonly refusedClients = new Set<string>();
-  /** Transactions for which this says yes are kept back and get no answer. */
+  /** Selects transactions that are not applied and get no answer; null: none. */
   withholds: ((body: TransactionBody) => boolean) | null = null;
+  /** The selected transactions; tests may apply them later. */
   readonly withheldTransactions: TransactionBody[] = [];
-  /** Copies of answered transactions and lease calls; null: there are none. */
+  /** Delivers duplicates of answered transactions and lease calls; null: none. */
   duplication: MessageDuplication | null = null;
-  /** Seconds that answers to a client take; `*` means everybody. */
+  /** Seconds before a request of a client is handled, other than its watches; `*` stands for all. */
   readonly answerDelays = new Map<string, number>();
-  /**
-   * Waited for between the moment at which an answer is worked out and that at which it leaves: until then others may
-   * change what it tells. Null: answers leave at once.
-   */
+  /** Awaited before a computed answer is sent: the answer may be outdated by then. Null: answers are sent at once. */
   beforeAnswer: ((client: string, request: HttpMessage) => Promise<void>) | null = null;
-  /** Clients whose watches are told of nothing. */
+  /** Clients whose watches deliver nothing. */
   readonly stalledWatchClients = new Set<string>();
+  /** Counts changes of keys. */
   writeCount = 0;
-  /** Beyond these a transaction is malformed; they may fall while it serves. */
+  /** Transactions beyond these limits are malformed; tests may lower them at any time. */
   limits = { valueBytes: Infinity, txnOps: Infinity };
-  /** Transactions beyond the limits. */
+  /** Counts transactions beyond the limits. */
   malformedCount = 0;
-  /** Keys that were read one by one. */
+  /** Keys of single reads, in order. */
   readonly readKeys: string[] = [];
 
-  /** One listener for each client, so that a single one can be refused. */
+  /** Opens a listener for one client, so that requests can be told apart by client. */
   async listenFor(client: string): Promise<string> {
     const server = new HttpServer((request) => this.answer(client, request), {
       bodyLimit: 1 << 20,
@@ -72,19 +75,21 @@
     this.wake();
   }
 
-  private expire(): void {
+  /** Ends expired leases. In an outage that affects all clients, leases do not expire. */
+  private endExpiredLeases(): void {
     const now = performance.now();
     if (this.refusedClients.has('*')) {
-      for (const hold of this.holds.values()) hold.ends = now + hold.ttl;
+      for (const lease of this.leases.values()) lease.expiresAt = now + lease.ttl;
       return;
     }
-    for (const [id, hold] of [...this.holds]) if (hold.ends < now) this.endLease(id);
+    for (const [id, lease] of [...this.leases]) if (lease.expiresAt < now) this.endLease(id);
   }
 
+  /** Ends a lease, and removes the rows that are bound to it. */
   endLease(id: number): void {
-    this.holds.delete(id);
+    this.leases.delete(id);
     for (const [key, row] of [...this.rows]) {
-      if (row.hold === id) this.change(key, null, null, ++this.revision, true);
+      if (row.leaseId === id) this.change(key, null, null, ++this.revision, true);
     }
     this.wake();
   }
@@ -92,14 +97,14 @@
   private change(
     key: string,
     value: unknown,
-    hold: number | null,
+    leaseId: number | null,
     revision: number,
-    removed: boolean,
+    isRemoved: boolean,
   ): void {
     this.writeCount++;
-    if (removed) this.rows.delete(key);
-    else this.rows.set(key, { value, revision, hold });
-    this.log.push({ key, value, revision, removed });
+    if (isRemoved) this.rows.delete(key);
+    else this.rows.set(key, { value, revision, leaseId });
+    this.log.push({ key, value, revision, isRemoved });
   }
 
   private wake(): void {
@@ -108,9 +113,9 @@
     for (const waiter of waiters) waiter();
   }
 
-  /** Applies a transaction as the service would, also one that was kept back. */
+  /** Applies a transaction, such as a withheld one. */
   apply(body: TransactionBody): Reply {
-    this.expire();
+    this.endExpiredLeases();
     if (this.isBeyondLimits(body)) {
       this.malformedCount++;
       return { status: 400, body: { error: 'too large' } };
@@ -120,7 +125,7 @@
       .map((c) => c.K);
     if (failed.length > 0) return { status: 409, body: { failed, Epoch: this.revision } };
     for (const op of body.Then ?? []) {
-      if (op.Hold !== undefined && !this.holds.has(op.Hold)) {
+      if (op.Hold !== undefined && !this.leases.has(op.Hold)) {
         return { status: 400, body: { error: 'no such lease' } };
       }
     }
@@ -143,24 +148,24 @@
   }
 
   private async answer(client: string, request: HttpMessage): Promise<Reply> {
-    const reply = await this.carryOut(client, request);
+    const reply = await this.execute(client, request);
     await this.beforeAnswer?.(client, request);
     return reply;
   }
 
-  private async carryOut(client: string, request: HttpMessage): Promise<Reply> {
+  private async execute(client: string, request: HttpMessage): Promise<Reply> {
     const url = new URL(request.target, 'http://state');
     if (url.pathname === '/changes') return this.watch(client, url);
-    const slow = Math.max(this.answerDelays.get(client) ?? 0, this.answerDelays.get('*') ?? 0);
-    if (slow > 0) await new Promise((resolve) => setTimeout(resolve, slow * 1000));
+    const delay = Math.max(this.answerDelays.get(client) ?? 0, this.answerDelays.get('*') ?? 0);
+    if (delay > 0) await new Promise((resolve) => setTimeout(resolve, delay * 1000));
     if (this.refusedClients.has(client) || this.refusedClients.has('*'))
       return { status: 503, body: {} };
-    this.expire();
+    this.endExpiredLeases();
     if (url.pathname === '/multi') {
       const body = JSON.parse(request.body) as TransactionBody;
       if (this.withholds?.(body) === true) {
         this.withheldTransactions.push(body);
-        return never;
+        return NO_ANSWER;
       }
       maybeDeliverDuplicate(this.duplication, () => this.apply(body));
       return this.apply(body);
@@ -184,23 +189,23 @@
   }
 
   private grant(ttl: number): Reply {
-    const id = this.nextHold++;
-    this.holds.set(id, { ttl, ends: performance.now() + ttl });
-    this.expireAfter(ttl);
+    const id = this.nextLeaseId++;
+    this.leases.set(id, { ttl, expiresAt: performance.now() + ttl });
+    this.scheduleExpiry(ttl);
     return { status: 200, body: { Hold: id } };
   }
 
   private extend(id: number): Reply {
-    const hold = this.holds.get(id);
-    if (hold === undefined) return { status: 404, body: {} };
-    hold.ends = performance.now() + hold.ttl;
-    this.expireAfter(hold.ttl);
+    const lease = this.leases.get(id);
+    if (lease === undefined) return { status: 404, body: {} };
+    lease.expiresAt = performance.now() + lease.ttl;
+    this.scheduleExpiry(lease.ttl);
     return { status: 200, body: {} };
   }
 
-  private expireAfter(ttl: number): void {
+  private scheduleExpiry(ttl: number): void {
     setTimeout(() => {
-      this.expire();
+      this.endExpiredLeases();
     }, ttl + 20).unref();
   }
 
@@ -208,26 +213,26 @@
     const prefix = url.searchParams.get('Under') ?? '';
     const after = url.searchParams.get('From') ?? '';
     const page = Number(url.searchParams.get('Page'));
-    const names = [...this.rows.keys()].filter((k) => k.startsWith(prefix) && k > after).sort();
-    const rows = names.slice(0, page).map((k) => {
+    const keys = [...this.rows.keys()].filter((k) => k.startsWith(prefix) && k > after).sort();
+    const rows = keys.slice(0, page).map((k) => {
       const row = this.rows.get(k);
       return { K: k, Value: row?.value, Stamp: row?.revision };
     });
-    return { status: 200, body: { Rows: rows, More: names.length > page, Epoch: this.revision } };
+    return { status: 200, body: { Rows: rows, More: keys.length > page, Epoch: this.revision } };
   }
 
   private async watch(client: string, url: URL): Promise<Reply> {
     const prefix = url.searchParams.get('Under') ?? '';
     const from = Number(url.searchParams.get('From'));
-    const ends = performance.now() + Number(url.searchParams.get('HoldMs'));
+    const deadline = performance.now() + Number(url.searchParams.get('HoldMs'));
     for (;;) {
-      const refused = this.refusedClients.has(client) || this.refusedClients.has('*');
+      const isRefused = this.refusedClients.has(client) || this.refusedClients.has('*');
       const events = this.log.filter((e) => e.revision > from && e.key.startsWith(prefix));
-      const left = ends - performance.now();
-      const isTold = !refused && !this.stalledWatchClients.has(client);
-      if (isTold && (events.length > 0 || left <= 0)) {
+      const remaining = deadline - performance.now();
+      const isServed = !isRefused && !this.stalledWatchClients.has(client);
+      if (isServed && (events.length > 0 || remaining <= 0)) {
         const changes = events.map((e) =>
-          e.removed
+          e.isRemoved
             ? { Remove: e.key, Stamp: e.revision }
             : { Put: e.key, Value: e.value, Stamp: e.revision },
         );
@@ -235,7 +240,7 @@
       }
       await new Promise<void>((resolve) => {
         this.waiters.push(resolve);
-        setTimeout(resolve, Math.max(20, Math.min(100, left))).unref();
+        setTimeout(resolve, Math.max(20, Math.min(100, remaining))).unref();
       });
     }
   }
--- a/test/support/storedServices.ts
+++ b/test/support/storedServices.ts
@@ -1,19 +1,19 @@
-/** Services that are stored without having been submitted, so that a test says where their chunks are. */
+/** Stores records of services directly, so that a test determines the shards of their chunks. */
 import assert from 'node:assert/strict';
 import { toPlainBucket, toPlainJob } from '../../src/storage/plainRecords.js';
 import { keys, type ChunkRecord, type JobRecord } from '../../src/storage/records.js';
 import { until, type Cluster } from './cluster.js';
 import type { JobSpec } from '../../src/protocol/job.js';
-import { jobSpec as jobSpec } from './jobSpec.js';
+import { jobSpec } from './jobSpec.js';
 import { jobStatus } from './users.js';
 
 const CHUNK_TASKS = 8;
 
-/** Tasks of the job that are on machines. */
+/** Tasks of the job that run on machines. */
 export const runningTasks = (cluster: Cluster, job: string): string[] =>
   [...cluster.cloud.workers.values()].flatMap((w) => w.tasks).filter((t) => t.startsWith(job));
 
-/** An open service as its home stores it, of which some chunks have been created. */
+/** The record of an open service with some of its chunks created. */
 const openService = (
   spec: JobSpec,
   fields: Pick<JobRecord, 'homeShard' | 'createdChunks' | 'migratedChunks'>,
@@ -22,7 +22,7 @@
   ...{ chunkSize: CHUNK_TASKS, zones: [], doneChunks: [], ...fields },
 });
 
-/** Stores records; the home of the job restarts, so that it loads them. */
+/** Stores records, and restarts the leader of the job's home shard so that it loads them. */
 async function storeAndReload(
   cluster: Cluster,
   home: string,
@@ -33,7 +33,7 @@
   await cluster.boot(home);
 }
 
-/** A service of two replicas, at home at drone-1, that runs on machines of drone-0's shard. */
+/** Stores a service of two replicas whose home shard is drone-1 and which runs on machines of drone-0's shard. */
 export async function storeMigratedService(cluster: Cluster, id: string): Promise<void> {
   const spec = jobSpec({ id, taskCount: 2, isService: true, rank: 'prod', cpus: 2, memoryGb: 4 });
   const homeShard = 'drone-1';
@@ -54,7 +54,7 @@
   );
 }
 
-/** A service at home at drone-0 whose chunks are created one after the other; the first is. */
+/** Stores a service whose home shard is drone-0, with the first of its chunks created; the others follow one by one. */
 export async function storeServiceInManyChunks(cluster: Cluster, id: string): Promise<void> {
   const taskCount = CHUNK_TASKS * 8;
   const spec = jobSpec({ id, taskCount, isService: true, rank: 'prod', cpus: 0.1, memoryGb: 0.1 });
--- a/test/support/users.ts
+++ b/test/support/users.ts
@@ -1,7 +1,9 @@
+/** Users of a test cluster: requests, and the conditions that tests wait for. */
 import assert from 'node:assert/strict';
 import type { Response } from '../../src/transport/httpClient.js';
 import { Cluster, until, type ClusterOptions } from './cluster.js';
 
+/** The fields of an answer about a job that tests read. */
 export interface JobAnswer {
   Status: string;
   done: number;
@@ -9,6 +11,7 @@
   Reason?: string;
 }
 
+/** Runs a test body on a cluster that is ready; fails if a task ran on two machines at once. */
 export async function withCluster(
   options: ClusterOptions,
   body: (cluster: Cluster) => Promise<void>,
@@ -46,6 +49,7 @@
     return answer.status === 201 || answer.status === 200;
   });
 
+/** Changes that make a submission a service with two replicas. */
 export const serviceFields = {
   Shape: 'daemon',
   Rank: 'prod',
@@ -54,10 +58,7 @@
   ExpectS: 0,
 };
 
-/**
- * The first answer that is no 503: on a busy machine a lease may lapse for a moment, and users are told to
- * come back.
- */
+/** Repeats a request until its answer is not 503: on a busy machine, a lease may expire briefly and users have to retry. */
 export async function callUntilServed(
   cluster: Cluster,
   label: string,
@@ -74,17 +75,17 @@
   return answer;
 }
 
-/** Watches how many processors are in use at once, with tasks of two; the answer stops it and gives the most. */
+/** Samples the CPUs in use by tasks of two CPUs each; the returned function stops sampling and returns the maximum. */
 export function trackPeakCpus(cluster: Cluster): () => number {
-  let most = 0;
-  const watch = setInterval(() => {
+  let peak = 0;
+  const sampler = setInterval(() => {
     let cpus = 0;
     for (const worker of cluster.cloud.workers.values()) cpus += worker.tasks.length * 2;
-    most = Math.max(most, cpus);
+    peak = Math.max(peak, cpus);
   }, 5);
   return () => {
-    clearInterval(watch);
-    return most;
+    clearInterval(sampler);
+    return peak;
   };
 }
 
@@ -93,7 +94,7 @@
   token: number;
 }
 
-/** Waits until the shard of a node has another leader. */
+/** Waits until another node leads the shard of this one; returns the new leader. */
 export async function waitForTakeover(cluster: Cluster, label: string): Promise<StoredLeader> {
   const leader = (): StoredLeader | undefined =>
     cluster.state.rows.get(`b/own/${label}`)?.value as StoredLeader | undefined;
--- a/test/support/workerModel.ts
+++ b/test/support/workerModel.ts
@@ -1,8 +1,9 @@
 /**
- * A worker as PROTOCOL describes it, without sockets or timers: tokens, sessions, attempts that stay in its reports until
- * they are reaped, and starts that are refused. Whoever drives it says when its tasks end and when its lease is over.
+ * A worker as PROTOCOL describes it, without sockets or timers: fencing tokens, agent epochs, terminated attempts that stay in
+ * its heartbeats until they are reaped, and refused starts. Its caller decides when tasks terminate and when the lease expires.
  */
 
+/** A command in its wire form. */
 export interface WorkerCommand {
   Verb: 'start' | 'halt' | 'reap';
   Piece: string;
@@ -10,6 +11,7 @@
   WindDownS?: number;
 }
 
+/** An attempt that the worker reports. */
 export interface WorkerAttempt {
   readonly task: string;
   readonly attemptNumber: number;
@@ -17,12 +19,12 @@
   cause: string | null;
 }
 
-/** What happens to tasks on the machine. */
+/** Observes the attempts on the machine. */
 export interface WorkerObserver {
   onStarted(attempt: WorkerAttempt): void;
-  /** Seconds that it takes to save its checkpoint; 0: it saves none. */
+  /** Seconds that the attempt takes to save its checkpoint; 0: it saves none. */
   checkpointSeconds?(attempt: WorkerAttempt): number;
-  /** It saves its checkpoint and exits after that. */
+  /** The attempt saves its checkpoint, and exits once that is done. */
   onCheckpoint?(attempt: WorkerAttempt, seconds: number): void;
   onTerminated(attempt: WorkerAttempt): void;
 }
@@ -35,9 +37,10 @@
   spot: boolean;
 }
 
-/** In which order the attempts stand in its reports: PROTOCOL names none. */
+/** The order of attempts in heartbeats, which PROTOCOL leaves open. */
 export type ReportOrder = 'oldest first' | 'newest first';
 
+/** The body of a direct command in its wire form. */
 export interface CommandBody {
   Baton: number;
   Shift: number;
@@ -47,33 +50,34 @@
 export class WorkerModel {
   agentEpoch = 1;
   highestFencingToken = 0;
-  /** Why it refuses all starts; null: it refuses those for which it has no room. */
+  /** The cause with which it refuses all starts; null: it refuses only those beyond its capacity. */
   refusalCause: string | null = null;
-  /** Seconds until the cloud takes the machine, or null. */
+  /** Seconds until the cloud reclaims the machine; null: no preemption was announced. */
   warning: () => number | null = () => null;
-  private tick = 0;
-  private readonly held = new Map<string, WorkerAttempt>();
+  private heartbeatSequence = 0;
+  private readonly attempts = new Map<string, WorkerAttempt>();
 
   constructor(
     readonly description: WorkerDescription,
     private readonly observer: WorkerObserver,
-    /** How many tasks it has room for. */
-    private readonly room = Infinity,
+    /** How many tasks it can run at once. */
+    private readonly capacity = Infinity,
     public reportOrder: ReportOrder = 'oldest first',
   ) {}
 
-  /** Attempts that have not ended. */
+  /** Attempts that have not terminated. */
   get running(): WorkerAttempt[] {
-    return [...this.held.values()].filter(({ state }) => state !== 'ended');
+    return [...this.attempts.values()].filter(({ state }) => state !== 'ended');
   }
 
-  find(task: string, attempt: number): WorkerAttempt | undefined {
-    return this.held.get(keyOf(task, attempt));
+  find(task: string, attemptNumber: number): WorkerAttempt | undefined {
+    return this.attempts.get(keyOf(task, attemptNumber));
   }
 
+  /** The body of its next heartbeat. */
   heartbeat(): Record<string, unknown> {
     const { name, address, type, zone, spot } = this.description;
-    const attempts = [...this.held.values()];
+    const attempts = [...this.attempts.values()];
     if (this.reportOrder === 'newest first') attempts.reverse();
     return {
       Drone: name,
@@ -82,7 +86,7 @@
       Yard: zone,
       Loaners: spot,
       Shift: this.agentEpoch,
-      Tick: ++this.tick,
+      Tick: ++this.heartbeatSequence,
       Baton: this.highestFencingToken,
       WarningS: this.warning(),
       Pieces: attempts.map(({ task, attemptNumber: attempt, state, cause }) => ({
@@ -94,33 +98,33 @@
     };
   }
 
-  /** A request to its address. */
+  /** Handles a command that was sent to its address directly. */
   handleCommand({ Baton, Shift, Orders }: CommandBody): { status: number; body: unknown } {
     if (Baton < this.highestFencingToken || Shift !== this.agentEpoch)
       return { status: 409, body: this.heartbeat() };
     this.highestFencingToken = Baton;
-    this.carryOut(Orders);
+    this.execute(Orders);
     return { status: 200, body: this.heartbeat() };
   }
 
-  /** A 200 to a report that was sent in `session`; false where it has to be dropped. */
-  handleAnswer(session: number, body: { Baton?: number; Orders?: WorkerCommand[] }): boolean {
+  /** Handles an answer 200 to a heartbeat of this agent epoch; false: the answer is outdated and was dropped. */
+  handleAnswer(agentEpoch: number, body: { Baton?: number; Orders?: WorkerCommand[] }): boolean {
     if (
-      session !== this.agentEpoch ||
+      agentEpoch !== this.agentEpoch ||
       body.Baton === undefined ||
       body.Baton < this.highestFencingToken
     ) {
       return false;
     }
     this.highestFencingToken = body.Baton;
-    this.carryOut(body.Orders ?? []);
+    this.execute(body.Orders ?? []);
     return true;
   }
 
-  /** Its lease is over: everything is killed and forgotten. */
+  /** Kills and forgets all attempts, and begins a new agent epoch. */
   expireLease(): void {
-    for (const attempt of this.held.values()) this.terminate(attempt, 'killed');
-    this.held.clear();
+    for (const attempt of this.attempts.values()) this.terminate(attempt, 'killed');
+    this.attempts.clear();
     this.agentEpoch++;
   }
 
@@ -131,38 +135,41 @@
     this.observer.onTerminated(attempt);
   }
 
-  private carryOut(orders: WorkerCommand[]): void {
-    for (const { Verb, Piece: task, Try: attempt, WindDownS = 0 } of orders) {
+  private execute(commands: WorkerCommand[]): void {
+    for (const { Verb, Piece: task, Try: attempt, WindDownS = 0 } of commands) {
       const known = this.find(task, attempt);
       if (Verb === 'start') this.start(task, attempt, known);
       else if (known === undefined) continue;
       else if (Verb === 'halt') this.halt(known, WindDownS);
-      else if (known.state === 'ended') this.held.delete(keyOf(task, attempt));
+      else if (known.state === 'ended') this.attempts.delete(keyOf(task, attempt));
     }
   }
 
-  /** A running task saves if it is given the time; every other one exits at once, also one that saves if it is given none. */
-  private halt(attempt: WorkerAttempt, windDown: number): void {
+  /**
+   * A running task saves its checkpoint if the grace period is long enough; any other one exits at once, as does a saving one
+   * without a grace period.
+   */
+  private halt(attempt: WorkerAttempt, gracePeriod: number): void {
     const seconds = this.observer.checkpointSeconds?.(attempt) ?? 0;
-    if (attempt.state === 'running' && seconds > 0 && windDown >= seconds) {
+    if (attempt.state === 'running' && seconds > 0 && gracePeriod >= seconds) {
       attempt.state = 'saving';
       this.observer.onCheckpoint?.(attempt, seconds);
-    } else if (attempt.state !== 'saving' || windDown === 0) this.terminate(attempt, 'halted');
+    } else if (attempt.state !== 'saving' || gracePeriod === 0) this.terminate(attempt, 'halted');
   }
 
   private start(task: string, attemptNumber: number, known: WorkerAttempt | undefined): void {
     if (known !== undefined) return;
-    const others = this.running;
-    const isBusy = others.some((other) => other.task === task);
-    const hasNoRoom = others.length >= this.room;
-    const refusal = this.refusalCause ?? (isBusy ? 'busy' : hasNoRoom ? 'no_room' : null);
+    const running = this.running;
+    const isBusy = running.some((attempt) => attempt.task === task);
+    const isFull = running.length >= this.capacity;
+    const refusal = this.refusalCause ?? (isBusy ? 'busy' : isFull ? 'no_room' : null);
     const started: WorkerAttempt = {
       task,
-      attemptNumber: attemptNumber,
+      attemptNumber,
       state: refusal === null ? 'running' : 'ended',
       cause: refusal,
     };
-    this.held.set(keyOf(task, attemptNumber), started);
+    this.attempts.set(keyOf(task, attemptNumber), started);
     if (refusal === null) this.observer.onStarted(started);
   }
 }
