--- a/test/cluster/cancelledTasks.test.ts
+++ b/test/cluster/cancelledTasks.test.ts
@@ -1,4 +1,4 @@
-/** Tasks of cancelled jobs end in time, whatever happens between the announcement of a cancellation and its being stored. */
+/** Tasks of cancelled jobs terminate in time, whatever happens between the announcement of a cancellation and its storing. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeJob } from '../../src/storage/compactRecords.js';
@@ -13,18 +13,18 @@
 
 const ID = 'wk-000201';
 
-/** A job that has to be done first. */
-const FIRST = 'wk-000200';
+/** The job that the other one depends on. */
+const DEPENDENCY = 'wk-000200';
 
-/** How many chunks of a job are created before one of them is over. */
-const LAST_CREATED = 4;
+/** Number of chunks of a job that are created before the first of them is done. */
+const INITIAL_CHUNKS = 4;
 
-/** What the settings of the test clusters give a cancellation, in seconds. */
+/** The cancellation timeout in the settings of the test clusters, in seconds. */
 const CANCELLATION_TIMEOUT_S = 5;
 
 type Transaction = Parameters<NonNullable<Cluster['state']['withholds']>>[0];
 
-/** The job's record as a transaction would store it; undefined where it does not change it. */
+/** The job's record that a transaction stores; undefined: it does not change the record. */
 function storedBy({ Then = [] }: Transaction, job: string): JobRecord | undefined {
   const put = Then.find(({ Put }) => Put === keys.job(job));
   return put === undefined ? undefined : decodeJob(keys.job(job), put.Value);
@@ -33,13 +33,13 @@
 const isCancellation = (transaction: Transaction): boolean =>
   storedBy(transaction, ID)?.state === 'cancelled';
 
-/** All transactions that cancel the job get no answer from now on, and are not carried out before `deliverLate`. */
-function holdCancellations({ state }: Cluster): void {
+/** From now on, transactions that cancel the job get no answer and are not applied before `applyWithheld`. */
+function withholdCancellations({ state }: Cluster): void {
   state.withholds = isCancellation;
 }
 
-/** The first held transaction reaches the store, and later ones are held no more. */
-function deliverLate({ state }: Cluster): void {
+/** Applies the first withheld transaction, and lets later ones pass. */
+function applyWithheld({ state }: Cluster): void {
   const [first] = state.withheldTransactions;
   assert.ok(first !== undefined, 'a cancellation was sent');
   state.withholds = null;
@@ -47,67 +47,72 @@
 }
 
 /**
- * The store refuses drone-0, which runs the tasks, takes the held cancellation and, once a user was told at drone-1 how the
- * job stands, refuses everybody. Was it called cancelled, no task is on any machine once the time for that is over.
+ * The state service refuses drone-0, which leads the shard of the tasks, applies the withheld cancellation and, once a user was
+ * told the job's state at drone-1, refuses all clients. If the user was told `cancelled`, no task may run after the cancellation
+ * timeout.
  */
-async function assertKeptWhenDeliveredLate(cluster: Cluster): Promise<void> {
+async function assertTerminatedIfCancelled(cluster: Cluster): Promise<void> {
   cluster.state.refusedClients.add('drone-0');
-  deliverLate(cluster);
-  const told = await callUntilServed(cluster, 'drone-1', 'GET', `/v1/jobs/${ID}`);
+  applyWithheld(cluster);
+  const answer = await callUntilServed(cluster, 'drone-1', 'GET', `/v1/jobs/${ID}`);
   assert.ok(
     cluster.state.refusedClients.has('drone-0'),
-    'the leader is refused before anybody is told',
+    'the leader is refused before a user is told',
   );
   cluster.state.refusedClients.add('*');
-  if ((told.body as { Status: string }).Status !== 'cancelled') return;
+  if ((answer.body as { Status: string }).Status !== 'cancelled') return;
   await pause(CANCELLATION_TIMEOUT_S);
-  assert.deepEqual(runningTasks(cluster, ID), [], 'tasks of a cancelled job run on');
+  assert.deepEqual(runningTasks(cluster, ID), [], 'tasks of a cancelled job still run');
 }
 
-test('a cancellation that reaches the store after its leaders have resumed the job is not confirmed', () =>
+test('a cancellation that is applied after the leaders have resumed the job is not confirmed', () =>
   withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
     await storeMigratedService(cluster, ID);
-    holdCancellations(cluster);
+    withholdCancellations(cluster);
     const answer = await cluster.call('drone-1', 'POST', `/v1/jobs/${ID}/withdraw`);
     assert.equal(answer.status, 503);
     await until('the tasks end', () => runningTasks(cluster, ID).length === 0);
-    await until('they run again', () => runningTasks(cluster, ID).length === 2, 40);
-    await assertKeptWhenDeliveredLate(cluster);
+    await until('the tasks run again', () => runningTasks(cluster, ID).length === 2, 40);
+    await assertTerminatedIfCancelled(cluster);
   }));
 
-test('a cancellation that a leader acknowledged before it restarted is not confirmed after that', () =>
+test('a cancellation that a leader acknowledged before its restart is not confirmed afterwards', () =>
   withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
     await storeMigratedService(cluster, ID);
-    holdCancellations(cluster);
+    withholdCancellations(cluster);
     const answer = cluster.call('drone-1', 'POST', `/v1/jobs/${ID}/withdraw`);
     await until('a cancellation is sent', () => cluster.state.withheldTransactions.length > 0);
     cluster.crash('drone-0');
     await cluster.boot('drone-0');
     await answer;
     await until('the restarted leader has the job', () => {
-      const chunks = cluster.nodes.get('drone-0')?.controller.ownedShards.get('drone-0')?.shard;
-      return chunks?.chunksOf(ID).length === 1;
+      const shard = cluster.nodes.get('drone-0')?.controller.ownedShards.get('drone-0')?.shard;
+      return shard?.chunksOf(ID).length === 1;
     });
     await until('the tasks run', () => runningTasks(cluster, ID).length === 2);
-    await assertKeptWhenDeliveredLate(cluster);
+    await assertTerminatedIfCancelled(cluster);
   }));
 
-test('a cancellation that reaches the store after its job was released by the jobs before it is not confirmed', () =>
+test('a cancellation that is applied after the dependencies of its job have finished is not confirmed', () =>
   withCluster(
-    { nodes: 2, taskRunSeconds: (task) => (task.startsWith(FIRST) ? 9 : Infinity) },
+    { nodes: 2, taskRunSeconds: (task) => (task.startsWith(DEPENDENCY) ? 9 : Infinity) },
     async (cluster) => {
       const body = { Pieces: 1, Rank: 'high' };
-      await submitUntilAccepted(cluster, 'drone-0', submission(FIRST, body));
-      await submitUntilAccepted(cluster, 'drone-0', submission(ID, { ...body, WaitsOn: [FIRST] }));
-      holdCancellations(cluster);
+      await submitUntilAccepted(cluster, 'drone-0', submission(DEPENDENCY, body));
+      await submitUntilAccepted(
+        cluster,
+        'drone-0',
+        submission(ID, { ...body, WaitsOn: [DEPENDENCY] }),
+      );
+      withholdCancellations(cluster);
       const answer = await cluster.call('drone-0', 'POST', `/v1/jobs/${ID}/withdraw`);
       assert.equal(answer.status, 503);
-      await until('it is released and runs', () => runningTasks(cluster, ID).length === 1, 40);
-      await assertKeptWhenDeliveredLate(cluster);
+      await until('the job starts and runs', () => runningTasks(cluster, ID).length === 1, 40);
+      await assertTerminatedIfCancelled(cluster);
     },
   ));
 
-test('a chunk whose creation is being stored while its job is cancelled starts nothing', () =>
+test('a chunk whose creation is being stored during the cancellation of its job starts no task', () =>
   withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
     const { state } = cluster;
     let release = (): void => undefined;
@@ -116,16 +121,19 @@
     state.beforeAnswer = (_, { target, body }) => {
       if (target !== '/multi') return Promise.resolve();
       const job = storedBy(JSON.parse(body) as Transaction, ID);
-      if (job?.state !== 'open' || job.createdChunks < LAST_CREATED) return Promise.resolve();
+      if (job?.state !== 'open' || job.createdChunks < INITIAL_CHUNKS) return Promise.resolve();
       isHeld = true;
       return released;
     };
     await storeServiceInManyChunks(cluster, ID);
     await until('the creation of a chunk is stored', () => isHeld);
-    holdCancellations(cluster);
+    withholdCancellations(cluster);
     const answer = cluster.call('drone-0', 'POST', `/v1/jobs/${ID}/withdraw`);
     const { cancellationPreparations } = cluster.nodes.get('drone-0')?.controller ?? assert.fail();
-    await until('it is announced', () => cancellationPreparations.stateOf(ID) === 'announced');
+    await until(
+      'the cancellation is announced',
+      () => cancellationPreparations.stateOf(ID) === 'announced',
+    );
     release();
     await until('a cancellation is sent', () => state.withheldTransactions.length > 0);
     await answer;
--- a/test/cluster/cluster.test.ts
+++ b/test/cluster/cluster.test.ts
@@ -1,8 +1,8 @@
-/** Whole controllers on stand-ins: what users see. Each case waits for an outcome. */
+/** Answers to users in a cluster of controllers without faults, or with a single one. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { submission, until } from '../support/cluster.js';
-import { jobSpec as jobSpec } from '../support/jobSpec.js';
+import { jobSpec } from '../support/jobSpec.js';
 import {
   submitUntilAccepted,
   serviceFields,
@@ -13,10 +13,10 @@
   type JobAnswer,
 } from '../support/users.js';
 
-const forever = (): number => Infinity;
+const endless = (): number => Infinity;
 const brief = (): number => 0.3;
 
-test('a job runs to done, and every node says so', () =>
+test('a job finishes, and every node reports it as done', () =>
   withCluster({ nodes: 3, taskRunSeconds: brief }, async (cluster) => {
     const job = submission('wk-000001');
     const first = await callUntilServed(cluster, 'drone-0', 'POST', '/v1/jobs', job);
@@ -24,7 +24,7 @@
     const again = await callUntilServed(cluster, 'drone-1', 'POST', '/v1/jobs', job);
     assert.equal(again.status, 200);
     for (const label of cluster.nodes.keys()) {
-      await until(`${label} says done`, async () => {
+      await until(`${label} reports done`, async () => {
         return (await jobStatus(cluster, label, 'wk-000001')).Status === 'done';
       });
     }
@@ -36,8 +36,8 @@
     assert.equal(unknown.status, 404);
   }));
 
-test('a cancelled job stays cancelled at every node, and its tasks go', () =>
-  withCluster({ nodes: 2, taskRunSeconds: forever }, async (cluster) => {
+test('a cancelled job stays cancelled at every node, and its tasks terminate', () =>
+  withCluster({ nodes: 2, taskRunSeconds: endless }, async (cluster) => {
     await submitUntilAccepted(cluster, 'drone-0', submission('wk-000002', serviceFields));
     await until('it runs', async () => {
       return (await jobStatus(cluster, 'drone-0', 'wk-000002')).running === 2;
@@ -61,7 +61,7 @@
     assert.deepEqual([retry.status, (retry.body as JobAnswer).Status], [200, 'cancelled']);
   }));
 
-test('a node that the state service refuses passes users on to one that is served', () =>
+test('a node that the state service refuses relays requests of users to a peer', () =>
   withCluster({ nodes: 2, taskRunSeconds: brief }, async (cluster) => {
     cluster.state.refusedClients.add('drone-1');
     await submitUntilAccepted(cluster, 'drone-1', submission('wk-000031'));
@@ -70,30 +70,33 @@
     });
   }));
 
-test('tasks of a hanging machine start elsewhere only once they are over there', () =>
-  withCluster({ nodes: 2, taskRunSeconds: forever }, async (cluster) => {
+test('tasks of a hanging machine start elsewhere only after they have terminated on it', () =>
+  withCluster({ nodes: 2, taskRunSeconds: endless }, async (cluster) => {
     await submitUntilAccepted(
       cluster,
       'drone-0',
       submission('wk-000041', { ...serviceFields, Pieces: 1 }),
     );
-    const on = (): string | undefined =>
+    const machineOfTask = (): string | undefined =>
       [...cluster.cloud.workers.values()].find((w) => w.tasks.includes('wk-000041/0'))?.name;
-    await until('it runs', () => on() !== undefined);
-    const first = on() ?? '';
+    await until('it runs', () => machineOfTask() !== undefined);
+    const first = machineOfTask() ?? '';
     const worker = cluster.cloud.workers.get(first);
     if (worker !== undefined) worker.hanging = true;
-    await until('it runs on another machine', () => on() !== undefined && on() !== first);
+    await until(
+      'it runs on another machine',
+      () => machineOfTask() !== undefined && machineOfTask() !== first,
+    );
     assert.ok(
       cluster.cloud.releasedMachines.includes(first),
-      'the silent machine was not ended first',
+      'the hanging machine was not released first',
     );
   }));
 
 test('a team limit holds across shards', () => {
   const teams = '[[settings.teams]]\nname = "crew"\ncpus_max = 4.0';
   return withCluster({ nodes: 3, taskRunSeconds: brief, teams }, async (cluster) => {
-    const stopWatching = trackPeakCpus(cluster);
+    const stopTracking = trackPeakCpus(cluster);
     for (const [i, label] of [...cluster.nodes.keys()].entries()) {
       await submitUntilAccepted(cluster, label, submission(`wk-00005${i}`));
     }
@@ -103,8 +106,8 @@
       }
       return true;
     });
-    const most = stopWatching();
-    assert.ok(most <= 4, `${most} processors were in use`);
+    const peak = stopTracking();
+    assert.ok(peak <= 4, `${peak} CPUs were in use`);
     const tooLarge = submission('wk-000059', { ...serviceFields, Pieces: 3 });
     assert.equal(
       (await callUntilServed(cluster, 'drone-0', 'POST', '/v1/jobs', tooLarge)).status,
@@ -113,8 +116,8 @@
   });
 });
 
-test('a waiting job says why', () =>
-  withCluster({ nodes: 1, taskRunSeconds: forever }, async (cluster) => {
+test('the answer about a waiting job gives the reason', () =>
+  withCluster({ nodes: 1, taskRunSeconds: endless }, async (cluster) => {
     cluster.cloud.capacity = 0;
     await submitUntilAccepted(cluster, 'drone-0', submission('wk-000061'));
     const { Reason } = await jobStatus(cluster, 'drone-0', 'wk-000061');
@@ -122,15 +125,19 @@
     assert.match(Reason ?? '', /Nothing is ahead of it/);
   }));
 
-test('a job whose storing got no answer is accepted once, also when it is applied late', () =>
+test('a job is accepted once although its first transaction got no answer and is applied late', () =>
   withCluster({ nodes: 1, taskRunSeconds: brief }, async (cluster) => {
-    const isJob = (body: { Then?: { Put?: string }[] }): boolean =>
+    const storesJob = (body: { Then?: { Put?: string }[] }): boolean =>
       (body.Then ?? []).some((op) => op.Put === 'b/job/wk-000071');
-    let kept = 0;
-    cluster.state.withholds = (body) => isJob(body) && kept++ === 0;
+    let withheldCount = 0;
+    cluster.state.withholds = (body) => storesJob(body) && withheldCount++ === 0;
     await submitUntilAccepted(cluster, 'drone-0', submission('wk-000071'));
     for (const body of cluster.state.withheldTransactions) {
-      assert.equal(cluster.state.apply(body).status, 409, 'the late copy was applied too');
+      assert.equal(
+        cluster.state.apply(body).status,
+        409,
+        'the withheld transaction was applied too',
+      );
     }
     await until('done', async () => {
       return (await jobStatus(cluster, 'drone-0', 'wk-000071')).Status === 'done';
@@ -138,7 +145,7 @@
     assert.equal(cluster.cloud.startedTasks.length, 3);
   }));
 
-test('a bucket that its leader missed is taken up', () =>
+test('a stored bucket that its leader does not know is adopted', () =>
   withCluster({ nodes: 1, taskRunSeconds: brief }, async (cluster) => {
     const spec = jobSpec({ id: 'wk-000081', taskCount: 2 });
     const shared = { spec, homeShard: 'drone-0', submittedAt: 1 };
@@ -163,102 +170,111 @@
     await until('its tasks have run', () => cluster.cloud.startedTasks.length === 2);
   }));
 
-test('while the end of a job is stored without an answer, its leader speaks by the store alone', () =>
+test('while the outcome of storing a finished job is unknown, its leader answers only from the store', () =>
   withCluster({ nodes: 1, taskRunSeconds: brief }, async (cluster) => {
-    // Others may have read the record and told users that the job is done.
-    let lose = true;
+    // Peers may have read the record already and told users that the job is done.
+    let isLost = true;
     cluster.state.withholds = (body) =>
-      lose &&
+      isLost &&
       ((body.Then ?? []) as { Put?: string; Value?: { state?: string } }[]).some(
         (op) => op.Put === 'b/job/wk-000075' && op.Value?.state === 'done',
       );
     await submitUntilAccepted(cluster, 'drone-0', submission('wk-000075'));
-    const job = (): boolean | undefined =>
+    const isOutcomeUnknown = (): boolean | undefined =>
       cluster.nodes.get('drone-0')?.controller.ownedShards.get('drone-0')?.jobs.get('wk-000075')
         ?.isOutcomeUnknown;
-    await until('its end got no answer', () => job() === true);
+    await until('storing its end got no answer', () => isOutcomeUnknown() === true);
     cluster.state.refusedClients.add('drone-0');
     assert.equal((await cluster.call('drone-0', 'GET', '/v1/jobs/wk-000075')).status, 503);
-    lose = false;
+    isLost = false;
     cluster.state.refusedClients.clear();
     await until('done', async () => {
       return (await jobStatus(cluster, 'drone-0', 'wk-000075')).Status === 'done';
     });
   }));
 
-test('rentals and releases that were carried out without an answer are repeated, to the same effect', () =>
-  withCluster({ nodes: 2, taskRunSeconds: forever }, async (cluster) => {
+test('rentals and releases whose answers are lost are repeated without further effect', () =>
+  withCluster({ nodes: 2, taskRunSeconds: endless }, async (cluster) => {
     const { cloud } = cluster;
     const lost: string[] = [];
     cloud.losesAnswer = (path) => {
-      const first = path.startsWith('POST /rentals') && !lost.includes(path);
-      if (first) lost.push(path);
-      return first;
+      const isFirst = path.startsWith('POST /rentals') && !lost.includes(path);
+      if (isFirst) lost.push(path);
+      return isFirst;
     };
     await submitUntilAccepted(
       cluster,
       'drone-0',
       submission('wk-000301', { ...serviceFields, Pieces: 1 }),
     );
-    const on = (): string | undefined =>
+    const machineOfTask = (): string | undefined =>
       [...cloud.workers.values()].find((w) => w.tasks.includes('wk-000301/0'))?.name;
-    await until('it runs', () => on() !== undefined);
-    const first = on() ?? '';
+    await until('it runs', () => machineOfTask() !== undefined);
+    const first = machineOfTask() ?? '';
     const worker = cloud.workers.get(first);
     if (worker !== undefined) worker.hanging = true;
-    await until('it runs on another machine', () => on() !== undefined && on() !== first);
-    await until('nobody believes in the first any more', () =>
+    await until(
+      'it runs on another machine',
+      () => machineOfTask() !== undefined && machineOfTask() !== first,
+    );
+    await until('no node lists the first machine any more', () =>
       [...cluster.nodes.values()].every((n) => n.controller.inventory.get(first) === undefined),
     );
     assert.deepEqual(lost.sort(), ['POST /rentals', 'POST /rentals/release']);
-    // The repeated rental gave the machines of the first; all that are there are known.
-    const known = (): boolean =>
+    // The repeated rental returned the machines of the first one: no machine is unknown.
+    const allKnown = (): boolean =>
       [...cloud.workers.keys()].every((name) =>
         [...cluster.nodes.values()].every((n) => n.controller.inventory.get(name) !== undefined),
       );
-    await until('no machine is paid for unknown', known);
+    await until('every rented machine is known', allKnown);
   }));
 
-const odd: [string, unknown, number][] = [
+const unusualSubmissions: [string, unknown, number][] = [
   ['not an object', [1], 400],
-  ['a field is missing', submission('wk-000401', { Cores: undefined }), 400],
+  ['a missing field', submission('wk-000401', { Cores: undefined }), 400],
   ['an unknown team', submission('wk-000402', { Owner: 'nobody' }), 422],
-  ['it fits no machine', submission('wk-000403', { Cores: 64 }), 422],
-  ['it fits no allowed machine', submission('wk-000404', { Flavours: ['m9'] }), 422],
-  ['no machine is in its zone', submission('wk-000405', { Yard: 'z' }), 422],
-  ['a service above its limit', submission('wk-000406', { ...serviceFields, Pieces: 9 }), 422],
-  ['a task above its limit', submission('wk-000407', { Cores: 7 }), 422],
+  ['a task that fits no machine type', submission('wk-000403', { Cores: 64 }), 422],
+  ['a task that fits no allowed machine type', submission('wk-000404', { Flavours: ['m9'] }), 422],
+  ['a zone without machines', submission('wk-000405', { Yard: 'z' }), 422],
+  ['a service above the team limit', submission('wk-000406', { ...serviceFields, Pieces: 9 }), 422],
+  ['a task above the team limit', submission('wk-000407', { Cores: 7 }), 422],
 ];
 test('unusual requests get the same answers at each node, also after a restart', () => {
   const teams = '[[settings.teams]]\nname = "crew"\ncpus_max = 6.0';
   return withCluster({ nodes: 2, taskRunSeconds: brief, teams }, async (cluster) => {
-    const ask = async (at: string, method: string, path: string, body?: unknown) => {
-      const { status: code, body: said } = await callUntilServed(cluster, at, method, path, body);
-      return [code, (said as Partial<JobAnswer>).Status];
+    const ask = async (node: string, method: string, path: string, body?: unknown) => {
+      const { status: code, body: answer } = await callUntilServed(
+        cluster,
+        node,
+        method,
+        path,
+        body,
+      );
+      return [code, (answer as Partial<JobAnswer>).Status];
     };
-    const over = submission('wk-000411');
-    await submitUntilAccepted(cluster, 'drone-0', over);
+    const finishedJob = submission('wk-000411');
+    await submitUntilAccepted(cluster, 'drone-0', finishedJob);
     await until(
       'done',
       async () => (await jobStatus(cluster, 'drone-0', 'wk-000411')).Status === 'done',
     );
-    for (const restarted of [false, true]) {
-      if (restarted) {
+    for (const isRestarted of [false, true]) {
+      if (isRestarted) {
         cluster.crash('drone-0');
         await cluster.boot('drone-0');
       }
-      for (const at of cluster.nodes.keys()) {
-        for (const [name, body, code] of odd) {
-          assert.equal((await ask(at, 'POST', '/v1/jobs', body))[0], code, `${name} at ${at}`);
+      for (const node of cluster.nodes.keys()) {
+        for (const [name, body, code] of unusualSubmissions) {
+          assert.equal((await ask(node, 'POST', '/v1/jobs', body))[0], code, `${name} at ${node}`);
         }
-        assert.deepEqual(await ask(at, 'POST', '/v1/jobs', over), [200, 'done']);
-        assert.deepEqual(await ask(at, 'POST', '/v1/jobs/wk-000411/withdraw'), [200, 'done']);
-        assert.deepEqual(await ask(at, 'GET', '/v1/jobs/wk-000411'), [200, 'done']);
-        assert.equal((await ask(at, 'GET', '/v1/jobs/wk-000499'))[0], 404);
-        assert.equal((await ask(at, 'POST', '/v1/jobs/wk-000499/withdraw'))[0], 404);
+        assert.deepEqual(await ask(node, 'POST', '/v1/jobs', finishedJob), [200, 'done']);
+        assert.deepEqual(await ask(node, 'POST', '/v1/jobs/wk-000411/withdraw'), [200, 'done']);
+        assert.deepEqual(await ask(node, 'GET', '/v1/jobs/wk-000411'), [200, 'done']);
+        assert.equal((await ask(node, 'GET', '/v1/jobs/wk-000499'))[0], 404);
+        assert.equal((await ask(node, 'POST', '/v1/jobs/wk-000499/withdraw'))[0], 404);
       }
     }
-    // What can't be asked is not denied.
+    // Without the state service, a node cannot rule out that the job exists.
     cluster.state.refusedClients.add('*');
     const unknown = await cluster.call('drone-1', 'GET', '/v1/jobs/wk-000499');
     assert.equal(unknown.status, 503);
--- a/test/cluster/copiedStarts.test.ts
+++ b/test/cluster/copiedStarts.test.ts
@@ -1,4 +1,4 @@
-/** Copies of starts that were carried out and answered: none runs once its worker has been told to forget the attempt. */
+/** Duplicates of executed and answered starts: none starts a task once the worker has reaped the attempt. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { submission, until, type Cluster } from '../support/cluster.js';
@@ -13,17 +13,17 @@
 const JOB = 'wk-000801';
 const TASK = `${JOB}/0`;
 
-/** One task, which runs until it is stopped unless the case says otherwise. */
+/** A service with one task, which runs until it is stopped; some cases override this. */
 const replica = { ...serviceFields, Pieces: 1 };
 
 const holder = (cluster: Cluster, task = TASK): WorkerStandIn | undefined =>
   [...cluster.cloud.workers.values()].find((worker) => worker.tasks.includes(task));
 
-/** How the attempt on a worker ends, so that its task runs elsewhere or never again. */
+/** Ways in which the attempt on a worker terminates, so that its task runs elsewhere or not any more. */
 interface Ending {
   name: string;
   job?: Record<string, unknown>;
-  /** Whether the task has a successor elsewhere when the copy comes. */
+  /** Whether the task runs on another machine when the duplicate is delivered. */
   isMoved: boolean;
   end: (cluster: Cluster, worker: WorkerStandIn) => Promise<void> | void;
 }
@@ -39,7 +39,7 @@
     name: 'that failed',
     isMoved: true,
     end: (_, worker) => {
-      // Its successor goes elsewhere.
+      // The next attempt has to start elsewhere.
       worker.refusalCause = 'no_room';
       worker.failTask(TASK);
     },
@@ -61,19 +61,19 @@
   },
 ];
 
-/** What happens between the end and the copy. */
+/** Events between the end of the attempt and the delivery of the duplicate. */
 const events: { name: string; play: (cluster: Cluster, worker: WorkerStandIn) => Promise<void> }[] =
   [
     { name: 'nothing else', play: () => Promise.resolve() },
     {
-      name: 'its controller is back within a second',
+      name: 'its controller restarts within a second',
       play: async (cluster) => {
         cluster.crash('drone-0');
         await cluster.boot('drone-0');
       },
     },
     {
-      name: 'its shard has another leader for a while',
+      name: 'another node leads its shard for a while',
       play: async (cluster) => {
         cluster.crash('drone-0');
         await waitForTakeover(cluster, 'drone-0');
@@ -81,7 +81,7 @@
       },
     },
     {
-      name: 'its machine is back within a second',
+      name: 'its machine hangs for less than a second',
       play: async (_, worker) => {
         worker.hanging = true;
         await new Promise((resolve) => setTimeout(resolve, 700));
@@ -91,17 +91,17 @@
   ];
 
 async function assertNotRepeated(cluster: Cluster, worker: WorkerStandIn): Promise<void> {
-  await until('the worker was told to forget it', () => !worker.reportsAttempt(TASK, 1));
+  await until('the worker has reaped the attempt', () => !worker.reportsAttempt(TASK, 1));
   const starts = cluster.cloud.startedTasks.length;
   const statuses = worker.deliverDuplicateStarts(TASK, 1);
-  assert.ok(statuses.length > 0, 'its start was a command');
-  assert.deepEqual(new Set(statuses), new Set([409]), 'the worker itself refuses each copy');
+  assert.ok(statuses.length > 0, 'its start was a direct command');
+  assert.deepEqual(new Set(statuses), new Set([409]), 'the worker refuses each duplicate');
   assert.equal(cluster.cloud.startedTasks.length, starts);
 }
 
 for (const ending of endings) {
   for (const event of events) {
-    test(`a copied start does not run again: ${ending.name}, and ${event.name}`, () =>
+    test(`a duplicate start does not run again: ${ending.name}, and ${event.name}`, () =>
       withCluster(
         { nodes: 2, taskRunSeconds: () => (ending.job?.['Shape'] === 'sweep' ? 0.8 : Infinity) },
         async (cluster) => {
@@ -128,7 +128,7 @@
 }
 
 for (const cause of ['no_room', 'busy', 'unknown']) {
-  test(`a copied start does not run again: one that was refused with ${cause}`, () =>
+  test(`a duplicate start does not run again: one that was refused with ${cause}`, () =>
     withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
       await submitUntilAccepted(
         cluster,
@@ -144,8 +144,8 @@
       await until('it is refused', () => refusing() !== undefined);
       const worker = refusing();
       assert.ok(worker);
-      await until('the worker was told to forget it', () => !worker.reportsAttempt(TASK, 1));
-      for (const each of workers) each.refusalCause = null;
+      await until('the worker has reaped the attempt', () => !worker.reportsAttempt(TASK, 1));
+      for (const other of workers) other.refusalCause = null;
       assert.deepEqual(new Set(worker.deliverDuplicateStarts(TASK, 1)), new Set([409]));
     }));
 }
--- a/test/cluster/machinesTakenAway.test.ts
+++ b/test/cluster/machinesTakenAway.test.ts
@@ -1,16 +1,16 @@
 /**
- * Seen: accepted jobs that never ran, beside a peer's free machine. Guards against counting on machines that are gone, in
- * whatever way they went: a job that can run elsewhere starts within what a user may wait beside a free machine.
+ * Guards against accepted jobs that never run because their shard counts on machines that are gone, while a peer has a free
+ * machine. However the machines disappear, a job that fits the free machine must be done within the longest allowed wait.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
 import { submitUntilAccepted, serviceFields, jobStatus, withCluster } from '../support/users.js';
 
-/** A job of a user may wait as long beside a machine that is free for it, in seconds. */
+/** Longest time in seconds that a job may wait although a machine is free for it. */
 const LONGEST_WAIT_S = 90;
 
-/** Two heartbeats of the workers, in seconds. */
+/** Two heartbeat intervals of the workers, in seconds. */
 const TWO_HEARTBEATS_S = 0.8;
 
 const SERVICE = 'wk-000001';
@@ -21,25 +21,25 @@
 
 interface Case {
   name: string;
-  /** How the machines of drone-0 go; nothing more can be rented from then on. */
-  trouble: (cluster: Cluster, take: (count?: number) => void) => Promise<void>;
-  /** The node at which users ask and submit afterwards. */
+  /** Makes the machines of drone-0 disappear; no machine can be rented from then on. */
+  fault: (cluster: Cluster, take: (count?: number) => void) => Promise<void>;
+  /** The node at which users submit jobs and read their state afterwards. */
   node?: string;
-  /** A job whose task ran on one of the machines has to run again. */
-  running?: boolean;
+  /** Whether one of the machines runs a task, whose job has to run again. */
+  hasRunningTask?: boolean;
 }
 
 const cases: Case[] = [
   {
     name: 'all at once, idle, while their leader is up',
-    trouble: (_cluster, take) => {
+    fault: (_cluster, take) => {
       take();
       return Promise.resolve();
     },
   },
   {
     name: 'one after the other, while their leader is up',
-    trouble: async (cluster, take) => {
+    fault: async (cluster, take) => {
       while (cluster.cloud.workers.size > 1) {
         take(1);
         await pause(TWO_HEARTBEATS_S);
@@ -47,8 +47,8 @@
     },
   },
   {
-    name: 'while their leader is down, which then restarts twice',
-    trouble: async (cluster, take) => {
+    name: 'while their leader is down, before two restarts of it',
+    fault: async (cluster, take) => {
       cluster.crash('drone-0');
       take();
       await cluster.boot('drone-0');
@@ -58,8 +58,8 @@
     },
   },
   {
-    name: 'while their leader is down and the cloud answers nobody',
-    trouble: async (cluster, take) => {
+    name: 'while their leader is down and the cloud gives no answers',
+    fault: async (cluster, take) => {
       cluster.crash('drone-0');
       cluster.cloud.losesAnswer = () => true;
       take();
@@ -67,32 +67,32 @@
     },
   },
   {
-    name: 'with a task on one of them, and their leader for good',
-    trouble: (cluster, take) => {
+    name: 'with a task on one of them, together with their leader for good',
+    fault: (cluster, take) => {
       cluster.crash('drone-0');
       take();
       return Promise.resolve();
     },
     node: 'drone-1',
-    running: true,
+    hasRunningTask: true,
   },
   {
     name: 'with a task on one of them, while their leader is down',
-    trouble: async (cluster, take) => {
+    fault: async (cluster, take) => {
       cluster.crash('drone-0');
       take();
       await cluster.boot('drone-0');
     },
-    running: true,
+    hasRunningTask: true,
   },
 ];
 
-/** One case, on a cluster of its own. */
-async function play({ trouble, node = 'drone-0', running = false }: Case): Promise<void> {
-  let isGone = false;
+/** Runs one case on its own cluster. */
+async function runCase({ fault, node = 'drone-0', hasRunningTask = false }: Case): Promise<void> {
+  let areMachinesGone = false;
   const runs = (task: string): number => {
     if (task.startsWith(SERVICE)) return Infinity;
-    return task.startsWith(LONG_JOB) && !isGone ? Infinity : 0.3;
+    return task.startsWith(LONG_JOB) && !areMachinesGone ? Infinity : 0.3;
   };
   await withCluster({ nodes: 2, taskRunSeconds: runs }, async (cluster) => {
     await submitUntilAccepted(
@@ -103,12 +103,14 @@
     await until('the peer has a machine', async () => {
       return (await jobStatus(cluster, 'drone-1', SERVICE)).running === 1;
     });
-    const ofPeer = new Set(cluster.cloud.workers.keys());
+    const peerMachines = new Set(cluster.cloud.workers.keys());
     await submitUntilAccepted(cluster, 'drone-0', submission('wk-000002', { Pieces: 6, Cores: 8 }));
-    await until('its tasks are over', isDone(cluster, 'drone-0', 'wk-000002'));
-    if (running) await startLongJob(cluster);
+    await until('its tasks are done', isDone(cluster, 'drone-0', 'wk-000002'));
+    if (hasRunningTask) await startLongJob(cluster);
     const take = (count = Infinity): void => {
-      const names = [...cluster.cloud.workers.keys()].filter((machine) => !ofPeer.has(machine));
+      const names = [...cluster.cloud.workers.keys()].filter(
+        (machine) => !peerMachines.has(machine),
+      );
       for (const machine of names.slice(0, count)) {
         const worker = cluster.cloud.workers.get(machine);
         if (worker !== undefined) cluster.cloud.reclaim(worker);
@@ -116,15 +118,16 @@
     };
     assert.ok(cluster.cloud.workers.size >= 3, `${cluster.cloud.workers.size} machines`);
     cluster.cloud.capacity = 0;
-    isGone = true;
-    await trouble(cluster, take);
+    areMachinesGone = true;
+    await fault(cluster, take);
     await submitUntilAccepted(cluster, node, submission('wk-000003', { Pieces: 1 }));
     await until('the job is done', isDone(cluster, node, 'wk-000003'), LONGEST_WAIT_S);
-    if (running) await until('it ran again', isDone(cluster, node, LONG_JOB), LONGEST_WAIT_S);
+    if (hasRunningTask)
+      await until('it ran again', isDone(cluster, node, LONG_JOB), LONGEST_WAIT_S);
   });
 }
 
-/** A job that needs most of a machine, and so does not fit beside the service. */
+/** Starts a job that needs most of a machine, so that it does not fit beside the service. */
 async function startLongJob(cluster: Cluster): Promise<void> {
   await submitUntilAccepted(cluster, 'drone-0', submission(LONG_JOB, { Pieces: 1, Cores: 6 }));
   await until('its task runs', async () => {
@@ -132,33 +135,33 @@
   });
 }
 
-// Side by side: each waits for the migration threshold, and does little else.
+// The cases run concurrently: each mostly waits for the migration threshold.
 test(
-  "machines that are gone keep no job waiting beside a peer's free machine",
+  'jobs do not wait for machines that are gone while a peer has a free machine',
   {
     concurrency: true,
   },
   async (t) => {
-    await Promise.all(cases.map((one) => t.test(one.name, () => play(one))));
+    await Promise.all(cases.map((one) => t.test(one.name, () => runCase(one))));
   },
 );
 
-test('records of machines that are gone are removed, though all of a shard are silent', () =>
+test('records of machines that are gone are removed, even if all machines of a shard are silent', () =>
   withCluster({ nodes: 2, taskRunSeconds: () => 0.3 }, async (cluster) => {
-    const recorded = (): string =>
+    const storedGroups = (): string =>
       JSON.stringify([...cluster.state.rows].filter(([key]) => key.startsWith('b/fleet/')));
     await submitUntilAccepted(cluster, 'drone-0', submission('wk-000001', { Pieces: 4, Cores: 8 }));
-    await until('its tasks are over', isDone(cluster, 'drone-0', 'wk-000001'));
-    const taken = [...cluster.cloud.workers.values()];
-    assert.ok(taken.length >= 2, `${taken.length} machines`);
-    // Then they are probed after the restart, and are not taken for machines that have not come yet.
+    await until('its tasks are done', isDone(cluster, 'drone-0', 'wk-000001'));
+    const reclaimed = [...cluster.cloud.workers.values()];
+    assert.ok(reclaimed.length >= 2, `${reclaimed.length} machines`);
+    // With addresses, the machines are probed after the restart; without, the leader would take them for machines that still boot.
     await until('their addresses are stored', () =>
-      taken.every(({ address }) => recorded().includes(address)),
+      reclaimed.every(({ address }) => storedGroups().includes(address)),
     );
     cluster.crash('drone-0');
-    for (const worker of taken) cluster.cloud.reclaim(worker);
+    for (const worker of reclaimed) cluster.cloud.reclaim(worker);
     cluster.cloud.capacity = 0;
     await cluster.boot('drone-0');
-    const isRecorded = (): boolean => taken.some(({ name }) => recorded().includes(name));
-    await until('no record names them', () => !isRecorded(), LONGEST_WAIT_S);
+    const isRecorded = (): boolean => reclaimed.some(({ name }) => storedGroups().includes(name));
+    await until('no record lists them', () => !isRecorded(), LONGEST_WAIT_S);
   }));
--- a/test/cluster/outages.test.ts
+++ b/test/cluster/outages.test.ts
@@ -1,4 +1,4 @@
-/** What users see while things fail. Each case waits for an outcome. */
+/** Answers to users and running tasks during outages: crashes, refusals by the state service, partitions, silent machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause, submission, until, type Cluster } from '../support/cluster.js';
@@ -13,28 +13,28 @@
 const outages: {
   name: string;
   inject: (cluster: Cluster) => Promise<void> | void;
-  mend?: (cluster: Cluster) => Promise<void> | void;
+  repair?: (cluster: Cluster) => Promise<void> | void;
 }[] = [
   {
     name: 'a crash without a restart: a peer takes the shard over',
     inject: (c) => c.crash('drone-0'),
   },
   {
-    name: 'a crash and a restart at once: the node takes its shard back',
+    name: 'a crash and an immediate restart: the node leads its shard again',
     inject: async (c) => {
       c.crash('drone-0');
       await c.boot('drone-0');
     },
   },
   {
-    name: 'a crash of all',
+    name: 'a crash of all nodes',
     inject: async (c) => {
       for (const label of [...c.nodes.keys()]) c.crash(label);
       for (const label of ['drone-0', 'drone-1', 'drone-2']) await c.boot(label);
     },
   },
   {
-    name: 'a crash of all, twice in a row',
+    name: 'two crashes of all nodes in a row',
     inject: async (c) => {
       for (let turn = 0; turn < 2; turn++) {
         for (const label of [...c.nodes.keys()]) c.crash(label);
@@ -44,13 +44,13 @@
     },
   },
   {
-    name: 'the state service refuses one node alone, for good',
+    name: 'the state service refuses one node for good',
     inject: (c) => void c.state.refusedClients.add('drone-0'),
   },
   {
-    name: 'the state service refuses everybody for a while',
+    name: 'the state service refuses all nodes for a while',
     inject: (c) => void c.state.refusedClients.add('*'),
-    mend: async (c) => {
+    repair: async (c) => {
       await pause(1.2);
       c.state.refusedClients.clear();
     },
@@ -60,22 +60,22 @@
     inject: async (c) => {
       c.state.refusedClients.add('drone-0');
       c.isolatedNodes.add('drone-0');
-      await until('it says that it is cut off, at once and when to come back', async () => {
+      await until('it answers 503 with the time of a retry', async () => {
         const answer = await c.call('drone-0', 'POST', '/v1/jobs', submission('wk-000025'));
         return answer.status === 503 && answer.retryAfter !== null;
       });
-      await until('the load balancer is told', async () => {
+      await until('its readiness check fails', async () => {
         return (await c.call('drone-0', 'GET', '/ready')).status === 503;
       });
       await waitForTakeover(c, 'drone-0');
     },
-    mend: (c) => {
+    repair: (c) => {
       c.state.refusedClients.clear();
       c.isolatedNodes.clear();
     },
   },
   {
-    name: 'all nodes, the state service and a cut, one after the other',
+    name: 'a partition, an outage of the state service and a crash of all nodes',
     inject: async (c) => {
       c.isolatedNodes.add('drone-1');
       c.state.refusedClients.add('*');
@@ -83,14 +83,14 @@
       for (const label of ['drone-0', 'drone-1', 'drone-2']) await c.boot(label);
       await pause(0.5);
     },
-    mend: async (c) => {
+    repair: async (c) => {
       c.state.refusedClients.clear();
       await pause(0.5);
       c.isolatedNodes.clear();
     },
   },
   {
-    name: 'crashes and restarts within a fraction of a second, again and again',
+    name: 'repeated crashes and restarts within a fraction of a second',
     inject: async (c) => {
       for (const label of ['drone-0', 'drone-1', 'drone-0', 'drone-2', 'drone-0']) {
         c.crash(label);
@@ -101,8 +101,8 @@
   },
 ];
 
-for (const { name, inject, mend } of outages) {
-  test(`replicas run on, new work is taken, nothing runs twice: ${name}`, () =>
+for (const { name, inject, repair } of outages) {
+  test(`replicas keep running, new jobs are accepted, nothing runs twice: ${name}`, () =>
     withCluster(
       { nodes: 3, taskRunSeconds: (task) => (task.startsWith('wk-00001') ? Infinity : 0.3) },
       async (cluster) => {
@@ -112,7 +112,7 @@
         });
         await submitUntilAccepted(cluster, 'drone-0', submission('wk-000021', { Pieces: 6 }));
         await inject(cluster);
-        await mend?.(cluster);
+        await repair?.(cluster);
         await until('the batch job is done', async () => {
           return (await jobStatus(cluster, 'drone-1', 'wk-000021')).Status === 'done';
         });
@@ -120,36 +120,36 @@
         await until('a new job is done', async () => {
           return (await jobStatus(cluster, 'drone-2', 'wk-000022')).Status === 'done';
         });
-        await until('replicas run', async () => {
+        await until('the replicas run', async () => {
           return (await jobStatus(cluster, 'drone-2', 'wk-000011')).running === 2;
         });
         const starts = cluster.cloud.startedTasks.filter((t) => t.startsWith('wk-000011'));
-        assert.equal(starts.length, 2, 'healthy replicas were started anew');
+        assert.equal(starts.length, 2, 'healthy replicas were started again');
       },
     ));
 }
 
-test('a machine that sends heartbeats but gets no answer is released, and its replicas go elsewhere', () =>
+test('a machine that sends heartbeats but gets no answers is released, and its replicas run elsewhere', () =>
   withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
     await submitUntilAccepted(
       cluster,
       'drone-0',
       submission('wk-000091', { ...serviceFields, Pieces: 1 }),
     );
-    const on = (): string | undefined =>
+    const machineOfTask = (): string | undefined =>
       [...cluster.cloud.workers.values()].find((w) => w.tasks.includes('wk-000091/0'))?.name;
-    await until('it runs', () => on() !== undefined);
-    const first = on() ?? '';
+    await until('it runs', () => machineOfTask() !== undefined);
+    const first = machineOfTask() ?? '';
     const worker = cluster.cloud.workers.get(first);
     if (worker !== undefined) worker.deaf = true;
-    await until('it runs on another machine', () => on() !== undefined && on() !== first);
-    assert.ok(
-      cluster.cloud.releasedMachines.includes(first),
-      'the deaf machine was not ended first',
+    await until(
+      'it runs on another machine',
+      () => machineOfTask() !== undefined && machineOfTask() !== first,
     );
+    assert.ok(cluster.cloud.releasedMachines.includes(first), 'the machine was not released first');
   }));
 
-test('late copies of heartbeats change nothing, also after a restart and a release', () =>
+test('late duplicates of heartbeats change nothing, even after a restart and a release', () =>
   withCluster({ nodes: 2, taskRunSeconds: () => Infinity }, async (cluster) => {
     await submitUntilAccepted(
       cluster,
@@ -160,12 +160,12 @@
       return (await jobStatus(cluster, 'drone-0', 'wk-000095')).running === 3;
     });
     const { cloud } = cluster;
-    const copies = [...cloud.workers.values()].flatMap((w) => w.sentHeartbeats);
-    const [gone] = cloud.workers.keys();
-    const tell = async (): Promise<void> => {
-      for (const copy of copies) {
+    const heartbeats = [...cloud.workers.values()].flatMap((w) => w.sentHeartbeats);
+    const [releasedMachine] = cloud.workers.keys();
+    const sendDuplicates = async (): Promise<void> => {
+      for (const heartbeat of heartbeats) {
         for (const label of cluster.nodes.keys()) {
-          await cluster.call(label, 'POST', '/hello', JSON.parse(copy) as unknown);
+          await cluster.call(label, 'POST', '/hello', JSON.parse(heartbeat) as unknown);
         }
       }
     };
@@ -177,33 +177,39 @@
       }
       return true;
     });
-    await tell();
+    await sendDuplicates();
     await until('it still runs', async () => {
       return (await jobStatus(cluster, 'drone-1', 'wk-000095')).running === 3;
     });
-    // On a busy machine a worker may be taken for a silent one and ended; else nothing is started anew.
+    // On a busy machine, a worker may be presumed lost and released; otherwise nothing is started again.
     if (cloud.releasedMachines.length === 0) {
-      assert.equal(cloud.startedTasks.length, 3, 'a copy had a task started anew');
+      assert.equal(cloud.startedTasks.length, 3, 'a duplicate made a task start again');
     }
-    // A machine is taken; what it said once must not bring it back.
-    const worker = cloud.workers.get(gone ?? '');
+    // Once a machine is released, duplicates of its heartbeats must not add it again.
+    const worker = cloud.workers.get(releasedMachine ?? '');
     if (worker !== undefined) worker.hanging = true;
-    await until('it is ended', () => cloud.releasedMachines.includes(gone ?? ''));
-    await until('every node knows that it has gone', () =>
+    await until('the machine is released', () =>
+      cloud.releasedMachines.includes(releasedMachine ?? ''),
+    );
+    await until('no node lists the machine', () =>
       [...cluster.nodes.values()].every(
-        (n) => n.controller.inventory.get(gone ?? '') === undefined,
+        (n) => n.controller.inventory.get(releasedMachine ?? '') === undefined,
       ),
     );
-    await tell();
+    await sendDuplicates();
     for (const node of cluster.nodes.values()) {
-      assert.equal(node.controller.inventory.get(gone ?? ''), undefined, 'the machine came back');
+      assert.equal(
+        node.controller.inventory.get(releasedMachine ?? ''),
+        undefined,
+        'the machine was added again',
+      );
     }
     await until('all run', async () => {
       return (await jobStatus(cluster, 'drone-1', 'wk-000095')).running === 3;
     });
   }));
 
-test('a heartbeat that was overtaken by an answer still keeps its machine from being given up', () =>
+test('a heartbeat that is received after a later answer still renews the lease of its machine', () =>
   withCluster({ nodes: 1, taskRunSeconds: () => Infinity }, async (cluster) => {
     await submitUntilAccepted(
       cluster,
@@ -220,9 +226,9 @@
     worker.hanging = true;
     await pause(0.5);
     machine.leaseRenewedAt = 0;
-    const copy = JSON.parse(worker.sentHeartbeats[0] ?? '') as unknown;
-    const answer = await cluster.call('drone-0', 'POST', '/hello', copy);
-    // Its sender's lease may count from it, so the machine's tasks are not over before that.
+    const duplicate = JSON.parse(worker.sentHeartbeats[0] ?? '') as unknown;
+    const answer = await cluster.call('drone-0', 'POST', '/hello', duplicate);
+    // The worker's lease may last from this heartbeat, so the leader must not presume its tasks terminated before that.
     assert.equal(answer.status, 200);
     assert.ok(machine.leaseRenewedAt > 0);
   }));
