--- a/eslint.config.js
+++ b/eslint.config.js
@@ -4,9 +4,9 @@
 import jsdoc from 'eslint-plugin-jsdoc';
 import ts from 'typescript-eslint';
 
-// The layers, top first. A file may import from its own layer and those below it.
+// Layers of src/ from top to bottom. A file may import only from its own layer and from lower ones.
 const layers = ['coordination', 'storage', 'protocol', 'transport', 'base'];
-const downwardsOnly = layers.map((layer, depth) => ({
+const layerRules = layers.map((layer, depth) => ({
   files: [`src/${layer}/**/*.ts`],
   rules: {
     'no-restricted-imports': [
@@ -15,7 +15,7 @@
         patterns: [
           {
             group: [...layers.slice(0, depth).map((l) => `**/${l}/**`), '../main.js', '**/cli/**'],
-            message: 'Imports go downwards only.',
+            message: 'Import only from the same layer or a lower one.',
           },
         ],
       },
@@ -23,22 +23,22 @@
   },
 }));
 
-// Wire names of PROTOCOL stay inside src/protocol; elsewhere the field's own terms are used.
+// Field names that PROTOCOL defines for the wire are used only in src/protocol, which maps them to the names of the other layers.
 const wireNames = ['Drone', 'Drones', 'Baton', 'Shift', 'Try', 'Tick', 'Loaners', 'Yard'];
 const wireSelector = `Identifier[name=/^(${wireNames.join('|')})$/]`;
 
-/** Limits of a file's lines, a function's lines, and a function's branches. */
-const sizeLimits = (lines, linesPerFunction, branches) => ({
+/** Limits for the lines of a file, the lines of a function, and the cyclomatic complexity of a function. */
+const sizeLimits = (lines, linesPerFunction, complexity) => ({
   'max-lines': ['error', { max: lines, skipComments: true, skipBlankLines: true }],
   'max-lines-per-function': [
     'error',
     { max: linesPerFunction, skipComments: true, skipBlankLines: true },
   ],
-  complexity: ['error', branches],
+  complexity: ['error', complexity],
 });
 
-// Files that are not split yet (docs/ROADMAP.md). Take one out when it is; never add one.
-const notSplitYet = [
+// Files that still exceed the size limits (docs/ROADMAP.md). Remove a file once it is split; never add one.
+const oversizedFiles = [
   'src/coordination/leadership/recordFollower.ts',
   'src/coordination/leadership/shardLoader.ts',
   'src/coordination/persistence/bucketWriter.ts',
@@ -52,7 +52,7 @@
   'src/transport/httpClient.ts',
 ];
 
-const documentedDeclarations = {
+const jsdocRequirements = {
   publicOnly: true,
   require: { FunctionDeclaration: true, ClassDeclaration: true, MethodDefinition: true },
   checkConstructors: false,
@@ -81,7 +81,7 @@
     plugins: { jsdoc, 'import-x': importX },
     settings: { 'import-x/resolver-next': [createTypeScriptImportResolver()] },
     rules: {
-      // Numbers and booleans in log lines and messages need no `String()`.
+      // Numbers and booleans may be interpolated in log lines and messages without `String()`.
       '@typescript-eslint/restrict-template-expressions': [
         'error',
         { allowNumber: true, allowBoolean: true },
@@ -92,24 +92,24 @@
         { selector: ['function', 'classMethod', 'classProperty'], format: ['camelCase'] },
       ],
       'import-x/no-cycle': 'error',
-      'jsdoc/require-jsdoc': ['error', documentedDeclarations],
+      'jsdoc/require-jsdoc': ['error', jsdocRequirements],
       ...sizeLimits(300, 40, 12),
     },
   },
-  { files: notSplitYet, rules: sizeLimits(400, 60, 18) },
+  { files: oversizedFiles, rules: sizeLimits(400, 60, 18) },
   {
-    // A package stands by itself: src/ adapts it, and it knows nothing of src/.
+    // Packages are independent of src/: only src/ imports packages.
     files: ['packages/*/src/**/*.ts'],
     rules: {
       'no-restricted-imports': [
         'error',
-        { patterns: [{ regex: '^(\\.\\./){3,}', message: 'Packages import nothing of src/.' }] },
+        { patterns: [{ regex: '^(\\.\\./){3,}', message: 'Packages must not import from src/.' }] },
       ],
     },
   },
-  ...downwardsOnly,
+  ...layerRules,
   {
-    // What users are told of a job is built in one place, and decided on by JobAnswers (docs/safety.md, U10).
+    // Only one module builds job answers to users, and JobAnswers decides on them (docs/safety.md, U10).
     files: ['src/**/*.ts'],
     ignores: ['src/coordination/jobs/replies.ts'],
     rules: {
@@ -120,7 +120,8 @@
             {
               group: ['**/protocol/job.js', './job.js'],
               importNames: ['jobViewAnswer', 'jobStatusAnswer'],
-              message: 'Use jobs/replies.ts: a state goes with the evidence that it is told on.',
+              message:
+                'Use jobs/replies.ts: an answer with a state needs the evidence for that state.',
             },
           ],
         },
@@ -132,7 +133,7 @@
     rules: {
       'no-restricted-syntax': [
         'error',
-        { selector: wireSelector, message: 'Wire names stay inside src/protocol.' },
+        { selector: wireSelector, message: 'Use wire names only in src/protocol.' },
       ],
     },
   },
--- a/test/knownRed/knownRed.ts
+++ b/test/knownRed/knownRed.ts
@@ -1,46 +1,49 @@
 /**
- * KNOWN-RED.txt: tests that fail for a fault which is known and not mended yet. A line is
- * `FILE: NAME | COMMAND AND SEED | SEEN | ISSUE`. Their outcome is printed and does not count; any other failure does, and
- * so does a listed test that was not run.
+ * Evaluates test outcomes against KNOWN-RED.txt, the list of tests that fail because of known, unfixed faults. A line has the
+ * form `FILE: NAME | COMMAND AND SEED | SEEN | ISSUE`. Outcomes of listed tests are printed and ignored. Any other failure fails
+ * the run, as does a listed test that was not run.
  */
 
-/** The form of a line, as messages name it. */
+/** The form of a line, for error messages. */
 const LINE_FORM = 'FILE: NAME | COMMAND AND SEED | SEEN | ISSUE';
 
-/** A test as a line names it: its file without an ending, and its name. */
+/** A test as named in a line: its file without extension, and its name. */
 const TEST_NAME = /^\w+: \S/;
 
-/** An issue is named by its number. */
+/** An issue is given by its number alone. */
 const ISSUE_NUMBER = /^\d+$/;
 
-/** The file may not hold more: a longer list hides what is new. */
+/** Largest number of listed tests: a longer list would hide new failures. */
 export const MAX_LISTED_TESTS = 3;
 
 export interface ListedTest {
-  /** As `FILE: NAME`, where FILE is the test file without its ending. */
+  /** `FILE: NAME`, where FILE is the name of the test file without extension. */
   test: string;
-  /** What plays it: a command, with its seed where it has one. */
+  /** The command that reproduces the failure, with its seed if it has one. */
   command: string;
-  /** What was seen. */
+  /** The observed failure. */
   seen: string;
-  /** The number of the open issue. */
+  /** Number of the open issue. */
   issue: string;
 }
 
+/** The outcome of one test of a run. */
 export interface Outcome {
   test: string;
   passed: boolean;
 }
 
+/** The result of a run. */
 export interface Verdict {
-  /** What to print, line by line. */
+  /** Lines to print. */
   lines: string[];
   passed: boolean;
 }
 
+/** The list cannot be parsed, or is too long. */
 export class MalformedListError extends Error {}
 
-/** Reads the list; empty lines and those that begin with `#` are passed over. */
+/** Parses the list; skips empty lines and lines that begin with `#`. */
 export function parseKnownRed(text: string): ListedTest[] {
   const listed: ListedTest[] = [];
   for (const line of text.split('\n')) {
@@ -57,13 +60,14 @@
 
 function parseLine(line: string): ListedTest {
   const [test, command, seen, issue, ...rest] = line.split(' | ').map((field) => field.trim());
-  const isWhole = test && command && seen && issue && rest.length === 0;
-  if (!isWhole || !TEST_NAME.test(test) || !ISSUE_NUMBER.test(issue)) {
+  const isComplete = test && command && seen && issue && rest.length === 0;
+  if (!isComplete || !TEST_NAME.test(test) || !ISSUE_NUMBER.test(issue)) {
     throw new MalformedListError(`not "${LINE_FORM}": ${line}`);
   }
   return { test, command, seen, issue };
 }
 
+/** Decides whether a run passed. */
 export function evaluate(outcomes: readonly Outcome[], listed: readonly ListedTest[]): Verdict {
   const lines: string[] = [];
   let passed = true;
--- a/test/knownRed/main.ts
+++ b/test/knownRed/main.ts
@@ -1,4 +1,4 @@
-/** Runs test files and judges their outcomes by KNOWN-RED.txt: `node main.js FILE...`. */
+/** Runs test files, and evaluates their outcomes against KNOWN-RED.txt: `node main.js FILE...`. */
 import { existsSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { run } from 'node:test';
@@ -13,23 +13,23 @@
 
 const LIST = 'KNOWN-RED.txt';
 
-/** What `node --test` allows a file. */
+/** Timeout for a test file, as `node --test` applies it. */
 const TIMEOUT_MS = 100_000;
 
-/** The part of a test's event that is needed here. */
+/** The used fields of the test runner's events. */
 interface TestEvent {
   name: string;
   file?: string;
   nesting: number;
 }
 
-/** A file that ends badly is an outcome too, by its own name. */
-function testOf({ name, file }: TestEvent): string {
+/** The name of a test as in the list. A file that fails as a whole is named `FILE: the file`. */
+function testNameOf({ name, file }: TestEvent): string {
   const base = path.basename(file ?? name).replace(/\.test\.js$/, '');
   return path.isAbsolute(name) ? `${base}: the file` : `${base}: ${name}`;
 }
 
-/** A list that can't be read ends the run with one line. */
+/** Reads the list; exits with an error message if it cannot be parsed. */
 function readList(): ListedTest[] {
   try {
     return parseKnownRed(existsSync(LIST) ? readFileSync(LIST, 'utf8') : '');
@@ -43,21 +43,21 @@
 const listed = readList();
 const files = process.argv.slice(2).map((file) => path.resolve(file));
 const outcomes: Outcome[] = [];
-const note = (event: TestEvent, passed: boolean): void => {
-  if (event.nesting === 0) outcomes.push({ test: testOf(event), passed });
+const recordOutcome = (event: TestEvent, passed: boolean): void => {
+  if (event.nesting === 0) outcomes.push({ test: testNameOf(event), passed });
 };
 
 const stream = run({ files, concurrency: true, timeout: TIMEOUT_MS, forceExit: true });
 stream.on('test:pass', (event) => {
-  note(event, true);
+  recordOutcome(event, true);
 });
 stream.on('test:fail', (event) => {
-  note(event, false);
+  recordOutcome(event, false);
 });
 stream.compose(tap).pipe(process.stdout);
 stream.on('end', () => {
   const { lines, passed } = evaluate(outcomes, listed);
-  // After the closing lines of the reporter.
+  // Printed after the reporter's summary.
   setImmediate(() => {
     process.stdout.write(`${lines.map((line) => `# ${line}\n`).join('')}`);
     process.exitCode = passed ? 0 : 1;
--- a/test/tools/history.test.ts
+++ b/test/tools/history.test.ts
@@ -1,297 +1,298 @@
-/** The checker of histories: what it must reject, and what it must not. */
+/** Tests of the history checker: sequences of events with the violations that it must report. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { History, type Rule, type ReportedState } from '../support/history.js';
 
 type Step =
-  | ['told', ReportedState, { sent: number; at: number; node?: string; job?: string }]
+  | ['answer', ReportedState, { sent: number; at: number; node?: string; job?: string }]
   | ['cancel']
   | ['submit']
-  /** A job of one task that needs another. */
-  | ['needs', string, string]
+  /** Submits a job of one task that depends on another job. */
+  | ['submit dependent', string, string]
   | ['done', string, number?]
   | ['start', string, string, number?]
-  /** Its start leaves a controller. */
-  | ['sent', string, number]
-  /** A look at what runs. */
-  | ['check', number]
-  | ['unknown']
-  /** Nothing more will happen. */
+  /** A controller sends a start of the task. */
+  | ['send start', string, number]
+  /** Checks the running tasks. */
+  | ['check running', number]
+  /** The job is never submitted. */
+  | ['never submit']
+  /** The history is complete. */
   | ['finish']
-  | ['leave', string, string];
+  | ['terminate', string, string];
 
-const cases: { name: string; steps: Step[]; broken: Rule[]; overtaken?: number }[] = [
+const cases: { name: string; steps: Step[]; violated: Rule[]; overtaken?: number }[] = [
   {
     name: 'queued, then done',
     steps: [
-      ['told', 'open', { sent: 1, at: 2 }],
-      ['told', 'done', { sent: 3, at: 4 }],
+      ['answer', 'open', { sent: 1, at: 2 }],
+      ['answer', 'done', { sent: 3, at: 4 }],
     ],
-    broken: [],
+    violated: [],
   },
   {
     name: 'open after done at another node',
     steps: [
-      ['told', 'done', { sent: 1, at: 2 }],
-      ['told', 'open', { sent: 3, at: 4, node: 'q' }],
+      ['answer', 'done', { sent: 1, at: 2 }],
+      ['answer', 'open', { sent: 3, at: 4, node: 'q' }],
     ],
-    broken: ['went_back'],
+    violated: ['went_back'],
   },
   {
-    name: 'open after done, but asked before done was told',
+    name: 'open after done, but requested before done was received',
     steps: [
-      ['told', 'done', { sent: 1, at: 2 }],
-      ['told', 'open', { sent: 1.5, at: 4, node: 'q' }],
+      ['answer', 'done', { sent: 1, at: 2 }],
+      ['answer', 'open', { sent: 1.5, at: 4, node: 'q' }],
     ],
-    broken: [],
+    violated: [],
     overtaken: 1,
   },
   {
-    name: 'open by a repeated submission that was sent as the cancellation was confirmed',
+    name: 'open in the answer to a repeated submission that was sent when the cancellation was confirmed',
     steps: [
       ['cancel'],
-      ['told', 'cancelled', { sent: 1, at: 2 }],
-      ['told', 'open', { sent: 2, at: 2.15, node: 'q' }],
+      ['answer', 'cancelled', { sent: 1, at: 2 }],
+      ['answer', 'open', { sent: 2, at: 2.15, node: 'q' }],
     ],
-    broken: ['went_back'],
+    violated: ['went_back'],
   },
   {
-    name: 'cancelled after done, although asked before that',
+    name: 'cancelled after done, although requested before that',
     steps: [
       ['cancel'],
-      ['told', 'done', { sent: 1, at: 2 }],
-      ['told', 'cancelled', { sent: 1.5, at: 4 }],
+      ['answer', 'done', { sent: 1, at: 2 }],
+      ['answer', 'cancelled', { sent: 1.5, at: 4 }],
     ],
-    broken: ['went_back'],
+    violated: ['went_back'],
   },
   {
-    name: 'cancelled without a wish',
-    steps: [['told', 'cancelled', { sent: 1, at: 2 }]],
-    broken: ['went_back'],
+    name: 'cancelled without a cancellation request',
+    steps: [['answer', 'cancelled', { sent: 1, at: 2 }]],
+    violated: ['went_back'],
   },
   {
     name: 'unknown after accepted',
     steps: [
-      ['told', 'open', { sent: 1, at: 2 }],
-      ['told', 'unknown', { sent: 3, at: 4 }],
+      ['answer', 'open', { sent: 1, at: 2 }],
+      ['answer', 'unknown', { sent: 3, at: 4 }],
     ],
-    broken: ['forgotten'],
+    violated: ['forgotten'],
   },
   {
     name: 'a repeated submission is refused',
     steps: [
-      ['told', 'open', { sent: 1, at: 2 }],
-      ['told', 'refused', { sent: 3, at: 4 }],
+      ['answer', 'open', { sent: 1, at: 2 }],
+      ['answer', 'refused', { sent: 3, at: 4 }],
     ],
-    broken: ['forgotten'],
+    violated: ['forgotten'],
   },
   {
-    name: 'two tasks within the limit',
+    name: 'two tasks within the team limit',
     steps: [['submit'], ['start', 'wk-1/0', 'n-1'], ['start', 'wk-1/1', 'n-2']],
-    broken: [],
+    violated: [],
   },
   {
-    name: 'one more than the limit',
+    name: 'one task more than the team limit',
     steps: [
       ['submit'],
       ['start', 'wk-1/0', 'n-1'],
       ['start', 'wk-1/1', 'n-1'],
       ['start', 'wk-1/2', 'n-2'],
     ],
-    broken: ['quota'],
+    violated: ['quota'],
   },
   {
-    name: 'room that has come free again',
+    name: 'a task within the limit after another one has terminated',
     steps: [
       ['submit'],
       ['start', 'wk-1/0', 'n-1'],
       ['start', 'wk-1/1', 'n-1'],
-      ['leave', 'wk-1/0', 'n-1'],
+      ['terminate', 'wk-1/0', 'n-1'],
       ['start', 'wk-1/2', 'n-2'],
     ],
-    broken: [],
+    violated: [],
   },
   {
-    name: 'on two machines',
+    name: 'a task on two machines',
     steps: [['submit'], ['start', 'wk-1/0', 'n-1'], ['start', 'wk-1/0', 'n-2']],
-    broken: ['ran_twice'],
+    violated: ['ran_twice'],
   },
   {
-    name: 'a stage starts when the one before is done',
+    name: 'a job starts when the job it depends on is done',
     steps: [
       ['submit'],
-      ['needs', 'wk-2', 'wk-1'],
+      ['submit dependent', 'wk-2', 'wk-1'],
       ...[0, 1, 2].map((task): Step => ['done', `wk-1/${task}`]),
       ['start', 'wk-2/0', 'n-1'],
     ],
-    broken: [],
+    violated: [],
   },
   {
-    name: 'a stage starts with one task of the one before to come',
+    name: 'a job starts before the last task of the job it depends on is done',
     steps: [
       ['submit'],
-      ['needs', 'wk-2', 'wk-1'],
+      ['submit dependent', 'wk-2', 'wk-1'],
       ['done', 'wk-1/0'],
       ['done', 'wk-1/1'],
       ['done', 'wk-1/1'],
       ['start', 'wk-2/0', 'n-1'],
     ],
-    broken: ['too_early'],
+    violated: ['too_early'],
   },
   {
-    name: 'cancelled with the job before the one before',
+    name: 'cancelled in time with an indirect dependency',
     steps: [
       ['submit'],
-      ['needs', 'wk-2', 'wk-1'],
-      ['needs', 'wk-3', 'wk-2'],
+      ['submit dependent', 'wk-2', 'wk-1'],
+      ['submit dependent', 'wk-3', 'wk-2'],
       ['cancel'],
-      ['told', 'cancelled', { sent: 1, at: 2 }],
-      ['told', 'open', { sent: 6, at: 7, job: 'wk-3' }],
-      ['told', 'cancelled', { sent: 8, at: 9, job: 'wk-3' }],
+      ['answer', 'cancelled', { sent: 1, at: 2 }],
+      ['answer', 'open', { sent: 6, at: 7, job: 'wk-3' }],
+      ['answer', 'cancelled', { sent: 8, at: 9, job: 'wk-3' }],
     ],
-    broken: [],
+    violated: [],
   },
   {
-    name: 'still open too long after the job before was cancelled',
+    name: 'still open too long after an indirect dependency was cancelled',
     steps: [
       ['submit'],
-      ['needs', 'wk-2', 'wk-1'],
-      ['needs', 'wk-3', 'wk-2'],
+      ['submit dependent', 'wk-2', 'wk-1'],
+      ['submit dependent', 'wk-3', 'wk-2'],
       ['cancel'],
-      ['told', 'cancelled', { sent: 1, at: 2 }],
-      ['told', 'open', { sent: 6, at: 7.1, job: 'wk-3' }],
+      ['answer', 'cancelled', { sent: 1, at: 2 }],
+      ['answer', 'open', { sent: 6, at: 7.1, job: 'wk-3' }],
     ],
-    broken: ['orphaned'],
+    violated: ['orphaned'],
   },
   {
-    name: 'cancelled, although only a job that needs it was',
+    name: 'cancelled, although only a job that depends on it was',
     steps: [
       ['submit'],
-      ['needs', 'wk-0', 'wk-1'],
-      ['needs', 'wk-1', 'wk-9'],
+      ['submit dependent', 'wk-0', 'wk-1'],
+      ['submit dependent', 'wk-1', 'wk-9'],
       ['cancel'],
-      ['told', 'cancelled', { sent: 1, at: 2, job: 'wk-9' }],
+      ['answer', 'cancelled', { sent: 1, at: 2, job: 'wk-9' }],
     ],
-    broken: ['went_back'],
+    violated: ['went_back'],
   },
   {
-    name: 'a task goes on for too long after its job was cancelled: named once',
+    name: 'a task runs for too long after its job was cancelled: reported once',
     steps: [
       ['submit'],
       ['start', 'wk-1/0', 'n-1', 1],
       ['cancel'],
-      ['told', 'cancelled', { sent: 1, at: 2 }],
-      ['check', 7],
-      ['check', 7.1],
-      ['check', 8],
+      ['answer', 'cancelled', { sent: 1, at: 2 }],
+      ['check running', 7],
+      ['check running', 7.1],
+      ['check running', 8],
     ],
-    broken: ['ran_cancelled'],
+    violated: ['ran_cancelled'],
   },
   {
-    name: 'a task is gone in time after its job was cancelled',
+    name: 'a task terminates in time after its job was cancelled',
     steps: [
       ['submit'],
       ['start', 'wk-1/0', 'n-1', 1],
       ['cancel'],
-      ['told', 'cancelled', { sent: 1, at: 2 }],
-      ['leave', 'wk-1/0', 'n-1'],
-      ['check', 8],
+      ['answer', 'cancelled', { sent: 1, at: 2 }],
+      ['terminate', 'wk-1/0', 'n-1'],
+      ['check running', 8],
     ],
-    broken: [],
+    violated: [],
   },
   {
     name: 'a task starts too long after its job was cancelled',
     steps: [
       ['submit'],
       ['cancel'],
-      ['told', 'cancelled', { sent: 1, at: 2 }],
+      ['answer', 'cancelled', { sent: 1, at: 2 }],
       ['start', 'wk-1/0', 'n-1', 7.5],
     ],
-    broken: ['ran_cancelled'],
+    violated: ['ran_cancelled'],
   },
   {
-    name: 'a start is sent after its job was called cancelled',
+    name: 'a start is sent after its job was reported as cancelled',
     steps: [
       ['submit'],
       ['cancel'],
-      ['told', 'cancelled', { sent: 1, at: 2 }],
-      ['sent', 'wk-1/0', 3.5],
+      ['answer', 'cancelled', { sent: 1, at: 2 }],
+      ['send start', 'wk-1/0', 3.5],
     ],
-    broken: ['started_cancelled'],
+    violated: ['started_cancelled'],
   },
   {
-    name: 'a start that was sent before its job was called cancelled is carried out after that',
+    name: 'a start that was sent before its job was reported as cancelled is executed after that',
     steps: [
       ['submit'],
       ['cancel'],
-      ['sent', 'wk-1/0', 1.9],
-      ['told', 'cancelled', { sent: 1, at: 2 }],
+      ['send start', 'wk-1/0', 1.9],
+      ['answer', 'cancelled', { sent: 1, at: 2 }],
       ['start', 'wk-1/0', 'n-1', 4],
-      ['leave', 'wk-1/0', 'n-1'],
-      ['check', 8],
+      ['terminate', 'wk-1/0', 'n-1'],
+      ['check running', 8],
     ],
-    broken: [],
+    violated: [],
   },
   {
-    name: 'called done before its last task is',
+    name: 'reported as done before its last task is done',
     steps: [
       ['submit'],
       ['start', 'wk-1/0', 'n-1', 1],
       ['done', 'wk-1/0', 2],
       ['done', 'wk-1/1', 3],
-      ['told', 'done', { sent: 3, at: 4 }],
+      ['answer', 'done', { sent: 3, at: 4 }],
       ['done', 'wk-1/2', 5],
       ['finish'],
     ],
-    broken: ['not_done'],
+    violated: ['not_done'],
   },
   {
-    name: 'called done after its last task, one of which ran twice, one after the other',
+    name: 'reported as done after its last task, with one task that ran twice in succession',
     steps: [
       ['submit'],
       ['start', 'wk-1/0', 'n-1', 1],
       ['done', 'wk-1/0', 2],
-      ['leave', 'wk-1/0', 'n-1'],
+      ['terminate', 'wk-1/0', 'n-1'],
       ['start', 'wk-1/0', 'n-2', 3],
       ['done', 'wk-1/0', 9],
       ['done', 'wk-1/1', 3],
       ['done', 'wk-1/2', 3],
-      ['told', 'done', { sent: 3, at: 4 }],
+      ['answer', 'done', { sent: 3, at: 4 }],
       ['finish'],
     ],
-    broken: [],
+    violated: [],
   },
   {
-    name: 'a job that nobody submitted is not known',
-    steps: [['unknown'], ['told', 'unknown', { sent: 1, at: 2 }]],
-    broken: [],
+    name: 'a job that was never submitted is unknown',
+    steps: [['never submit'], ['answer', 'unknown', { sent: 1, at: 2 }]],
+    violated: [],
   },
   {
-    name: 'a job that nobody submitted is known',
-    steps: [['unknown'], ['told', 'open', { sent: 1, at: 2 }]],
-    broken: ['invented'],
+    name: 'a job that was never submitted is reported as open',
+    steps: [['never submit'], ['answer', 'open', { sent: 1, at: 2 }]],
+    violated: ['invented'],
   },
-  { name: 'nothing was ever started', steps: [['submit'], ['finish']], broken: ['nothing_ran'] },
+  { name: 'no task was ever started', steps: [['submit'], ['finish']], violated: ['nothing_ran'] },
 ];
 
-const CANCEL_WITHIN = 5;
+const CANCELLATION_TIMEOUT_S = 5;
 
-for (const { name, steps, broken, overtaken = 0 } of cases) {
-  test(`a history: ${name}`, () => {
-    const history = new History(new Map([['crew', 4]]), CANCEL_WITHIN, () => 0);
+for (const { name, steps, violated, overtaken = 0 } of cases) {
+  test(`history checker: ${name}`, () => {
+    const history = new History(new Map([['crew', 4]]), CANCELLATION_TIMEOUT_S, () => 0);
     for (const step of steps) {
-      if (step[0] === 'told') {
+      if (step[0] === 'answer') {
         const { sent, at, node = 'p', job = 'wk-1' } = step[2];
         history.recordAnswer({ job, node, sentAt: sent }, at, step[1]);
       } else if (step[0] === 'submit') {
         history.recordSubmission('wk-1', { team: 'crew', cpus: 2, tasks: 3 });
-      } else if (step[0] === 'needs') {
-        const work = { team: 'crew', cpus: 2, tasks: 1, dependencies: [step[2]] };
-        history.recordSubmission(step[1], work);
-      } else if (step[0] === 'sent') history.recordStartSent(step[1], step[2]);
+      } else if (step[0] === 'submit dependent') {
+        const submittedJob = { team: 'crew', cpus: 2, tasks: 1, dependencies: [step[2]] };
+        history.recordSubmission(step[1], submittedJob);
+      } else if (step[0] === 'send start') history.recordStartSent(step[1], step[2]);
       else if (step[0] === 'done') history.onTaskCompleted(step[1], step[2]);
-      else if (step[0] === 'check') history.checkRunningTasks(step[1]);
-      else if (step[0] === 'unknown') history.recordNeverSubmitted('wk-1');
+      else if (step[0] === 'check running') history.checkRunningTasks(step[1]);
+      else if (step[0] === 'never submit') history.recordNeverSubmitted('wk-1');
       else if (step[0] === 'finish') history.checkAtEnd();
       else if (step[0] === 'cancel') history.recordCancelRequest('wk-1');
       else if (step[0] === 'start') history.onTaskStarted(step[1], step[2], step[3]);
@@ -299,7 +300,7 @@
     }
     assert.deepEqual(
       history.violations.map(({ rule }) => rule),
-      broken,
+      violated,
     );
     assert.equal(history.overtaken.length, overtaken);
   });
--- a/test/tools/importGraph.test.ts
+++ b/test/tools/importGraph.test.ts
@@ -1,6 +1,6 @@
 /**
- * The import graph of src/: without cycles, types included, and inside src/coordination downwards only. An import of
- * a type loads nothing, but whoever reads the module has to read the other one too.
+ * Checks that the import graph of src/ has no cycles, and that folders of src/coordination import only from lower ones. Imports of
+ * types count: they load nothing, but readers of the module have to read the imported one as well.
  */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
@@ -8,7 +8,7 @@
 import { test } from 'node:test';
 import ts from 'typescript';
 
-/** Folders of src/coordination, top first: each imports from itself and from those after it. */
+/** Folders of src/coordination from top to bottom: each imports only from itself and from later ones. */
 const COORDINATION_FOLDERS = [
   'controller',
   'rollout',
@@ -28,15 +28,15 @@
   'audit',
 ];
 
-/** Upward imports that are not removed yet, without `src/coordination/`. Never add one. */
+/** Upward imports that still have to be removed, relative to `src/coordination/`. Never add one. */
 const KNOWN_UPWARD_IMPORTS: readonly string[] = [];
 
-/** Modules that still import each other in a circle, without `src/coordination/`. Never add one. */
+/** Modules that are still part of an import cycle, relative to `src/coordination/`. Never add one. */
 const KNOWN_CYCLE_MEMBERS: readonly string[] = [];
 
 type ImportGraph = ReadonlyMap<string, readonly string[]>;
 
-/** The modules that a source file imports or exports from; `import()` is left out. */
+/** The modules that a source file imports or re-exports, without dynamic `import()`. */
 function importedModules(file: string, text: string): string[] {
   const source = ts.createSourceFile(file, text, ts.ScriptTarget.Latest);
   const specifiers = source.statements.flatMap((statement) => {
@@ -56,19 +56,19 @@
   return new Map(files.map((file) => [file, importedModules(file, readFileSync(file, 'utf8'))]));
 }
 
-/** All modules that a module imports, directly or through others. */
+/** All modules that a module imports, directly or transitively. */
 function reachableFrom(graph: ImportGraph, start: string): Set<string> {
   const reached = new Set<string>();
-  const open = [...(graph.get(start) ?? [])];
-  for (let file = open.pop(); file !== undefined; file = open.pop()) {
+  const pending = [...(graph.get(start) ?? [])];
+  for (let file = pending.pop(); file !== undefined; file = pending.pop()) {
     if (reached.has(file)) continue;
     reached.add(file);
-    open.push(...(graph.get(file) ?? []));
+    pending.push(...(graph.get(file) ?? []));
   }
   return reached;
 }
 
-/** Groups of modules that import each other, directly or through others; the largest first. */
+/** Groups of modules that import each other, directly or transitively; the largest first. */
 function findCycles(graph: ImportGraph): string[][] {
   const reachable = new Map([...graph.keys()].map((file) => [file, reachableFrom(graph, file)]));
   const seen = new Set<string>();
@@ -84,11 +84,11 @@
 
 const COORDINATION = 'src/coordination/';
 
-/** The folder of src/coordination that a file is in; null: none. */
+/** The folder of src/coordination that contains a file; null: the file is elsewhere. */
 const coordinationFolder = (file: string): string | null =>
   file.startsWith(COORDINATION) ? (file.slice(COORDINATION.length).split('/')[0] ?? null) : null;
 
-/** Imports from a folder of src/coordination that stands above the importing one. */
+/** Imports between folders of src/coordination that lead to a higher folder. */
 function findUpwardImports(graph: ImportGraph): string[] {
   const depthOf = (folder: string): number => COORDINATION_FOLDERS.indexOf(folder);
   return [...graph].flatMap(([file, imported]) => {
@@ -109,7 +109,7 @@
   assert.deepEqual(missing, []);
 });
 
-test('import graph: every folder of src/coordination has its place in the order', () => {
+test('import graph: the order lists every folder of src/coordination', () => {
   const folders = new Set([...graph.keys()].map(coordinationFolder));
   folders.delete(null);
   assert.deepEqual([...folders].sort(), [...COORDINATION_FOLDERS].sort());
@@ -132,7 +132,7 @@
   assert.deepEqual(unknown, ['src/main.ts']);
 });
 
-test('import graph: without cycles, types included', () => {
+test('import graph: has no cycles, imports of types included', () => {
   const cycles = findCycles(graph);
   const unknown = cycles
     .flat()
@@ -141,20 +141,28 @@
 });
 
 for (const { name, text, imported } of [
-  { name: 'a value', text: "import { a } from './a.js';", imported: ['src/x/a.ts'] },
-  { name: 'a type', text: "import type { A } from '../a.js';", imported: ['src/a.ts'] },
-  { name: 're-exported', text: "export { a } from './a.js';", imported: ['src/x/a.ts'] },
-  { name: 'for its effects', text: "import './a.js';", imported: ['src/x/a.ts'] },
-  { name: 'on several lines', text: "import {\n  a,\n} from './a.js';", imported: ['src/x/a.ts'] },
-  { name: 'import() is left out', text: "await import('./a.js');", imported: [] },
-  { name: 'a library is left out', text: "import fs from 'node:fs';", imported: [] },
+  { name: 'an import of a value', text: "import { a } from './a.js';", imported: ['src/x/a.ts'] },
+  {
+    name: 'an import of a type',
+    text: "import type { A } from '../a.js';",
+    imported: ['src/a.ts'],
+  },
+  { name: 'a re-export', text: "export { a } from './a.js';", imported: ['src/x/a.ts'] },
+  { name: 'an import for side effects', text: "import './a.js';", imported: ['src/x/a.ts'] },
+  {
+    name: 'an import on several lines',
+    text: "import {\n  a,\n} from './a.js';",
+    imported: ['src/x/a.ts'],
+  },
+  { name: 'no dynamic import()', text: "await import('./a.js');", imported: [] },
+  { name: 'no library', text: "import fs from 'node:fs';", imported: [] },
 ]) {
   test(`import graph: found: ${name}`, () => {
     assert.deepEqual(importedModules('src/x/file.ts', text), imported);
   });
 }
 
-test('import graph: a cycle is found once, and what only leads to it is not in it', () => {
+test('import graph: a cycle is found once, without modules that only lead to it', () => {
   const example = new Map([
     ['a', ['b']],
     ['b', ['c', 'd']],
@@ -164,7 +172,7 @@
   assert.deepEqual(findCycles(example), [['b', 'c']]);
 });
 
-test('import graph: an upward import is found, one from below or beside is not', () => {
+test('import graph: finds an upward import, and none to a lower folder or the same one', () => {
   const example = new Map([
     ['src/coordination/model/a.ts', ['src/coordination/shard/b.ts', 'src/base/log.ts']],
     ['src/coordination/shard/b.ts', ['src/coordination/model/a.ts', 'src/coordination/shard/c.ts']],
--- a/test/tools/regression.test.ts
+++ b/test/tools/regression.test.ts
@@ -1,4 +1,4 @@
-/** The comparison that decides whether a landing has made anything worse. */
+/** Tests of the comparison that decides whether a change made a measured result worse. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -22,7 +22,7 @@
   ...{ id, head, days, score, cmd: 'score', at: [], site: 's', ok: true, error: null, tree: {} },
 });
 
-test('a figure counts as fallen when it is more than 0.03 below the lowest of the last sources', () => {
+test('a result counts as fallen when it is more than 0.03 below the lowest of the last sources', () => {
   const recorded = [entry('a', 'x', [day(0.9, 1.6)]), entry('b', 'x', [day(0.88, 1.5)], 0.72)];
   const cases: [ScoreEntry, string[]][] = [
     [entry('c', 'y', [day(0.86, 1.62)], 0.7), []],
@@ -39,7 +39,7 @@
   }
 });
 
-test('broken rules are named, and only finished scores of the last sources are compared with', () => {
+test('broken rules are listed, and only completed scores of the last sources are used for comparison', () => {
   assert.deepEqual(brokenRules(entry('a', 'x', [day(1, 1, { rules: { quota: 2 } })])), [
     'rough: quota',
   ]);
--- a/test/tools/soak.test.ts
+++ b/test/tools/soak.test.ts
@@ -1,4 +1,4 @@
-/** The soak itself: what a seed draws, what its links do to bytes, which lines make it fail, and its command line. */
+/** Tests of the soak test itself: its plans, links, logs, stand-in processes and command line. */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -16,14 +16,14 @@
 
 const SEEDS = Array.from({ length: 60 }, (_, index) => index + 1);
 
-test('a seed draws the same plan each time, and other seeds draw others', () => {
+test('a seed determines its plan, and other seeds give other plans', () => {
   for (const size of ['ci', 'usual', 'large'] as const) {
     assert.deepEqual(drawPlan(7, size), drawPlan(7, size));
     assert.notDeepEqual(drawPlan(7, size).faults, drawPlan(8, size).faults);
   }
 });
 
-test('over some seeds every fault is drawn, and no more overlap than a cluster is meant to bear', () => {
+test('some seeds draw every fault, and no more faults overlap than a cluster must tolerate', () => {
   const kinds = new Set<string>();
   const flags = new Set<string>();
   for (const seed of SEEDS) {
@@ -34,7 +34,7 @@
       kinds.add(fault.kind);
       if (fault.kind === 'machines') flags.add(fault.flag);
       assert.ok(at >= 2 && at <= faultSeconds);
-      // Copies of answered messages come beside whatever else there is.
+      // Duplicates of answered messages may overlap with any number of other faults.
       if (fault.kind === 'copies') continue;
       const others = faults.filter(
         (s) => s.fault.kind !== 'copies' && s.at < at && s.at + durationOf(s.fault) > at,
@@ -46,7 +46,7 @@
   assert.equal(flags.size, 5);
 });
 
-test('copies of answered messages are drawn for each seed', () => {
+test('every seed draws duplicates of answered messages', () => {
   const kindsOf = (seed: number, size: SoakSize): string[] =>
     drawPlan(seed, size).faults.map(({ fault }) => fault.kind);
   for (const seed of SEEDS) {
@@ -55,7 +55,7 @@
   }
 });
 
-test('what a job is can be told from its id alone', () => {
+test('the id of a job determines its kind', () => {
   const kinds: [string, string][] = [
     ['wk-001000', 'array'],
     ['wk-001008', 'gang'],
@@ -65,24 +65,24 @@
   ];
   for (const [job, kind] of kinds) assert.equal(kindOfJob(job), kind, job);
   assert.equal(runSecondsOf('wk-001009/0', 1, 5), Infinity);
-  const time = runSecondsOf('wk-001000/0', 1, 5);
-  assert.equal(time, runSecondsOf('wk-001000/0', 1, 5));
-  assert.ok(time >= 0.2 && time <= 5.2);
+  const seconds = runSecondsOf('wk-001000/0', 1, 5);
+  assert.equal(seconds, runSecondsOf('wk-001000/0', 1, 5));
+  assert.ok(seconds >= 0.2 && seconds <= 5.2);
   assert.equal(submissionFieldsOf('wk-001009')['Shape'], 'daemon');
 });
 
-test('a soak hears of starts that leave a controller', () => {
+test('the soak log reports starts that a controller sends', () => {
   const log = new SoakLog();
-  const heard: string[] = [];
-  log.onStartSent = (task) => heard.push(task);
+  const sentStarts: string[] = [];
+  log.onStartSent = (task) => sentStarts.push(task);
   const line =
     'info audit at=1 node=drone-0 event=commands-sent shard=drone-0 route=command commands=';
   log.add('drone-0', `${line}"start wk-1/0#1,stop wk-2/0#1,start wk-1/12#3" leaseLeft=0.8`);
   log.add('drone-0', `${line}"acknowledge wk-3/0#1" leaseLeft=0.8`);
-  assert.deepEqual(heard, ['wk-1/0', 'wk-1/12']);
+  assert.deepEqual(sentStarts, ['wk-1/0', 'wk-1/12']);
 });
 
-test('lines that make a soak fail', () => {
+test('log lines that make a soak fail', () => {
   for (const [line, fails] of [
     ['error unhandled: x is not a function', true],
     ['error audit at=1 node=drone-0 event=invariant-violated invariant=attempt-vanished', true],
@@ -96,26 +96,27 @@
   }
 });
 
-interface Linked {
-  got: string[];
+/** A server behind a link, with the data that it has received. */
+interface LinkedServer {
+  received: string[];
   link: Link;
   address: net.TcpNetConnectOpts;
   close(): void;
 }
 
-/** A server that keeps what it is sent, and a link to it. */
-async function linked(): Promise<Linked> {
-  const got: string[] = [];
+/** Starts a server that records received data, and a link to it. */
+async function startLinkedServer(): Promise<LinkedServer> {
+  const received: string[] = [];
   const server = net.createServer((socket) => {
     socket.on('error', () => undefined);
-    socket.on('data', (data) => got.push(String(data)));
+    socket.on('data', (data) => received.push(String(data)));
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-  const { port: own } = server.address() as net.AddressInfo;
-  const link = new Link(() => `127.0.0.1:${own}`);
+  const { port: serverPort } = server.address() as net.AddressInfo;
+  const link = new Link(() => `127.0.0.1:${serverPort}`);
   const [host, port] = (await link.listen()).split(':');
   return {
-    got,
+    received,
     link,
     address: { host, port: Number(port) },
     close: () => {
@@ -134,61 +135,64 @@
   return socket;
 };
 
-test('what a link holds is delivered in order at the end, also when its sender has given up', async () => {
-  const { got, link, address, close } = await linked();
+test('a link delivers held bytes in order after the cut, even if their sender has closed the connection', async () => {
+  const { received, link, address, close } = await startLinkedServer();
   const socket = await connect(address);
   socket.write('a');
-  await until('the first arrives', () => got.join('') === 'a');
+  await until('the first byte is received', () => received.join('') === 'a');
   link.set({ holdsForward: true });
   socket.write('b');
   socket.write('c');
   socket.end();
-  // What was begun meanwhile and given up never arrives.
-  const late = await connect(address);
-  late.write('x');
+  // A connection that is opened and closed during the cut never reaches the server.
+  const abandoned = await connect(address);
+  abandoned.write('x');
   await new Promise((resolve) => setTimeout(resolve, 50));
-  late.destroy();
+  abandoned.destroy();
   await new Promise((resolve) => setTimeout(resolve, 50));
-  assert.equal(got.join(''), 'a');
+  assert.equal(received.join(''), 'a');
   link.heal();
-  await until('what was held arrives', () => got.join('') === 'abc');
+  await until('the held bytes are received', () => received.join('') === 'abc');
   close();
 });
 
-test('a link that refuses new connections keeps those that are up, and accepts again at its address', async () => {
-  const { got, link, address, close } = await linked();
+test('a link that refuses new connections keeps open ones, and later accepts again at its address', async () => {
+  const { received, link, address, close } = await startLinkedServer();
   const socket = await connect(address);
   link.refuseNew();
   const refused = net.connect(address);
   await new Promise<void>((resolve) => refused.once('error', () => resolve()));
   socket.write('a');
-  await until('the open one goes on', () => got.join('') === 'a');
+  await until('the open connection delivers data', () => received.join('') === 'a');
   await link.acceptNew();
   (await connect(address)).write('b');
-  await until('new ones come up', () => got.join('') === 'ab');
+  await until('a new connection delivers data', () => received.join('') === 'ab');
   link.set({ isRefusing: true });
-  await until('a broken link drops what is open', () => socket.destroyed || !socket.writable);
+  await until(
+    'a refusing link closes open connections',
+    () => socket.destroyed || !socket.writable,
+  );
   close();
 });
 
-test('a link passes over a port at which somebody else listens', async () => {
-  const first = await linked();
+test('a link skips a port at which another listener is open', async () => {
+  const first = await startLinkedServer();
   const server = net.createServer();
   const { host, port } = first.address;
   const taken = port + 1;
   await new Promise<void>((resolve) => server.listen({ host, port: taken }, resolve));
-  const second = await linked();
+  const second = await startLinkedServer();
   assert.notEqual(second.address.port, taken);
   (await connect(second.address)).destroy();
-  for (const open of [first, second, server]) open.close();
+  for (const resource of [first, second, server]) resource.close();
 });
 
-test('the address of a link that refuses new connections stays its own', async () => {
-  const { link, address, close } = await linked();
-  const other = await linked();
+test('a link that refuses new connections keeps its address', async () => {
+  const { link, address, close } = await startLinkedServer();
+  const other = await startLinkedServer();
   assert.notDeepEqual(other.address, address);
   link.refuseNew();
-  // Where another process listens that asked for the same port on loopback.
+  // Another process may listen at the same port of 127.0.0.1.
   const server = net.createServer();
   const { port } = address;
   await new Promise<void>((resolve) => server.listen({ host: '127.0.0.1', port }, resolve));
@@ -200,31 +204,31 @@
 });
 
 test(
-  'a stand-in that has ended answers nothing, and keeps nobody waiting',
+  'requests to a stand-in process that has ended get no answer and do not wait',
   { timeout: 20_000 },
   async () => {
     const folder = mkdtempSync(join(tmpdir(), 'soak-'));
-    const module = join(folder, 'endsWhenAsked.mjs');
+    const module = join(folder, 'exitsWhenAsked.mjs');
     writeFileSync(module, "process.on('message', () => process.exit(1));");
-    let ends = 0;
+    let endCount = 0;
     const standIn = new StandInProcess<string>(module, null, {
       onEvent: () => undefined,
       onOutput: () => undefined,
-      onUnexpectedExit: () => ends++,
+      onUnexpectedExit: () => endCount++,
     });
     assert.equal(await standIn.request('first'), null);
     assert.equal(await standIn.request('second'), null);
-    assert.equal(ends, 1);
+    assert.equal(endCount, 1);
     rmSync(folder, { recursive: true });
   },
 );
 
-const goodArguments: [string[], Partial<ReturnType<typeof parseArguments>>][] = [
+const validArguments: [string[], Partial<ReturnType<typeof parseArguments>>][] = [
   [['--seeds', '3'], { first: 3, last: 3, size: 'usual', jobs: 1 }],
   [['--seeds', '1..50', '--jobs', '4'], { first: 1, last: 50, jobs: 4 }],
   [['--seeds=2..4', '--size=large'], { first: 2, last: 4, size: 'large' }],
 ];
-for (const [args, expected] of goodArguments) {
+for (const [args, expected] of validArguments) {
   test(`soak arguments: ${args.join(' ')}`, () => {
     const parsed = parseArguments(args);
     assert.deepEqual({ ...parsed, ...expected }, parsed);
@@ -243,12 +247,12 @@
   ['--seeds', '1', '--sed', '2'],
   ['1..3'],
 ]) {
-  test(`soak arguments refused: ${args.join(' ')}`, () => {
+  test(`invalid soak arguments: ${args.join(' ')}`, () => {
     assert.throws(() => parseArguments(args), UsageError);
   });
 }
 
-test('a bad argument ends the command with usage and exit code 2', () => {
+test('an invalid argument makes the command print its usage and exit with code 2', () => {
   const program = join(import.meta.dirname, '../soak/main.js');
   const { status, stderr } = spawnSync(process.execPath, [program, '--seeds', 'x']);
   assert.equal(status, 2);
