--- a/test/soak/commandLine.ts
+++ b/test/soak/commandLine.ts
@@ -1,4 +1,4 @@
-/** The arguments of `npm run soak`. */
+/** Command-line arguments of `npm run soak`. */
 import { parseArgs } from 'node:util';
 import type { SoakSize } from './plan.js';
 
@@ -22,10 +22,16 @@
 
 const SIZES: readonly string[] = ['ci', 'usual', 'large'];
 const LEVELS: readonly string[] = ['error', 'info', 'debug'];
-const MOST_SEEDS = 10_000;
+const MAX_SEEDS = 10_000;
 
 export function parseArguments(args: string[]): SoakArguments {
-  const { seeds, size = 'usual', jobs = '1', keep = 'target/soak', log = 'info' } = read(args);
+  const {
+    seeds,
+    size = 'usual',
+    jobs = '1',
+    keep = 'target/soak',
+    log = 'info',
+  } = readOptions(args);
   const [first, last] = parseSeeds(seeds);
   if (!SIZES.includes(size)) throw new UsageError(`--size: there is no ${size}`);
   if (!LEVELS.includes(log)) throw new UsageError(`--log: there is no ${log}`);
@@ -40,7 +46,9 @@
   };
 }
 
-function read(args: string[]): Partial<Record<'seeds' | 'size' | 'jobs' | 'keep' | 'log', string>> {
+function readOptions(
+  args: string[],
+): Partial<Record<'seeds' | 'size' | 'jobs' | 'keep' | 'log', string>> {
   const text = { type: 'string' } as const;
   try {
     return parseArgs({
@@ -58,6 +66,6 @@
   const first = Number(match[1]);
   const last = match[2] === undefined ? first : Number(match[2]);
   if (last < first) throw new UsageError(`--seeds: ${first} is above ${last}`);
-  if (last - first >= MOST_SEEDS) throw new UsageError(`--seeds: at most ${MOST_SEEDS} at a time`);
+  if (last - first >= MAX_SEEDS) throw new UsageError(`--seeds: at most ${MAX_SEEDS} at a time`);
   return [first, last];
 }
--- a/test/soak/controllerProcess.ts
+++ b/test/soak/controllerProcess.ts
@@ -1,22 +1,22 @@
-/** One controller as a process of its own, by the program that the service is built from. */
+/** Runs one controller in a child process, using the same entry point as the service. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { join, resolve } from 'node:path';
 
-/** The compiled program: the sources as they are, without bundle and snapshot. */
+/** The compiled entry point of the controller, without the bundle and the startup snapshot. */
 export const PROGRAM = resolve(import.meta.dirname, '../../src/main.js');
-const CLOCK_SKEW = join(import.meta.dirname, 'clockSkew.js');
+const CLOCK_SKEW_MODULE = join(import.meta.dirname, 'clockSkew.js');
 
 export interface ControllerEvents {
   onLogLine(label: string, line: string): void;
-  /** It has ended, and nobody had asked it to. */
-  onUnexpectedExit(label: string, how: string): void;
+  /** The process exited although `kill` was not called. */
+  onUnexpectedExit(label: string, reason: string): void;
 }
 
 export class ControllerProcess {
-  private child: ChildProcess | null = null;
-  /** Processes that were killed and have not ended yet: until then the kernel keeps their ports. */
-  private readonly ending = new Set<ChildProcess>();
-  private isWanted = false;
+  private runningChild: ChildProcess | null = null;
+  /** Killed processes that have not exited yet. The kernel keeps their ports until they do, so the next start waits for them. */
+  private readonly killedChildren = new Set<ChildProcess>();
+  private shouldRun = false;
 
   constructor(
     readonly label: string,
@@ -27,52 +27,53 @@
   ) {}
 
   get isRunning(): boolean {
-    return this.child !== null;
+    return this.runningChild !== null;
   }
 
   start(): void {
-    this.isWanted = true;
-    if (this.child === null && this.ending.size === 0) this.spawn();
+    this.shouldRun = true;
+    if (this.runningChild === null && this.killedChildren.size === 0) this.spawn();
   }
 
   private spawn(): void {
-    const flags = ['--max-old-space-size=128', '--import', CLOCK_SKEW];
+    const flags = ['--max-old-space-size=128', '--import', CLOCK_SKEW_MODULE];
     const child = spawn(process.execPath, [...flags, PROGRAM, '--config', this.config], {
       stdio: ['ignore', 'ignore', 'pipe'],
       env: { ...process.env, LOG_LEVEL: this.logLevel, SOAK_SKEW_MS: String(this.skewMs) },
     });
-    this.child = child;
-    let rest = '';
+    this.runningChild = child;
+    let incompleteLine = '';
     child.stderr.on('data', (data) => {
-      const lines = `${rest}${String(data)}`.split('\n');
-      rest = lines.pop() ?? '';
+      const lines = `${incompleteLine}${String(data)}`.split('\n');
+      incompleteLine = lines.pop() ?? '';
       for (const line of lines) this.events.onLogLine(this.label, line);
     });
     child.on('exit', (code, signal) => {
-      if (this.ending.delete(child)) {
-        if (this.isWanted && this.child === null && this.ending.size === 0) this.spawn();
+      if (this.killedChildren.delete(child)) {
+        if (this.shouldRun && this.runningChild === null && this.killedChildren.size === 0)
+          this.spawn();
         return;
       }
-      this.child = null;
+      this.runningChild = null;
       this.events.onUnexpectedExit(this.label, signal ?? `exit code ${String(code)}`);
     });
   }
 
-  /** As a crash: no signal that it could handle. */
+  /** Simulates a crash: SIGKILL, which the process cannot handle. */
   kill(): void {
-    const { child } = this;
-    this.isWanted = false;
-    this.child = null;
+    const { runningChild: child } = this;
+    this.shouldRun = false;
+    this.runningChild = null;
     if (child === null) return;
-    this.ending.add(child);
+    this.killedChildren.add(child);
     child.kill('SIGKILL');
   }
 
   pause(): void {
-    this.child?.kill('SIGSTOP');
+    this.runningChild?.kill('SIGSTOP');
   }
 
   resume(): void {
-    this.child?.kill('SIGCONT');
+    this.runningChild?.kill('SIGCONT');
   }
 }
--- a/test/soak/faultInjection.ts
+++ b/test/soak/faultInjection.ts
@@ -1,40 +1,40 @@
-/** Injects planned faults into a cluster of processes, and ends them. */
+/** Injects the planned faults into a cluster of processes and removes each when its time is over. */
 import { pause } from '../support/cluster.js';
 import type { CancelledThenRefused, Fault, SoakPlan } from './plan.js';
 import type { SoakCluster } from './soakCluster.js';
 
-/** Of the transactions without an answer, those that are carried out at once. */
-const AT_ONCE_SHARE = 0.5;
+/** Share of the transactions with a withheld answer that are applied at once; the others are applied late. */
+const APPLIED_AT_ONCE_SHARE = 0.5;
 
-/** Time for a request to one of the stand-ins to arrive, in seconds. */
+/** Time that a request to a stand-in process needs to arrive, in seconds. */
 const REQUEST_TRAVEL_S = 0.1;
 
-/** How long after a message a late copy may come, as a ratio to the worker's lease. */
-const MOST_LATE = 1.2;
+/** Maximum delay of late messages, late duplicates and late transactions, as a ratio to the worker's lease. */
+const MAX_DELAY_RATIO = 1.2;
 
 export class FaultInjector {
-  private injectedCount = 0;
-  private isOver = false;
-  /** Processes that stand still; one that is killed meanwhile comes back awake. */
+  private machineFaultCount = 0;
+  private isStopped = false;
+  /** Nodes whose process is paused (SIGSTOP). A process that is killed meanwhile runs normally after its restart. */
   private readonly paused = new Set<string>();
 
   constructor(
     private readonly cluster: SoakCluster,
     private readonly plan: SoakPlan,
-    private readonly note: (text: string) => void,
-    /** Has users cancel that many jobs now. */
-    private readonly cancelNow: (count: number) => void,
+    private readonly logFault: (text: string) => void,
+    /** Makes users cancel that many jobs now. */
+    private readonly cancelJobsNow: (count: number) => void,
   ) {}
 
-  /** All faults of the plan, each at its time; resolves when the last one has ended and everything is up. */
+  /** Injects all faults of the plan, each at its time. Resolves when all of them are over and all controllers are started. */
   async injectAll(): Promise<void> {
-    const began = performance.now();
+    const startedAt = performance.now();
     const running: Promise<void>[] = [];
     for (const { at, fault } of this.plan.faults) {
-      const left = at - (performance.now() - began) / 1000;
-      if (left > 0) await pause(left);
-      if (this.isOver) return;
-      this.note(`fault ${JSON.stringify(fault)}`);
+      const remainingSeconds = at - (performance.now() - startedAt) / 1000;
+      if (remainingSeconds > 0) await pause(remainingSeconds);
+      if (this.isStopped) return;
+      this.logFault(`fault ${JSON.stringify(fault)}`);
       running.push(this.inject(fault));
     }
     await Promise.all(running);
@@ -42,31 +42,31 @@
   }
 
   stop(): void {
-    this.isOver = true;
+    this.isStopped = true;
   }
 
   private startAll(): void {
-    if (this.isOver) return;
+    if (this.isStopped) return;
     for (const controller of this.cluster.controllers.values()) controller.start();
   }
 
   private async inject(fault: Fault): Promise<void> {
     const { cluster } = this;
     const { state, fleet } = cluster;
-    const mostLate = this.plan.lease * MOST_LATE;
+    const maxDelay = this.plan.lease * MAX_DELAY_RATIO;
     switch (fault.kind) {
       case 'kill':
-        return this.kill([fault.node], fault.awaySeconds);
+        return this.killNodes([fault.node], fault.awaySeconds);
       case 'kill-all':
-        return this.kill(this.plan.nodes, fault.awaySeconds);
+        return this.killNodes(this.plan.nodes, fault.awaySeconds);
       case 'pause':
         return this.pauseNode(fault.node, fault.seconds);
       case 'owners-in-series':
-        return this.killInSeries(fault.nodes, fault.seconds);
+        return this.killOneAfterAnother(fault.nodes, fault.seconds);
       case 'state-refuses':
-        return this.refuse(fault.node, fault.seconds);
+        return this.refuseRequests(fault.node, fault.seconds);
       case 'cancel-now':
-        this.cancelNow(fault.count);
+        this.cancelJobsNow(fault.count);
         return;
       case 'cancelled-then-refused':
         return this.cancelThenRefuse(fault);
@@ -81,38 +81,38 @@
         await state.request({ kind: 'late-answers', client: fault.node, maxDelay: 0 });
         return;
       case 'answers-lost':
-        return this.loseAnswers(fault.share, AT_ONCE_SHARE, fault.seconds);
+        return this.loseAnswers(fault.share, APPLIED_AT_ONCE_SHARE, fault.seconds);
       case 'peers-cut':
-        return this.hold(
+        return this.holdLinks(
           fault.isBothWays
             ? [`${fault.from}>${fault.to}`, `${fault.to}>${fault.from}`]
             : [`${fault.from}>${fault.to}`],
           fault.seconds,
         );
       case 'peers-slow':
-        return this.during([`${fault.from}>${fault.to}`], fault.seconds, {
+        return this.changeLinksFor([`${fault.from}>${fault.to}`], fault.seconds, {
           delaySeconds: fault.delay,
         });
       case 'node-apart':
-        return this.setApart(fault.node, fault.seconds, fault.isHeld);
+        return this.isolateNode(fault.node, fault.seconds, fault.isHeld);
       case 'workers-cut':
-        return this.hold([`workers>${fault.node}`], fault.seconds);
+        return this.holdLinks([`workers>${fault.node}`], fault.seconds);
       case 'machines':
         return this.injectMachineFault(fault);
       case 'messages':
-        await fleet.request({ ...fault, kind: 'message-faults', mostLate });
+        await fleet.request({ ...fault, kind: 'message-faults', maxDelay });
         await pause(fault.seconds);
         await fleet.request({
           kind: 'message-faults',
           lateCommands: 0,
           copiedReports: 0,
-          mostLate,
+          maxDelay,
         });
         return;
       case 'copies':
-        await this.copyAnswered(fault.share);
+        await this.setDuplicationShare(fault.share);
         await pause(fault.seconds);
-        await this.copyAnswered(0);
+        await this.setDuplicationShare(0);
         return;
       case 'taken':
         await fleet.request({ kind: 'take', share: fault.share });
@@ -122,7 +122,7 @@
         await pause(fault.seconds);
         return;
       case 'cloud-refuses':
-        return this.during(
+        return this.changeLinksFor(
           this.plan.nodes.map((node) => `${node}>cloud`),
           fault.seconds,
           { isRefusing: true },
@@ -130,7 +130,7 @@
     }
   }
 
-  private async refuse(client: string, seconds: number): Promise<void> {
+  private async refuseRequests(client: string, seconds: number): Promise<void> {
     const { state } = this.cluster;
     await state.request({ kind: 'refuse', client, isOn: true });
     await pause(seconds);
@@ -139,35 +139,37 @@
 
   private async loseAnswers(share: number, atOnce: number, seconds: number): Promise<void> {
     const { state } = this.cluster;
-    const mostLate = this.plan.lease * MOST_LATE;
-    await state.request({ kind: 'lose-answers', share, atOnce, mostLate });
+    const maxDelay = this.plan.lease * MAX_DELAY_RATIO;
+    await state.request({ kind: 'lose-answers', share, atOnce, maxDelay });
     await pause(seconds);
-    await state.request({ kind: 'lose-answers', share: 0, atOnce, mostLate });
+    await state.request({ kind: 'lose-answers', share: 0, atOnce, maxDelay });
   }
 
-  private async copyAnswered(share: number): Promise<void> {
-    const request = { kind: 'copies', share, mostLate: this.plan.lease * MOST_LATE } as const;
+  private async setDuplicationShare(share: number): Promise<void> {
+    const request = { kind: 'copies', share, maxDelay: this.plan.lease * MAX_DELAY_RATIO } as const;
     await Promise.all([this.cluster.state.request(request), this.cluster.fleet.request(request)]);
   }
 
   private async cancelThenRefuse(fault: CancelledThenRefused): Promise<void> {
     const { node, count, lostSeconds, atOnce, waitSeconds, aloneSeconds } = fault;
-    const left = fault.seconds - waitSeconds;
+    const remainingSeconds = fault.seconds - waitSeconds;
     const isLost = lostSeconds > 0;
-    const lost = isLost ? this.loseAnswers(1, atOnce, lostSeconds) : Promise.resolve();
+    const answersLost = isLost ? this.loseAnswers(1, atOnce, lostSeconds) : Promise.resolve();
     if (isLost) await pause(REQUEST_TRAVEL_S);
-    this.cancelNow(count);
+    this.cancelJobsNow(count);
     await pause(waitSeconds);
-    const alone = fault.isApart ? this.setApart(node, left, false) : this.refuse(node, left);
+    const nodeCutOff = fault.isApart
+      ? this.isolateNode(node, remainingSeconds, false)
+      : this.refuseRequests(node, remainingSeconds);
     await pause(aloneSeconds);
-    await this.refuse('*', left - aloneSeconds);
-    await Promise.all([lost, alone]);
+    await this.refuseRequests('*', remainingSeconds - aloneSeconds);
+    await Promise.all([answersLost, nodeCutOff]);
   }
 
-  private async kill(nodes: readonly string[], seconds: number): Promise<void> {
+  private async killNodes(nodes: readonly string[], seconds: number): Promise<void> {
     for (const node of nodes) this.cluster.controller(node).kill();
     await pause(seconds);
-    if (this.isOver) return;
+    if (this.isStopped) return;
     for (const node of nodes) this.cluster.controller(node).start();
   }
 
@@ -181,13 +183,13 @@
     this.paused.delete(node);
   }
 
-  /** The second ends once it has had time to adopt what the first one left. */
-  private async killInSeries(nodes: readonly string[], seconds: number): Promise<void> {
-    const turn = seconds / nodes.length;
+  /** Kills the nodes at equal intervals, so that the next node has time to take over the shard before it is killed too. */
+  private async killOneAfterAnother(nodes: readonly string[], seconds: number): Promise<void> {
+    const interval = seconds / nodes.length;
     await Promise.all(
       nodes.map(async (node, index) => {
-        await pause(index * turn);
-        await this.kill([node], seconds - index * turn);
+        await pause(index * interval);
+        await this.killNodes([node], seconds - index * interval);
       }),
     );
   }
@@ -197,27 +199,27 @@
     share,
     seconds,
   }: Extract<Fault, { kind: 'machines' }>): Promise<void> {
-    const id = ++this.injectedCount;
+    const id = ++this.machineFaultCount;
     await this.cluster.fleet.request({ kind: 'flag', id, flag, share });
     await pause(seconds);
     await this.cluster.fleet.request({ kind: 'unflag', id });
   }
 
-  private hold(links: readonly string[], seconds: number): Promise<void> {
-    return this.during(links, seconds, { holdsForward: true, holdsBackward: true });
+  private holdLinks(links: readonly string[], seconds: number): Promise<void> {
+    return this.changeLinksFor(links, seconds, { holdsForward: true, holdsBackward: true });
   }
 
-  private async setApart(node: string, seconds: number, isHeld: boolean): Promise<void> {
+  private async isolateNode(node: string, seconds: number, isHeld: boolean): Promise<void> {
     const others = this.plan.nodes.filter((other) => other !== node);
     const links = [
       `${node}>state`,
       ...others.flatMap((other) => [`${node}>${other}`, `${other}>${node}`]),
     ];
-    if (isHeld) return this.hold(links, seconds);
-    return this.during(links, seconds, { isRefusing: true });
+    if (isHeld) return this.holdLinks(links, seconds);
+    return this.changeLinksFor(links, seconds, { isRefusing: true });
   }
 
-  private async during(
+  private async changeLinksFor(
     links: readonly string[],
     seconds: number,
     change: Parameters<ReturnType<SoakCluster['linkBetween']>['set']>[0],
--- a/test/soak/fleetMain.ts
+++ b/test/soak/fleetMain.ts
@@ -1,6 +1,6 @@
 /**
- * The cloud of a soak and all of its workers, in one process, so that what runs where has one order. Machines come up when
- * they are rented, and lose their power when they are taken.
+ * Process with a soak's cloud and all of its workers. They share one process so that task events have one total order.
+ * A machine starts when it is rented and stops at once, without notice to its tasks, when the cloud reclaims it.
  */
 import { seededRandom } from '../../src/base/random.js';
 import { CloudStandIn, type WorkerStandIn } from '../support/fleet.js';
@@ -19,11 +19,11 @@
 const random = seededRandom(plan.seed);
 let nodes = new Map<string, string>();
 const runSeconds = (task: string): number => runSecondsOf(task, plan.seed, plan.maxTaskSeconds);
-const { heartbeatInterval: heartbeatInterval, workerLease: workerLease } = plan;
+const { heartbeatInterval, workerLease } = plan;
 const saveSeconds = (task: string): number => checkpointSecondsOf(task, workerLease);
 const settings = {
-  heartbeatInterval: heartbeatInterval,
-  workerLease: workerLease,
+  heartbeatInterval,
+  workerLease,
   taskRunSeconds: runSeconds,
   checkpointSeconds: saveSeconds,
   isLinked: true,
@@ -31,47 +31,47 @@
 const cloud = new CloudStandIn(settings, () => nodes, plan.zones);
 cloud.capacity = plan.capacity;
 
-const tell = (kind: TaskEvent['kind'], task: string, machine: string): void => {
+const sendEvent = (kind: TaskEvent['kind'], task: string, machine: string): void => {
   send({ kind: 'event', event: { kind, task, machine, at: hostMonotonicSeconds() } });
 };
 cloud.taskObserver = {
   onTaskStarted: (task, machine) => {
-    tell('started', task, machine);
+    sendEvent('started', task, machine);
   },
   onTaskCompleted: (task) => {
-    tell('done', task, '');
+    sendEvent('done', task, '');
   },
   onTaskTerminated: (task, machine) => {
-    tell('left', task, machine);
+    sendEvent('left', task, machine);
   },
 };
 
-const injectedCount = new Map<number, { flag: MachineFlag; struck: WorkerStandIn[] }>();
-const draw = (share: number): WorkerStandIn[] =>
+const activeMachineFaults = new Map<number, { flag: MachineFlag; workers: WorkerStandIn[] }>();
+const drawWorkers = (share: number): WorkerStandIn[] =>
   [...cloud.workers.values()].filter(() => random() < share);
 
 function applyFlag(id: number, flag: MachineFlag, share: number): void {
-  const struck = draw(share);
-  for (const worker of struck) worker[flag] = true;
-  injectedCount.set(id, { flag, struck });
+  const affectedWorkers = drawWorkers(share);
+  for (const worker of affectedWorkers) worker[flag] = true;
+  activeMachineFaults.set(id, { flag, workers: affectedWorkers });
 }
 
-function endStroke(id: number): void {
-  const stroke = injectedCount.get(id);
-  for (const worker of stroke?.struck ?? []) if (stroke !== undefined) worker[stroke.flag] = false;
-  injectedCount.delete(id);
+function clearFlag(id: number): void {
+  const fault = activeMachineFaults.get(id);
+  for (const worker of fault?.workers ?? []) if (fault !== undefined) worker[fault.flag] = false;
+  activeMachineFaults.delete(id);
 }
 
-function setMessageFaults(lateCommands: number, copiedReports: number, mostLate: number): void {
-  const delay = (): number => random() * mostLate;
+function setMessageFaults(lateCommands: number, copiedReports: number, maxDelay: number): void {
+  const delay = (): number => random() * maxDelay;
   const isOn = lateCommands + copiedReports > 0;
   cloud.messageFaults = isOn
     ? { delayedCommandShare: lateCommands, duplicatedHeartbeatShare: copiedReports, delay, random }
     : null;
 }
 
-function take(share: number): void {
-  for (const worker of draw(share)) cloud.reclaim(worker);
+function reclaimMachines(share: number): void {
+  for (const worker of drawWorkers(share)) cloud.reclaim(worker);
 }
 
 serveRequests<FleetRequest>((request) => {
@@ -85,19 +85,19 @@
       applyFlag(request.id, request.flag, request.share);
       return null;
     case 'unflag':
-      endStroke(request.id);
+      clearFlag(request.id);
       return null;
     case 'message-faults':
-      setMessageFaults(request.lateCommands, request.copiedReports, request.mostLate);
+      setMessageFaults(request.lateCommands, request.copiedReports, request.maxDelay);
       return null;
     case 'copies':
       cloud.duplication = duplicationFor(request, random);
       return null;
     case 'take':
-      take(request.share);
+      reclaimMachines(request.share);
       return null;
     case 'notice':
-      for (const worker of draw(request.share)) worker.givePreemptionNotice(request.seconds);
+      for (const worker of drawWorkers(request.share)) worker.givePreemptionNotice(request.seconds);
       return null;
     case 'capacity':
       cloud.capacity = request.machines;
--- a/test/soak/jobKinds.ts
+++ b/test/soak/jobKinds.ts
@@ -1,9 +1,9 @@
-/** What kind of job an id stands for, so that users, workers and the checker agree without a word to each other. */
+/** Derives a job's properties from its id, so that users, workers and the checker agree without exchanging messages. */
 import { seededRandom } from '../../src/base/random.js';
 
 export type JobKind = 'array' | 'gang' | 'service';
 
-/** By the last digit of the id's number, two of ten for services; later stages of a pipeline are arrays. */
+/** Decides by the last digit of the id's number; two of ten digits are services. Later stages of a pipeline are always arrays. */
 export function kindOfJob(job: string): JobKind {
   const match = /^wk-(\d+)(-\d+)?$/.exec(job);
   const digit = match?.[2] === undefined ? Number(match?.[1]?.slice(-1) ?? 0) : 0;
@@ -13,8 +13,8 @@
 
 const RANKS = ['idle', 'normal', 'high'] as const;
 
-/** Fields of its submission beside those that are drawn for all jobs. */
-export function submissionFieldsOf(job: string, lease = 1): Record<string, unknown> {
+/** Fields of the job's submission besides those that are drawn for every job. */
+export function submissionFieldsOf(job: string, workerLease = 1): Record<string, unknown> {
   const rank = RANKS[hashOf(job) % RANKS.length];
   switch (kindOfJob(job)) {
     case 'service':
@@ -22,37 +22,39 @@
     case 'gang':
       return { Shape: 'ensemble', Rank: rank };
     case 'array':
-      return savesCheckpoints(job)
-        ? { Rank: 'idle', SnapshotS: 1, FlushS: lease * SAVE_RATIO }
+      return hasCheckpoints(job)
+        ? { Rank: 'idle', SnapshotS: 1, FlushS: workerLease * CHECKPOINT_LEASE_RATIO }
         : { Rank: rank };
   }
 }
 
-/** Whether its tasks save a checkpoint when they are stopped; one of ten, an array or a later stage. */
-const savesCheckpoints = (job: string): boolean => kindOfJob(job) === 'array' && job.endsWith('6');
+/** Whether the job's tasks save a checkpoint when they are stopped: one id of ten, if it is an array or a later stage. */
+const hasCheckpoints = (job: string): boolean => kindOfJob(job) === 'array' && job.endsWith('6');
 
-/** Seconds that its tasks take to save, as a ratio to the worker's lease: longer than a cancellation has. */
-const SAVE_RATIO = 3;
+/** Seconds that a task takes to save its checkpoint, as a ratio to the worker's lease: longer than the cancellation timeout. */
+const CHECKPOINT_LEASE_RATIO = 3;
 
-/** Seconds that a task takes to save its checkpoint when it is stopped; 0: it saves none. */
-export function checkpointSecondsOf(task: string, lease: number): number {
+/** Seconds that a task takes to save its checkpoint when it is stopped; 0 if it saves none. */
+export function checkpointSecondsOf(task: string, workerLease: number): number {
   const job = task.slice(0, task.lastIndexOf('/'));
-  return savesCheckpoints(job) ? lease * SAVE_RATIO : 0;
+  return hasCheckpoints(job) ? workerLease * CHECKPOINT_LEASE_RATIO : 0;
 }
 
-/** How many tasks a job has; one of ten is large, so that it is cut into several chunks. */
-export function taskCountOf(job: string, drawn: number, most: number): number {
-  return kindOfJob(job) === 'array' && job.endsWith('7') ? drawn + most * LARGE_RATIO : drawn;
+/** Number of tasks of a job. One id of ten is a large job, so that it is split into several chunks. */
+export function taskCountOf(job: string, drawnTasks: number, maxTasks: number): number {
+  return kindOfJob(job) === 'array' && job.endsWith('7')
+    ? drawnTasks + maxTasks * LARGE_JOB_RATIO
+    : drawnTasks;
 }
 
-const LARGE_RATIO = 2;
+const LARGE_JOB_RATIO = 2;
 
-/** Seconds that a task runs; a service's never ends. */
-export function runSecondsOf(task: string, seed: number, longest: number): number {
+/** Seconds that a task runs; infinite for services. */
+export function runSecondsOf(task: string, seed: number, maxTaskSeconds: number): number {
   const job = task.slice(0, task.lastIndexOf('/'));
   if (kindOfJob(job) === 'service') return Infinity;
   const draw = seededRandom(hashOf(task) + seed)();
-  return 0.2 + draw * draw * longest;
+  return 0.2 + draw * draw * maxTaskSeconds;
 }
 
 function hashOf(text: string): number {
--- a/test/soak/messages.ts
+++ b/test/soak/messages.ts
@@ -1,45 +1,48 @@
-/** What the soak's main process and its stand-in processes tell each other. */
+/** Messages between the soak's main process and its stand-in processes. */
 
 export type MachineFlag = 'hanging' | 'deaf' | 'cutOff' | 'holdsCommands' | 'cutIn';
 
-/** Asked of the process with the state service. */
+/** Requests to the process with the state service. */
 export type StateRequest =
   | { kind: 'listen'; client: string }
   | { kind: 'refuse'; client: string; isOn: boolean }
-  /** Answers to `client` take so long; 0: as usual. */
+  /** Delays each answer to `client` by `seconds`; 0 ends the delay. */
   | { kind: 'slow'; client: string; seconds: number }
-  /** Answers to `client`, worked out at once, leave up to so many seconds later; 0: at once. */
+  /** Computes answers to `client` at once but sends them up to `maxDelay` seconds later; 0 ends the delay. */
   | { kind: 'late-answers'; client: string; maxDelay: number }
-  /** Of the transactions, those that get no answer; `atOnce` of them are carried out at once, the others late. 0: none. */
-  | { kind: 'lose-answers'; share: number; atOnce: number; mostLate: number }
+  /**
+   * Withholds the answers to a `share` of the transactions. Of these, the share `atOnce` is applied at once, the others up to
+   * `maxDelay` seconds later. A share of 0 ends it.
+   */
+  | { kind: 'lose-answers'; share: number; atOnce: number; maxDelay: number }
   | DuplicationRequest;
 
-/** Of the answered messages, those of which a copy comes, up to `mostLate` seconds later. 0: none. */
+/** Delivers a `share` of the answered messages a second time, up to `maxDelay` seconds later. A share of 0 ends it. */
 export interface DuplicationRequest {
   kind: 'copies';
   share: number;
-  mostLate: number;
+  maxDelay: number;
 }
 
-/** Asked of the process with the cloud and its workers. */
+/** Requests to the process with the cloud and its workers. */
 export type FleetRequest =
   | { kind: 'listen' }
-  /** Where workers find the controllers. */
+  /** Addresses at which workers reach the controllers, by node. */
   | { kind: 'nodes'; addresses: [string, string][] }
-  /** Applies a flag to a share of the machines; `id` names the fault for its end. */
+  /** Sets a flag on a share of the machines; `unflag` with the same `id` clears it. */
   | { kind: 'flag'; id: number; flag: MachineFlag; share: number }
   | { kind: 'unflag'; id: number }
-  | { kind: 'message-faults'; lateCommands: number; copiedReports: number; mostLate: number }
+  | { kind: 'message-faults'; lateCommands: number; copiedReports: number; maxDelay: number }
   | DuplicationRequest
-  /** A share of the machines loses its power. */
+  /** The cloud reclaims a share of the machines without notice. */
   | { kind: 'take'; share: number }
-  /** A share of the machines is told that it will be taken. */
+  /** A share of the machines gets a preemption notice: the cloud reclaims them after `seconds`. */
   | { kind: 'notice'; share: number; seconds: number }
   | { kind: 'capacity'; machines: number }
-  /** Answered once everything that has happened so far was told. */
+  /** Answered after all earlier task events have been sent. */
   | { kind: 'flush' };
 
-/** What has happened to a task, in the order in which it happened. `at` is in seconds of `machineTime`. */
+/** A change of a task's state on a worker; events are sent in order. `at` is in seconds of `hostMonotonicSeconds`. */
 export interface TaskEvent {
   kind: 'started' | 'done' | 'left';
   task: string;
@@ -55,19 +58,19 @@
 export type StandInMessage =
   { kind: 'reply'; sequence: number; address: string | null } | { kind: 'event'; event: TaskEvent };
 
-/** Times of a soak's cluster, in seconds, and its size. */
+/** Start argument of the fleet process: time settings in seconds, size and seed. */
 export interface FleetSetup {
   heartbeatInterval: number;
   workerLease: number;
   zones: string[];
   seed: number;
   capacity: number;
-  /** The longest task. */
+  /** Run time of the longest task, in seconds. */
   maxTaskSeconds: number;
 }
 
 /**
- * Seconds since this machine was started: one clock for all processes. Times of day are each counted from their
- * process's own start, and lines of one seed have shown them half a second apart; why is not known.
+ * Monotonic time of the host since its boot, in seconds: the same clock in all processes. The wall-clock times of two
+ * processes, each counted from the start of its process, have differed by half a second within one seed; the cause is unknown.
  */
 export const hostMonotonicSeconds = (): number => Number(process.hrtime.bigint()) / 1e9;
--- a/test/soak/plan.ts
+++ b/test/soak/plan.ts
@@ -1,44 +1,44 @@
-/** What a seed stands for: the size of the cluster, its clocks, and which faults are injected when. No I/O. */
+/** Draws the plan of a soak from its seed: cluster size, clock skew, and the faults with their times. No I/O. */
 import { seededRandom, type Random } from '../../src/base/random.js';
 import type { MachineFlag } from './messages.js';
 
-/** How much of the machine a soak takes. */
+/** Size preset of a soak: how much of the host's capacity it uses. */
 export type SoakSize = 'ci' | 'usual' | 'large';
 
 export type Fault =
   | { kind: 'kill'; node: string; awaySeconds: number }
   | { kind: 'kill-all'; awaySeconds: number }
-  /** Stops a process and lets it go on. */
+  /** Pauses a process (SIGSTOP) and resumes it. */
   | { kind: 'pause'; node: string; seconds: number }
-  /** One leader after the other ends, so that a shard has several within one grace period. */
+  /** Kills one leader after another, so that a shard has several leaders within one grace period. */
   | { kind: 'owners-in-series'; nodes: string[]; seconds: number }
   | { kind: 'state-refuses'; node: string; seconds: number }
   | { kind: 'state-slow'; node: string; seconds: number; delay: number }
-  /** Answers of the state service are worked out at once, and on their way for up to `most` seconds. */
+  /** The state service computes answers at once but sends them up to `most` seconds later. */
   | { kind: 'answers-late'; node: string; seconds: number; most: number }
   | { kind: 'answers-lost'; share: number; seconds: number }
-  /** The way from one node to another, or both ways. */
+  /** Holds the traffic from one node to another, or in both directions. */
   | { kind: 'peers-cut'; from: string; to: string; isBothWays: boolean; seconds: number }
   | { kind: 'peers-slow'; from: string; to: string; seconds: number; delay: number }
-  /** A node loses the state service and its peers, not its workers; bytes are held, or connections refused. */
+  /** Cuts a node off from the state service and its peers, not from its workers; holds the bytes or refuses connections. */
   | { kind: 'node-apart'; node: string; seconds: number; isHeld: boolean }
   | { kind: 'workers-cut'; node: string; seconds: number }
   | { kind: 'machines'; flag: MachineFlag; share: number; seconds: number }
   | { kind: 'messages'; lateCommands: number; copiedReports: number; seconds: number }
-  /** Of the answered commands, transactions, lease calls, rentals and releases that share arrives once more, late. */
+  /** Delivers that share of answered commands, transactions, lease calls, rentals and releases a second time, late. */
   | { kind: 'copies'; share: number; seconds: number }
   | { kind: 'taken'; share: number }
-  /** Machines are taken after that long; live services move elsewhere meanwhile. */
+  /** The cloud reclaims machines after a preemption notice of that length; live services move to other machines meanwhile. */
   | { kind: 'notice'; share: number; seconds: number }
   | { kind: 'cloud-refuses'; seconds: number }
-  /** Users cancel that many jobs at once. */
+  /** Users cancel that many jobs at the same time. */
   | { kind: 'cancel-now'; count: number }
   | CancelledThenRefused;
 
 /**
- * Users cancel many jobs; for `lostSeconds` no transaction gets an answer, and of these `atOnce` is carried out at once, the
- * others late. After `waitSeconds` the state service refuses the node alone, which with `isApart` loses its peers too, and after
- * `aloneSeconds` more it refuses everybody, until `seconds` have gone by in all.
+ * Users cancel many jobs. For `lostSeconds` the answers to all transactions are withheld; the share `atOnce` of these
+ * transactions is applied at once, the others late. After `waitSeconds` the state service refuses requests of `node` only;
+ * with `isApart` the node loses its peers too. After `aloneSeconds` more it refuses all nodes. The fault ends after `seconds`.
  */
 export interface CancelledThenRefused {
   kind: 'cancelled-then-refused';
@@ -53,7 +53,7 @@
 }
 
 export interface PlannedFault {
-  /** Seconds after the users have begun to come. */
+  /** Seconds after the first submission. */
   at: number;
   fault: Fault;
 }
@@ -63,7 +63,7 @@
   size: SoakSize;
   nodes: string[];
   zones: string[];
-  /** What each node's time of day is ahead. */
+  /** Offset of each node's wall-clock time, in milliseconds. */
   skewMs: Record<string, number>;
   machines: number;
   report: number;
@@ -73,28 +73,37 @@
   mostTasks: number;
   longestTask: number;
   limits: Record<string, number>;
-  /** The shortest outage for everybody after a cancellation, as a ratio to the time that a cancellation has. */
+  /** Shortest outage for all nodes after a cancellation, as a ratio to the cancellation timeout. */
   outageRatio: number;
-  /** Seconds in which users come and faults are injected. */
+  /** Seconds in which users submit jobs and faults are injected. */
   faultSeconds: number;
-  /** Seconds after that in which every job must reach its final state. */
+  /** Seconds after the fault phase within which every job must reach its final state. */
   settle: number;
   faults: PlannedFault[];
 }
 
-/** The settings' bound on clocks. */
+/** The clock skew that the controllers' settings allow, in milliseconds. */
 export const MAX_SKEW_MS = 100;
 
-const FLAGS: readonly MachineFlag[] = ['hanging', 'deaf', 'cutOff', 'holdsCommands', 'cutIn'];
+const MACHINE_FLAGS: readonly MachineFlag[] = [
+  'hanging',
+  'deaf',
+  'cutOff',
+  'holdsCommands',
+  'cutIn',
+];
 
-/** What a cancellation has, as a ratio to the worker's lease: the deployments have 1.9 and 2.4. A leader that never hears of one outlasts it. */
-const CANCEL_RATIO = 2;
+/**
+ * Cancellation timeout as a ratio to the worker's lease; the deployments have 1.9 and 2.4. A leader that never receives a
+ * cancellation stays leader for longer than this timeout.
+ */
+const CANCEL_LEASE_RATIO = 2;
 
-/** Share of the moments with faults at which jobs are cancelled, and the store then refuses one node and then all. */
+/** Share of the fault times at which jobs are cancelled and the state service then refuses one node and later all nodes. */
 const CANCELLED_THEN_REFUSED_SHARE = 0.15;
 
-/** Faults at once, at the most. */
-const MOST_AT_ONCE = 3;
+/** Maximum number of faults that are active at the same time. */
+const MAX_CONCURRENT_FAULTS = 3;
 
 const SIZES: Record<
   SoakSize,
@@ -113,10 +122,10 @@
   >
 > = {
   ci: {
-    // Times that a machine with other work bears, where each message may take tenths of a second.
+    // Intervals and timeouts that tolerate a loaded host, where each message may take tenths of a second.
     ...{ machines: 6, report: 1, lease: 6, jobsPerSecond: 2, mostTasks: 3 },
     ...{ longestTask: 4, limits: { crew: 30, guests: 14 }, faultSeconds: 16, settle: 240 },
-    // Below what the open fault of KNOWN-RED.txt needs, so that CI's verdict is the same each time.
+    // Too short to trigger the open fault listed in KNOWN-RED.txt, so that CI gives the same verdict each time.
     outageRatio: 0.4,
   },
   usual: {
@@ -138,38 +147,38 @@
   const zones = random() < 0.5 ? ['a'] : ['a', 'b'];
   const skew = (): number => Math.round((random() * 2 - 1) * MAX_SKEW_MS);
   const sized = SIZES[size];
-  const base = { seed, size, nodes, zones, ...sized, cancel: sized.lease * CANCEL_RATIO };
+  const base = { seed, size, nodes, zones, ...sized, cancel: sized.lease * CANCEL_LEASE_RATIO };
   const skewMs = Object.fromEntries(nodes.map((node) => [node, skew()]));
-  const faults = [...drawFaults(random, base), ...drawCopies(seed, base)];
+  const faults = [...drawFaults(random, base), ...drawDuplications(seed, base)];
   return { ...base, skewMs, faults: faults.sort((a, b) => a.at - b.at) };
 }
 
-/** Seeds of copies are that far from those of other faults: what else a seed stands for is as it was without copies. */
-const COPIES_SEED_OFFSET = 1_000_000;
+/** Offset of the seed for duplications. They are drawn separately so that the other faults of a seed stay the same. */
+const DUPLICATION_SEED_OFFSET = 1_000_000;
 
-/** The longest time without copies between two spells with them, as a ratio to the worker's lease. */
-const MOST_LEASES_BETWEEN_COPIES = 1.5;
+/** Longest gap between two periods of duplication, as a ratio to the worker's lease. */
+const MAX_LEASES_BETWEEN_DUPLICATIONS = 1.5;
 
-/** Spells in which answered messages are copied, beside whatever other faults there are. */
-function drawCopies(seed: number, { faultSeconds, lease }: Base): PlannedFault[] {
-  const random = seededRandom(seed + COPIES_SEED_OFFSET);
+/** Draws the periods in which answered messages are duplicated; they overlap with any other faults. */
+function drawDuplications(seed: number, { faultSeconds, lease }: UndrawnPlan): PlannedFault[] {
+  const random = seededRandom(seed + DUPLICATION_SEED_OFFSET);
   const faults: PlannedFault[] = [];
   let at = 2 + random() * lease;
   while (at < faultSeconds) {
     const seconds = lease * (0.5 + random() * 2);
     faults.push({ at, fault: { kind: 'copies', share: 0.1 + random() * 0.3, seconds } });
-    at += seconds + random() * lease * MOST_LEASES_BETWEEN_COPIES;
+    at += seconds + random() * lease * MAX_LEASES_BETWEEN_DUPLICATIONS;
   }
   return faults;
 }
 
-type Base = Omit<SoakPlan, 'skewMs' | 'faults'>;
+type UndrawnPlan = Omit<SoakPlan, 'skewMs' | 'faults'>;
 
-function drawFaults(random: Random, base: Base): PlannedFault[] {
+function drawFaults(random: Random, base: UndrawnPlan): PlannedFault[] {
   const faults: PlannedFault[] = [];
   const ends: number[] = [];
   for (let at = 2; at < base.faultSeconds - 2; at += 0.3 + random() * 2) {
-    if (ends.filter((end) => end > at).length >= MOST_AT_ONCE) continue;
+    if (ends.filter((end) => end > at).length >= MAX_CONCURRENT_FAULTS) continue;
     for (const fault of drawSimultaneousFaults(random, base)) {
       faults.push({ at, fault });
       ends.push(at + durationOf(fault));
@@ -191,19 +200,19 @@
   }
 }
 
-/** How long an answer of the state service is on its way at the most, as a ratio to `report`: who asked waits little longer. */
-const LATEST_ANSWER_RATIO = 0.7;
+/** Longest delay of an answer of the state service, as a ratio to `report`: slightly shorter than the client's timeout. */
+const MAX_ANSWER_DELAY_RATIO = 0.7;
 
-/** Share of the moments with faults at which commands come late while the state service is slow. */
-const LATE_AND_SLOW_SHARE = 0.2;
+/** Share of the fault times at which commands are delayed while the state service is slow. */
+const LATE_COMMANDS_SLOW_STATE_SHARE = 0.2;
 
 /**
- * The faults of one moment. Late commands, or a cut on their way, while the state service is slow are drawn together: an unacknowledged start is settled
- * by a change of the store, and what goes wrong before that needs both.
+ * Draws the faults that begin at the same time. Delayed or cut-off commands are drawn together with a slow state service:
+ * an unacknowledged start is resolved by a write to the state service, and failures before that write need both conditions.
  */
-function drawSimultaneousFaults(random: Random, base: Base): Fault[] {
+function drawSimultaneousFaults(random: Random, base: UndrawnPlan): Fault[] {
   if (random() < CANCELLED_THEN_REFUSED_SHARE) return [drawCancelledThenRefused(random, base)];
-  if (random() >= LATE_AND_SLOW_SHARE) return [drawFault(random, base)];
+  if (random() >= LATE_COMMANDS_SLOW_STATE_SHARE) return [drawFault(random, base)];
   const seconds = base.lease * 2;
   const delay = base.report * (0.4 + random() * 0.8);
   if (random() < 0.5) {
@@ -219,21 +228,21 @@
   ];
 }
 
-/** Seconds after which leaders give up a cancellation that was not stored, and a little more. */
-const GIVEN_UP_SECONDS = 7;
+/** Slightly more than the time after which leaders abandon a cancellation that was not stored, in seconds. */
+const ABANDON_SECONDS = 7;
 
-/** Jobs that are cancelled at once. */
-const MOST_CANCELLED = 12;
+/** Maximum number of jobs that are cancelled at the same time. */
+const MAX_CANCELLED_JOBS = 12;
 
-function drawCancelledThenRefused(random: Random, base: Base): Fault {
+function drawCancelledThenRefused(random: Random, base: UndrawnPlan): Fault {
   const { nodes, lease, cancel, outageRatio } = base;
   const isLost = random() < 0.7;
-  const waitSeconds = random() * (isLost ? GIVEN_UP_SECONDS : 0.6);
+  const waitSeconds = random() * (isLost ? ABANDON_SECONDS : 0.6);
   const aloneSeconds = 0.2 + random() * lease;
   return {
     kind: 'cancelled-then-refused',
     node: nodes[Math.floor(random() * nodes.length)] ?? '',
-    count: 1 + Math.floor(random() * MOST_CANCELLED),
+    count: 1 + Math.floor(random() * MAX_CANCELLED_JOBS),
     lostSeconds: isLost ? Math.min(waitSeconds, 1 + random() * 4) : 0,
     atOnce: random() < 0.5 ? 0 : 0.5,
     waitSeconds,
@@ -243,14 +252,14 @@
   };
 }
 
-function drawFault(random: Random, base: Base): Fault {
+function drawFault(random: Random, base: UndrawnPlan): Fault {
   const { nodes, lease, report } = base;
   const pick = <T>(list: readonly T[]): T => list[Math.floor(random() * list.length)] as T;
   const node = pick(nodes);
   const others = nodes.filter((other) => other !== node);
   const seconds = 0.3 + random() * lease;
   const delay = 0.1 + random() * report;
-  /** Within the worker's lease, past it, or past a leader's grace period of twice that. */
+  /** Shorter than the worker's lease, longer than it, or longer than a leader's grace period of twice the lease. */
   const pauses = [lease * 0.5, lease * 1.3, lease * 3.2];
   const draws: (() => Fault)[] = [
     () => ({ kind: 'kill', node, awaySeconds: seconds }),
@@ -262,7 +271,7 @@
     () => ({ kind: 'state-slow', node: random() < 0.5 ? '*' : node, seconds, delay }),
     () => ({ kind: 'answers-late', node: '*', seconds, most: delay }),
     ...Array.from({ length: 4 }, () => (): Fault => {
-      return { kind: 'answers-late', node, seconds: lease, most: report * LATEST_ANSWER_RATIO };
+      return { kind: 'answers-late', node, seconds: lease, most: report * MAX_ANSWER_DELAY_RATIO };
     }),
     () => ({ kind: 'answers-lost', share: 0.1 + random() * 0.3, seconds }),
     () => ({
@@ -275,14 +284,14 @@
     () => ({ kind: 'peers-slow', from: node, to: pick(others), seconds, delay }),
     () => ({ kind: 'node-apart', node, seconds: lease * (0.3 + random()), isHeld: random() < 0.5 }),
     () => ({ kind: 'workers-cut', node, seconds }),
-    () => ({ kind: 'machines', flag: pick(FLAGS), share: 0.2 + random() * 0.3, seconds }),
-    () => ({ kind: 'machines', flag: pick(FLAGS), share: 0.2 + random() * 0.3, seconds }),
+    () => ({ kind: 'machines', flag: pick(MACHINE_FLAGS), share: 0.2 + random() * 0.3, seconds }),
+    () => ({ kind: 'machines', flag: pick(MACHINE_FLAGS), share: 0.2 + random() * 0.3, seconds }),
     () => ({ kind: 'messages', lateCommands: 0.3, copiedReports: 0.2, seconds: lease * 2 }),
     () => ({ kind: 'messages', lateCommands: 0.6, copiedReports: 0, seconds: lease }),
     () => ({ kind: 'taken', share: 0.1 + random() * 0.2 }),
     () => ({ kind: 'notice', share: 0.2 + random() * 0.2, seconds: lease * (0.5 + random()) }),
     () => ({ kind: 'cloud-refuses', seconds }),
-    () => ({ kind: 'cancel-now', count: 1 + Math.floor(random() * MOST_CANCELLED) }),
+    () => ({ kind: 'cancel-now', count: 1 + Math.floor(random() * MAX_CANCELLED_JOBS) }),
   ];
   return pick(draws)();
 }
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -1,4 +1,4 @@
-/** Plays one seed: users, faults, and what the checker says of it. */
+/** Runs the soak of one seed: simulated users, injected faults, and the checker's verdict. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { seededRandom, type Random } from '../../src/base/random.js';
@@ -11,37 +11,37 @@
 import { SoakLog } from './soakLog.js';
 import { FaultInjector } from './faultInjection.js';
 
-/** Of the jobs that may begin one, those that are the first of a pipeline. */
+/** Share of the array jobs that are the first stage of a pipeline. */
 const PIPELINE_SHARE = 0.2;
 
-/** Of the jobs, those at which somebody also asks for one that nobody submits. */
-const UNKNOWN_SHARE = 0.1;
+/** Share of the submissions at which a user also queries a job that is never submitted. */
+const UNKNOWN_JOB_SHARE = 0.1;
 
-/** How often the checker looks at what runs, in seconds. */
-const CHECK_S = 0.5;
+/** Interval at which the checker examines the running tasks, in seconds. */
+const CHECK_INTERVAL_S = 0.5;
 
 /**
- * The longest pause between questions about a job, in seconds. Links and users share a process: were all questions asked as
- * often as at first, a backlog of jobs would slow the links until no lease could be renewed, and never go away.
+ * Longest interval between queries about a job, in seconds. Links and users share a process: if the query rate did not fall
+ * with a job's age, a backlog of jobs would slow the links until no lease could be renewed, and would never shrink.
  */
-const MOST_PAUSE_S = 2;
+const MAX_POLL_INTERVAL_S = 2;
 
-/** Time for an answer to arrive, in seconds. */
-const ANSWER_S = 1.5;
+/** Time that an answer needs to arrive, in seconds. */
+const ANSWER_TRAVEL_S = 1.5;
 
 export interface SoakResult {
   seed: number;
   jobs: number;
   accepted: number;
   starts: number;
-  /** Broken rules, processes that ended, lines that must not be logged. */
+  /** Violated rules, unexpected exits of processes, and log lines that report a failure. */
   failures: string[];
   unfinished: string[];
 }
 
 export interface SoakOptions {
   size: SoakSize;
-  /** Where settings, plan and logs are kept. */
+  /** Folder for settings, plan and logs, with one subfolder per seed. */
   outputFolder: string;
   logLevel: string;
 }
@@ -53,35 +53,35 @@
   private readonly cluster: SoakCluster;
   private readonly users: TrialUsers;
   private readonly arrivals: JobArrivals;
-  private readonly faults: FaultInjector;
+  private readonly faultInjector: FaultInjector;
   private readonly folder: string;
-  private starts = 0;
+  private startCount = 0;
 
   constructor(
     private readonly seed: number,
-    { size, outputFolder: folder, logLevel }: SoakOptions,
+    { size, outputFolder, logLevel }: SoakOptions,
   ) {
     this.plan = drawPlan(seed, size);
     this.random = seededRandom(seed + 1);
-    this.folder = join(folder, String(seed));
+    this.folder = join(outputFolder, String(seed));
     this.cluster = new SoakCluster(this.plan, this.folder, this.log, logLevel, (event) => {
-      this.hear(event);
+      this.onTaskEvent(event);
     });
     this.users = new TrialUsers(this.cluster, this.random, {
       extraFields: (job) => submissionFieldsOf(job, this.plan.lease),
       taskCountOf: (job, drawn) => taskCountOf(job, drawn, this.plan.mostTasks),
       nodeCount: this.plan.nodes.length,
       maxTasks: this.plan.mostTasks,
-      cancellationTimeout: this.plan.cancel + ANSWER_S,
+      cancellationTimeout: this.plan.cancel + ANSWER_TRAVEL_S,
       cpuLimits: new Map(Object.entries(this.plan.limits)),
       clock: hostMonotonicSeconds,
-      pollInterval: (seconds) => Math.min(MOST_PAUSE_S, 0.25 + seconds / 20),
+      pollInterval: (seconds) => Math.min(MAX_POLL_INTERVAL_S, 0.25 + seconds / 20),
     });
     this.arrivals = new JobArrivals(this.users, this.random, this.seed);
     this.log.onStartSent = (task) => {
       this.users.history.recordStartSent(task, hostMonotonicSeconds());
     };
-    this.faults = new FaultInjector(
+    this.faultInjector = new FaultInjector(
       this.cluster,
       this.plan,
       (text) => {
@@ -96,18 +96,18 @@
   async run(): Promise<SoakResult> {
     const checks = setInterval(() => {
       this.users.history.checkRunningTasks(hostMonotonicSeconds());
-    }, CHECK_S * 1000);
+    }, CHECK_INTERVAL_S * 1000);
     try {
       await this.cluster.start();
-      const faults = this.faults.injectAll();
-      await this.submit();
+      const faults = this.faultInjector.injectAll();
+      await this.submitJobs();
       await faults;
       await this.arrivals.waitUntilFinished(this.plan.settle);
-      // Else a task's end may be told only after it was missed.
+      // Without the flush, the event that a task ended could arrive after the final check, which would report it as missing.
       await this.cluster.fleet.request({ kind: 'flush' });
-      return this.result();
+      return this.makeResult();
     } catch (error) {
-      this.keep([`could not be played: ${String(error)}`], []);
+      this.writeRecords([`could not be played: ${String(error)}`], []);
       throw error;
     } finally {
       clearInterval(checks);
@@ -116,55 +116,55 @@
     }
   }
 
-  /** Ends everything that was started; also when the soak is given up. */
+  /** Stops everything that was started; also called when the soak is interrupted. */
   close(): void {
     this.users.isStopped = true;
-    this.faults.stop();
+    this.faultInjector.stop();
     this.cluster.close();
   }
 
-  private hear({ kind, task, machine, at }: TaskEvent): void {
+  private onTaskEvent({ kind, task, machine, at }: TaskEvent): void {
     const { history } = this.users;
     this.log.add('fleet', `task ${kind} ${task} ${machine}`);
     if (kind === 'started') {
-      this.starts++;
+      this.startCount++;
       history.onTaskStarted(task, machine, at);
     } else if (kind === 'done') history.onTaskCompleted(task, at);
     else history.onTaskTerminated(task, machine);
   }
 
-  private async submit(): Promise<void> {
+  private async submitJobs(): Promise<void> {
     const { faultSeconds, jobsPerSecond } = this.plan;
-    const ends = performance.now() + faultSeconds * 1000;
-    while (performance.now() < ends) {
+    const deadline = performance.now() + faultSeconds * 1000;
+    while (performance.now() < deadline) {
       const id = this.arrivals.submitNext(
         (job) => kindOfJob(job) === 'array' && this.random() < PIPELINE_SHARE,
       );
-      if (this.random() < UNKNOWN_SHARE) this.arrivals.queryUnknownJob(`wk-9${id.slice(3)}`);
+      if (this.random() < UNKNOWN_JOB_SHARE) this.arrivals.queryUnknownJob(`wk-9${id.slice(3)}`);
       await this.arrivals.pauseUntilNext(jobsPerSecond);
     }
   }
 
-  private result(): SoakResult {
+  private makeResult(): SoakResult {
     const { history, unfinished, acceptedCount } = this.users;
     history.checkAtEnd();
-    const broken = [
+    const failures = [
       ...history.violations.map(({ rule, detail }) => `${rule}: ${detail}`),
-      ...this.cluster.unexpectedExits.map((how) => `ended unasked: ${how}`),
+      ...this.cluster.unexpectedExits.map((exit) => `ended unasked: ${exit}`),
       ...this.log.failures.map((line) => `logged: ${line}`),
     ];
-    if (broken.length > 0 || unfinished.length > 0) this.keep(broken, unfinished);
+    if (failures.length > 0 || unfinished.length > 0) this.writeRecords(failures, unfinished);
     return {
       seed: this.seed,
       jobs: this.arrivals.submittedCount,
       accepted: acceptedCount,
-      starts: this.starts,
-      failures: broken,
+      starts: this.startCount,
+      failures,
       unfinished,
     };
   }
 
-  private keep(broken: string[], unfinished: string[]): void {
+  private writeRecords(broken: string[], unfinished: string[]): void {
     mkdirSync(this.folder, { recursive: true });
     writeFileSync(join(this.folder, 'plan.json'), `${JSON.stringify(this.plan, null, 2)}\n`);
     writeFileSync(join(this.folder, 'merged.log'), this.log.merged);
--- a/test/soak/soakCluster.ts
+++ b/test/soak/soakCluster.ts
@@ -1,4 +1,4 @@
-/** Controllers, state service, cloud and workers of one soak as processes, and the links between them. */
+/** The processes of one soak (controllers, state service, cloud with workers) and the links between them. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { HttpClient, type Response } from '../../src/transport/httpClient.js';
@@ -16,48 +16,48 @@
 const STATE_MAIN = join(import.meta.dirname, 'stateMain.js');
 const FLEET_MAIN = join(import.meta.dirname, 'fleetMain.js');
 
-const START_S = 60;
+const START_TIMEOUT_S = 60;
 
-/** The ports of one node that others reach. */
-interface Ports {
+/** Addresses at which clients and peers reach one node. */
+interface NodeAddresses {
   clientAddress: string;
   peerAddress: string;
 }
 
 export class SoakCluster implements ClientApi {
   readonly controllers = new Map<string, ControllerProcess>();
-  /** Each by `from>to`; workers and users are `workers` and `users`. */
+  /** Links by the name `from>to`; the ends besides nodes are `workers`, `users`, `state` and `cloud`. */
   readonly links = new Map<string, Link>();
-  /** Processes that ended and nobody had asked them to. */
+  /** Processes that exited without being asked to, with the reason where it is known. */
   readonly unexpectedExits: string[] = [];
   readonly state: StandInProcess<StateRequest>;
   readonly fleet: StandInProcess<FleetRequest>;
   private readonly http = new HttpClient(500, 1);
-  private readonly ports = new Map<string, Ports>();
-  private readonly fronts = new Map<string, string>();
+  private readonly nodeAddresses = new Map<string, NodeAddresses>();
+  private readonly clientLinkAddresses = new Map<string, string>();
 
   constructor(
     private readonly plan: SoakPlan,
     private readonly folder: string,
     private readonly log: SoakLog,
     private readonly logLevel: string,
-    heard: (event: TaskEvent) => void,
+    onTaskEvent: (event: TaskEvent) => void,
   ) {
     mkdirSync(folder, { recursive: true });
-    const { report, lease, zones, seed, machines: capacity, longestTask: longest } = plan;
+    const { report, lease, zones, seed, machines: capacity, longestTask: maxTaskSeconds } = plan;
     const fleet: FleetSetup = {
       heartbeatInterval: report,
       workerLease: lease,
       zones,
       seed,
       capacity,
-      maxTaskSeconds: longest,
+      maxTaskSeconds,
     };
-    this.state = this.standIn<StateRequest>('state', STATE_MAIN, { seed }, () => undefined);
-    this.fleet = this.standIn<FleetRequest>('fleet', FLEET_MAIN, fleet, heard);
+    this.state = this.startStandIn<StateRequest>('state', STATE_MAIN, { seed }, () => undefined);
+    this.fleet = this.startStandIn<FleetRequest>('fleet', FLEET_MAIN, fleet, onTaskEvent);
   }
 
-  private standIn<Request>(
+  private startStandIn<Request>(
     name: string,
     module: string,
     argument: unknown,
@@ -76,35 +76,38 @@
 
   async start(): Promise<void> {
     const cloud = await this.fleet.request({ kind: 'listen' });
-    for (const node of this.plan.nodes) await this.prepare(node, cloud ?? '');
+    for (const node of this.plan.nodes) await this.createLinks(node, cloud ?? '');
     const workers = await Promise.all(
       this.plan.nodes.map(async (node): Promise<[string, string]> => {
-        return [node, await this.link(`workers>${node}`, () => this.portsOf(node).clientAddress)];
+        return [
+          node,
+          await this.openLink(`workers>${node}`, () => this.addressesOf(node).clientAddress),
+        ];
       }),
     );
     await this.fleet.request({ kind: 'nodes', addresses: workers });
-    for (const node of this.plan.nodes) await this.writeSettings(node);
+    for (const node of this.plan.nodes) await this.createController(node);
     for (const controller of this.controllers.values()) controller.start();
     for (const node of this.plan.nodes) {
       const isReady = async (): Promise<boolean> =>
         (await this.call(node, 'GET', '/ready')).status === 200;
-      await until(`${node} is ready`, isReady, START_S);
+      await until(`${node} is ready`, isReady, START_TIMEOUT_S);
     }
   }
 
   call(node: string, method: string, path: string, body?: unknown): Promise<Response> {
-    return this.http.call(this.fronts.get(node) ?? '', method, path, body, 5);
+    return this.http.call(this.clientLinkAddresses.get(node) ?? '', method, path, body, 5);
   }
 
   controller(node: string): ControllerProcess {
     const controller = this.controllers.get(node);
-    if (controller === undefined) throw new Error(`no ${node}`);
+    if (controller === undefined) throw new Error(`no controller process for node ${node}`);
     return controller;
   }
 
   linkBetween(from: string, to: string): Link {
     const link = this.links.get(`${from}>${to}`);
-    if (link === undefined) throw new Error(`no link ${from}>${to}`);
+    if (link === undefined) throw new Error(`no link from ${from} to ${to}`);
     return link;
   }
 
@@ -115,36 +118,39 @@
     for (const link of this.links.values()) link.close();
   }
 
-  private portsOf(node: string): Ports {
-    const ports = this.ports.get(node);
-    if (ports === undefined) throw new Error(`no ports of ${node}`);
-    return ports;
+  private addressesOf(node: string): NodeAddresses {
+    const addresses = this.nodeAddresses.get(node);
+    if (addresses === undefined) throw new Error(`no addresses assigned to node ${node}`);
+    return addresses;
   }
 
-  private async link(name: string, target: () => string): Promise<string> {
+  private async openLink(name: string, target: () => string): Promise<string> {
     const link = new Link(target);
     this.links.set(name, link);
     return link.listen();
   }
 
-  private async prepare(node: string, cloud: string): Promise<void> {
+  private async createLinks(node: string, cloud: string): Promise<void> {
     const address = nextAddress();
-    this.ports.set(node, {
-      clientAddress: `${address}:${FRONT_PORT}`,
-      peerAddress: `${address}:${BACK_PORT}`,
+    this.nodeAddresses.set(node, {
+      clientAddress: `${address}:${CLIENT_PORT}`,
+      peerAddress: `${address}:${PEER_PORT}`,
     });
     const state = await this.state.request({ kind: 'listen', client: node });
-    this.fronts.set(node, await this.link(`users>${node}`, () => this.portsOf(node).clientAddress));
+    this.clientLinkAddresses.set(
+      node,
+      await this.openLink(`users>${node}`, () => this.addressesOf(node).clientAddress),
+    );
     this.links.set(`${node}>state`, new Link(() => state ?? ''));
     this.links.set(`${node}>cloud`, new Link(() => cloud));
     for (const peer of this.plan.nodes) {
       if (peer !== node) {
-        this.links.set(`${node}>${peer}`, new Link(() => this.portsOf(peer).peerAddress));
+        this.links.set(`${node}>${peer}`, new Link(() => this.addressesOf(peer).peerAddress));
       }
     }
   }
 
-  private async writeSettings(node: string): Promise<void> {
+  private async createController(node: string): Promise<void> {
     const { plan } = this;
     const zoneOf = (label: string): string =>
       plan.zones[plan.nodes.indexOf(label) % plan.zones.length] ?? 'a';
@@ -154,7 +160,7 @@
       peers.push({ label, zone: zoneOf(label), address });
     }
     const text = settingsText({
-      ...{ label: node, zone: zoneOf(node), ...this.portsOf(node), peers, zones: plan.zones },
+      ...{ label: node, zone: zoneOf(node), ...this.addressesOf(node), peers, zones: plan.zones },
       cloud: await this.linkBetween(node, 'cloud').listen(),
       state: await this.linkBetween(node, 'state').listen(),
       teams: Object.entries(plan.limits)
@@ -174,21 +180,21 @@
       onLogLine: (label, line) => {
         this.log.add(label, line);
       },
-      onUnexpectedExit: (label, how) => {
-        this.unexpectedExits.push(`${label}: ${how}`);
+      onUnexpectedExit: (label, reason) => {
+        this.unexpectedExits.push(`${label}: ${reason}`);
       },
     });
     this.controllers.set(node, controller);
   }
 }
 
-/** The ports of a node. Nothing else listens on its address, so that no other process can take them meanwhile. */
-const FRONT_PORT = 8080;
-const BACK_PORT = 8081;
+/** Ports of each node. Each node has a loopback address of its own, so no other process can take the ports during a restart. */
+const CLIENT_PORT = 8080;
+const PEER_PORT = 8081;
 
-/** Addresses on loopback of this process's soaks, each used once: 127.B.C.D, apart from 127.0.x.y. */
-let addressesUsed = 0;
+/** Number of loopback addresses that this process's soaks have used, each once. Their form is 127.B.C.D, outside 127.0.x.y. */
+let usedAddresses = 0;
 
 function nextAddress(): string {
-  return processLoopbackAddress(1 + (addressesUsed++ % 250));
+  return processLoopbackAddress(1 + (usedAddresses++ % 250));
 }
--- a/test/soak/soakLog.ts
+++ b/test/soak/soakLog.ts
@@ -1,32 +1,32 @@
-/** The lines of all processes of one soak, in the order in which they came, by the machine's clock. */
+/** Merged log of all processes of one soak, in order of arrival, with times of the host's monotonic clock. */
 import { hostMonotonicSeconds } from './messages.js';
 
-interface Line {
+interface LogLine {
   at: number;
   from: string;
   text: string;
 }
 
-/** What a line must not say: the process has met something that nobody handled. */
-const FAILURES = /unhandled:|event=invariant-violated|^error loop:/;
+/** Lines that report an unhandled error or a violated invariant. */
+const FAILURE_LINE = /unhandled:|event=invariant-violated|^error loop:/;
 
-/** The line of commands that leave a controller, and the starts among them. */
+/** The audit line for commands that a controller sends, and the start commands in it. */
 const COMMANDS_SENT = /event=commands-sent .*commands=("[^"]*"|\S*)/;
-const START = /start ([^#,]+)#/g;
+const START_COMMAND = /start ([^#,]+)#/g;
 
 export class SoakLog {
-  private readonly lines: Line[] = [];
-  /** Lines that make a soak fail. */
+  private readonly lines: LogLine[] = [];
+  /** Lines that make the soak fail. */
   readonly failures: string[] = [];
 
-  /** Told of each task whose start leaves a controller. */
+  /** Called for each task whose start command a controller sends. */
   onStartSent: ((task: string) => void) | null = null;
 
   add(from: string, text: string): void {
     this.lines.push({ at: hostMonotonicSeconds(), from, text });
-    if (FAILURES.test(text)) this.failures.push(`${from}: ${text}`);
+    if (FAILURE_LINE.test(text)) this.failures.push(`${from}: ${text}`);
     const commands = COMMANDS_SENT.exec(text)?.[1] ?? '';
-    for (const [, task = ''] of commands.matchAll(START)) this.onStartSent?.(task);
+    for (const [, task = ''] of commands.matchAll(START_COMMAND)) this.onStartSent?.(task);
   }
 
   get merged(): string {
--- a/test/soak/standIn.ts
+++ b/test/soak/standIn.ts
@@ -1,14 +1,14 @@
-/** The two ends of a stand-in process: the one that asks, and the loop that answers. */
+/** Both ends of a stand-in process: the client in the main process and the request loop in the child process. */
 import { fork, type ChildProcess } from 'node:child_process';
 import type { StandInMessage, NumberedRequest, TaskEvent } from './messages.js';
 
-/** Answers requests until the process that asks has ended. */
+/** Answers requests of the parent process, and exits when the parent disconnects. */
 export function serveRequests<Request>(
-  carryOut: (request: Request) => Promise<string | null> | string | null,
+  handle: (request: Request) => Promise<string | null> | string | null,
 ): void {
   process.on('message', (message) => {
     const { sequence, request } = message as NumberedRequest<Request>;
-    void Promise.resolve(carryOut(request)).then((address) => {
+    void Promise.resolve(handle(request)).then((address) => {
       send({ kind: 'reply', sequence, address });
     });
   });
@@ -21,18 +21,18 @@
   if (process.connected) process.send?.(message);
 }
 
-/** A stand-in that runs in a process of its own. */
+/** Client of a stand-in that runs in a child process. */
 export class StandInProcess<Request> {
   private readonly child: ChildProcess;
   private sequence = 0;
-  private readonly waiting = new Map<number, (address: string | null) => void>();
+  private readonly pendingRequests = new Map<number, (address: string | null) => void>();
   private isClosing = false;
-  private hasEnded = false;
+  private hasExited = false;
 
   constructor(
     module: string,
     argument: unknown,
-    private readonly heard: {
+    private readonly listener: {
       onEvent(event: TaskEvent): void;
       onOutput(text: string): void;
       onUnexpectedExit(): void;
@@ -44,30 +44,30 @@
     this.child = child;
     for (const stream of [child.stdout, child.stderr]) {
       stream?.on('data', (data) => {
-        heard.onOutput(String(data));
+        listener.onOutput(String(data));
       });
     }
     child.on('message', (message) => {
-      this.take(message as StandInMessage);
+      this.receive(message as StandInMessage);
     });
     child.on('exit', () => {
-      this.hasEnded = true;
-      if (!this.isClosing) heard.onUnexpectedExit();
-      for (const resolve of this.waiting.values()) resolve(null);
-      this.waiting.clear();
+      this.hasExited = true;
+      if (!this.isClosing) listener.onUnexpectedExit();
+      for (const resolve of this.pendingRequests.values()) resolve(null);
+      this.pendingRequests.clear();
     });
-    // Told of a request that was on its way when the process was ended.
+    // Emitted for a request that was in flight when the process was killed.
     child.on('error', (error) => {
-      heard.onOutput(`error ${error.message}`);
+      listener.onOutput(`error ${error.message}`);
     });
   }
 
-  /** The answer; null where the process has ended, or ends before it answers. */
+  /** Resolves with the answer, or null if the process has exited or exits before it answers. */
   request(request: Request): Promise<string | null> {
-    if (this.isClosing || this.hasEnded) return Promise.resolve(null);
+    if (this.isClosing || this.hasExited) return Promise.resolve(null);
     const sequence = ++this.sequence;
     return new Promise((resolve) => {
-      this.waiting.set(sequence, resolve);
+      this.pendingRequests.set(sequence, resolve);
       this.child.send({ sequence, request } satisfies NumberedRequest<Request>);
     });
   }
@@ -77,12 +77,12 @@
     this.child.kill('SIGKILL');
   }
 
-  private take(message: StandInMessage): void {
+  private receive(message: StandInMessage): void {
     if (message.kind === 'event') {
-      this.heard.onEvent(message.event);
+      this.listener.onEvent(message.event);
       return;
     }
-    this.waiting.get(message.sequence)?.(message.address);
-    this.waiting.delete(message.sequence);
+    this.pendingRequests.get(message.sequence)?.(message.address);
+    this.pendingRequests.delete(message.sequence);
   }
 }
--- a/test/soak/stateMain.ts
+++ b/test/soak/stateMain.ts
@@ -1,4 +1,4 @@
-/** The state service of a soak, in a process of its own. */
+/** Process with the state service of a soak. */
 import { sleep } from '../../src/base/clock.js';
 import { seededRandom } from '../../src/base/random.js';
 import { StateStandIn } from '../support/state.js';
@@ -9,22 +9,22 @@
 const { seed } = JSON.parse(process.argv[2] ?? '{}') as { seed: number };
 const random = seededRandom(seed);
 const state = new StateStandIn();
-/** The longest that an answer to a client is on its way, in seconds; `*` is everybody. */
-const latestAnswers = new Map<string, number>();
+/** Maximum delay of answers by client, in seconds; `*` stands for all clients. */
+const maxAnswerDelays = new Map<string, number>();
 
 state.beforeAnswer = async (client) => {
-  const most = Math.max(latestAnswers.get(client) ?? 0, latestAnswers.get('*') ?? 0);
-  if (most > 0) await sleep(random() * most);
+  const maxDelay = Math.max(maxAnswerDelays.get(client) ?? 0, maxAnswerDelays.get('*') ?? 0);
+  if (maxDelay > 0) await sleep(random() * maxDelay);
 };
 
-function loseAnswers(share: number, atOnce: number, mostLate: number): void {
+function loseAnswers(share: number, atOnce: number, maxDelay: number): void {
   state.withholds =
     share === 0
       ? null
       : (body) => {
           if (random() >= share) return false;
           if (random() < atOnce) state.apply(body);
-          else setTimeout(() => state.apply(body), random() * mostLate * 1000).unref();
+          else setTimeout(() => state.apply(body), random() * maxDelay * 1000).unref();
           return true;
         };
 }
@@ -41,10 +41,10 @@
       state.answerDelays.set(request.client, request.seconds);
       return null;
     case 'late-answers':
-      latestAnswers.set(request.client, request.maxDelay);
+      maxAnswerDelays.set(request.client, request.maxDelay);
       return null;
     case 'lose-answers':
-      loseAnswers(request.share, request.atOnce, request.mostLate);
+      loseAnswers(request.share, request.atOnce, request.maxDelay);
       return null;
     case 'copies':
       state.duplication = duplicationFor(request, random);
