--- a/test/trials/faults.ts
+++ b/test/trials/faults.ts
@@ -1,4 +1,4 @@
-/** Faults that are injected into a cluster of a trial for a while. */
+/** Temporary faults that trials inject into their cluster. */
 import type { Random } from '../../src/base/random.js';
 import { pause, type Cluster } from '../support/cluster.js';
 
@@ -8,7 +8,7 @@
 
 export const randomNode = (random: Random): string => `drone-${Math.floor(random() * NODE_COUNT)}`;
 
-/** Ends a node, and starts it again after a while. */
+/** Crashes a node and boots it again after `seconds`. */
 export async function restart(cluster: Cluster, label: string, seconds: number): Promise<void> {
   if (!cluster.nodes.has(label)) return;
   cluster.crash(label);
@@ -16,24 +16,24 @@
   if (!cluster.nodes.has(label)) await cluster.boot(label);
 }
 
-/** Sets a flag of some machines for a while. */
-function onMachines(flag: 'hanging' | 'deaf' | 'cutOff' | 'holdsCommands'): Fault {
+/** Makes a fault that sets a flag on some workers for a limited time. */
+function setWorkerFlag(flag: 'hanging' | 'deaf' | 'cutOff' | 'holdsCommands'): Fault {
   return async (cluster, random, seconds) => {
-    const struck = [...cluster.cloud.workers.values()].filter(() => random() < 0.3);
-    for (const worker of struck) worker[flag] = true;
+    const affectedWorkers = [...cluster.cloud.workers.values()].filter(() => random() < 0.3);
+    for (const worker of affectedWorkers) worker[flag] = true;
     await pause(seconds);
-    for (const worker of struck) worker[flag] = false;
+    for (const worker of affectedWorkers) worker[flag] = false;
   };
 }
 
-async function refuse(cluster: Cluster, client: string, seconds: number): Promise<void> {
+async function refuseRequests(cluster: Cluster, client: string, seconds: number): Promise<void> {
   cluster.state.refusedClients.add(client);
   await pause(seconds);
   cluster.state.refusedClients.delete(client);
 }
 
-/** Some transactions get no answer; half of them are carried out at once, the others late. */
-const loseTransactions: Fault = async (cluster, random, seconds) => {
+/** Withholds the answers to some transactions; half of these are applied at once, the others late. */
+const withholdAnswers: Fault = async (cluster, random, seconds) => {
   const { state } = cluster;
   state.withholds = (body) => {
     if (random() > 0.3) return false;
@@ -45,17 +45,17 @@
   state.withholds = null;
 };
 
-/** Some messages that were answered arrive once more, up to five seconds later. */
-const copyAnswered: Fault = async ({ cloud, state }, random, seconds) => {
-  const copies = { share: 0.3, delay: () => random() * 5, random };
-  cloud.duplication = copies;
-  state.duplication = copies;
+/** Delivers some answered messages a second time, up to five seconds later. */
+const duplicateAnswered: Fault = async ({ cloud, state }, random, seconds) => {
+  const duplication = { share: 0.3, delay: () => random() * 5, random };
+  cloud.duplication = duplication;
+  state.duplication = duplication;
   await pause(seconds);
   cloud.duplication = null;
   state.duplication = null;
 };
 
-/** What every version is to bear. Before 0.4.5 a copy of an answered message could run a task once more. */
+/** Faults that every version must tolerate. Before 0.4.5 a duplicate of an answered message could start a task again. */
 export const FAULTS_WITHOUT_DUPLICATES: readonly Fault[] = [
   (cluster, random, seconds) => restart(cluster, randomNode(random), seconds),
   (cluster, random) => restart(cluster, randomNode(random), 0.05),
@@ -63,20 +63,24 @@
     const labels = Array.from({ length: NODE_COUNT }, (__, index) => `drone-${index}`);
     await Promise.all(labels.map((label) => restart(cluster, label, seconds / 3)));
   },
-  (cluster, random, seconds) => refuse(cluster, randomNode(random), seconds),
-  (cluster, _, seconds) => refuse(cluster, '*', seconds),
+  (cluster, random, seconds) => refuseRequests(cluster, randomNode(random), seconds),
+  (cluster, _, seconds) => refuseRequests(cluster, '*', seconds),
   async (cluster, random, seconds) => {
     const label = randomNode(random);
     cluster.isolatedNodes.add(label);
-    await refuse(cluster, label, seconds);
+    await refuseRequests(cluster, label, seconds);
     cluster.isolatedNodes.delete(label);
   },
-  loseTransactions,
-  loseTransactions,
-  onMachines('hanging'),
-  onMachines('deaf'),
-  onMachines('cutOff'),
-  onMachines('holdsCommands'),
+  withholdAnswers,
+  withholdAnswers,
+  setWorkerFlag('hanging'),
+  setWorkerFlag('deaf'),
+  setWorkerFlag('cutOff'),
+  setWorkerFlag('holdsCommands'),
 ];
 
-export const FAULTS: readonly Fault[] = [...FAULTS_WITHOUT_DUPLICATES, copyAnswered, copyAnswered];
+export const FAULTS: readonly Fault[] = [
+  ...FAULTS_WITHOUT_DUPLICATES,
+  duplicateAnswered,
+  duplicateAnswered,
+];
--- a/test/trials/main.ts
+++ b/test/trials/main.ts
@@ -1,4 +1,4 @@
-/** Runs trials: `npm run trials -- FIRST COUNT`. Prints what broke, and exits with 1 if anything did. */
+/** `npm run trials -- FIRST COUNT`: runs trials, prints what failed, and exits with 1 if anything did. */
 import { runSeeds } from './runSeeds.js';
 import { runTrial } from './trial.js';
 
@@ -7,11 +7,11 @@
   defaultCount: 10,
   run: runTrial,
   printsOvertaken: true,
-  describeResult: ({ history, submittedCount: jobs, unfinished }) => {
+  describeResult: ({ history, submittedCount, unfinished }) => {
     const { violations, overtaken, peakCpus: peaks } = history;
     const used = [...peaks].map(([team, cpus]) => `${team} ${cpus}`).join(', ');
     return (
-      `${jobs} jobs, ${violations.length} violations, ${overtaken.length} overtaken answers, ` +
+      `${submittedCount} jobs, ${violations.length} violations, ${overtaken.length} overtaken answers, ` +
       `${unfinished.length} unfinished; most processors: ${used}`
     );
   },
--- a/test/trials/runSeeds.ts
+++ b/test/trials/runSeeds.ts
@@ -1,42 +1,42 @@
-/** Plays trials seed by seed for the command line: prints what broke, and ends the process with 1 if anything did. */
+/** Runs one trial per seed for a command-line program: prints what failed, and exits with 1 if anything did. */
 import type { TrialResult } from './trial.js';
 
 export interface SeedRunner<Result extends TrialResult> {
-  /** What is played, in the plural. */
+  /** What the program runs, in the plural, for the summary line. */
   pluralName: string;
-  /** How many are played unless the command line says so. */
+  /** Number of seeds if the command line names none. */
   defaultCount: number;
   run: (seed: number) => Promise<Result>;
-  /** One line on a trial that has ended. */
+  /** One-line summary of a finished trial. */
   describeResult: (result: Result) => string;
-  /** What a seed stands for, beside its number. */
+  /** Description of the variant that a seed selects, printed after its number. */
   describeSeed?: (seed: number) => string;
-  /** Whether answers that were overtaken are listed. */
+  /** Whether overtaken answers are printed one by one. */
   printsOvertaken?: boolean;
 }
 
-function printFaults({ history, unfinished }: TrialResult, listsOvertaken: boolean): void {
+function printProblems({ history, unfinished }: TrialResult, printsOvertaken: boolean): void {
   for (const { rule, detail } of history.violations) console.log(`  ${rule}: ${detail}`);
-  if (listsOvertaken) {
+  if (printsOvertaken) {
     for (const detail of history.overtaken) console.log(`  overtaken: ${detail}`);
   }
   for (const id of unfinished) console.log(`  unfinished: ${id}`);
 }
 
-/** Arguments of the command line: the first seed and how many. */
+/** Reads the first seed and the number of seeds from the command line and runs them one after another. */
 export async function runSeeds<Result extends TrialResult>(
-  player: SeedRunner<Result>,
+  runner: SeedRunner<Result>,
 ): Promise<never> {
-  const [first = 1, count = player.defaultCount] = process.argv.slice(2).map(Number);
+  const [first = 1, count = runner.defaultCount] = process.argv.slice(2).map(Number);
   let broken = 0;
   let unfinished = 0;
   let failed = 0;
   for (let seed = first; seed < first + count; seed++) {
-    const name = `seed ${seed}${player.describeSeed === undefined ? '' : ` (${player.describeSeed(seed)})`}`;
+    const name = `seed ${seed}${runner.describeSeed === undefined ? '' : ` (${runner.describeSeed(seed)})`}`;
     try {
-      const result = await player.run(seed);
-      console.log(`${name}: ${player.describeResult(result)}`);
-      printFaults(result, player.printsOvertaken === true);
+      const result = await runner.run(seed);
+      console.log(`${name}: ${runner.describeResult(result)}`);
+      printProblems(result, runner.printsOvertaken === true);
       if (result.history.violations.length > 0) broken++;
       if (result.unfinished.length > 0) unfinished++;
     } catch (error) {
@@ -45,7 +45,7 @@
     }
   }
   console.log(
-    `${count} ${player.pluralName}: ${broken} broken, ${unfinished} with unfinished jobs, ${failed} not finished`,
+    `${count} ${runner.pluralName}: ${broken} broken, ${unfinished} with unfinished jobs, ${failed} not finished`,
   );
   process.exit(broken + unfinished + failed > 0 ? 1 : 0);
 }
--- a/test/trials/trial.ts
+++ b/test/trials/trial.ts
@@ -1,7 +1,7 @@
 /**
- * One randomised trial: a few controllers on stand-ins, two teams at their limits, users who ask at all nodes at once,
- * repeat submissions and cancel, and faults that overlap. What is drawn depends on the seed alone; what happens also
- * depends on how the machine schedules the processes, so that a seed repeats its faults but not every interleaving.
+ * One randomized trial: controllers on stand-ins, two teams at their limits, users who query all nodes at the same time,
+ * repeat submissions and cancel, and overlapping faults. All random draws depend on the seed alone, but the interleaving also
+ * depends on how the host schedules the work: a seed repeats its faults, not every interleaving.
  */
 import { seededRandom, type Random } from '../../src/base/random.js';
 import { Cluster, pause, type ClusterOptions } from '../support/cluster.js';
@@ -13,17 +13,17 @@
 const MACHINES = 24;
 /** Seconds in which faults are injected. */
 const FAULT_PHASE_S = 12;
-/** Seconds after that in which every job must reach its final state. */
-const SETTLE_S = 30;
-const JOBS_PER_S = 4;
-/** Of the jobs, those that are the first of a pipeline. */
+/** Seconds after the fault phase within which every job must reach its final state. */
+const FINISH_TIMEOUT_S = 30;
+const JOBS_PER_SECOND = 4;
+/** Share of the jobs that are the first stage of a pipeline. */
 const PIPELINE_SHARE = 0.25;
 
 export interface TrialResult {
   seed: number;
   submittedCount: number;
   history: History;
-  /** Accepted jobs of which no final state was told in time. */
+  /** Accepted jobs for which no node reported a final state in time. */
   unfinished: string[];
 }
 
@@ -36,20 +36,20 @@
   constructor(
     private readonly seed: number,
     options: Partial<ClusterOptions> = {},
-    /** Fields that all submissions have beside those that are drawn. */
-    extra: Record<string, unknown> = {},
+    /** Fields of every submission besides those that are drawn. */
+    extraFields: Record<string, unknown> = {},
   ) {
     this.random = seededRandom(seed);
-    const lengths = seededRandom(seed + 1);
+    const runTimeRandom = seededRandom(seed + 1);
     this.cluster = new Cluster({
       nodes: NODE_COUNT,
       teams: TEAM_SETTINGS,
       workerLease: 4,
       stateWriteRate: 200,
-      taskRunSeconds: () => 0.2 + lengths() * 1.5,
+      taskRunSeconds: () => 0.2 + runTimeRandom() * 1.5,
       ...options,
     });
-    this.users = new TrialUsers(this.cluster, this.random, { extraFields: () => extra });
+    this.users = new TrialUsers(this.cluster, this.random, { extraFields: () => extraFields });
     this.arrivals = new JobArrivals(this.users, this.random, seed);
     this.cluster.cloud.capacity = MACHINES;
     this.cluster.cloud.taskObserver = this.users.history;
@@ -59,7 +59,7 @@
     try {
       await this.cluster.start();
       await this.runScenario();
-      await this.arrivals.waitUntilFinished(SETTLE_S);
+      await this.arrivals.waitUntilFinished(FINISH_TIMEOUT_S);
       const { unfinished, history } = this.users;
       return { seed: this.seed, submittedCount: this.arrivals.submittedCount, history, unfinished };
     } finally {
@@ -75,19 +75,19 @@
     await faults;
   }
 
-  /** Users come for a while; of their jobs so many are the first of a pipeline. */
+  /** Submits jobs for `seconds`; `pipelineShare` of them are the first stage of a pipeline. */
   protected async submitFor(seconds: number, pipelineShare: number): Promise<void> {
-    for (let job = 0; job < seconds * JOBS_PER_S; job++) {
+    for (let job = 0; job < seconds * JOBS_PER_SECOND; job++) {
       this.arrivals.submitNext(() => this.random() < pipelineShare);
-      await this.arrivals.pauseUntilNext(JOBS_PER_S);
+      await this.arrivals.pauseUntilNext(JOBS_PER_SECOND);
     }
   }
 
-  /** Faults for a while, and their end. */
+  /** Injects faults for `seconds`, waits until they are over, and boots the nodes that are still down. */
   protected async injectFaults(seconds: number, faults: readonly Fault[] = FAULTS): Promise<void> {
-    const ends = performance.now() + seconds * 1000;
+    const deadline = performance.now() + seconds * 1000;
     const running: Promise<void>[] = [];
-    while (performance.now() < ends) {
+    while (performance.now() < deadline) {
       const fault = faults[Math.floor(this.random() * faults.length)];
       const duration = 0.2 + this.random() * 3;
       if (fault !== undefined) running.push(fault(this.cluster, this.random, duration));
--- a/test/trials/trialUsers.ts
+++ b/test/trials/trialUsers.ts
@@ -1,42 +1,42 @@
-/** Users of a trial: they submit, ask at all nodes at once, repeat, cancel, and build pipelines. */
+/** Simulated users: they submit, query all nodes at the same time, repeat requests, cancel, and build pipelines. */
 import type { Random } from '../../src/base/random.js';
 import type { Response } from '../../src/transport/httpClient.js';
 import { pause, submission } from '../support/cluster.js';
 import { History, type JobRequest, type ReportedState } from '../support/history.js';
 import { NODE_COUNT } from './faults.js';
 
-/** Processors that the teams' tasks may use at once: below what the jobs ask for. */
-const LIMITS = new Map([
+/** CPU limits of the teams, lower than the demand of their jobs. */
+const CPU_LIMITS = new Map([
   ['crew', 12],
   ['guests', 6],
 ]);
 
-/** The teams as the settings have them. */
-export const TEAM_SETTINGS = [...LIMITS]
+/** The teams' section of the settings file. */
+export const TEAM_SETTINGS = [...CPU_LIMITS]
   .map(([name, cpus]) => `[[settings.teams]]\nname = "${name}"\ncpus_max = ${cpus.toFixed(1)}`)
   .join('\n');
 
 const CPUS_PER_TASK = 2;
-/** Seconds after which a service is cancelled. */
-const SERVICE_S = 8;
+/** Seconds after its submission at which a service is cancelled at the latest. */
+const SERVICE_LIFETIME_S = 8;
 const CANCELLED_SHARE = 0.25;
-/** Of the jobs that are cancelled, those that are cancelled soon after they were submitted, and within how many seconds. */
-const CANCELLED_SOON_SHARE = 0.6;
-const CANCELLED_SOON_S = 1;
-/** How often everybody is asked right after a job was accepted or has ended. */
-const CLOSE_LOOKS = 3;
-/** Seconds between a look at all nodes and the cancellation that follows it, at the most. */
-const LONGEST_PAUSE_BEFORE_CANCEL_S = 0.5;
-/** The pause between two of these rounds, in seconds. */
-const CLOSE_LOOK_PAUSE_S = 0.003;
-/** How many stages follow the first job of a pipeline at the most. */
-const MOST_STAGES = 4;
-/** Pipelines whose last stage is submitted only when the others are over. */
-const LATE_SHARE = 0.2;
-const CANCEL_WITHIN_S = 5 + 1;
+/** Share of the cancelled jobs that are cancelled soon after submission, and within how many seconds. */
+const EARLY_CANCEL_SHARE = 0.6;
+const EARLY_CANCEL_WITHIN_S = 1;
+/** Number of rounds in a request burst; a burst queries all nodes right after a job is accepted or reaches a final state. */
+const BURST_ROUNDS = 3;
+/** Longest pause between a request burst and the cancellation that follows it, in seconds. */
+const MAX_PAUSE_BEFORE_CANCEL_S = 0.5;
+/** Pause between two rounds of a burst, in seconds. */
+const BURST_ROUND_PAUSE_S = 0.003;
+/** Maximum number of stages after the first job of a pipeline. */
+const MAX_STAGES = 4;
+/** Share of the pipelines whose last stage is submitted only when its dependencies have finished. */
+const LATE_LAST_STAGE_SHARE = 0.2;
+const CANCELLATION_TIMEOUT_S = 5 + 1;
 
-/** What an answer says; null: nothing, ask again. */
-function toldBy(response: Response): ReportedState | null {
+/** The job state that an answer reports; null if it reports none and the request is to be repeated. */
+function reportedState(response: Response): ReportedState | null {
   if (response.status === 404) return 'unknown';
   if (response.status === 400 || response.status === 422) return 'refused';
   if (response.status >= 300) return null;
@@ -44,37 +44,37 @@
   return status === 'done' || status === 'cancelled' ? status : 'open';
 }
 
-/** Where users ask. */
+/** Interface through which users send requests to the nodes. */
 export interface ClientApi {
   call(node: string, method: string, path: string, body?: unknown): Promise<Response>;
 }
 
 export interface UserOptions {
-  /** How many tasks a job has, by what was drawn for it. */
-  taskCountOf: (job: string, drawn: number) => number;
-  /** Fields that a submission has beside those that are drawn for all. */
+  /** Number of tasks of a job, given the number drawn for it. */
+  taskCountOf: (job: string, drawnTasks: number) => number;
+  /** Fields of a submission besides those that are drawn for every job. */
   extraFields: (job: string) => Record<string, unknown>;
   nodeCount: number;
-  /** A job has from one to this many tasks. */
+  /** Upper bound of the drawn number of tasks; the lower bound is 1. */
   maxTasks: number;
-  /** What the users are promised of cancellations, and time for an answer to arrive. */
+  /** Cancellation timeout promised to users plus the time that an answer needs to arrive, in seconds. */
   cancellationTimeout: number;
   cpuLimits: ReadonlyMap<string, number>;
-  /** Seconds, by the clock that the checker goes by. */
+  /** Current time in seconds, by the clock that the checker uses. */
   clock: () => number;
-  /** Seconds between two rounds of questions about a job that was submitted so long ago. */
+  /** Seconds between two rounds of queries about a job that was submitted `seconds` ago. */
   pollInterval: (seconds: number) => number;
-  /** Of the jobs, those that are looked at closely: at all nodes, within milliseconds after each change. */
+  /** Share of the jobs with request bursts: queries at all nodes within milliseconds after each change of state. */
   closelyWatchedShare: number;
 }
 
 const DEFAULTS: UserOptions = {
-  taskCountOf: (_, drawn) => drawn,
+  taskCountOf: (_, drawnTasks) => drawnTasks,
   extraFields: () => ({}),
   nodeCount: NODE_COUNT,
   maxTasks: 3,
-  cancellationTimeout: CANCEL_WITHIN_S,
-  cpuLimits: LIMITS,
+  cancellationTimeout: CANCELLATION_TIMEOUT_S,
+  cpuLimits: CPU_LIMITS,
   clock: () => performance.now() / 1000,
   pollInterval: () => 0.25,
   closelyWatchedShare: 0.5,
@@ -84,13 +84,13 @@
   readonly history: History;
   private readonly options: UserOptions;
   private readonly accepted = new Set<string>();
-  private readonly over = new Set<string>();
-  /** Jobs whose users have asked to cancel them. */
-  private readonly calledOff = new Set<string>();
-  /** By job: asks everybody again, right after the job was accepted or has ended. */
-  private readonly closeLooks = new Map<string, () => Promise<void>>();
-  private readonly looking = new Set<Promise<void>>();
-  /** Nothing is asked any more. */
+  private readonly finished = new Set<string>();
+  /** Jobs whose user has requested their cancellation. */
+  private readonly cancelRequested = new Set<string>();
+  /** By job: sends a request burst to all nodes, when the job was just accepted or has reached a final state. */
+  private readonly requestBursts = new Map<string, () => Promise<void>>();
+  private readonly pendingBursts = new Set<Promise<void>>();
+  /** When set, users send no further requests and answers are ignored. */
   isStopped = false;
 
   constructor(
@@ -99,18 +99,18 @@
     options: Partial<UserOptions> = {},
   ) {
     this.options = { ...DEFAULTS, ...options };
-    const { cancellationTimeout: cancelWithin, clock } = this.options;
-    this.history = new History(this.options.cpuLimits, cancelWithin, clock);
+    const { cancellationTimeout, clock } = this.options;
+    this.history = new History(this.options.cpuLimits, cancellationTimeout, clock);
   }
 
-  /** How many jobs were accepted. */
+  /** Number of accepted jobs, with the later stages of pipelines. */
   get acceptedCount(): number {
     return this.accepted.size;
   }
 
-  /** Accepted jobs of which no final state was told. */
+  /** Accepted jobs for which no node has reported a final state. */
   get unfinished(): string[] {
-    return [...this.accepted].filter((id) => !this.over.has(id));
+    return [...this.accepted].filter((id) => !this.finished.has(id));
   }
 
   private get nodes(): string[] {
@@ -121,149 +121,164 @@
     return `drone-${index % this.options.nodeCount}`;
   }
 
-  private async ask(
+  private async sendRequest(
     id: string,
     node: string,
     method: string,
     path: string,
     body?: unknown,
   ): Promise<ReportedState | null> {
-    const question: JobRequest = { job: id, node, sentAt: this.options.clock() };
+    const request: JobRequest = { job: id, node, sentAt: this.options.clock() };
     try {
-      const told = toldBy(await this.cluster.call(node, method, path, body));
-      if (told === null || this.isStopped) return null;
-      this.history.recordAnswer(question, this.options.clock(), told);
-      this.noteProgress(id, told);
-      return told;
+      const reported = reportedState(await this.cluster.call(node, method, path, body));
+      if (reported === null || this.isStopped) return null;
+      this.history.recordAnswer(request, this.options.clock(), reported);
+      this.recordProgress(id, reported);
+      return reported;
     } catch {
       return null;
     }
   }
 
-  private noteProgress(id: string, told: ReportedState): void {
-    const isEnd = (told === 'done' || told === 'cancelled') && !this.over.has(id);
-    const isAcceptance = told === 'open' && !this.accepted.has(id);
-    if (told === 'open') this.accepted.add(id);
-    if (isEnd) this.over.add(id);
-    if (isEnd || isAcceptance) this.keepLooking(this.closeLooks.get(id)?.());
+  private recordProgress(id: string, reported: ReportedState): void {
+    const isEnd = (reported === 'done' || reported === 'cancelled') && !this.finished.has(id);
+    const isAcceptance = reported === 'open' && !this.accepted.has(id);
+    if (reported === 'open') this.accepted.add(id);
+    if (isEnd) this.finished.add(id);
+    if (isEnd || isAcceptance) this.trackBurst(this.requestBursts.get(id)?.());
   }
 
-  private keepLooking(look: Promise<void> | undefined): void {
-    if (look === undefined) return;
-    this.looking.add(look);
-    void look.finally(() => this.looking.delete(look));
+  private trackBurst(burst: Promise<void> | undefined): void {
+    if (burst === undefined) return;
+    this.pendingBursts.add(burst);
+    void burst.finally(() => this.pendingBursts.delete(burst));
   }
 
-  /** Asks, repeats the submission and, where the user has cancelled, the cancellation, at all nodes at once. */
-  private async lookClosely(id: string, body: unknown, hasCancelled: () => boolean): Promise<void> {
-    const rounds: Promise<unknown>[] = [];
-    for (let round = 0; round < CLOSE_LOOKS && !this.isStopped; round++) {
+  /** Queries the job and repeats its submission (and cancellation, if it was cancelled) at all nodes at the same time. */
+  private async sendBurst(id: string, body: unknown, hasCancelled: () => boolean): Promise<void> {
+    const requests: Promise<unknown>[] = [];
+    for (let round = 0; round < BURST_ROUNDS && !this.isStopped; round++) {
       for (const node of this.nodes) {
-        rounds.push(this.ask(id, node, 'GET', `/v1/jobs/${id}`));
-        rounds.push(this.ask(id, node, 'POST', '/v1/jobs', body));
-        if (hasCancelled()) rounds.push(this.ask(id, node, 'POST', `/v1/jobs/${id}/withdraw`));
+        requests.push(this.sendRequest(id, node, 'GET', `/v1/jobs/${id}`));
+        requests.push(this.sendRequest(id, node, 'POST', '/v1/jobs', body));
+        if (hasCancelled())
+          requests.push(this.sendRequest(id, node, 'POST', `/v1/jobs/${id}/withdraw`));
       }
-      await pause(CLOSE_LOOK_PAUSE_S);
+      await pause(BURST_ROUND_PAUSE_S);
     }
-    await Promise.all(rounds);
+    await Promise.all(requests);
   }
 
-  /** Submits, perhaps cancels, and asks until the job is over; each step at several nodes within milliseconds. */
-  async runUser(id: string, waitsOn: string[] = []): Promise<void> {
+  /** Submits a job, perhaps cancels it, and queries it until it ends; each step at several nodes within milliseconds. */
+  async runUser(id: string, dependencies: string[] = []): Promise<void> {
     const draw = this.random();
     const team = draw < 0.6 ? 'crew' : 'guests';
     const drawnTasks = 1 + Math.floor(this.random() * this.options.maxTasks);
     const tasks = this.options.taskCountOf(id, drawnTasks);
-    const drawn = this.random() < CANCELLED_SHARE ? this.drawCancellation() : Infinity;
+    const drawnCancelDelay = this.random() < CANCELLED_SHARE ? this.drawCancelDelay() : Infinity;
     const first = Math.floor(this.random() * this.options.nodeCount);
     const work = { Owner: team, Pieces: tasks, Cores: CPUS_PER_TASK };
     const extra = this.options.extraFields(id);
-    // A service ends when its user cancels it.
+    // A service ends only when its user cancels it.
     const isService = extra['Shape'] === 'daemon';
-    const cancelAfter = isService ? Math.min(drawn, SERVICE_S) : drawn;
+    const cancelAfter = isService
+      ? Math.min(drawnCancelDelay, SERVICE_LIFETIME_S)
+      : drawnCancelDelay;
     const body = submission(id, {
       ...extra,
-      ...(waitsOn.length === 0 ? work : { ...work, WaitsOn: waitsOn }),
+      ...(dependencies.length === 0 ? work : { ...work, WaitsOn: dependencies }),
     });
     if (this.random() < this.options.closelyWatchedShare) {
-      this.closeLooks.set(id, () => this.lookClosely(id, body, () => this.calledOff.has(id)));
+      this.requestBursts.set(id, () =>
+        this.sendBurst(id, body, () => this.cancelRequested.has(id)),
+      );
     }
-    const began = performance.now();
-    this.history.recordSubmission(id, { team, cpus: CPUS_PER_TASK, tasks, dependencies: waitsOn });
-    for (let turn = first; !this.isStopped && !this.over.has(id); turn++) {
-      const seconds = (performance.now() - began) / 1000;
-      const node = this.nodeAt(turn);
-      if (!this.accepted.has(id)) await this.ask(id, node, 'POST', '/v1/jobs', body);
-      else if (seconds > cancelAfter || this.calledOff.has(id)) {
-        await this.lookBeforeCancelling(id, cancelAfter);
-        await this.callOff(id, node);
+    const startedAt = performance.now();
+    this.history.recordSubmission(id, {
+      team,
+      cpus: CPUS_PER_TASK,
+      tasks,
+      dependencies,
+    });
+    for (let index = first; !this.isStopped && !this.finished.has(id); index++) {
+      const seconds = (performance.now() - startedAt) / 1000;
+      const node = this.nodeAt(index);
+      if (!this.accepted.has(id)) await this.sendRequest(id, node, 'POST', '/v1/jobs', body);
+      else if (seconds > cancelAfter || this.cancelRequested.has(id)) {
+        await this.startBurstBeforeCancel(id, cancelAfter);
+        await this.requestCancel(id, node);
       }
-      await this.askEverywhere(id, body);
+      await this.queryAllNodes(id, body);
       await pause(this.options.pollInterval(seconds));
     }
     for (let again = 0; again < 3 && !this.isStopped; again++) {
-      await this.askEverywhere(id, body);
+      await this.queryAllNodes(id, body);
       await pause(0.5);
     }
-    this.closeLooks.delete(id);
-    await Promise.all(this.looking);
+    this.requestBursts.delete(id);
+    await Promise.all(this.pendingBursts);
   }
 
-  private async callOff(id: string, node: string): Promise<void> {
+  private async requestCancel(id: string, node: string): Promise<void> {
     this.history.recordCancelRequest(id);
-    this.calledOff.add(id);
-    await this.ask(id, node, 'POST', `/v1/jobs/${id}/withdraw`);
+    this.cancelRequested.add(id);
+    await this.sendRequest(id, node, 'POST', `/v1/jobs/${id}/withdraw`);
   }
 
-  /** Has users cancel so many accepted jobs now, each at a node of its own choice; they go on until it is confirmed. */
+  /** Makes users cancel the latest `count` unfinished jobs now, each at a random node; users repeat it until it is confirmed. */
   cancelNow(count: number): void {
-    const open = this.unfinished.filter((id) => !this.calledOff.has(id));
+    const open = this.unfinished.filter((id) => !this.cancelRequested.has(id));
     for (const id of open.slice(-count)) {
-      void this.callOff(id, this.nodeAt(Math.floor(this.random() * this.options.nodeCount)));
+      void this.requestCancel(id, this.nodeAt(Math.floor(this.random() * this.options.nodeCount)));
     }
   }
 
-  /** What is asked now may still be on its way when the cancellation is confirmed. */
-  private async lookBeforeCancelling(id: string, cancelAfter: number): Promise<void> {
-    const look = this.closeLooks.get(id);
-    if (look === undefined) return;
-    this.keepLooking(look());
-    await pause(Number.isFinite(cancelAfter) ? cancelAfter % LONGEST_PAUSE_BEFORE_CANCEL_S : 0);
+  /** Starts a burst whose requests may still be in flight when the cancellation is confirmed. */
+  private async startBurstBeforeCancel(id: string, cancelAfter: number): Promise<void> {
+    const burst = this.requestBursts.get(id);
+    if (burst === undefined) return;
+    this.trackBurst(burst());
+    await pause(Number.isFinite(cancelAfter) ? cancelAfter % MAX_PAUSE_BEFORE_CANCEL_S : 0);
   }
 
-  /** Seconds until a user who cancels does so. */
-  private drawCancellation(): number {
-    return this.random() * (this.random() < CANCELLED_SOON_SHARE ? CANCELLED_SOON_S : 4);
+  /** Draws the delay between submission and cancellation, in seconds. */
+  private drawCancelDelay(): number {
+    return this.random() * (this.random() < EARLY_CANCEL_SHARE ? EARLY_CANCEL_WITHIN_S : 4);
   }
 
-  /** Asks at every node about a job that nobody submits. */
+  /** Queries every node about a job that is never submitted. */
   async queryUnknownJob(id: string): Promise<void> {
     this.history.recordNeverSubmitted(id);
-    await Promise.all(this.nodes.map((node) => this.ask(id, node, 'GET', `/v1/jobs/${id}`)));
+    await Promise.all(
+      this.nodes.map((node) => this.sendRequest(id, node, 'GET', `/v1/jobs/${id}`)),
+    );
   }
 
-  /** Jobs that need others, each submitted once those are accepted, by a user of its own. */
+  /** Runs a pipeline: each stage is submitted by a user of its own once its dependencies are accepted. */
   async runPipeline(first: string): Promise<void> {
-    const stages = 1 + Math.floor(this.random() * MOST_STAGES);
-    const isLate = this.random() < LATE_SHARE;
+    const stages = 1 + Math.floor(this.random() * MAX_STAGES);
+    const isLate = this.random() < LATE_LAST_STAGE_SHARE;
     const submitted = [first];
     const users = [this.runUser(first)];
     for (let stage = 1; stage <= stages && !this.isStopped; stage++) {
-      const needs = submitted.filter((_, i) => i === submitted.length - 1 || this.random() < 0.3);
-      const mayGoOn = (need: string): boolean =>
-        this.over.has(need) || (this.accepted.has(need) && !(isLate && stage === stages));
-      while (!this.isStopped && !needs.every(mayGoOn)) await pause(0.05);
+      const dependencies = submitted.filter(
+        (_, i) => i === submitted.length - 1 || this.random() < 0.3,
+      );
+      const allowsSubmission = (dependency: string): boolean =>
+        this.finished.has(dependency) ||
+        (this.accepted.has(dependency) && !(isLate && stage === stages));
+      while (!this.isStopped && !dependencies.every(allowsSubmission)) await pause(0.05);
       const id = `${first}-${stage}`;
       submitted.push(id);
-      users.push(this.runUser(id, needs));
+      users.push(this.runUser(id, dependencies));
     }
     await Promise.all(users);
   }
 
-  private async askEverywhere(id: string, body: unknown): Promise<void> {
-    const questions = this.nodes.map((node) => this.ask(id, node, 'GET', `/v1/jobs/${id}`));
+  private async queryAllNodes(id: string, body: unknown): Promise<void> {
+    const questions = this.nodes.map((node) => this.sendRequest(id, node, 'GET', `/v1/jobs/${id}`));
     const repeated = this.accepted.has(id)
-      ? [this.ask(id, this.nodeAt(id.charCodeAt(id.length - 1)), 'POST', '/v1/jobs', body)]
+      ? [this.sendRequest(id, this.nodeAt(id.charCodeAt(id.length - 1)), 'POST', '/v1/jobs', body)]
       : [];
     await Promise.all([...questions, ...repeated]);
   }
