--- a/test/mixed/fixtures.ts
+++ b/test/mixed/fixtures.ts
@@ -1,6 +1,6 @@
 /**
- * Writes test/fixtures/production.json: records and messages as the version in production makes them, by its own
- * modules. Run by `npm run fixtures`; test/compatibility.test.ts reads them with the present code.
+ * `npm run fixtures`: writes test/fixtures/production.json with records and messages as encoded by the modules of the version
+ * in production. test/storage/compatibility.test.ts reads them with the current code.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
@@ -20,17 +20,17 @@
 import { productionAnswers, productionRequests } from '../support/messages.js';
 import { buildProduction, loadModule, productionCommit } from './productionBuild.js';
 
-/** What is used of the version in production. */
-interface ProductionPeer {
+/** The exports of the version in production that this program uses. */
+interface ProductionPeerModule {
   encodeRequest(request: WireRequest): Buffer;
   encodeAnswer(answer: WireAnswer): Buffer;
 }
-interface ProductionChunk {
+interface ProductionChunkModule {
   Chunk: {
     load(index: number, record: StoredChunkRecord, now: number): { record(): StoredChunkRecord };
   };
 }
-interface ProductionJob {
+interface ProductionJobModule {
   parseJob(body: string): { job: StoredJobSpec };
 }
 
@@ -41,7 +41,7 @@
   ...{ ExpectS: 15, SnapshotS: 20, FlushS: 4, DueS: 300 },
 };
 
-const entries = (count: number): StoredAttemptRecord[] =>
+const attemptRecords = (count: number): StoredAttemptRecord[] =>
   Array.from({ length: count }, (_, i) => ({
     task: 40 + i,
     attempt: 1 + i,
@@ -49,14 +49,17 @@
     session: 1 + (i % 2),
   }));
 
-function records(spec: StoredJobSpec, { Chunk }: ProductionChunk): Record<string, unknown> {
+function storedRecords(
+  spec: StoredJobSpec,
+  { Chunk }: ProductionChunkModule,
+): Record<string, unknown> {
   const job: StoredJobRecord = {
     ...{ spec, home: 'drone-0', state: 'open', tasks: 300, at: 1764637200.25 },
     ...{ size: 100, zones: [], cut: 3, finished: [1], away: [1, 2] },
   };
   const chunk: StoredChunkRecord = {
     ...{ spec, home: 'drone-0', at: 1764637200.25, from: 0, to: 100, zone: 'a', next: 61 },
-    ...{ done: [0, 12, 30, 40], entries: entries(60), moves: 1 },
+    ...{ done: [0, 12, 30, 40], entries: attemptRecords(60), moves: 1 },
   };
   const written = Chunk.load(0, chunk, 0).record();
   const machines = Object.fromEntries(
@@ -68,7 +71,7 @@
   return {
     'b/job/wk-000001': job,
     'b/job/wk-000002': { ...job, spec: null, state: 'done', finished: [], away: [] },
-    'b/run/drone-0/s1': { chunks: { 'wk-000001/0': { ...written, entries: entries(60) } } },
+    'b/run/drone-0/s1': { chunks: { 'wk-000001/0': { ...written, entries: attemptRecords(60) } } },
     'b/fleet/r-1': { part: 'drone-0', type: 'm8', zone: 'a', spot: true, machines },
     'b/quota/crew': { 'drone-0': { cpus: 8, gpus: 0 } },
     'b/token': {
@@ -80,14 +83,14 @@
 }
 
 const compiled = buildProduction();
-const peer = await loadModule<ProductionPeer>(compiled, 'protocol/peer.js');
-const job = await loadModule<ProductionJob>(compiled, 'protocol/job.js');
-const chunk = await loadModule<ProductionChunk>(compiled, 'coordination/chunk.js');
+const peer = await loadModule<ProductionPeerModule>(compiled, 'protocol/peer.js');
+const job = await loadModule<ProductionJobModule>(compiled, 'protocol/job.js');
+const chunk = await loadModule<ProductionChunkModule>(compiled, 'coordination/chunk.js');
 const { job: spec } = job.parseJob(JSON.stringify(body));
 const fixtures = {
   commit: productionCommit(),
   submission: body,
-  records: records(spec, chunk),
+  records: storedRecords(spec, chunk),
   requests: productionRequests.map((request) =>
     peer.encodeRequest(decodeWireRequest(encodeRequest(request))).toString('base64'),
   ),
--- a/test/mixed/measureRollout.ts
+++ b/test/mixed/measureRollout.ts
@@ -1,6 +1,6 @@
 /**
- * What users notice of a rollout and of a migration, on stand-ins: `npm run measure-rollout -- JOBS`. Three controllers in
- * one process, so that the figures are of the protocol's waits, not of processors.
+ * `npm run measure-rollout -- JOBS`: measures the effect of a rollout and of a record migration on users, on stand-ins. All
+ * three controllers share one process, so the figures show the waits of the protocol, not processor time.
  */
 import { performance } from 'node:perf_hooks';
 import { rolloutPath } from '../../src/protocol/routes.js';
@@ -8,13 +8,13 @@
 import { FEATURES, LABELS, LARGE_JOB, RolloutCluster } from '../support/rolloutCluster.js';
 
 const REPETITIONS = 3;
-const PROBE_S = 0.02;
-/** How long a controller that is ended stays away. */
-const AWAY_S = 0.5;
+const PROBE_INTERVAL_S = 0.02;
+/** Seconds between the end of a controller and its restart. */
+const DOWNTIME_S = 0.5;
 const build = buildWithFeatures(FEATURES);
 
-/** Submits small jobs at whatever node is ready, one after the other, and notes when one was accepted. */
-class Probe {
+/** Submits small jobs one after another to the nodes that are ready, and records when each was accepted and its latency. */
+class SubmissionProbe {
   readonly accepted: number[] = [];
   readonly latencies: number[] = [];
   private isOver = false;
@@ -23,7 +23,7 @@
 
   constructor(
     private readonly rollout: RolloutCluster,
-    private readonly series: string,
+    private readonly idPrefix: string,
   ) {
     this.running = this.run();
   }
@@ -31,24 +31,24 @@
   private async run(): Promise<void> {
     while (!this.isOver) {
       const label = LABELS[this.count++ % LABELS.length];
-      const began = performance.now();
+      const startedAt = performance.now();
       try {
         const ready = await this.rollout.cluster.call(label, 'GET', '/ready');
-        if (ready.status === 200) await this.submit(label, began);
+        if (ready.status === 200) await this.submit(label, startedAt);
       } catch {
-        // It is down: the next one.
+        // The node is down; the next round tries the next node.
       }
-      await pause(PROBE_S);
+      await pause(PROBE_INTERVAL_S);
     }
   }
 
-  private async submit(label: string, began: number): Promise<void> {
-    const id = `wk-${this.series}-${this.count}`;
+  private async submit(label: string, startedAt: number): Promise<void> {
+    const id = `wk-${this.idPrefix}-${this.count}`;
     const body = submission(id, { Pieces: 1, Cores: 0.1, MemoryGb: 0.1 });
     const { status } = await this.rollout.cluster.call(label, 'POST', '/v1/jobs', body);
     if (status !== 201) return;
     this.accepted.push(performance.now());
-    this.latencies.push(performance.now() - began);
+    this.latencies.push(performance.now() - startedAt);
   }
 
   async stop(): Promise<void> {
@@ -60,17 +60,17 @@
 const longestGap = (times: number[]): number =>
   Math.max(0, ...times.slice(1).map((time, i) => time - (times[i] ?? time))) / 1000;
 
-const share = (sorted: number[], part: number): number =>
-  sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? NaN;
+const percentile = (sorted: number[], quantile: number): number =>
+  sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * quantile))] ?? NaN;
 
-const summary = (latencies: number[]): string => {
+const summarizeLatencies = (latencies: number[]): string => {
   const sorted = [...latencies].sort((a, b) => a - b);
-  return `p50 ${share(sorted, 0.5).toFixed(1)} ms, p99 ${share(sorted, 0.99).toFixed(1)} ms of ${sorted.length}`;
+  return `p50 ${percentile(sorted, 0.5).toFixed(1)} ms, p99 ${percentile(sorted, 0.99).toFixed(1)} ms of ${sorted.length}`;
 };
 
 async function measureReplacements(isDrained: boolean): Promise<void> {
-  const answers: number[] = [];
-  const starts: number[] = [];
+  const acceptanceGaps: number[] = [];
+  const startGaps: number[] = [];
   for (let i = 0; i < REPETITIONS; i++) {
     const rollout = new RolloutCluster(build);
     const started: number[] = [];
@@ -82,31 +82,33 @@
     try {
       await rollout.start();
       await rollout.waitForLevel(3);
-      const probe = new Probe(rollout, `r${i}`);
+      const probe = new SubmissionProbe(rollout, `r${i}`);
       await pause(4);
       for (const label of LABELS) {
         const from = performance.now();
         if (isDrained) await rollout.drain(label);
         rollout.cluster.crash(label);
-        await pause(AWAY_S);
+        await pause(DOWNTIME_S);
         await rollout.restart(label, build);
         await pause(2);
-        answers.push(longestGap(probe.accepted.filter((time) => time >= from)));
-        starts.push(longestGap(started.filter((time) => time >= from)));
+        acceptanceGaps.push(longestGap(probe.accepted.filter((time) => time >= from)));
+        startGaps.push(longestGap(started.filter((time) => time >= from)));
       }
       await probe.stop();
     } finally {
       await rollout.close();
     }
   }
-  const told = (gaps: number[]): string =>
-    `median ${share(
+  const summarizeGaps = (gaps: number[]): string =>
+    `median ${percentile(
       [...gaps].sort((a, b) => a - b),
       0.5,
     ).toFixed(2)} s, most ${Math.max(...gaps).toFixed(2)} s`;
-  console.log(`${isDrained ? 'with' : 'without'} drain, ${answers.length} controllers replaced:`);
-  console.log(`  longest gap of accepted submissions: ${told(answers)}`);
-  console.log(`  longest gap of starts: ${told(starts)}`);
+  console.log(
+    `${isDrained ? 'with' : 'without'} drain, ${acceptanceGaps.length} controllers replaced:`,
+  );
+  console.log(`  longest gap of accepted submissions: ${summarizeGaps(acceptanceGaps)}`);
+  console.log(`  longest gap of starts: ${summarizeGaps(startGaps)}`);
 }
 
 async function measureMigration(jobs: number): Promise<void> {
@@ -135,16 +137,16 @@
     };
     await Promise.all(Array.from({ length: 24 }, submitter));
     await pause(5);
-    const quiet = new Probe(rollout, 'quiet');
+    const probeBefore = new SubmissionProbe(rollout, 'quiet');
     await pause(5);
-    await quiet.stop();
+    await probeBefore.stop();
     const { fragments } = rollout.recordCounts;
     const writes = cluster.state.writeCount;
-    const began = performance.now();
-    const probe = new Probe(rollout, 'busy');
+    const startedAt = performance.now();
+    const probe = new SubmissionProbe(rollout, 'busy');
     await cluster.call('drone-0', 'POST', `${rolloutPath}/finalize`, {});
     await rollout.waitForLevel(3, 'drone-0', 400);
-    const seconds = (performance.now() - began) / 1000;
+    const seconds = (performance.now() - startedAt) / 1000;
     await probe.stop();
     const { compressed } = rollout.recordCounts;
     const changes = cluster.state.writeCount - writes;
@@ -153,7 +155,7 @@
     );
     console.log(`  ${seconds.toFixed(1)} s, ${changes} changes of the store, the probe's included`);
     console.log(
-      `  submissions before: ${summary(quiet.latencies)}; meanwhile: ${summary(probe.latencies)}`,
+      `  submissions before: ${summarizeLatencies(probeBefore.latencies)}; meanwhile: ${summarizeLatencies(probe.latencies)}`,
     );
   } finally {
     await rollout.close();
--- a/test/mixed/mixedTrial.ts
+++ b/test/mixed/mixedTrial.ts
@@ -1,4 +1,4 @@
-/** One cluster that is upgraded while it serves: production at first, this version at the end. */
+/** Trial of a cluster that is upgraded node by node under load, from the version in production to the current one. */
 import { systemClock } from '../../src/base/clock.js';
 import { seededRandom } from '../../src/base/random.js';
 import { pause, currentBuild, type Build, type BuiltNode } from '../support/cluster.js';
@@ -6,27 +6,27 @@
 import { Trial, type TrialResult } from '../trials/trial.js';
 import { loadModule } from './productionBuild.js';
 
-/** Seconds with production alone, between two upgrades, and with this version alone. */
-const OLD_S = 3;
-const STEP_S = 2.5;
-const NEW_S = 8;
+/** Seconds with the production version alone, between two upgrades, and with the current version alone. */
+const PRODUCTION_ONLY_S = 3;
+const UPGRADE_INTERVAL_S = 2.5;
+const UPGRADED_S = 8;
 
-/** The limits to come; the state service has them some seconds after the last upgrade. */
-const NEXT = { valueBytes: 2048, txnOps: 5 };
-const NEXT_LIMITS = 'value_kb = 2.0\ntxn_ops = 5';
-const GRACE_S = 2;
+/** The announced lower limits of the state service, and the delay after the last upgrade at which they apply, in seconds. */
+const LOWERED_LIMITS = { valueBytes: 2048, txnOps: 5 };
+const NEXT_LIMITS_SETTINGS = 'value_kb = 2.0\ntxn_ops = 5';
+const LIMITS_DELAY_S = 2;
 
 export interface MixedResult extends TrialResult {
-  /** Changes that the state service called malformed after its limits had fallen. */
+  /** Number of changes that the state service rejected as malformed, which it does after its limits have been lowered. */
   malformedCount: number;
 }
 
-/** The gateway of the version in production, by the names that it had there. */
+/** The gateway of the version in production, with that version's member names. */
 interface ProductionGateway extends Pick<BuiltNode['gateway'], 'handle'> {
   peer: BuiltNode['gateway']['handlePeerMessage'];
 }
 
-/** What is used of the version in production: its controllers are started, stopped and asked, no more. */
+/** The exports of the version in production that trials use: its controllers are only started, stopped and called. */
 interface ProductionModules {
   settings: { parseSettings(text: string): unknown; defaultTuning: Record<string, unknown> };
   controller: {
@@ -37,7 +37,7 @@
   log: { setLogLevel(level: string): void };
 }
 
-/** Controllers of an earlier version, from its compiled modules. */
+/** Makes a build that starts controllers of an earlier version from its compiled modules. */
 export async function loadEarlierBuild(compiled: string): Promise<Build> {
   const modules: ProductionModules = {
     settings: await loadModule(compiled, 'protocol/settings.js'),
@@ -70,7 +70,7 @@
 
 class MixedTrial extends Trial {
   constructor(seed: number, production: Build) {
-    super(seed, { nextStateLimits: NEXT_LIMITS });
+    super(seed, { nextStateLimits: NEXT_LIMITS_SETTINGS });
     for (const label of this.nodeLabels) this.cluster.builds.set(label, production);
   }
 
@@ -78,26 +78,26 @@
     return this.cluster.state.malformedCount;
   }
 
-  /** Pipelines come only when every node has the new version. */
+  /** Pipelines are submitted only after every node has been upgraded. */
   protected override async runScenario(): Promise<void> {
-    const mixedFor = OLD_S + STEP_S * NODE_COUNT;
+    const mixedFor = PRODUCTION_ONLY_S + UPGRADE_INTERVAL_S * NODE_COUNT;
     const faults = this.injectFaults(mixedFor, FAULTS_WITHOUT_DUPLICATES);
     const upgrade = this.upgradeAll();
     await this.submitFor(mixedFor, 0);
     await Promise.all([faults, upgrade]);
-    await pause(GRACE_S);
-    this.cluster.state.limits = { ...NEXT };
-    const later = this.injectFaults(NEW_S, FAULTS);
-    await this.submitFor(NEW_S, 0.5);
+    await pause(LIMITS_DELAY_S);
+    this.cluster.state.limits = { ...LOWERED_LIMITS };
+    const later = this.injectFaults(UPGRADED_S, FAULTS);
+    await this.submitFor(UPGRADED_S, 0.5);
     await later;
   }
 
   private async upgradeAll(): Promise<void> {
-    await pause(OLD_S);
+    await pause(PRODUCTION_ONLY_S);
     for (const label of this.nodeLabels) {
       this.cluster.builds.set(label, currentBuild);
       await restart(this.cluster, label, 0.1 + this.random() * 0.5);
-      await pause(STEP_S);
+      await pause(UPGRADE_INTERVAL_S);
     }
   }
 }
--- a/test/mixed/productionBuild.ts
+++ b/test/mixed/productionBuild.ts
@@ -1,6 +1,6 @@
 /**
- * Earlier versions, built from the history into a scratch folder: the one that deploy/service.toml names as in
- * production, and 0.3.0. It needs the whole history and takes a while, so CI runs nothing of this folder.
+ * Builds earlier versions from the git history into a temporary folder: the one that deploy/service.toml names as in
+ * production, and 0.3.0. This needs the full history and takes long, so CI runs none of the programs in this folder.
  */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, rmSync, symlinkSync } from 'node:fs';
@@ -11,7 +11,7 @@
 
 const ROOT = resolve(import.meta.dirname, '../../../..');
 
-/** The commit in production. */
+/** The commit that deploy/service.toml names as in production. */
 export function productionCommit(): string {
   const deploy = parse(readFileSync(join(ROOT, 'deploy/service.toml'), 'utf8'));
   const { production } = deploy;
@@ -19,12 +19,12 @@
   return production;
 }
 
-/** The last commit of version 0.3.0, which knows of node capabilities and nothing of a cluster version. */
+/** The last commit of version 0.3.0, which supports node capabilities but no cluster version. */
 export const RELEASE_0_3_COMMIT = '2bcbffccdca50e61d611d72b09f6c0c0294edcd7';
 
 export const buildProduction = (): string => buildCommit(productionCommit());
 
-/** Builds a commit, unless that was done before, and gives the folder with the compiled modules. */
+/** Builds a commit unless its build exists already, and returns the folder with the compiled modules. */
 export function buildCommit(commit: string): string {
   const folder = join(tmpdir(), `barrowlb-${commit.slice(0, 12)}`);
   const compiled = join(folder, 'target');
@@ -38,7 +38,7 @@
   return compiled;
 }
 
-/** One module of the compiled version; the caller names the shape that it had in that version. */
+/** Loads a module of a compiled version; the caller supplies the type of the exports in that version. */
 export async function loadModule<Exports>(compiled: string, path: string): Promise<Exports> {
   return (await import(pathToFileURL(join(compiled, path)).href)) as Exports;
 }
