--- a/test/regression/comparison.ts
+++ b/test/regression/comparison.ts
@@ -1,9 +1,9 @@
-/** Figures of two scores of a deployment, aim by aim. */
+/** Compares the figures of a deployment's score with earlier scores, aim by aim. */
 
-/** A fall of more than this is traced before anything else. */
+/** A figure that falls by more than this is a regression, to be traced before any other work. */
 export const TOLERANCE = 0.03;
 
-/** What a journal's entry of a score tells, as far as it is compared. */
+/** The compared fields of a journal entry for the command `score`. */
 export interface ScoreEntry {
   id: string;
   cmd: string;
@@ -21,7 +21,7 @@
   name: string;
   score: number | null;
   rules: Record<string, unknown>;
-  /** Aims in words, with what each is worth. */
+  /** The aims in words, each with its worth in the score. */
   aims: [string, number][];
 }
 
@@ -31,15 +31,15 @@
   after: number;
 }
 
-/** `wait calendar 1 s: 0.916 (aim 0.92)`: the name of the aim and its figure. */
-function figureOf(aim: string): [string, number] | null {
+/** Parses `wait calendar 1 s: 0.916 (aim 0.92)` into the name of the aim and its figure. */
+function parseFigure(aim: string): [string, number] | null {
   const match = /^(.*): (-?[\d.]+) \(aim/.exec(aim);
   return match === null ? null : [match[1] ?? '', Number(match[2])];
 }
 
 const isBetterWhenLower = (aim: string): boolean => /^(price|node_restarts)/.test(aim);
 
-/** All figures of a score by their names; larger is better. */
+/** All figures of a score by name, without days named `fresh-*`. Larger is better: price and restarts are negated. */
 export function figuresByName({ score, days }: ScoreEntry): Map<string, number> {
   const figures = new Map<string, number>();
   if (score !== null) figures.set('score', score);
@@ -47,7 +47,7 @@
     if (day.name.startsWith('fresh-')) continue;
     if (day.score !== null) figures.set(day.name, day.score);
     for (const [aim] of day.aims) {
-      const figure = figureOf(aim);
+      const figure = parseFigure(aim);
       if (figure === null) continue;
       const [name, value] = figure;
       figures.set(`${day.name}, ${name}`, isBetterWhenLower(name) ? -value : value);
@@ -56,24 +56,24 @@
   return figures;
 }
 
-/** Figures that fell by more than the tolerance below the lowest that was recorded. */
+/** Figures that fell by more than the tolerance below the lowest recorded one. */
 export function findRegressions(recorded: ScoreEntry[], now: ScoreEntry): Regression[] {
   const before = recorded.map(figuresByName);
-  const falls: Regression[] = [];
-  for (const [what, figure] of figuresByName(now)) {
-    const known = before.flatMap((figures) => figures.get(what) ?? []);
+  const regressions: Regression[] = [];
+  for (const [name, figure] of figuresByName(now)) {
+    const known = before.flatMap((figures) => figures.get(name) ?? []);
     const lowest = Math.min(...known);
     if (known.length > 0 && figure < lowest - TOLERANCE) {
-      falls.push({ figure: what, before: Math.abs(lowest), after: Math.abs(figure) });
+      regressions.push({ figure: name, before: Math.abs(lowest), after: Math.abs(figure) });
     }
   }
-  return falls;
+  return regressions;
 }
 
 export const brokenRules = ({ days }: ScoreEntry): string[] =>
   days.flatMap(({ name, rules }) => Object.keys(rules).map((rule) => `${name}: ${rule}`));
 
-/** The runs of the last sources that were scored: one alone says little, since processor time is measured. */
+/** All scores of the most recently scored sources. A single run says little, since processor time is measured. */
 export function entriesOfLastSources(entries: ScoreEntry[], site: string): ScoreEntry[] {
   const scored = entries.filter((e) => e.cmd === 'score' && e.site === site && e.ok);
   const last = scored[scored.length - 1];
--- a/test/regression/main.ts
+++ b/test/regression/main.ts
@@ -1,7 +1,6 @@
 /**
- * `npm run regression -- KIT [--full]`: scores the deployments that every landing is measured on, and compares the figures
- * with the last that the journal has. Exits with 1 for a broken rule, a figure that fell by more than 0.03, or a site that
- * did not run. Not part of CI.
+ * `npm run regression -- KIT [--full]`: scores the reference deployments and compares the figures with the last ones in the
+ * journal. Exits with 1 for a broken rule, a figure that fell by more than 0.03, or a site that did not run. Not part of CI.
  */
 import { spawnSync } from 'node:child_process';
 import { readdirSync, readFileSync } from 'node:fs';
@@ -27,10 +26,10 @@
     .filter((name) => name.endsWith('.json'))
     .sort();
 
-const read = (name: string): ScoreEntry =>
+const readEntry = (name: string): ScoreEntry =>
   JSON.parse(readFileSync(join(JOURNAL, name), 'utf8')) as ScoreEntry;
 
-function score(kit: string, isFull: boolean): void {
+function runScore(kit: string, isFull: boolean): void {
   const sites = SITES.map((site) => join(kit, `${site}.toml`));
   const quick = isFull ? [] : ['--quick'];
   const why = ['--why', 'regression: no figure lower than the last that was recorded'];
@@ -41,21 +40,21 @@
   });
 }
 
-/** Prints what is wrong with one site's score; true when nothing is. */
+/** Prints the regressions and broken rules of one site's score; returns true if there are none. */
 function report(site: string, recorded: ScoreEntry[], now: ScoreEntry | undefined): boolean {
   if (now === undefined || !now.ok) {
     console.log(`${site}: did not run: ${now?.error ?? 'no entry in the journal'}`);
     return false;
   }
   const broken = brokenRules(now);
-  const falls = findRegressions(recorded, now);
+  const regressions = findRegressions(recorded, now);
   const against = recorded.map(({ id }) => id).join(', ') || 'nothing recorded';
   console.log(`${site}: ${now.score?.toFixed(3) ?? '-'} against ${against}`);
   for (const rule of broken) console.log(`  rule broken on ${rule}`);
-  for (const { figure: what, before, after: after } of falls) {
-    console.log(`  ${what}: ${after} after ${before} at the least`);
+  for (const { figure, before, after } of regressions) {
+    console.log(`  ${figure}: ${after} after ${before} at the least`);
   }
-  return broken.length + falls.length === 0;
+  return broken.length + regressions.length === 0;
 }
 
 const [kit, mode] = process.argv.slice(2);
@@ -63,15 +62,15 @@
   console.error("regression: name the kit's folder: npm run regression -- KIT [--full]");
   process.exit(2);
 }
-const before = entryNames();
-score(resolve(kit), mode === '--full');
-const old = before.map(read);
-const fresh = entryNames()
-  .filter((name) => !before.includes(name))
-  .map(read);
+const namesBefore = entryNames();
+runScore(resolve(kit), mode === '--full');
+const entriesBefore = namesBefore.map(readEntry);
+const newEntries = entryNames()
+  .filter((name) => !namesBefore.includes(name))
+  .map(readEntry);
 const verdicts = SITES.map((path) => {
   const site = path.slice(path.indexOf('/') + 1);
-  const now = fresh.find((entry) => entry.site === site);
-  return report(site, entriesOfLastSources(old, site), now);
+  const now = newEntries.find((entry) => entry.site === site);
+  return report(site, entriesOfLastSources(entriesBefore, site), now);
 });
 process.exit(verdicts.every(Boolean) ? 0 : 1);
